--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/choice"
-	"github.com/ryeford/ryeford/roster"
+	"github.com/ryeford/ryeford/gateway/choice"
+	"github.com/ryeford/ryeford/gateway/roster"
 )
 
 const (
--- a/gateway/choose_bench_test.go
+++ b/gateway/choose_bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/go-kit/log"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/catalog"
+	"github.com/ryeford/ryeford/gateway/catalog"
+	"github.com/ryeford/ryeford/gateway/peers"
 	"github.com/ryeford/ryeford/internal/telemetry"
-	"github.com/ryeford/ryeford/peers"
 	"github.com/ryeford/ryeford/platform"
 	"github.com/ryeford/ryeford/settings"
 )
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/catalog"
-	"github.com/ryeford/ryeford/watch"
+	"github.com/ryeford/ryeford/gateway/catalog"
+	"github.com/ryeford/ryeford/gateway/watch"
 )
 
 const (
--- a/endpoint/endpoint_test.go
+++ b/gateway/endpoint/endpoint_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/endpoint"
+	"github.com/ryeford/ryeford/gateway/endpoint"
 	"github.com/ryeford/ryeford/platform"
 )
 
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/endpoint"
-	"github.com/ryeford/ryeford/roster"
+	"github.com/ryeford/ryeford/gateway/endpoint"
+	"github.com/ryeford/ryeford/gateway/roster"
 )
 
 const (
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -22,14 +22,14 @@
 	"golang.org/x/sync/semaphore"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/catalog"
-	"github.com/ryeford/ryeford/endpoint"
-	"github.com/ryeford/ryeford/freshness"
-	"github.com/ryeford/ryeford/holders"
+	"github.com/ryeford/ryeford/gateway/catalog"
+	"github.com/ryeford/ryeford/gateway/endpoint"
+	"github.com/ryeford/ryeford/gateway/freshness"
+	"github.com/ryeford/ryeford/gateway/holders"
+	"github.com/ryeford/ryeford/gateway/outlier"
+	"github.com/ryeford/ryeford/gateway/roster"
 	"github.com/ryeford/ryeford/internal/telemetry"
-	"github.com/ryeford/ryeford/outlier"
 	"github.com/ryeford/ryeford/retry"
-	"github.com/ryeford/ryeford/roster"
 	"github.com/ryeford/ryeford/settings"
 )
 
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/peers"
+	"github.com/ryeford/ryeford/gateway/peers"
 )
 
 const (
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/peers"
+	"github.com/ryeford/ryeford/gateway/peers"
 	"github.com/ryeford/ryeford/route"
 )
 
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/endpoint"
+	"github.com/ryeford/ryeford/gateway/endpoint"
 )
 
 const (
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/catalog"
+	"github.com/ryeford/ryeford/gateway/catalog"
 	"github.com/ryeford/ryeford/route"
 )
 
--- a/gateway/watchers.go
+++ b/gateway/watchers.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/watch"
+	"github.com/ryeford/ryeford/gateway/watch"
 )
 
 const (
