--- a/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -16,14 +16,14 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/admission"
-	"github.com/ryeford/ryeford/engine"
-	"github.com/ryeford/ryeford/internal/decision"
+	"github.com/ryeford/ryeford/agentfleet/admission"
+	"github.com/ryeford/ryeford/agentfleet/decision"
+	"github.com/ryeford/ryeford/agentfleet/engine"
+	"github.com/ryeford/ryeford/agentfleet/template"
+	"github.com/ryeford/ryeford/agentfleet/transport"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 	"github.com/ryeford/ryeford/internal/telemetry"
-	"github.com/ryeford/ryeford/internal/transport"
-	"github.com/ryeford/ryeford/internal/wire"
 	"github.com/ryeford/ryeford/settings"
-	"github.com/ryeford/ryeford/template"
 )
 
 const sweepInterval = time.Second
--- a/agent/attempts.go
+++ b/agentfleet/agent/attempts.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/answer"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/answer"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // A run is an attempt that was admitted here.
--- a/agent/attempts_test.go
+++ b/agentfleet/agent/attempts_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // TestAttemptsAtMostOnce drives dispatches, repeated and late, joins, forgotten
--- a/agent/cachekey.go
+++ b/agentfleet/agent/cachekey.go
@@ -4,7 +4,7 @@
 	"strings"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // cacheKey returns the name under which an engine caches a chat. It holds the
--- a/agent/chatmemory.go
+++ b/agentfleet/agent/chatmemory.go
@@ -4,7 +4,7 @@
 	"container/list"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // A chatMemory remembers the chats that were served last.
--- a/agent/chatmemory_test.go
+++ b/agentfleet/agent/chatmemory_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/admission"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/admission"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 func testChat(i int) wire.ChatKey {
--- a/agent/connections.go
+++ b/agentfleet/agent/connections.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/transport"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/transport"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // accept serves connections until ctx ends.
--- a/agent/dispatch.go
+++ b/agentfleet/agent/dispatch.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/admission"
-	"github.com/ryeford/ryeford/answer"
-	"github.com/ryeford/ryeford/internal/transport"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/admission"
+	"github.com/ryeford/ryeford/agentfleet/answer"
+	"github.com/ryeford/ryeford/agentfleet/transport"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // serveDispatch admits or refuses an attempt and sends its answer.
--- a/agent/execute.go
+++ b/agentfleet/agent/execute.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/answer"
-	"github.com/ryeford/ryeford/engine"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/answer"
+	"github.com/ryeford/ryeford/agentfleet/engine"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 const (
--- a/agent/gossip.go
+++ b/agentfleet/agent/gossip.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/ryeford/ryeford/internal/transport"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/transport"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // gossip sends the engines' loads and the revision to a random router each
--- a/agent/plan_test.go
+++ b/agentfleet/agent/plan_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/decision"
+	"github.com/ryeford/ryeford/agentfleet/decision"
 )
 
 // A fakeEngine takes orders, with or without a look at their epoch. Its other
--- a/agent/unit.go
+++ b/agentfleet/agent/unit.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/admission"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/admission"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // A unit is one engine, or one plain service, of the agent's VM.
--- a/agent/waiting.go
+++ b/agentfleet/agent/waiting.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // maxWaiting bounds how many dispatches wait at one engine.
--- a/claim/claim.go
+++ b/agentfleet/claim/claim.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/tableservice"
+	"github.com/ryeford/ryeford/agentfleet/tableservice"
 )
 
 const (
--- a/lease/lease.go
+++ b/agentfleet/lease/lease.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/tableservice"
+	"github.com/ryeford/ryeford/agentfleet/tableservice"
 )
 
 // A record is the lease's row.
--- a/router/callers_test.go
+++ b/agentfleet/router/callers_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/decision"
+	"github.com/ryeford/ryeford/agentfleet/decision"
+	"github.com/ryeford/ryeford/agentfleet/template"
 	"github.com/ryeford/ryeford/internal/telemetry"
 	"github.com/ryeford/ryeford/settings"
-	"github.com/ryeford/ryeford/template"
 )
 
 // newTestRouter returns a router that knows one account, and no engine.
--- a/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/answer"
-	"github.com/ryeford/ryeford/claim"
+	"github.com/ryeford/ryeford/agentfleet/answer"
+	"github.com/ryeford/ryeford/agentfleet/claim"
 	"github.com/ryeford/ryeford/retry"
 )
 
--- a/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/answer"
-	"github.com/ryeford/ryeford/claim"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/answer"
+	"github.com/ryeford/ryeford/agentfleet/claim"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // dispatch sends the attempt to an engine's agent and waits until it is
--- a/router/eventid.go
+++ b/agentfleet/router/eventid.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/claim"
+	"github.com/ryeford/ryeford/agentfleet/claim"
 )
 
 // An eventID names a chunk of an answer, and the agent that keeps it. Callers
--- a/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -8,11 +8,11 @@
 	"github.com/google/uuid"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/answer"
-	"github.com/ryeford/ryeford/claim"
-	"github.com/ryeford/ryeford/internal/transport"
-	"github.com/ryeford/ryeford/internal/wire"
-	"github.com/ryeford/ryeford/load"
+	"github.com/ryeford/ryeford/agentfleet/answer"
+	"github.com/ryeford/ryeford/agentfleet/claim"
+	"github.com/ryeford/ryeford/agentfleet/load"
+	"github.com/ryeford/ryeford/agentfleet/transport"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 	"github.com/ryeford/ryeford/retry"
 	"github.com/ryeford/ryeford/route"
 )
--- a/router/fleet.go
+++ b/agentfleet/router/fleet.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/transport"
-	"github.com/ryeford/ryeford/internal/wire"
-	"github.com/ryeford/ryeford/load"
-	"github.com/ryeford/ryeford/placement"
+	"github.com/ryeford/ryeford/agentfleet/load"
+	"github.com/ryeford/ryeford/agentfleet/placement"
+	"github.com/ryeford/ryeford/agentfleet/transport"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 	"github.com/ryeford/ryeford/route"
 )
 
--- a/router/gossip.go
+++ b/agentfleet/router/gossip.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/transport"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/transport"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 	"github.com/ryeford/ryeford/route"
 )
 
--- a/router/operators.go
+++ b/agentfleet/router/operators.go
@@ -14,8 +14,8 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/wire"
-	"github.com/ryeford/ryeford/template"
+	"github.com/ryeford/ryeford/agentfleet/template"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // The paths that operators use.
--- a/router/parse.go
+++ b/agentfleet/router/parse.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/claim"
+	"github.com/ryeford/ryeford/agentfleet/claim"
 )
 
 // parseCommon reads what all requests carry.
--- a/router/planner.go
+++ b/agentfleet/router/planner.go
@@ -13,8 +13,8 @@
 	"github.com/google/uuid"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/lease"
-	"github.com/ryeford/ryeford/placement"
+	"github.com/ryeford/ryeford/agentfleet/lease"
+	"github.com/ryeford/ryeford/agentfleet/placement"
 )
 
 const (
--- a/router/planner_test.go
+++ b/agentfleet/router/planner_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/placement"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 	"github.com/ryeford/ryeford/internal/faketable"
-	"github.com/ryeford/ryeford/internal/wire"
-	"github.com/ryeford/ryeford/placement"
 )
 
 // A testPlatform is a platform whose table is in memory; its other services are
--- a/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 	"github.com/ryeford/ryeford/retry"
 )
 
--- a/router/router.go
+++ b/agentfleet/router/router.go
@@ -13,13 +13,13 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/claim"
-	"github.com/ryeford/ryeford/internal/decision"
+	"github.com/ryeford/ryeford/agentfleet/claim"
+	"github.com/ryeford/ryeford/agentfleet/decision"
+	"github.com/ryeford/ryeford/agentfleet/template"
+	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/internal/telemetry"
-	"github.com/ryeford/ryeford/internal/transport"
 	"github.com/ryeford/ryeford/retry"
 	"github.com/ryeford/ryeford/settings"
-	"github.com/ryeford/ryeford/template"
 )
 
 const drainCheck = 20 * time.Millisecond
--- a/router/settle.go
+++ b/agentfleet/router/settle.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/claim"
-	"github.com/ryeford/ryeford/internal/transport"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/claim"
+	"github.com/ryeford/ryeford/agentfleet/transport"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // settle finds out what became of an attempt whose stream was lost. A
--- a/router/suspects.go
+++ b/agentfleet/router/suspects.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/claim"
+	"github.com/ryeford/ryeford/agentfleet/claim"
 )
 
 // suspectedFor is how long a VM that left a dispatch unanswered is asked last.
--- a/template/store.go
+++ b/agentfleet/template/store.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/tableservice"
+	"github.com/ryeford/ryeford/agentfleet/tableservice"
 )
 
 // The rows of the platform's table that hold the templates.
--- a/internal/transport/transport.go
+++ b/agentfleet/transport/transport.go
@@ -13,7 +13,7 @@
 	"golang.org/x/time/rate"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 const (
--- a/internal/transport/transport_test.go
+++ b/agentfleet/transport/transport_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/wire"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 var (
--- a/caller/client.go
+++ b/caller/client.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/router"
+	"github.com/ryeford/ryeford/agentfleet/router"
 )
 
 const maxEventSize = 1 << 20
--- a/internal/cmd/agentcmd.go
+++ b/internal/cmd/agentcmd.go
@@ -5,9 +5,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"github.com/ryeford/ryeford/agent"
+	"github.com/ryeford/ryeford/agentfleet/agent"
+	"github.com/ryeford/ryeford/agentfleet/tableservice"
 	"github.com/ryeford/ryeford/settings"
-	"github.com/ryeford/ryeford/tableservice"
 )
 
 // newAgentCommand returns the command that runs an agent.
--- a/internal/cmd/certcmd.go
+++ b/internal/cmd/certcmd.go
@@ -8,7 +8,7 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/transport"
+	"github.com/ryeford/ryeford/agentfleet/transport"
 )
 
 // newCertCommand returns the command that makes certificates for a trial.
--- a/internal/cmd/devcmd.go
+++ b/internal/cmd/devcmd.go
@@ -13,14 +13,14 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/agent"
+	"github.com/ryeford/ryeford/agentfleet/agent"
+	"github.com/ryeford/ryeford/agentfleet/router"
+	"github.com/ryeford/ryeford/agentfleet/tableservice"
+	"github.com/ryeford/ryeford/agentfleet/template"
+	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/caller"
-	"github.com/ryeford/ryeford/internal/transport"
-	"github.com/ryeford/ryeford/router"
 	"github.com/ryeford/ryeford/settings"
 	"github.com/ryeford/ryeford/standin"
-	"github.com/ryeford/ryeford/tableservice"
-	"github.com/ryeford/ryeford/template"
 )
 
 // What exists in a dev fleet.
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -9,7 +9,7 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/router"
+	"github.com/ryeford/ryeford/agentfleet/router"
 )
 
 // newExplainCommand returns the command that explains a request.
--- a/internal/cmd/fleet_bench_test.go
+++ b/internal/cmd/fleet_bench_test.go
@@ -19,9 +19,9 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/engine"
+	"github.com/ryeford/ryeford/agentfleet/tableservice"
 	"github.com/ryeford/ryeford/caller"
-	"github.com/ryeford/ryeford/engine"
-	"github.com/ryeford/ryeford/tableservice"
 )
 
 const (
--- a/internal/cmd/routercmd.go
+++ b/internal/cmd/routercmd.go
@@ -5,9 +5,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"github.com/ryeford/ryeford/router"
+	"github.com/ryeford/ryeford/agentfleet/router"
+	"github.com/ryeford/ryeford/agentfleet/tableservice"
 	"github.com/ryeford/ryeford/settings"
-	"github.com/ryeford/ryeford/tableservice"
 )
 
 // newRouterCommand returns the command that runs a router.
--- a/internal/cmd/standincmd.go
+++ b/internal/cmd/standincmd.go
@@ -13,9 +13,9 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/tableservice"
 	"github.com/ryeford/ryeford/settings"
 	"github.com/ryeford/ryeford/standin"
-	"github.com/ryeford/ryeford/tableservice"
 )
 
 // newStandinCommand returns the commands of the stand-ins.
--- a/internal/cmd/statuscmd.go
+++ b/internal/cmd/statuscmd.go
@@ -8,7 +8,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"github.com/ryeford/ryeford/router"
+	"github.com/ryeford/ryeford/agentfleet/router"
 )
 
 // newStatusCommand returns the command that shows the fleet.
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/admission"
-	"github.com/ryeford/ryeford/internal/wire"
-	"github.com/ryeford/ryeford/load"
+	"github.com/ryeford/ryeford/agentfleet/admission"
+	"github.com/ryeford/ryeford/agentfleet/load"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 	"github.com/ryeford/ryeford/route"
 	"github.com/ryeford/ryeford/trace"
 )
--- a/operator/client.go
+++ b/operator/client.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/router"
+	"github.com/ryeford/ryeford/agentfleet/router"
 )
 
 const (
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -14,7 +14,7 @@
 
 	"github.com/goccy/go-yaml"
 
-	"github.com/ryeford/ryeford/internal/transport"
+	"github.com/ryeford/ryeford/agentfleet/transport"
 )
 
 // TLS names the files of a process's identity. Relative names are relative to
--- a/settings/template.go
+++ b/settings/template.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/template"
+	"github.com/ryeford/ryeford/agentfleet/template"
 )
 
 // A Template is a template as an operator writes it.
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -12,7 +12,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/engine"
+	"github.com/ryeford/ryeford/agentfleet/engine"
 	"github.com/ryeford/ryeford/settings"
 )
 
--- a/standin/eventstream.go
+++ b/standin/eventstream.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"io"
 
-	"github.com/ryeford/ryeford/engine"
+	"github.com/ryeford/ryeford/agentfleet/engine"
 )
 
 // errCut makes fasthttp cut a connection amid an answer.
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -15,8 +15,8 @@
 	"golang.org/x/time/rate"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/tableservice"
 	"github.com/ryeford/ryeford/settings"
-	"github.com/ryeford/ryeford/tableservice"
 )
 
 // A PlatformFault is what is wrong with the platform.
--- a/standin/run.go
+++ b/standin/run.go
@@ -5,7 +5,7 @@
 	"sync"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/engine"
+	"github.com/ryeford/ryeford/agentfleet/engine"
 )
 
 // A run is one attempt that an engine stand-in was given.
--- a/standin/service.go
+++ b/standin/service.go
@@ -6,7 +6,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/ryeford/ryeford/engine"
+	"github.com/ryeford/ryeford/agentfleet/engine"
 	"github.com/ryeford/ryeford/settings"
 )
 
