--- a/configuration.go
+++ b/configuration.go
@@ -31,8 +31,8 @@
 	// MaxAttempts is the greatest number of endpoints that one request may be
 	// sent to.
 	MaxAttempts int
-	// Urgency is the rank of the route's requests; 0 is the most urgent.
-	Urgency int
+	// Priority is that of the route's requests.
+	Priority Priority
 	// Public routes need no key.
 	Public bool
 	// Resumable streams may be taken up at another endpoint.
@@ -72,8 +72,8 @@
 type AccountRule struct {
 	Account AccountID
 	Keys    []string
-	// Urgency takes the place of the route's, where it is set.
-	Urgency *int
+	// Priority replaces the route's, unless it is nil.
+	Priority *Priority
 }
 
 // RequestLimits bound what a caller may send.
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -125,8 +125,8 @@
 	if source != nil {
 		sourceID = source.ID
 	}
-	_ = g.log.Log("decision", "send", "request", q.demand.ID, "route", q.rule.Name, "account", q.accountID(), "service", q.service,
-		"endpoint", c.ID, "why", chosen.Reason, "load", roundLoad(c.Load), "mean", roundLoad(chosen.Mean), "cap", roundLoad(chosen.Cap), "candidates", len(candidates), "prompt", promptText(q.demand.Prefix), "source", sourceID,
+	_ = g.log.Log("decision", "send", "request", q.meta.ID, "route", q.rule.Name, "account", q.accountID(), "service", q.service,
+		"endpoint", c.ID, "why", chosen.Reason, "load", roundLoad(c.Load), "mean", roundLoad(chosen.Mean), "cap", roundLoad(chosen.Cap), "candidates", len(candidates), "prompt", promptText(q.meta.Prefix), "source", sourceID,
 		"sent", x.sent, "unsent", x.unsent, "version", q.catalog.Version(), "lease", g.leaseLeft())
 }
 
--- a/gateway/choose_bench_test.go
+++ b/gateway/choose_bench_test.go
@@ -51,7 +51,7 @@
 		g.gossip.table.Hear(now.Add(time.Hour), message) // fresh for as long as the benchmark runs
 	}
 	q := &request{
-		demand:  &ryeford.Demand{ID: "r", Prefix: []ryeford.PromptPart{{ID: 1, Tokens: 2500}, {ID: 2, Tokens: 6000}, {ID: 3, Tokens: 500}}},
+		meta:    &ryeford.RequestMeta{ID: "r", Prefix: []ryeford.PromptPart{{ID: 1, Tokens: 2500}, {ID: 2, Tokens: 6000}, {ID: 3, Tokens: 500}}},
 		rule:    &ryeford.RouteRule{Name: "route"},
 		catalog: catalog.New(&ryeford.Configuration{Version: 1}),
 		service: "s",
--- a/gateway/endpoint/fuzz_test.go
+++ b/gateway/endpoint/fuzz_test.go
@@ -37,10 +37,10 @@
 		if err != nil {
 			return
 		}
-		if answer.Mark.Request != ryeford.RequestID("r1") {
-			t.Fatalf("an answer to %q was accepted", answer.Mark.Request)
+		if answer.Meta.Request != ryeford.RequestID("r1") {
+			t.Fatalf("an answer to %q was accepted", answer.Meta.Request)
 		}
-		if answer.Status < 300 && !answer.Mark.Signed {
+		if answer.Status < 300 && !answer.Meta.Signed {
 			t.Fatal("a success without a signature was accepted")
 		}
 		if body, err := answer.ReadAll(1 << 20); err == nil && !answer.whole {
--- a/gateway/endpoint/send.go
+++ b/gateway/endpoint/send.go
@@ -35,7 +35,7 @@
 type Answer struct {
 	Status int
 	Header http.Header
-	Mark   ryeford.AnswerMark
+	Meta   ryeford.ResponseMeta
 
 	pool       *Pool
 	connection *connection
@@ -88,11 +88,11 @@
 			}
 			return nil, &LostError{Err: err}
 		}
-		mark := p.protocol.ReadAnswer(response.StatusCode, response.Header)
-		if mark.Request == request.ID {
-			return p.accept(c, response, mark, writeErr == nil)
+		meta := p.protocol.ParseResponse(response.StatusCode, response.Header)
+		if meta.Request == request.ID {
+			return p.accept(c, response, meta, writeErr == nil)
 		}
-		if mark.Request == "" || !skip(response) {
+		if meta.Request == "" || !skip(response) {
 			break
 		}
 	}
@@ -100,16 +100,16 @@
 }
 
 // accept checks the head of the answer that was due.
-func (p *Pool) accept(c *connection, response *http.Response, mark ryeford.AnswerMark, written bool) (*Answer, error) {
+func (p *Pool) accept(c *connection, response *http.Response, meta ryeford.ResponseMeta, written bool) (*Answer, error) {
 	success := response.StatusCode >= 200 && response.StatusCode < 300
-	if mark.Encoded || (success && !mark.Signed) {
+	if meta.Encoded || (success && !meta.Signed) {
 		return nil, &LostError{Err: &UnsignedAnswerError{}}
 	}
 	c.noteKeepAlive(response.Header, p.options.IdleMargin)
 	return &Answer{
 		Status:     response.StatusCode,
 		Header:     response.Header,
-		Mark:       mark,
+		Meta:       meta,
 		pool:       p,
 		connection: c,
 		body:       response.Body,
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -102,21 +102,21 @@
 	return x.gateway.window(x.request.service).Repeat(now, x.gateway.routers(now))
 }
 
-// offer returns what an endpoint is told.
-func (x *exchange) offer(to *roster.Entry, holder *roster.Entry) *ryeford.Offer {
+// forwardMeta returns what an endpoint is told of the request.
+func (x *exchange) forwardMeta(to *roster.Entry, holder *roster.Entry) *ryeford.ForwardMeta {
 	q := x.request
-	offer := &ryeford.Offer{
-		Request:   q.demand.ID,
+	meta := &ryeford.ForwardMeta{
+		Request:   q.meta.ID,
 		Endpoint:  to.ID,
 		Deadline:  time.Until(q.deadline),
 		Account:   q.accountID(),
-		Urgency:   q.urgency(),
+		Priority:  q.priority(),
 		LastEvent: x.relay.lastEvent(),
 	}
 	if holder != nil {
-		offer.FetchFrom = holder.Address
+		meta.FetchFrom = holder.Address
 	}
-	return offer
+	return meta
 }
 
 // try sends the request to one endpoint and passes its answer on.
@@ -135,11 +135,11 @@
 	defer g.loads.end(to.ID)
 	number := g.detector.Sent(time.Now(), to.ID)
 	answer, err := g.pool.Send(attempt, &to.Endpoint, &endpoint.Request{
-		ID:      q.demand.ID,
+		ID:      q.meta.ID,
 		Method:  x.http.Method,
 		Target:  x.http.RequestURI,
 		Host:    x.http.Host,
-		Header:  g.platform.Protocol.ForwardHeader(x.http.Header, x.offer(to, holder)),
+		Header:  g.platform.Protocol.ForwardHeader(x.http.Header, x.forwardMeta(to, holder)),
 		Body:    q.body,
 		HasBody: q.hasBody,
 	}, func() error { return x.checkSend(to) })
@@ -149,7 +149,7 @@
 	}
 	defer answer.Close()
 	x.sent++
-	g.loads.report(time.Now(), to.ID, answer.Mark.Load)
+	g.loads.report(time.Now(), to.ID, answer.Meta.Load)
 	return x.take(ctx, attempt, to, answer)
 }
 
@@ -176,7 +176,7 @@
 	if !g.lease.Valid(time.Now()) {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonStaleConfiguration, RetryAfter: retryStale}
 	}
-	if current := g.catalog.Get(); current != q.catalog && current.Account(q.demand.Key) == nil {
+	if current := g.catalog.Get(); current != q.catalog && current.Account(q.meta.Key) == nil {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonKeyTaken, RetryAfter: retryStale}
 	}
 	return nil
@@ -237,7 +237,7 @@
 // take judges an answer's head and passes the answer on.
 func (x *exchange) take(ctx, attempt context.Context, to *roster.Entry, answer *endpoint.Answer) (outcome, error) {
 	g := x.gateway
-	if answer.Mark.NotRun {
+	if answer.Meta.NotRun {
 		_, _ = answer.ReadAll(maxWhole)
 		if answer.Status == http.StatusMisdirectedRequest {
 			g.detector.Eject(time.Now(), to.ID, misdirectedEject)
@@ -280,14 +280,14 @@
 	}
 	status, retryAfter := statusOf(err)
 	g.metrics.Count("ryeford_given_up_total", reasonOf(err))
-	_ = g.log.Log("decision", "give_up", "request", q.demand.ID, "route", q.rule.Name, "account", q.accountID(), "service", q.service,
+	_ = g.log.Log("decision", "give_up", "request", q.meta.ID, "route", q.rule.Name, "account", q.accountID(), "service", q.service,
 		"sent", x.sent, "unsent", x.unsent, "may_have_run", x.maybeRan, "begun", x.relay.begun, "events", x.relay.events,
 		"version", q.catalog.Version(), "status", status, "reason", reasonOf(err), "took", roundTime(time.Since(q.arrived)), "err", err)
 	if x.relay.begun {
 		// An answer that has begun must not look complete.
 		panic(http.ErrAbortHandler)
 	}
-	g.writeRefusal(x.relay.writer, q.demand.ID, status, retryAfter)
+	g.writeRefusal(x.relay.writer, q.meta.ID, status, retryAfter)
 }
 
 // noteTry logs a try that did not answer the caller.
@@ -297,7 +297,7 @@
 	}
 	g, q := x.gateway, x.request
 	g.metrics.Count("ryeford_tries_failed_total", result.String())
-	_ = g.log.Log("decision", "try_failed", "request", q.demand.ID, "endpoint", to.ID, "address", to.Address,
+	_ = g.log.Log("decision", "try_failed", "request", q.meta.ID, "endpoint", to.ID, "address", to.Address,
 		"outcome", result, "sent", x.sent, "events", x.relay.events, "took", roundTime(time.Since(q.arrived)), "err", err)
 }
 
@@ -308,7 +308,7 @@
 	g.durations.note(q.rule, took)
 	g.metrics.Count("ryeford_answered_total", "")
 	g.metrics.Observe("ryeford_answer_seconds", took.Seconds())
-	_ = g.log.Log("decision", "answer", "request", q.demand.ID, "route", q.rule.Name, "endpoint", to.ID, "status", status,
+	_ = g.log.Log("decision", "answer", "request", q.meta.ID, "route", q.rule.Name, "endpoint", to.ID, "status", status,
 		"sent", x.sent, "unsent", x.unsent, "events", x.relay.events, "first", roundTime(x.relay.first), "took", roundTime(took))
 }
 
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -19,7 +19,7 @@
 )
 
 // refuse answers a request that is not sent to any endpoint.
-func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, demand *ryeford.Demand, arrived time.Time, err error) {
+func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, meta *ryeford.RequestMeta, arrived time.Time, err error) {
 	status, retryAfter := statusOf(err)
 	if status == http.StatusRequestEntityTooLarge || status == http.StatusBadRequest {
 		w.Header().Set("Connection", "close")
@@ -30,8 +30,8 @@
 		w.Header().Set("Connection", "close")
 	}
 	var id ryeford.RequestID
-	if demand != nil {
-		id = demand.ID
+	if meta != nil {
+		id = meta.ID
 	}
 	g.writeRefusal(w, id, status, retryAfter)
 	g.metrics.Count("ryeford_refused_total", reasonOf(err))
@@ -42,7 +42,7 @@
 // writeRefusal writes an answer of the gateway's own.
 func (g *Gateway) writeRefusal(w http.ResponseWriter, id ryeford.RequestID, status int, retryAfter time.Duration) {
 	header := w.Header()
-	g.platform.Protocol.RefusalHeader(header, id, retryAfter)
+	g.platform.Protocol.ErrorHeader(header, id, retryAfter)
 	header["Content-Type"] = nil
 	header.Set("Content-Length", "0")
 	w.WriteHeader(status)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -146,7 +146,7 @@
 func (r *relay) writeHead(answer *endpoint.Answer) {
 	_ = r.control.SetWriteDeadline(r.exchange.request.deadline.Add(writeMargin))
 	header := r.writer.Header()
-	for name, values := range r.exchange.gateway.platform.Protocol.AnswerHeader(answer.Header) {
+	for name, values := range r.exchange.gateway.platform.Protocol.ResponseHeader(answer.Header) {
 		header[name] = values
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -24,7 +24,7 @@
 
 // A request is one caller's request as it was read.
 type request struct {
-	demand   *ryeford.Demand
+	meta     *ryeford.RequestMeta
 	arrived  time.Time
 	deadline time.Time
 	catalog  *catalog.Catalog
@@ -42,12 +42,12 @@
 // keyed reports whether the request depends on a key.
 func (q *request) keyed() bool { return q.account != nil }
 
-// urgency returns the rank of the request.
-func (q *request) urgency() int {
-	if q.account != nil && q.account.Urgency != nil {
-		return *q.account.Urgency
+// priority returns the priority of the request: its account's, or else its route's.
+func (q *request) priority() ryeford.Priority {
+	if q.account != nil && q.account.Priority != nil {
+		return *q.account.Priority
 	}
-	return q.rule.Urgency
+	return q.rule.Priority
 }
 
 // accountID returns the client account, or none.
@@ -66,21 +66,21 @@
 	if g.drain.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	demand, err := g.platform.Protocol.ReadDemand(r.Header)
+	meta, err := g.platform.Protocol.ParseRequest(r.Header)
 	if err != nil {
-		g.refuse(w, r, demand, arrived, err)
+		g.refuse(w, r, meta, arrived, err)
 		return
 	}
 	body, release, err := g.readBody(w, r)
 	if err != nil {
-		g.refuse(w, r, demand, arrived, err)
+		g.refuse(w, r, meta, arrived, err)
 		return
 	}
 	defer release()
 	g.learned.await(r.Context())
-	q, err := g.admit(r, demand, arrived)
+	q, err := g.admit(r, meta, arrived)
 	if err != nil {
-		g.refuse(w, r, demand, arrived, err)
+		g.refuse(w, r, meta, arrived, err)
 		return
 	}
 	q.body = body
@@ -130,7 +130,7 @@
 //
 // A router that knows no configuration, or one that may be out of date, never
 // says that a route or a key does not exist: it says that it can't tell yet.
-func (g *Gateway) admit(r *http.Request, demand *ryeford.Demand, arrived time.Time) (*request, error) {
+func (g *Gateway) admit(r *http.Request, meta *ryeford.RequestMeta, arrived time.Time) (*request, error) {
 	current := g.catalog.Get()
 	if current == nil || !g.roster.Known() {
 		return nil, &ryeford.NotRunError{Reason: ryeford.ReasonNotReady, RetryAfter: retryNotReady}
@@ -148,12 +148,12 @@
 	if err := g.checkLeaving(arrived, rule); err != nil {
 		return nil, err
 	}
-	q := &request{demand: demand, arrived: arrived, catalog: current, rule: rule}
+	q := &request{meta: meta, arrived: arrived, catalog: current, rule: rule}
 	if current.Keyed() && !rule.Public {
 		if !fresh {
 			return nil, stale
 		}
-		if q.account = current.Account(demand.Key); q.account == nil {
+		if q.account = current.Account(meta.Key); q.account == nil {
 			return nil, &ryeford.InputError{Field: "key", Problem: "unknown", Status: http.StatusUnauthorized}
 		}
 	}
@@ -170,8 +170,8 @@
 	if q.rule.Timeout > 0 {
 		wait = q.rule.Timeout
 	}
-	if q.demand.Deadline > 0 {
-		wait = min(wait, q.demand.Deadline)
+	if q.meta.Deadline > 0 {
+		wait = min(wait, q.meta.Deadline)
 	}
 	q.deadline = q.arrived.Add(wait)
 }
@@ -179,7 +179,7 @@
 // setAffinity finds the part of the prompt that brings the request to where its
 // like have been: the last but one, which other requests share.
 func (q *request) setAffinity() {
-	parts := q.demand.Prefix
+	parts := q.meta.Prefix
 	if len(parts) < 2 {
 		return
 	}
@@ -190,7 +190,7 @@
 // sharedParts returns the parts of the prompt that other requests share: all but
 // the last.
 func (q *request) sharedParts() []ryeford.PromptPart {
-	return q.demand.Prefix[:len(q.demand.Prefix)-1]
+	return q.meta.Prefix[:len(q.meta.Prefix)-1]
 }
 
 // splitHash returns the hash by which a split route's service is picked.
@@ -198,7 +198,7 @@
 	if q.shared {
 		return q.affinity
 	}
-	return route.NameHash(string(q.demand.ID))
+	return route.NameHash(string(q.meta.ID))
 }
 
 // pickService picks one of the services of a route by their weights.
