--- a/agentfleet/answer/log.go
+++ b/agentfleet/answer/log.go
@@ -60,13 +60,6 @@
 	return l.finished
 }
 
-// Next returns the offset behind the last chunk.
-func (l *Log) Next() int64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.first + int64(len(l.chunks))
-}
-
 // from returns the chunks from an offset on, and what to wait on for more.
 func (l *Log) from(offset int64) ([]ryeford.Chunk, <-chan struct{}, error) {
 	l.mu.Lock()
--- a/agentfleet/tableservice/client.go
+++ b/agentfleet/tableservice/client.go
@@ -32,6 +32,10 @@
 
 const maxAnswer = 64 << 20
 
+// callTimeout bounds each call. Not measured: well above the some hundred
+// milliseconds that a slow store takes, below what a caller waits.
+const callTimeout = 2 * time.Second
+
 // A GetRequest asks for rows by key.
 type GetRequest struct {
 	Keys []string `json:"keys"`
@@ -60,10 +64,9 @@
 
 // A Client is a ryeford.Table, ryeford.ObjectStore and ryeford.VMList.
 type Client struct {
-	base    string
-	vm      ryeford.VMID
-	timeout time.Duration
-	http    *http.Client
+	base string
+	vm   ryeford.VMID
+	http *http.Client
 
 	mu      sync.Mutex
 	listTag string // of the list of VMs that was read last
@@ -73,11 +76,6 @@
 // An Option changes a Client.
 type Option func(*Client)
 
-// WithTimeout bounds each call.
-func WithTimeout(timeout time.Duration) Option {
-	return func(c *Client) { c.timeout = timeout }
-}
-
 // WithVM names the VM that calls.
 func WithVM(vm ryeford.VMID) Option {
 	return func(c *Client) { c.vm = vm }
@@ -86,8 +84,7 @@
 // New returns a Client of the platform at an address.
 func New(address netip.AddrPort, options ...Option) *Client {
 	c := &Client{
-		base:    "http://" + address.String(),
-		timeout: 2 * time.Second,
+		base: "http://" + address.String(),
 		// A write is sent once only: a transport that repeats it on its own
 		// would hide that it may have taken effect.
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}},
@@ -189,7 +186,7 @@
 // send makes one HTTP call. A write whose answer is lost may have been applied;
 // one that was refused with a status was not.
 func (c *Client) send(ctx context.Context, method, path string, header http.Header, body []byte, write bool) (*http.Response, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
--- a/configuration.go
+++ b/configuration.go
@@ -26,8 +26,6 @@
 	// Goal is the time within which an answer, or a stream's first event,
 	// earns its full worth.
 	Goal time.Duration
-	// EventGap is the longest pause between events that is still in time.
-	EventGap time.Duration
 	// MaxAttempts is the greatest number of endpoints that one request may be
 	// sent to.
 	MaxAttempts int
@@ -52,22 +50,6 @@
 	Weight  int
 }
 
-// A ServiceRule describes one service of the operators' configuration.
-type ServiceRule struct {
-	Name string
-	// MaxConnections is what one endpoint accepts from all callers together.
-	MaxConnections int
-	// Engine is set where the service's endpoints are model engines.
-	Engine *EngineRule
-}
-
-// An EngineRule describes the engines of a service.
-type EngineRule struct {
-	Slots         int // requests in one batch
-	CacheTokens   int // the memory of an engine, in tokens
-	BytesPerToken int
-}
-
 // An AccountRule is one client account of the operators' configuration.
 type AccountRule struct {
 	Account AccountID
@@ -78,7 +60,6 @@
 
 // RequestLimits bound what a caller may send.
 type RequestLimits struct {
-	MaxHeader     int
 	MaxBody       int
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
@@ -86,10 +67,9 @@
 
 // A Configuration is all that operators have set, as of one version.
 type Configuration struct {
-	Version  int64
-	Routes   []RouteRule
-	Services []ServiceRule
-	// Accounts is nil where requests carry no keys.
+	Version int64
+	Routes  []RouteRule
+	// Accounts is nil if requests carry no keys.
 	Accounts []AccountRule
 	Limits   RequestLimits
 }
--- a/gateway/catalog/catalog.go
+++ b/gateway/catalog/catalog.go
@@ -12,8 +12,7 @@
 type Catalog struct {
 	configuration *ryeford.Configuration
 	routes        map[string]map[string]*ryeford.RouteRule // by host and prefix
-	services      map[string]*ryeford.ServiceRule
-	accounts      map[string]*ryeford.AccountRule // by key
+	accounts      map[string]*ryeford.AccountRule          // by key
 }
 
 // New returns the Catalog of a configuration, which must not change any more.
@@ -21,7 +20,6 @@
 	c := &Catalog{
 		configuration: configuration,
 		routes:        make(map[string]map[string]*ryeford.RouteRule),
-		services:      make(map[string]*ryeford.ServiceRule),
 		accounts:      make(map[string]*ryeford.AccountRule),
 	}
 	for i := range configuration.Routes {
@@ -32,10 +30,6 @@
 		}
 		c.routes[host][rule.Prefix] = rule
 	}
-	for i := range configuration.Services {
-		service := &configuration.Services[i]
-		c.services[service.Name] = service
-	}
 	for i := range configuration.Accounts {
 		account := &configuration.Accounts[i]
 		for _, key := range account.Keys {
@@ -54,9 +48,6 @@
 // Keyed reports whether requests carry keys.
 func (c *Catalog) Keyed() bool { return c.configuration.Accounts != nil }
 
-// Service returns a service, or nil.
-func (c *Catalog) Service(name string) *ryeford.ServiceRule { return c.services[name] }
-
 // Account returns the client account that a key belongs to, or nil.
 func (c *Catalog) Account(key string) *ryeford.AccountRule { return c.accounts[key] }
 
--- a/operator/client.go
+++ b/operator/client.go
@@ -33,9 +33,6 @@
 	return &Client{address: address, key: key, http: &http.Client{Timeout: callTimeout}}
 }
 
-// Address returns the address that c calls.
-func (c *Client) Address() netip.AddrPort { return c.address }
-
 // Publish publishes a template.
 func (c *Client) Publish(ctx context.Context, t *ryeford.Template) (*ryeford.Template, error) {
 	published := &ryeford.Template{}
@@ -78,13 +75,6 @@
 	return s, err
 }
 
-// Plan returns the current plan.
-func (c *Client) Plan(ctx context.Context) (*ryeford.Plan, error) {
-	plan := &ryeford.Plan{}
-	err := c.call(ctx, http.MethodGet, router.PathPlan, nil, plan)
-	return plan, err
-}
-
 // Explain returns the decisions on a request.
 func (c *Client) Explain(ctx context.Context, request ryeford.RequestID) (*router.Explanation, error) {
 	e := &router.Explanation{}
--- a/protocol.go
+++ b/protocol.go
@@ -20,13 +20,9 @@
 	Key string
 	// Deadline is how long the caller waits from now; zero if it does not say.
 	Deadline time.Duration
-	Model    string
 	// Prefix holds the parts of the prompt in their order. The last one belongs
 	// to this request alone.
 	Prefix []PromptPart
-	// LastEvent is the ID of the last event that the caller has, if it resumes a
-	// stream.
-	LastEvent string
 }
 
 // A ForwardMeta is the metadata that the system adds to a request when it sends it
