--- /dev/null
+++ b/docs/decisions_test.go
@@ -0,0 +1,84 @@
+// Package docs holds the tests that keep the pages true to the code.
+package docs
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/printer"
+	"go/token"
+	"io/fs"
+	"os"
+	"path"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// constantRow matches a row of docs/decisions.md on a constant: its name as
+// folder.name, and its value as the code writes it.
+var constantRow = regexp.MustCompile("(?m)^\\| `([a-z/]+)\\.([A-Za-z]+)` \\| `([^`]+)` \\|")
+
+// TestDecisionConstants checks that each constant that docs/decisions.md names has
+// the value there that it has in the code.
+func TestDecisionConstants(t *testing.T) {
+	page, err := os.ReadFile("decisions.md")
+	assert.NilError(t, err)
+	folders := make(map[string]map[string]string)
+	for _, match := range constantRow.FindAllStringSubmatch(string(page), -1) {
+		folder, name, want := match[1], match[2], match[3]
+		if folders[folder] == nil {
+			folders[folder] = constants(t, filepath.Join("..", filepath.FromSlash(folder)))
+		}
+		got, ok := folders[folder][name]
+		if !ok {
+			t.Errorf("%s has no constant %s", folder, name)
+			continue
+		}
+		if got != want {
+			t.Errorf("%s.%s is %s in the code, %s on the page", folder, name, got, want)
+		}
+	}
+}
+
+// constants returns the constants of a folder's Go files, tests apart: each one's
+// expression as the code writes it, by name.
+func constants(t *testing.T, folder string) map[string]string {
+	t.Helper()
+	result := make(map[string]string)
+	files, err := fs.Glob(os.DirFS(folder), "*.go")
+	assert.NilError(t, err)
+	for _, name := range files {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		set := token.NewFileSet()
+		file, err := parser.ParseFile(set, path.Join(folder, name), nil, parser.SkipObjectResolution)
+		assert.NilError(t, err)
+		for _, declaration := range file.Decls {
+			group, ok := declaration.(*ast.GenDecl)
+			if !ok || group.Tok != token.CONST {
+				continue
+			}
+			for _, spec := range group.Specs {
+				addConstants(t, result, set, spec.(*ast.ValueSpec))
+			}
+		}
+	}
+	return result
+}
+
+// addConstants adds the constants of one declaration.
+func addConstants(t *testing.T, result map[string]string, set *token.FileSet, spec *ast.ValueSpec) {
+	t.Helper()
+	for i, name := range spec.Names {
+		if i >= len(spec.Values) {
+			continue // repeats the expression before it, as with iota
+		}
+		var text strings.Builder
+		assert.NilError(t, printer.Fprint(&text, set, spec.Values[i]))
+		result[name.Name] = text.String()
+	}
+}
