--- a/agentfleet/claim/claim_test.go
+++ b/agentfleet/claim/claim_test.go
@@ -24,7 +24,7 @@
 			faketable.Succeeds, faketable.Succeeds, faketable.Fails, faketable.Lost,
 		}), 1, 12).Draw(t, "fates")
 		calls := 0
-		table := faketable.New(func(write bool) faketable.Fate {
+		table := faketable.New(func(_ bool) faketable.Fate {
 			calls++
 			return fates[calls%len(fates)]
 		})
--- a/agentfleet/router/answers.go
+++ b/agentfleet/router/answers.go
@@ -40,7 +40,7 @@
 
 // writeAnswer writes the answer of a started exchange, in the form that the
 // caller asked for.
-func (r *Router) writeAnswer(ctx *fasthttp.RequestCtx, x *exchange, work context.Context, cancel context.CancelFunc) {
+func (r *Router) writeAnswer(work context.Context, cancel context.CancelFunc, ctx *fasthttp.RequestCtx, x *exchange) {
 	header := &ctx.Response.Header
 	header.Set(HeaderRequest, string(x.turn.request))
 	header.Set(HeaderEngine, string(x.candidate.Engine))
--- a/agentfleet/router/callers.go
+++ b/agentfleet/router/callers.go
@@ -150,7 +150,7 @@
 		return
 	}
 	r.noteRouted(x, time.Since(began))
-	r.writeAnswer(ctx, x, work, cancel)
+	r.writeAnswer(work, cancel, ctx, x)
 }
 
 // finish ends an exchange.
@@ -187,7 +187,7 @@
 	}
 	_ = r.decisions.Note(t.request, "decision", "resume", "request", t.request, "account", t.account,
 		"vm", where.candidate.VM, "attempt", where.attempt, "offset", x.next)
-	r.writeAnswer(ctx, x, work, cancel)
+	r.writeAnswer(work, cancel, ctx, x)
 }
 
 // noteRouted logs where a turn went.
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
+	"errors"
 	"io"
 	"mime"
 	"net/http"
@@ -98,7 +99,7 @@
 	reader := bufio.NewReader(answer)
 	for {
 		event, err := readEvent(reader)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return r.endEvents(answer)
 		}
 		if err != nil {
@@ -184,7 +185,7 @@
 		switch {
 		case len(event) > maxEvent:
 			return nil, &endpoint.TooLargeError{}
-		case err == bufio.ErrBufferFull:
+		case errors.Is(err, bufio.ErrBufferFull):
 			continue
 		case err == io.EOF && len(bytes.TrimSpace(event)) == 0:
 			return nil, io.EOF
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -56,7 +56,7 @@
 	f.Add(valid)
 	f.Add("limits: {first_token: 5}")
 	f.Add("a: &a [*a]")
-	f.Fuzz(func(t *testing.T, content string) {
+	f.Fuzz(func(_ *testing.T, content string) {
 		_ = Parse([]byte(content), DefaultRouter())
 		_ = Parse([]byte(content), DefaultAgent())
 	})
