--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -127,7 +127,7 @@
 	}
 	_ = g.log.Log("decision", "send", "request", q.meta.ID, "route", q.rule.Name, "account", q.accountID(), "service", q.service,
 		"endpoint", c.ID, "why", chosen.Reason, "load", roundLoad(c.Load), "mean", roundLoad(chosen.Mean), "cap", roundLoad(chosen.Cap), "candidates", len(candidates), "prompt", promptText(q.meta.Prefix), "source", sourceID,
-		"sent", x.sent, "unsent", x.unsent, "version", q.catalog.Version(), "lease", g.leaseLeft())
+		"sent", x.sent, "unsent", x.unsent, "version", q.catalog.Version(), "lease", g.configuration.leaseLeft())
 }
 
 // promptText returns the shared parts of a prompt as they are logged.
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -4,11 +4,20 @@
 	"context"
 	"time"
 
+	"github.com/go-kit/log"
+
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/gateway/catalog"
+	"github.com/ryeford/ryeford/gateway/freshness"
+	"github.com/ryeford/ryeford/gateway/peers"
 	"github.com/ryeford/ryeford/gateway/watch"
+	"github.com/ryeford/ryeford/internal/telemetry"
 )
 
+// leaseMargin is taken off the time after which a key that was taken away
+// must not work any more: for the way to the endpoint.
+const leaseMargin = 500 * time.Millisecond
+
 const (
 	// turnTime is how long one router reads the configuration for all before it is
 	// the next one's turn, by the clock of the configuration's source.
@@ -35,57 +44,117 @@
 	return refresh
 }
 
+// A configuration is the operators' configuration as this router knows it: the
+// catalog in force, the lease that bounds how long it may be relied on, and the
+// loop that reads it anew.
+type configuration struct {
+	configurationOptions
+	inForce catalog.Current
+	lease   *freshness.SharedLease
+	newer   chan struct{} // a peer has a newer configuration
+	outages *outageLog
+	log     log.Logger
+	metrics *telemetry.Set
+}
+
+// configurationOptions are what a configuration is made of.
+type configurationOptions struct {
+	Source ryeford.ConfigurationSource
+	// Term is how long a confirmed configuration may be relied on.
+	Term time.Duration
+	// Refresh is the age at which a router without peers reads it again.
+	Refresh time.Duration
+	// Peers says whose turn it is to read.
+	Peers *peers.Table
+	// Revision is the newest of the store, on any of its tables.
+	Revision *revision
+	// OnUpdate is called after each read that was relied on.
+	OnUpdate func()
+}
+
+// newConfiguration returns a configuration that is not known yet.
+func newConfiguration(options configurationOptions, logger log.Logger, metrics *telemetry.Set) *configuration {
+	c := &configuration{
+		configurationOptions: options,
+		lease:                freshness.NewSharedLease(options.Term),
+		newer:                make(chan struct{}, 1),
+		log:                  logger,
+		metrics:              metrics,
+	}
+	c.outages = &outageLog{log: logger, metrics: metrics, leaseLeft: c.leaseLeft}
+	return c
+}
+
+// current returns the catalog in force, or nil if none is known yet.
+func (c *configuration) current() *catalog.Catalog { return c.inForce.Get() }
+
+// version returns the version of the configuration in force, or zero.
+func (c *configuration) version() int64 {
+	if current := c.current(); current != nil {
+		return current.Version()
+	}
+	return 0
+}
+
+// reliable reports whether the configuration in force may be relied on.
+func (c *configuration) reliable(now time.Time) bool { return c.lease.Valid(now) }
+
+// leaseLeft returns the time until the lease ends, as it is logged.
+func (c *configuration) leaseLeft() time.Duration {
+	return c.lease.Left(time.Now()).Round(time.Millisecond)
+}
+
 // untilRefresh returns how long the router need not read the configuration.
-func (g *Gateway) untilRefresh(now time.Time) time.Duration {
-	age, known := g.lease.Age(now)
-	if !known || g.catalog.Get() == nil {
+func (c *configuration) untilRefresh(now time.Time) time.Duration {
+	age, known := c.lease.Age(now)
+	if !known || c.current() == nil {
 		return 0
 	}
-	confirmed, _ := g.lease.Confirmed()
-	rank, heard := g.gossip.table.Rank(now, uint64(confirmed/turnTime))
-	return refreshAge(g.settings.RefreshConfiguration(), rank, heard) - age
+	confirmed, _ := c.lease.Confirmed()
+	rank, heard := c.Peers.Rank(now, uint64(confirmed/turnTime))
+	return refreshAge(c.Refresh, rank, heard) - age
 }
 
-// keepConfiguration reads the configuration whenever the lease grows old, or a
+// run reads the configuration whenever the lease grows old, or a
 // peer tells of a newer one, until ctx ends. Routers that hear each other share
 // what one of them has read.
 //
 // It reads it whole each time: a feed of changes may be deaf for a while, and
 // says nothing then.
-func (g *Gateway) keepConfiguration(ctx context.Context) error {
+func (c *configuration) run(ctx context.Context) error {
 	var lostAt time.Time
 	for ctx.Err() == nil {
-		if wait := g.untilRefresh(time.Now()); wait > 0 && !g.awaitNewer(ctx, wait) {
+		if wait := c.untilRefresh(time.Now()); wait > 0 && !c.awaitNewer(ctx, wait) {
 			continue // it may have been renewed meanwhile
 		}
-		known := g.revision.get()
+		known := c.Revision.get()
 		sent := time.Now()
-		update, err := g.platform.Configurations.Configuration(ctx)
+		update, err := c.Source.Configuration(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
 			if lostAt.IsZero() {
 				lostAt = sent
-				g.noteLost("configuration", err)
+				c.outages.lost("configuration", err)
 			}
 			watch.Pause(ctx, storePauseMost)
 			continue
 		}
 		if !lostAt.IsZero() {
-			g.noteRegained("configuration", time.Since(lostAt))
+			c.outages.regained("configuration", time.Since(lostAt))
 			lostAt = time.Time{}
 		}
-		g.applyConfiguration(&update, known, sent, time.Now())
-		watch.Pause(ctx, g.afterRead())
+		c.applyConfiguration(&update, known, sent, time.Now())
+		watch.Pause(ctx, c.afterRead())
 	}
 	return nil
 }
 
 // afterRead returns the least time until the next read. Before the operators'
 // first configuration there is no hurry.
-func (g *Gateway) afterRead() time.Duration {
-	if g.catalog.Get() == nil {
+func (c *configuration) afterRead() time.Duration {
+	if c.current() == nil {
 		return storePauseMost
 	}
 	return readPause
@@ -93,11 +162,11 @@
 
 // awaitNewer waits, at most so long, until a peer tells of a newer configuration,
 // and reports whether one did.
-func (g *Gateway) awaitNewer(ctx context.Context, wait time.Duration) bool {
+func (c *configuration) awaitNewer(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case <-g.newer:
+	case <-c.newer:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
@@ -105,10 +174,10 @@
 	return false
 }
 
-// tellNewer notes that a peer has a newer configuration than this router.
-func (g *Gateway) tellNewer() {
+// noteNewer notes that a peer has a newer configuration than this router.
+func (c *configuration) noteNewer() {
 	select {
-	case g.newer <- struct{}{}:
+	case c.newer <- struct{}{}:
 	default: // noted already
 	}
 }
@@ -116,21 +185,21 @@
 // applyConfiguration brings a configuration in force, unless it is already, and
 // renews the lease. An answer behind the revision that was known when the question
 // was sent is no confirmation.
-func (g *Gateway) applyConfiguration(update *ryeford.ConfigurationUpdate, known int64, sent, answered time.Time) {
+func (c *configuration) applyConfiguration(update *ryeford.ConfigurationUpdate, known int64, sent, answered time.Time) {
 	if update.Revision < known {
-		g.metrics.Count("ryeford_stale_answers_total", "")
-		_ = g.log.Log("decision", "configuration", "revision", update.Revision, "known", known, "applied", false, "why", "stale answer")
+		c.metrics.Count("ryeford_stale_answers_total", "")
+		_ = c.log.Log("decision", "configuration", "revision", update.Revision, "known", known, "applied", false, "why", "stale answer")
 		return
 	}
-	g.revision.raise(update.Revision)
-	if update.Configuration != nil && update.Configuration.Version != g.version() {
+	c.Revision.raise(update.Revision)
+	if update.Configuration != nil && update.Configuration.Version != c.version() {
 		next := catalog.New(update.Configuration)
-		applied := g.catalog.Put(next)
-		_ = g.log.Log("decision", "configuration", "version", next.Version(), "revision", update.Revision,
+		applied := c.inForce.Put(next)
+		_ = c.log.Log("decision", "configuration", "version", next.Version(), "revision", update.Revision,
 			"routes", len(update.Configuration.Routes), "accounts", len(update.Configuration.Accounts), "applied", applied)
 	}
-	if g.catalog.Get() != nil {
-		g.lease.RenewRead(sent, answered, update.Clock)
-		g.noteLearned()
+	if c.current() != nil {
+		c.lease.RenewRead(sent, answered, update.Clock)
+		c.OnUpdate()
 	}
 }
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/ryeford/ryeford"
+	"github.com/go-kit/log"
 )
 
 const (
@@ -30,53 +30,25 @@
 	finishFactor = 1.5
 )
 
-// A drainState tells how far a gateway is in leaving.
-type drainState struct {
-	leaving atomic.Bool
-	closeBy atomic.Pointer[time.Time]
-	last    atomic.Pointer[time.Time] // when a caller's connection came last
-	polls   atomic.Int32              // questions of the balancer refused since
+// A drain is how far a gateway is in stopping.
+type drain struct {
+	grace    time.Duration // from the order to stop to the end of the process
+	log      log.Logger
+	leaving  atomic.Bool
+	closeBy  atomic.Pointer[time.Time]
+	last     atomic.Pointer[time.Time] // when a caller's connection came last
+	polls    atomic.Int32              // questions of the balancer refused since
+	inFlight atomic.Int64              // callers' requests
 }
 
-// serveReady tells the balancer whether to send new connections.
-func (g *Gateway) serveReady(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != g.platform.ReadyPath {
-		w.WriteHeader(http.StatusNotFound)
-		return
-	}
-	ready, why := g.ready(time.Now())
-	if g.wasReady.Swap(ready) != ready {
-		_ = g.log.Log("decision", "readiness", "ready", ready, "reason", why, "lease", g.leaseLeft(), "endpoints", g.roster.Len())
-	}
-	if ready {
-		w.WriteHeader(http.StatusOK)
-		return
-	}
-	w.WriteHeader(http.StatusServiceUnavailable)
-	if g.drain.leaving.Load() {
-		g.drain.polls.Add(1)
-	}
+// newDrain returns a drain of a gateway that goes on.
+func newDrain(grace time.Duration, logger log.Logger) *drain {
+	return &drain{grace: grace, log: logger}
 }
 
-// ready reports whether the gateway can serve, and why not.
-func (g *Gateway) ready(now time.Time) (bool, string) {
-	current := g.catalog.Get()
-	switch {
-	case g.drain.leaving.Load():
-		return false, "leaving"
-	case current == nil:
-		return false, "no_configuration"
-	case !g.roster.Known():
-		return false, "no_endpoints"
-	case current.Keyed() && !g.lease.Valid(now):
-		return false, "stale_configuration"
-	}
-	return true, ""
-}
-
-// awaitDrain turns the gateway unready once stop ends, serves on until the
+// run turns the gateway unready once stop ends, serves on until the
 // balancer has noticed, and then waits for what is in flight.
-func (g *Gateway) awaitDrain(stop, work context.Context, callers *server) {
+func (d *drain) run(stop, work context.Context, callers *server) {
 	select {
 	case <-stop.Done():
 	case <-work.Done():
@@ -84,17 +56,17 @@
 		return
 	}
 	ordered := time.Now()
-	closeBy := ordered.Add(g.settings.Bounds.Grace - closeMargin)
-	g.drain.closeBy.Store(&closeBy)
-	g.drain.leaving.Store(true)
-	_ = g.log.Log("msg", "stopping", "in_flight", g.inFlight.Load())
-	g.awaitNotice(ordered)
-	g.awaitQuiet(closeBy)
+	closeBy := ordered.Add(d.grace - closeMargin)
+	d.closeBy.Store(&closeBy)
+	d.leaving.Store(true)
+	_ = d.log.Log("msg", "stopping", "in_flight", d.inFlight.Load())
+	d.awaitNotice(ordered)
+	d.awaitQuiet(closeBy)
 	limit, cancel := context.WithDeadline(context.WithoutCancel(work), closeBy)
 	defer cancel()
-	_ = g.log.Log("msg", "closing idle connections", "in_flight", g.inFlight.Load(), "polls", g.drain.polls.Load())
+	_ = d.log.Log("msg", "closing idle connections", "in_flight", d.inFlight.Load(), "polls", d.polls.Load())
 	if err := callers.http.Shutdown(limit); err != nil {
-		_ = g.log.Log("msg", "closing busy connections", "in_flight", g.inFlight.Load(), "err", err)
+		_ = d.log.Log("msg", "closing busy connections", "in_flight", d.inFlight.Load(), "err", err)
 		callers.close()
 	}
 }
@@ -102,9 +74,9 @@
 // awaitQuiet waits until no new connection has come for a while. Until then the
 // gateway takes what comes: where all routers leave at once, the balancer sends
 // callers to those that leave, too.
-func (g *Gateway) awaitQuiet(closeBy time.Time) {
+func (d *drain) awaitQuiet(closeBy time.Time) {
 	for now := time.Now(); now.Before(closeBy); now = time.Now() {
-		if last := g.drain.last.Load(); last == nil || now.Sub(*last) > quietTime {
+		if last := d.last.Load(); last == nil || now.Sub(*last) > quietTime {
 			return
 		}
 		time.Sleep(drainCheck)
@@ -112,28 +84,22 @@
 }
 
 // noteConnection notes when callers' connections come.
-func (g *Gateway) noteConnection(_ net.Conn, state http.ConnState) {
+func (d *drain) noteConnection(_ net.Conn, state http.ConnState) {
 	if state == http.StateNew {
 		now := time.Now()
-		g.drain.last.Store(&now)
+		d.last.Store(&now)
 	}
 }
 
-// checkLeaving refuses a request that may not be answered any more before the
-// gateway has to end.
-func (g *Gateway) checkLeaving(now time.Time, rule *ryeford.RouteRule) error {
-	if !g.drain.leaving.Load() {
-		return nil
-	}
-	if g.drain.closeBy.Load().Sub(now) > time.Duration(finishFactor*float64(g.durations.slowest(rule))) {
-		return nil
-	}
-	return &ryeford.NotRunError{Reason: ryeford.ReasonLeaving, RetryAfter: retryStale}
+// leavesTimeFor reports whether a request that came now is answered before the
+// gateway has to end, if it takes as long as the slowest on its route.
+func (d *drain) leavesTimeFor(now time.Time, slowest time.Duration) bool {
+	return d.closeBy.Load().Sub(now) > time.Duration(finishFactor*float64(slowest))
 }
 
 // awaitNotice waits until the balancer has noticed that the gateway leaves.
-func (g *Gateway) awaitNotice(ordered time.Time) {
-	for time.Since(ordered) < noticeMost && g.drain.polls.Load() < noticePolls {
+func (d *drain) awaitNotice(ordered time.Time) {
+	for time.Since(ordered) < noticeMost && d.polls.Load() < noticePolls {
 		time.Sleep(drainCheck)
 	}
 	time.Sleep(noticeMargin)
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -173,10 +173,10 @@
 	if !q.keyed() {
 		return nil
 	}
-	if !g.lease.Valid(time.Now()) {
+	if !g.configuration.reliable(time.Now()) {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonStaleConfiguration, RetryAfter: retryStale}
 	}
-	if current := g.catalog.Get(); current != q.catalog && current.Account(q.meta.Key) == nil {
+	if current := g.configuration.current(); current != q.catalog && current.Account(q.meta.Key) == nil {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonKeyTaken, RetryAfter: retryStale}
 	}
 	return nil
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -3,16 +3,17 @@
 // chooses an endpoint for each, passes the answer on, and keeps nothing that
 // must last.
 //
-// It knows no header and no call of the platform: those are behind
+// A Gateway wires its parts together and runs them. Each part owns one piece of
+// state: configuration, endpointList, gossip, readiness, drain, and server for
+// the HTTP servers. A request's life is in request.go and the files after it.
+//
+// The package knows no header and no call of the platform: those are behind
 // ryeford.Protocol, ryeford.ConfigurationSource and ryeford.EndpointSource.
 package gateway
 
 import (
 	"context"
-	"errors"
-	"net"
 	"net/http"
-	"net/netip"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -22,11 +23,10 @@
 	"golang.org/x/sync/semaphore"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/gateway/catalog"
 	"github.com/ryeford/ryeford/gateway/endpoint"
-	"github.com/ryeford/ryeford/gateway/freshness"
 	"github.com/ryeford/ryeford/gateway/holders"
 	"github.com/ryeford/ryeford/gateway/outlier"
+	"github.com/ryeford/ryeford/gateway/peers"
 	"github.com/ryeford/ryeford/gateway/roster"
 	"github.com/ryeford/ryeford/internal/telemetry"
 	"github.com/ryeford/ryeford/retry"
@@ -34,9 +34,6 @@
 )
 
 const (
-	// leaseMargin is taken off the time after which a key that was taken away
-	// must not work any more: for the way to the endpoint.
-	leaseMargin = 500 * time.Millisecond
 	// doubtLinger is how long an endpoint stays that the list dropped while the
 	// list was in trouble: longer than endpoints take to write their entries
 	// anew, shorter than the time in which a router counts as out of touch.
@@ -45,9 +42,6 @@
 	// of prompts: it serves on for as long as one that said so, and its address is
 	// given to no other within that time.
 	departLinger = 1800 * time.Millisecond
-	// sweepEvery is how often resting connections and doubtful endpoints are
-	// looked through.
-	sweepEvery = 500 * time.Millisecond
 	// reserveShare keeps a part of the common bound on repeats unused, since
 	// routers count over slightly different spans.
 	reserveShare = 0.9
@@ -62,9 +56,9 @@
 	Protocol       ryeford.Protocol
 	Configurations ryeford.ConfigurationSource
 	Endpoints      ryeford.EndpointSource
-	// Routers may be nil where the settings name no address for peers.
+	// Routers may be nil if the settings name no address for peers.
 	Routers ryeford.RouterList
-	// ReadyPath is the path of the balancer's question.
+	// ReadyPath is the path of the load balancer's readiness probe.
 	ReadyPath string
 }
 
@@ -75,18 +69,18 @@
 	log      log.Logger
 	metrics  *telemetry.Set
 
-	catalog  catalog.Current
-	lease    *freshness.SharedLease
-	roster   *roster.Roster
+	configuration *configuration
+	endpoints     *endpointList
+	gossip        *gossip
+	drain         *drain
+	readiness     *readiness
+
+	roster   *roster.Roster // kept by endpoints
 	detector *outlier.Detector
 	pool     *endpoint.Pool
 	loads    *loads
 	holders  *holders.Map
-	gossip   *gossip
-	newer    chan struct{} // a peer has a newer configuration
 	learned  *learned
-	revision revision // the newest that the store has told
-	regained bool     // the next list is the first since it was out of reach; only the watch uses it
 
 	windowMu sync.Mutex
 	windows  map[string]*retry.Window // by service
@@ -94,10 +88,7 @@
 	durations *durations
 	bodies    *semaphore.Weighted // bytes of callers' bodies that are kept
 
-	turn     atomic.Uint64
-	inFlight atomic.Int64
-	drain    drainState
-	wasReady atomic.Bool
+	turn atomic.Uint64
 }
 
 // New returns a Gateway.
@@ -107,23 +98,71 @@
 		platform:  platform,
 		log:       logger,
 		metrics:   metrics,
-		newer:     make(chan struct{}, 1),
 		learned:   newLearned(s.Routing.StartPatience),
-		lease:     freshness.NewSharedLease(s.Bounds.Revoke - leaseMargin),
 		roster:    roster.New(roster.Lingers{Doubtful: doubtLinger, Departed: departLinger}),
 		detector:  outlier.New(outlierLimits),
 		pool:      endpoint.New(platform.Protocol, endpoint.DefaultOptions()),
 		loads:     newLoads(),
 		holders:   holders.New(holderLimits),
+		drain:     newDrain(s.Bounds.Grace, logger),
 		durations: newDurations(),
 		bodies:    semaphore.NewWeighted(int64(s.Memory) * bodyShare),
 		windows:   make(map[string]*retry.Window),
 	}
-	g.gossip = newGossip(g)
+	g.addParts()
 	g.addMetrics()
 	return g
 }
 
+// addParts adds the parts that build on others.
+func (g *Gateway) addParts() {
+	s := g.settings
+	revision := &revision{}
+	table := peers.New(s.Peers.AddrPort, peerLimits)
+	g.configuration = newConfiguration(configurationOptions{
+		Source:   g.platform.Configurations,
+		Term:     s.Bounds.Revoke - leaseMargin,
+		Refresh:  s.RefreshConfiguration(),
+		Peers:    table,
+		Revision: revision,
+		OnUpdate: g.noteLearned,
+	}, g.log, g.metrics)
+	g.endpoints = &endpointList{
+		source:   g.platform.Endpoints,
+		wait:     s.WaitForEndpoints(),
+		settle:   s.SettleEndpoints(),
+		revision: revision,
+		roster:   g.roster,
+		pool:     g.pool,
+		detector: g.detector,
+		loads:    g.loads,
+		holders:  g.holders,
+		outages:  g.configuration.outages,
+		onUpdate: g.noteLearned,
+		log:      g.log,
+	}
+	g.gossip = &gossip{
+		self:          s.Peers.AddrPort,
+		vm:            s.VM,
+		routers:       g.platform.Routers,
+		started:       time.Now().UnixNano(),
+		table:         table,
+		configuration: g.configuration,
+		roster:        g.roster,
+		holders:       g.holders,
+		loads:         g.loads,
+		log:           g.log,
+		metrics:       g.metrics,
+	}
+	g.readiness = &readiness{
+		path:          g.platform.ReadyPath,
+		configuration: g.configuration,
+		roster:        g.roster,
+		drain:         g.drain,
+		log:           g.log,
+	}
+}
+
 // holderLimits bound what is remembered of who holds which prompts.
 var holderLimits = holders.Limits{Parts: 4096, PerPart: 4, Forget: time.Minute}
 
@@ -142,96 +181,43 @@
 func (g *Gateway) Run(stop context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	callers, err := g.listen(work, g.settings.Callers.AddrPort, http.HandlerFunc(g.serveCaller))
+	callers, err := g.listen(work, g.settings.Callers, http.HandlerFunc(g.serveCaller))
 	if err != nil {
 		return err
 	}
-	callers.http.ConnState = g.noteConnection
-	readiness, err := g.listen(work, g.settings.Readiness.AddrPort, http.HandlerFunc(g.serveReady))
+	callers.http.ConnState = g.drain.noteConnection
+	probes, err := g.listen(work, g.settings.Readiness, g.readiness)
 	if err != nil {
 		return err
 	}
 	_ = g.log.Log("msg", "started", "failure_domain", g.settings.FailureDomain,
 		"callers", g.settings.Callers, "lease", g.settings.Bounds.Revoke-leaseMargin)
 	group, work := errgroup.WithContext(work)
-	group.Go(func() error { return g.keepConfiguration(work) })
-	group.Go(func() error { return g.watchEndpoints(work) })
-	group.Go(func() error { return g.sweep(work) })
+	group.Go(func() error { return g.configuration.run(work) })
+	group.Go(func() error { return g.endpoints.run(work) })
+	group.Go(func() error { return g.endpoints.sweep(work) })
 	group.Go(func() error { return g.gossip.run(work) })
 	group.Go(func() error { return callers.serve() })
-	group.Go(func() error { return readiness.serve() })
+	group.Go(func() error { return probes.serve() })
 	if g.settings.Metrics.IsValid() {
 		group.Go(func() error { return telemetry.Serve(work, g.settings.Metrics.AddrPort, g.metrics) })
 	}
 	group.Go(func() error {
 		defer cancel()
-		g.awaitDrain(stop, work, callers)
-		readiness.close()
+		g.drain.run(stop, work, callers)
+		probes.close()
 		return nil
 	})
 	err = group.Wait()
-	_ = g.log.Log("msg", "stopped", "in_flight", g.inFlight.Load(), "err", err)
+	_ = g.log.Log("msg", "stopped", "in_flight", g.drain.inFlight.Load(), "err", err)
 	return err
 }
 
-// A server is one HTTP server of the gateway.
-type server struct {
-	http     *http.Server
-	listener net.Listener
-}
-
 // listen returns a server that is bound to its address.
-func (g *Gateway) listen(work context.Context, address netip.AddrPort, handler http.Handler) (*server, error) {
-	listener, err := net.Listen("tcp", address.String())
-	if err != nil {
-		return nil, &ListenError{Address: address, Err: err}
-	}
-	return &server{
-		listener: &callerListener{Listener: listener, idle: g.idleTimeout, header: g.headerTimeout},
-		http: &http.Server{
-			Handler:           handler,
-			ReadHeaderTimeout: headerMark,
-			IdleTimeout:       idleMark,
-			MaxHeaderBytes:    maxHeaderBytes,
-			ErrorLog:          newServerLog(g.log),
-			BaseContext:       func(net.Listener) context.Context { return work },
-			// HTTP/1.1 only, as callers speak it.
-			Protocols: http1(),
-		},
-	}, nil
-}
-
-// http1 returns the set of protocols that are served.
-func http1() *http.Protocols {
-	protocols := new(http.Protocols)
-	protocols.SetHTTP1(true)
-	return protocols
-}
-
-// serve serves until the server is closed.
-func (s *server) serve() error {
-	err := s.http.Serve(s.listener)
-	if errors.Is(err, http.ErrServerClosed) {
-		return nil
-	}
-	return err
+func (g *Gateway) listen(work context.Context, address settings.Address, handler http.Handler) (*server, error) {
+	return newServer(work, address.AddrPort, handler, g.configuration, g.log)
 }
 
-// close ends a server at once.
-func (s *server) close() { _ = s.http.Close() }
-
-// A ListenError says that a server could not be bound to its address.
-type ListenError struct {
-	Address netip.AddrPort
-	Err     error
-}
-
-// Error returns the text of e.
-func (e *ListenError) Error() string { return "listen on " + e.Address.String() + ": " + e.Err.Error() }
-
-// Unwrap returns the cause of e.
-func (e *ListenError) Unwrap() error { return e.Err }
-
 // window returns the bound on repeats to a service.
 func (g *Gateway) window(service string) *retry.Window {
 	g.windowMu.Lock()
@@ -260,14 +246,9 @@
 
 // addMetrics adds the gauges.
 func (g *Gateway) addMetrics() {
-	g.metrics.Gauge("ryeford_in_flight", func() float64 { return float64(g.inFlight.Load()) })
+	g.metrics.Gauge("ryeford_in_flight", func() float64 { return float64(g.drain.inFlight.Load()) })
 	g.metrics.Gauge("ryeford_endpoints", func() float64 { return float64(g.roster.Len()) })
 	g.metrics.Gauge("ryeford_peers", func() float64 { return float64(g.gossip.table.Alive(time.Now())) })
-	g.metrics.Gauge("ryeford_lease_seconds", func() float64 { return g.lease.Left(time.Now()).Seconds() })
-	g.metrics.Gauge("ryeford_configuration_version", func() float64 {
-		if c := g.catalog.Get(); c != nil {
-			return float64(c.Version())
-		}
-		return 0
-	})
+	g.metrics.Gauge("ryeford_lease_seconds", func() float64 { return g.configuration.lease.Left(time.Now()).Seconds() })
+	g.metrics.Gauge("ryeford_configuration_version", func() float64 { return float64(g.configuration.version()) })
 }
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -8,10 +8,14 @@
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
+	"github.com/go-kit/log"
 	"golang.org/x/sync/errgroup"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/gateway/holders"
 	"github.com/ryeford/ryeford/gateway/peers"
+	"github.com/ryeford/ryeford/gateway/roster"
+	"github.com/ryeford/ryeford/internal/telemetry"
 )
 
 const (
@@ -42,25 +46,25 @@
 // peerLimits bound what is kept of the peers.
 var peerLimits = peers.Limits{Fresh: time.Second, Forget: 3 * time.Second, Members: 1024}
 
-// A gossip is a gateway's talk with its peers.
+// A gossip is the exchange of messages with the other routers of the fleet.
 type gossip struct {
-	gateway *Gateway
+	self    netip.AddrPort // invalid: there is no gossip
+	vm      ryeford.VMID
+	routers ryeford.RouterList
+	started int64 // nanoseconds since 1970
 	table   *peers.Table
-	started int64
+
+	configuration *configuration
+	roster        *roster.Roster
+	holders       *holders.Map
+	loads         *loads
+	log           log.Logger
+	metrics       *telemetry.Set
 
 	mu      sync.Mutex
 	prompts []peers.Prompt // to be told
 }
 
-// newGossip returns the talk of a gateway; without an address it tells nobody.
-func newGossip(g *Gateway) *gossip {
-	return &gossip{
-		gateway: g,
-		table:   peers.New(g.settings.Peers.AddrPort, peerLimits),
-		started: time.Now().UnixNano(),
-	}
-}
-
 // addPrompt notes a prompt that the peers are to be told of.
 func (p *gossip) addPrompt(endpoint ryeford.EndpointID, parts []ryeford.PromptPart) {
 	prompt := peers.Prompt{Endpoint: endpoint}
@@ -76,13 +80,12 @@
 
 // run talks with the peers until ctx ends.
 func (p *gossip) run(ctx context.Context) error {
-	address := p.gateway.settings.Peers
-	if !address.IsValid() {
+	if !p.self.IsValid() {
 		return nil
 	}
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address.AddrPort))
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.self))
 	if err != nil {
-		return &ListenError{Address: address.AddrPort, Err: err}
+		return &ListenError{Address: p.self, Err: err}
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -103,8 +106,8 @@
 		now := time.Now()
 		due := registered.IsZero() || now.Sub(registered) > registerEvery
 		if due || p.table.Alive(now) == 0 {
-			addresses, err := p.gateway.platform.Routers.Register(ctx, p.gateway.settings.VM, p.gateway.settings.Peers.AddrPort)
-			_ = p.gateway.log.Log("decision", "look_up_peers", "found", len(addresses), "err", err)
+			addresses, err := p.routers.Register(ctx, p.vm, p.self)
+			_ = p.log.Log("decision", "look_up_peers", "found", len(addresses), "err", err)
 			if err == nil {
 				registered = now
 				p.table.Add(time.Now(), addresses)
@@ -131,7 +134,7 @@
 		}
 		var message peers.Message
 		if err := cbor.Unmarshal(buffer[:n], &message); err != nil {
-			p.gateway.metrics.Count("ryeford_gossip_dropped_total", "format")
+			p.metrics.Count("ryeford_gossip_dropped_total", "format")
 			continue
 		}
 		p.hear(time.Now(), &message)
@@ -145,14 +148,14 @@
 	}
 	p.renew(now, message)
 	for _, prompt := range message.Prompts {
-		if !p.gateway.roster.Knows(prompt.Endpoint) {
+		if !p.roster.Knows(prompt.Endpoint) {
 			continue
 		}
 		parts := make([]ryeford.PromptPart, 0, len(prompt.Parts))
 		for _, id := range prompt.Parts {
 			parts = append(parts, ryeford.PromptPart{ID: id})
 		}
-		p.gateway.holders.Add(now, prompt.Endpoint, parts)
+		p.holders.Add(now, prompt.Endpoint, parts)
 	}
 }
 
@@ -162,12 +165,12 @@
 	if !message.Confirmed {
 		return
 	}
-	current := p.gateway.catalog.Get()
+	current := p.configuration.current()
 	switch {
 	case current == nil || current.Version() < message.Version:
-		p.gateway.tellNewer()
+		p.configuration.noteNewer()
 	case current.Version() == message.Version:
-		p.gateway.lease.RenewTold(now, message.ConfirmedAt)
+		p.configuration.lease.RenewTold(now, message.ConfirmedAt)
 	}
 }
 
@@ -180,7 +183,7 @@
 	for sequence := uint64(1); ; sequence++ {
 		now := time.Now()
 		if alive := p.table.Alive(now); alive != known {
-			_ = p.gateway.log.Log("decision", "peers", "alive", alive, "before", known)
+			_ = p.log.Log("decision", "peers", "alive", alive, "before", known)
 			known = alive
 		}
 		targets := p.table.Targets(now, budget.Sends(now, size, gossipPeers))
@@ -213,17 +216,17 @@
 	}
 	// Before the version: a version that comes in force between the two was not yet
 	// the newest then, which is harmless, while an older one no longer was.
-	confirmedAt, confirmed := p.gateway.lease.Confirmed()
-	version := p.gateway.version()
+	confirmedAt, confirmed := p.configuration.lease.Confirmed()
+	version := p.configuration.version()
 	return &peers.Message{
 		Version:     version,
 		ConfirmedAt: confirmedAt,
 		Confirmed:   confirmed,
-		Sender:      p.gateway.settings.Peers.AddrPort,
+		Sender:      p.self,
 		Started:     p.started,
 		Sequence:    sequence,
 		Members:     members,
-		Loads:       p.gateway.loads.own(),
+		Loads:       p.loads.own(),
 		Prompts:     prompts,
 	}
 }
--- a/gateway/idle.go
+++ b/gateway/idle.go
@@ -18,23 +18,31 @@
 	// markMargin tells a deadline that stands for a mark from all others.
 	markMargin = time.Hour
 	// defaultIdle and defaultHeader hold until a configuration is known.
-	defaultIdle    = 15 * time.Second
-	defaultHeader  = 10 * time.Second
-	maxHeaderBytes = 64 << 10
+	defaultIdle   = 15 * time.Second
+	defaultHeader = 10 * time.Second
 )
 
-// idleTimeout returns how long a caller's connection may rest.
-func (g *Gateway) idleTimeout() time.Duration {
-	if c := g.catalog.Get(); c != nil && c.Limits().IdleTimeout > 0 {
-		return c.Limits().IdleTimeout
+// callerTimeouts are how long callers' connections may wait; they may change
+// while the server runs.
+type callerTimeouts interface {
+	// idleTimeout returns how long a caller's connection may rest.
+	idleTimeout() time.Duration
+	// headerTimeout returns how long a caller may take to send a request's header.
+	headerTimeout() time.Duration
+}
+
+// idleTimeout implements callerTimeouts.
+func (c *configuration) idleTimeout() time.Duration {
+	if now := c.current(); now != nil && now.Limits().IdleTimeout > 0 {
+		return now.Limits().IdleTimeout
 	}
 	return defaultIdle
 }
 
-// headerTimeout returns how long a caller may take to send a request's header.
-func (g *Gateway) headerTimeout() time.Duration {
-	if c := g.catalog.Get(); c != nil && c.Limits().HeaderTimeout > 0 {
-		return c.Limits().HeaderTimeout
+// headerTimeout implements callerTimeouts.
+func (c *configuration) headerTimeout() time.Duration {
+	if now := c.current(); now != nil && now.Limits().HeaderTimeout > 0 {
+		return now.Limits().HeaderTimeout
 	}
 	return defaultHeader
 }
@@ -43,7 +51,7 @@
 // runs.
 type callerListener struct {
 	net.Listener
-	idle, header func() time.Duration
+	timeouts callerTimeouts
 }
 
 // Accept implements net.Listener.
@@ -66,9 +74,9 @@
 	switch left := time.Until(t); {
 	case t.IsZero():
 	case left > headerMark-markMargin:
-		t = time.Now().Add(c.listener.header())
+		t = time.Now().Add(c.listener.timeouts.headerTimeout())
 	case left > idleMark-markMargin:
-		t = time.Now().Add(c.listener.idle())
+		t = time.Now().Add(c.listener.timeouts.idleTimeout())
 	}
 	return c.Conn.SetReadDeadline(t)
 }
--- a/gateway/learned.go
+++ b/gateway/learned.go
@@ -45,7 +45,7 @@
 
 // noteLearned notes that the router can serve, if it can.
 func (g *Gateway) noteLearned() {
-	if g.catalog.Get() != nil && g.roster.Known() {
+	if g.configuration.current() != nil && g.roster.Known() {
 		g.learned.note()
 	}
 }
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -36,7 +36,7 @@
 	g.writeRefusal(w, id, status, retryAfter)
 	g.metrics.Count("ryeford_refused_total", reasonOf(err))
 	_ = g.log.Log("decision", "refuse", "request", id, "method", r.Method, "host", r.Host, "path", r.URL.Path,
-		"version", g.version(), "lease", g.leaseLeft(), "status", status, "reason", reasonOf(err), "took", roundTime(time.Since(arrived)), "err", err)
+		"version", g.configuration.version(), "lease", g.configuration.leaseLeft(), "status", status, "reason", reasonOf(err), "took", roundTime(time.Since(arrived)), "err", err)
 }
 
 // writeRefusal writes an answer of the gateway's own.
@@ -84,11 +84,3 @@
 	}
 	return "failure"
 }
-
-// version returns the version of the configuration in force, or zero.
-func (g *Gateway) version() int64 {
-	if c := g.catalog.Get(); c != nil {
-		return c.Version()
-	}
-	return 0
-}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -61,8 +61,8 @@
 // serveCaller answers one request of a caller.
 func (g *Gateway) serveCaller(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
-	g.inFlight.Add(1)
-	defer g.inFlight.Add(-1)
+	g.drain.inFlight.Add(1)
+	defer g.drain.inFlight.Add(-1)
 	if g.drain.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -98,7 +98,7 @@
 		return nil, func() {}, nil
 	}
 	limit := int64(startingBody)
-	if c := g.catalog.Get(); c != nil && c.Limits().MaxBody > 0 {
+	if c := g.configuration.current(); c != nil && c.Limits().MaxBody > 0 {
 		limit = int64(c.Limits().MaxBody)
 	}
 	size := r.ContentLength
@@ -131,11 +131,11 @@
 // A router that knows no configuration, or one that may be out of date, never
 // says that a route or a key does not exist: it says that it can't tell yet.
 func (g *Gateway) admit(r *http.Request, meta *ryeford.RequestMeta, arrived time.Time) (*request, error) {
-	current := g.catalog.Get()
+	current := g.configuration.current()
 	if current == nil || !g.roster.Known() {
 		return nil, &ryeford.NotRunError{Reason: ryeford.ReasonNotReady, RetryAfter: retryNotReady}
 	}
-	fresh := g.lease.Valid(time.Now())
+	fresh := g.configuration.reliable(time.Now())
 	stale := &ryeford.NotRunError{Reason: ryeford.ReasonStaleConfiguration, RetryAfter: retryStale}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	rule := current.Route(r.Host, path)
@@ -164,6 +164,15 @@
 	return q, nil
 }
 
+// checkLeaving refuses a request that may not be answered any more before the
+// gateway has to end.
+func (g *Gateway) checkLeaving(now time.Time, rule *ryeford.RouteRule) error {
+	if !g.drain.leaving.Load() || g.drain.leavesTimeFor(now, g.durations.slowest(rule)) {
+		return nil
+	}
+	return &ryeford.NotRunError{Reason: ryeford.ReasonLeaving, RetryAfter: retryStale}
+}
+
 // setDeadline sets the time until which the request is worked on.
 func (q *request) setDeadline() {
 	wait := defaultDeadline
--- a/gateway/rounding.go
+++ b/gateway/rounding.go
@@ -10,11 +10,6 @@
 	shownLoad = 100 // parts of a request
 )
 
-// leaseLeft returns the time until the lease ends, as it is logged.
-func (g *Gateway) leaseLeft() time.Duration {
-	return g.lease.Left(time.Now()).Round(time.Millisecond)
-}
-
 // roundTime returns a duration as it is logged.
 func roundTime(d time.Duration) time.Duration { return d.Round(shownTime) }
 
