--- /dev/null
+++ b/gateway/admit/admit.go
@@ -0,0 +1,106 @@
+// Package admit decides whether a request that has been read is served, and with
+// which failure it is refused if not:
+//
+// A router says that a route or a key does not exist only if it knows so; if its
+// configuration is missing or may be out of date, it refuses with 503 and a
+// Retry-After instead.
+//
+// The reason is that callers take 401 and 404 as final, while another router, or
+// this one a moment later, may serve the request.
+//
+// The package also bounds what callers may send (body.go) and how long requests
+// wait for a router that has just started (start.go). It owns no state and does no
+// I/O; it relies on package giveup for the failures.
+package admit
+
+import (
+	"net/http"
+	"time"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/gateway/giveup"
+)
+
+// finishFactor is the multiple of the time that a route's requests take at the
+// slowest that must be left for a new one before a stopping router closes its
+// connections. Without unit. The rule came with commit 01ef1b5; the value is not
+// measured.
+const finishFactor = 1.5
+
+// A State is what a router knows at the moment at which a request is admitted.
+type State struct {
+	// Configured and Listed say that a configuration and a list of endpoints have
+	// been read since the process started.
+	Configured, Listed bool
+	// Reliable says that the configuration was confirmed so recently that no key of
+	// it can have been revoked for too long: the lease is valid.
+	Reliable bool
+	// RouteFound says that the configuration has a route for the request.
+	RouteFound bool
+	// NeedsKey says that the route is not public, and KeyFound that the request's
+	// key belongs to a client account.
+	NeedsKey, KeyFound bool
+	// Stopping is nil unless the router is stopping.
+	Stopping *Stopping
+}
+
+// A Stopping is what a stopping router knows about the time that is left.
+type Stopping struct {
+	// Left is the time until the router closes its callers' connections.
+	Left time.Duration
+	// Slowest is how long requests on the route take at the slowest.
+	Slowest time.Duration
+}
+
+// Check returns why a request is refused, or nil. It is a *ryeford.NotRunError or a
+// *ryeford.InputError.
+func Check(s State) error {
+	switch {
+	case !s.Configured || !s.Listed:
+		return giveup.NotRun(ryeford.ReasonNotReady)
+	case !s.RouteFound && !s.Reliable:
+		return giveup.NotRun(ryeford.ReasonStaleConfiguration)
+	case !s.RouteFound:
+		return &ryeford.InputError{Field: "path", Problem: "no such route", Status: http.StatusNotFound}
+	case s.Stopping != nil && !s.Stopping.leavesTime():
+		return giveup.NotRun(ryeford.ReasonLeaving)
+	case s.NeedsKey && !s.Reliable:
+		return giveup.NotRun(ryeford.ReasonStaleConfiguration)
+	case s.NeedsKey && !s.KeyFound:
+		return &ryeford.InputError{Field: "key", Problem: "unknown", Status: http.StatusUnauthorized}
+	}
+	return nil
+}
+
+// leavesTime reports whether a request that is admitted now will have its response
+// before the router closes its callers' connections.
+func (s *Stopping) leavesTime() bool {
+	return s.Left > time.Duration(finishFactor*float64(s.Slowest))
+}
+
+// A Sending is what a router knows right before the first byte of a request is sent
+// to an endpoint, some time after it was admitted.
+type Sending struct {
+	// EndpointServes says that the endpoint still takes requests.
+	EndpointServes bool
+	// NeedsKey says that the request was admitted for its key.
+	NeedsKey bool
+	// Reliable is as in State.
+	Reliable bool
+	// KeyFound says that the key still belongs to a client account.
+	KeyFound bool
+}
+
+// CheckSend returns why a request must not be sent, or nil. After
+// ReasonLeaving another endpoint may serve it; any other reason is final.
+func CheckSend(s Sending) *ryeford.NotRunError {
+	switch {
+	case !s.EndpointServes:
+		return giveup.NotRun(ryeford.ReasonLeaving)
+	case s.NeedsKey && !s.Reliable:
+		return giveup.NotRun(ryeford.ReasonStaleConfiguration)
+	case s.NeedsKey && !s.KeyFound:
+		return giveup.NotRun(ryeford.ReasonKeyTaken)
+	}
+	return nil
+}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -8,6 +8,7 @@
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/gateway/endpoint"
+	"github.com/ryeford/ryeford/gateway/giveup"
 	"github.com/ryeford/ryeford/gateway/roster"
 )
 
@@ -274,20 +275,16 @@
 // giveUp tells the caller that the request is not answered.
 func (x *exchange) giveUp(err, last error) {
 	g, q := x.gateway, x.request
-	var notRun *ryeford.NotRunError
-	if x.maybeRan && errors.As(err, &notRun) {
-		err = &ryeford.UnknownError{Reason: notRun.Reason, Err: last}
-	}
-	status, retryAfter := statusOf(err)
-	g.metrics.Count("ryeford_given_up_total", reasonOf(err))
+	verdict := giveup.Decide(giveup.Request{Err: err, Last: last, MayHaveRun: x.maybeRan, Begun: x.relay.begun})
+	g.metrics.Count("ryeford_given_up_total", verdict.Reason)
 	_ = g.log.Log("decision", "give_up", "request", q.meta.ID, "route", q.rule.Name, "account", q.accountID(), "service", q.service,
 		"sent", x.sent, "unsent", x.unsent, "may_have_run", x.maybeRan, "begun", x.relay.begun, "events", x.relay.events,
-		"version", q.catalog.Version(), "status", status, "reason", reasonOf(err), "took", roundTime(time.Since(q.arrived)), "err", err)
-	if x.relay.begun {
+		"version", q.catalog.Version(), "status", verdict.Status, "reason", verdict.Reason, "took", roundTime(time.Since(q.arrived)), "err", verdict.Err)
+	if verdict.Abort {
 		// An answer that has begun must not look complete.
 		panic(http.ErrAbortHandler)
 	}
-	g.writeRefusal(x.relay.writer, q.meta.ID, status, retryAfter)
+	g.writeRefusal(x.relay.writer, q.meta.ID, &verdict)
 }
 
 // noteTry logs a try that did not answer the caller.
--- /dev/null
+++ b/gateway/giveup/giveup.go
@@ -0,0 +1,146 @@
+// Package giveup decides how a request ends that gets no response from an
+// endpoint:
+//
+// A request is answered with a status of the gateway's own that says whether it may
+// have run: 503 and a Retry-After only if no attempt can have run it, 502 or 504 if
+// one may have. If part of a response has been sent, the connection is broken off.
+//
+// The reason is that callers send a request again after 503 even if it must run
+// only once; and that a broken response must not look complete.
+//
+// The package owns no state and does no I/O. It relies on the errors of the root
+// package: NotRunError, UnknownError and InputError.
+package giveup
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"github.com/ryeford/ryeford"
+)
+
+// The minimum times after which a caller is told to come back. Each caller is told
+// a time between that and twice that (retry.Spread). None is measured.
+const (
+	// retryNotReady is for a router that has not read the configuration or the
+	// endpoint list yet.
+	retryNotReady = 300 * time.Millisecond
+	// retryNoEndpoint is for a service of which no endpoint can be reached.
+	retryNoEndpoint = 150 * time.Millisecond
+	// retryElsewhere is for what another router or endpoint may not suffer from, or
+	// what ends soon: load, a stale configuration, a router that is stopping.
+	retryElsewhere = 100 * time.Millisecond
+)
+
+// NotRun returns the error of a request that has not run for a reason, with the
+// Retry-After of that reason.
+func NotRun(reason ryeford.Reason) *ryeford.NotRunError {
+	retryAfter := retryElsewhere
+	switch reason {
+	case ryeford.ReasonNotReady:
+		retryAfter = retryNotReady
+	case ryeford.ReasonNoCandidate, ryeford.ReasonUnreachable:
+		retryAfter = retryNoEndpoint
+	}
+	return &ryeford.NotRunError{Reason: reason, RetryAfter: retryAfter}
+}
+
+// Stopped returns the error of a request whose deadline has passed, or else whose
+// caller has gone.
+func Stopped(deadlinePassed, mayHaveRun bool) error {
+	reason := ryeford.ReasonCancelled
+	if deadlinePassed {
+		reason = ryeford.ReasonDeadline
+	}
+	if mayHaveRun {
+		return &ryeford.UnknownError{Reason: reason}
+	}
+	return NotRun(reason)
+}
+
+// A Request is a request that ends without a response from an endpoint.
+type Request struct {
+	Err  error // why it ends
+	Last error // how the last attempt ended, or nil
+	// MayHaveRun says that any of its attempts may have run.
+	MayHaveRun bool
+	// Begun says that part of a response has been sent to the caller.
+	Begun bool
+}
+
+// A Verdict is how a request ends.
+type Verdict struct {
+	// Err is what is logged. It is an *UnknownError if the request may have run.
+	Err error
+	// Status is the HTTP status that the caller gets, unless Abort is true.
+	Status int
+	// RetryAfter is the minimum time after which the caller may come back; zero for
+	// none.
+	RetryAfter time.Duration
+	// Reason is the code of the failure in logs and metrics.
+	Reason string
+	// Abort says that the caller's connection is broken off.
+	Abort bool
+}
+
+// Decide returns how a request ends.
+func Decide(r Request) Verdict {
+	err := r.Err
+	var notRun *ryeford.NotRunError
+	if r.MayHaveRun && errors.As(err, &notRun) {
+		// The last attempt has not run, but an earlier one may have.
+		err = &ryeford.UnknownError{Reason: notRun.Reason, Err: r.Last}
+	}
+	status, retryAfter := statusOf(err)
+	return Verdict{Err: err, Status: status, RetryAfter: retryAfter, Reason: reasonOf(err), Abort: r.Begun}
+}
+
+// statusOf returns the HTTP status of a failure, and its Retry-After. An
+// UnknownError is looked for first: it may wrap the NotRunError of a later attempt,
+// which promises nothing for the earlier ones.
+func statusOf(err error) (int, time.Duration) {
+	var input *ryeford.InputError
+	var notRun *ryeford.NotRunError
+	var unknown *ryeford.UnknownError
+	switch {
+	case errors.As(err, &input) && input.Status != 0:
+		return input.Status, 0
+	case errors.As(err, &input):
+		return http.StatusBadRequest, 0
+	case errors.As(err, &unknown) && unknown.Reason == ryeford.ReasonDeadline:
+		return http.StatusGatewayTimeout, 0
+	case errors.As(err, &unknown):
+		return http.StatusBadGateway, 0
+	case errors.As(err, &notRun):
+		return http.StatusServiceUnavailable, notRun.RetryAfter
+	}
+	return http.StatusBadGateway, 0
+}
+
+// reasonOf returns the code of a failure.
+func reasonOf(err error) string {
+	var input *ryeford.InputError
+	var notRun *ryeford.NotRunError
+	var unknown *ryeford.UnknownError
+	switch {
+	case errors.As(err, &input):
+		return "input"
+	case errors.As(err, &unknown):
+		return string(unknown.Reason)
+	case errors.As(err, &notRun):
+		return string(notRun.Reason)
+	}
+	return "failure"
+}
+
+// PromisesNotRun reports whether callers take a status for the promise that a
+// request has not run. An endpoint's response with such a status, but without the
+// endpoint's statement that it has not run the request, is not passed on.
+func PromisesNotRun(status int) bool {
+	switch status {
+	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return true
+	}
+	return false
+}
--- /dev/null
+++ b/gateway/giveup/giveup_test.go
@@ -0,0 +1,93 @@
+package giveup
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+)
+
+// TestStatusOf checks that a caller is told that its request has not run only if
+// that is known: not if the last attempt did not run, but an earlier one may have.
+func TestStatusOf(t *testing.T) {
+	notRun := &ryeford.NotRunError{Reason: ryeford.ReasonOverload, RetryAfter: time.Second}
+	for name, test := range map[string]struct {
+		err    error
+		status int
+		reason string
+	}{
+		"not run":                  {notRun, http.StatusServiceUnavailable, "overload"},
+		"an earlier try may have":  {&ryeford.UnknownError{Reason: ryeford.ReasonOverload, Err: notRun}, http.StatusBadGateway, "overload"},
+		"an earlier one, too late": {&ryeford.UnknownError{Reason: ryeford.ReasonDeadline, Err: notRun}, http.StatusGatewayTimeout, "deadline"},
+		"no such route":            {&ryeford.InputError{Field: "path", Status: http.StatusNotFound}, http.StatusNotFound, "input"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			status, retryAfter := statusOf(test.err)
+			assert.Equal(t, status, test.status)
+			assert.Equal(t, retryAfter > 0, status == http.StatusServiceUnavailable)
+			assert.Equal(t, reasonOf(test.err), test.reason)
+		})
+	}
+}
+
+// TestDecide checks how requests end.
+func TestDecide(t *testing.T) {
+	lost := &ryeford.UnknownError{Reason: ryeford.ReasonEngineLost}
+	for _, row := range []struct {
+		rule    string
+		request Request
+		status  int
+		reason  ryeford.Reason
+		abort   bool
+	}{
+		{"nothing was sent: not run", Request{Err: NotRun(ryeford.ReasonNoCandidate)}, 503, "no_candidate", false},
+		{"every attempt was refused: not run", Request{Err: NotRun(ryeford.ReasonOverload), Last: NotRun(ryeford.ReasonOverload)}, 503, "overload", false},
+		{"the last was refused, an earlier one may have run: no promise", Request{Err: NotRun(ryeford.ReasonOverload), Last: NotRun(ryeford.ReasonOverload), MayHaveRun: true}, 502, "overload", false},
+		{"no endpoint is left after one that may have run: no promise", Request{Err: NotRun(ryeford.ReasonNoCandidate), Last: lost, MayHaveRun: true}, 502, "no_candidate", false},
+		{"the attempt may have run: no promise", Request{Err: lost, Last: lost, MayHaveRun: true}, 502, "engine_lost", false},
+		{"out of time, and it may have run", Request{Err: Stopped(true, true), MayHaveRun: true}, 504, "deadline", false},
+		{"out of time before anything was sent: not run", Request{Err: Stopped(true, false)}, 503, "deadline", false},
+		{"the caller is gone, and it may have run", Request{Err: Stopped(false, true), MayHaveRun: true}, 502, "cancelled", false},
+		{"a response has begun: broken off", Request{Err: lost, Last: lost, MayHaveRun: true, Begun: true}, 502, "engine_lost", true},
+	} {
+		t.Run(row.rule, func(t *testing.T) {
+			got := Decide(row.request)
+			assert.Equal(t, got.Status, row.status)
+			assert.Equal(t, got.Reason, string(row.reason))
+			assert.Equal(t, got.RetryAfter > 0, row.status == http.StatusServiceUnavailable)
+			assert.Equal(t, got.Abort, row.abort)
+			assert.Assert(t, !row.request.MayHaveRun || !PromisesNotRun(got.Status))
+		})
+	}
+}
+
+// TestNotRun checks when callers are told to come back.
+func TestNotRun(t *testing.T) {
+	for reason, want := range map[ryeford.Reason]time.Duration{
+		ryeford.ReasonNotReady:           300 * time.Millisecond,
+		ryeford.ReasonNoCandidate:        150 * time.Millisecond,
+		ryeford.ReasonUnreachable:        150 * time.Millisecond,
+		ryeford.ReasonStaleConfiguration: 100 * time.Millisecond,
+		ryeford.ReasonKeyTaken:           100 * time.Millisecond,
+		ryeford.ReasonLeaving:            100 * time.Millisecond,
+		ryeford.ReasonOverload:           100 * time.Millisecond,
+		ryeford.ReasonDeadline:           100 * time.Millisecond,
+		ryeford.ReasonCancelled:          100 * time.Millisecond,
+	} {
+		assert.Equal(t, NotRun(reason).RetryAfter, want, string(reason))
+		assert.Equal(t, NotRun(reason).Reason, reason)
+	}
+}
+
+// TestPromisesNotRun checks which statuses of endpoints are not passed on.
+func TestPromisesNotRun(t *testing.T) {
+	for status, want := range map[int]bool{
+		408: true, 421: true, 429: true, 503: true,
+		200: false, 400: false, 404: false, 500: false, 502: false, 504: false,
+	} {
+		assert.Equal(t, PromisesNotRun(status), want, "%d", status)
+	}
+}
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/gateway/giveup"
 	"github.com/ryeford/ryeford/retry"
 )
 
@@ -20,8 +21,8 @@
 
 // refuse answers a request that is not sent to any endpoint.
 func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, meta *ryeford.RequestMeta, arrived time.Time, err error) {
-	status, retryAfter := statusOf(err)
-	if status == http.StatusRequestEntityTooLarge || status == http.StatusBadRequest {
+	verdict := giveup.Decide(giveup.Request{Err: err})
+	if verdict.Status == http.StatusRequestEntityTooLarge || verdict.Status == http.StatusBadRequest {
 		w.Header().Set("Connection", "close")
 	}
 	var notRun *ryeford.NotRunError
@@ -33,54 +34,21 @@
 	if meta != nil {
 		id = meta.ID
 	}
-	g.writeRefusal(w, id, status, retryAfter)
-	g.metrics.Count("ryeford_refused_total", reasonOf(err))
+	g.writeRefusal(w, id, &verdict)
+	g.metrics.Count("ryeford_refused_total", verdict.Reason)
 	_ = g.log.Log("decision", "refuse", "request", id, "method", r.Method, "host", r.Host, "path", r.URL.Path,
-		"version", g.configuration.version(), "lease", g.configuration.leaseLeft(), "status", status, "reason", reasonOf(err), "took", roundTime(time.Since(arrived)), "err", err)
+		"version", g.configuration.version(), "lease", g.configuration.leaseLeft(), "status", verdict.Status, "reason", verdict.Reason, "took", roundTime(time.Since(arrived)), "err", err)
 }
 
 // writeRefusal writes an answer of the gateway's own.
-func (g *Gateway) writeRefusal(w http.ResponseWriter, id ryeford.RequestID, status int, retryAfter time.Duration) {
+func (g *Gateway) writeRefusal(w http.ResponseWriter, id ryeford.RequestID, verdict *giveup.Verdict) {
 	header := w.Header()
+	var retryAfter time.Duration
+	if verdict.Status == http.StatusServiceUnavailable {
+		retryAfter = retry.Spread(verdict.RetryAfter)
+	}
 	g.platform.Protocol.ErrorHeader(header, id, retryAfter)
 	header["Content-Type"] = nil
 	header.Set("Content-Length", "0")
-	w.WriteHeader(status)
-}
-
-// statusOf returns the HTTP status of a failure, and when to come back.
-func statusOf(err error) (int, time.Duration) {
-	var input *ryeford.InputError
-	var notRun *ryeford.NotRunError
-	var unknown *ryeford.UnknownError
-	switch {
-	case errors.As(err, &input) && input.Status != 0:
-		return input.Status, 0
-	case errors.As(err, &input):
-		return http.StatusBadRequest, 0
-	case errors.As(err, &unknown) && unknown.Reason == ryeford.ReasonDeadline:
-		return http.StatusGatewayTimeout, 0
-	case errors.As(err, &unknown):
-		// It may wrap a later try that has not run: that is no promise.
-		return http.StatusBadGateway, 0
-	case errors.As(err, &notRun):
-		return http.StatusServiceUnavailable, retry.Spread(notRun.RetryAfter)
-	}
-	return http.StatusBadGateway, 0
-}
-
-// reasonOf returns the code of a failure.
-func reasonOf(err error) string {
-	var input *ryeford.InputError
-	var notRun *ryeford.NotRunError
-	var unknown *ryeford.UnknownError
-	switch {
-	case errors.As(err, &input):
-		return "input"
-	case errors.As(err, &unknown):
-		return string(unknown.Reason)
-	case errors.As(err, &notRun):
-		return string(notRun.Reason)
-	}
-	return "failure"
+	w.WriteHeader(verdict.Status)
 }
--- /dev/null
+++ b/retry/policy_test.go
@@ -0,0 +1,103 @@
+package retry
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+)
+
+// TestNext checks what follows each end of an attempt.
+func TestNext(t *testing.T) {
+	once := Policy{MaxAttempts: 3}
+	repeatable := Policy{Repeatable: true, MaxAttempts: 3}
+	another := Step{Again: true}
+	budgeted := Step{Again: true, Budgeted: true}
+	reuse := Step{Again: true, Budgeted: true, Reuse: true}
+	stop := Step{}
+	for _, row := range []struct {
+		rule    string
+		policy  Policy
+		end     End
+		history History
+		over    bool
+		want    Step
+	}{
+		{"answered: done", repeatable, EndAnswered, History{Sent: 1}, false, stop},
+		{"the caller is gone: nothing more", repeatable, EndUnsent, History{Unsent: 1}, true, stop},
+		{"the deadline has passed: nothing more", repeatable, EndFailed, History{Sent: 1}, true, stop},
+		{"unsent: another, free of charge", once, EndUnsent, History{Unsent: 1}, false, another},
+		{"unsent: also after all attempts were sent", once, EndUnsent, History{Sent: 3, Unsent: 1}, false, another},
+		{"unsent: the third still goes on", once, EndUnsent, History{Unsent: maxUnsent - 1}, false, another},
+		{"unsent: not without end", once, EndUnsent, History{Unsent: maxUnsent}, false, stop},
+		{"barred: nowhere may it run", repeatable, EndBarred, History{}, false, stop},
+		{"refused: another, though not repeatable", once, EndRefused, History{Sent: 2}, false, budgeted},
+		{"refused: at most MaxAttempts", once, EndRefused, History{Sent: 3}, false, stop},
+		{"lost, may have run: not repeated", once, EndLost, History{Sent: 1}, false, stop},
+		{"lost, repeatable: another", repeatable, EndLost, History{Sent: 1}, false, budgeted},
+		{"lost: at most MaxAttempts", repeatable, EndLost, History{Sent: 3}, false, stop},
+		{"failed, may have run: not repeated", once, EndFailed, History{Sent: 1}, false, stop},
+		{"failed, repeatable: another, or one that was tried", repeatable, EndFailed, History{Sent: 2}, false, reuse},
+		{"failed: at most MaxAttempts", repeatable, EndFailed, History{Sent: 3}, false, stop},
+		{"the caller stopped reading", repeatable, EndStopped, History{Sent: 1}, false, stop},
+	} {
+		t.Run(row.rule, func(t *testing.T) {
+			assert.Equal(t, row.policy.Next(row.end, row.history, row.over), row.want)
+		})
+	}
+}
+
+// TestEnds checks what each end proves, and its code in logs and metrics.
+func TestEnds(t *testing.T) {
+	for _, row := range []struct {
+		end        End
+		sent       bool
+		mayHaveRun bool
+		code       string
+	}{
+		{EndAnswered, true, true, "done"},
+		{EndUnsent, false, false, "unsent"},
+		{EndBarred, false, false, "unsent"},
+		{EndRefused, true, false, "not_run"},
+		{EndLost, true, true, "failed"},
+		{EndFailed, true, true, "failed"},
+		{EndStopped, true, true, "stopped"},
+	} {
+		assert.Equal(t, row.end.Sent(), row.sent, row.code)
+		assert.Equal(t, row.end.MayHaveRun(), row.mayHaveRun, row.code)
+		assert.Equal(t, row.end.String(), row.code)
+	}
+}
+
+// TestPerTryTimeout checks when an attempt is given up for another one.
+func TestPerTryTimeout(t *testing.T) {
+	const goal = 100 * time.Millisecond
+	for _, row := range []struct {
+		rule   string
+		policy Policy
+		sent   int
+		want   time.Duration
+	}{
+		{"repeatable: one and a half times the goal", Policy{Repeatable: true, MaxAttempts: 2, Goal: goal}, 0, 150 * time.Millisecond},
+		{"the last attempt waits until the deadline", Policy{Repeatable: true, MaxAttempts: 2, Goal: goal}, 1, 0},
+		{"the only attempt waits until the deadline", Policy{Repeatable: true, MaxAttempts: 1, Goal: goal}, 0, 0},
+		{"not repeatable: it may be running", Policy{MaxAttempts: 3, Goal: goal}, 0, 0},
+		{"no goal: nothing says that it is slow", Policy{Repeatable: true, MaxAttempts: 3}, 0, 0},
+	} {
+		t.Run(row.rule, func(t *testing.T) {
+			got, ok := row.policy.PerTryTimeout(row.sent)
+			assert.Equal(t, got, row.want)
+			assert.Equal(t, ok, row.want > 0)
+		})
+	}
+}
+
+// TestForRoute checks which routes are repeatable.
+func TestForRoute(t *testing.T) {
+	rule := &ryeford.RouteRule{Kind: ryeford.RouteStream, MaxAttempts: 2, Goal: time.Second}
+	assert.Equal(t, ForRoute(rule), Policy{MaxAttempts: 2, Goal: time.Second})
+	rule.Resumable = true
+	assert.Equal(t, ForRoute(rule), Policy{Repeatable: true, MaxAttempts: 2, Goal: time.Second})
+}
--- /dev/null
+++ b/retry/share_test.go
@@ -0,0 +1,46 @@
+package retry
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// TestSharers checks among how many routers a reserve is divided.
+func TestSharers(t *testing.T) {
+	for _, row := range []struct {
+		rule              string
+		configured, alive int
+		want              int
+	}{
+		{"alone, or cut off: as the settings say", 10, 1, 10},
+		{"few: as the settings say", 10, 8, 10},
+		{"many: a quarter more than are alive", 10, 26, 32},
+		{"a quarter is rounded down", 1, 3, 3},
+	} {
+		t.Run(row.rule, func(t *testing.T) {
+			assert.Equal(t, Sharers(row.configured, row.alive), row.want)
+		})
+	}
+}
+
+// TestWindows checks that each service has a budget of its own, of which a router
+// uses nine tenths.
+func TestWindows(t *testing.T) {
+	w := NewWindows(Bound{Span: 10 * time.Second, Ratio: 0.2, Reserve: 10})
+	now := time.Now()
+	spend := func(service string) (repeats int) {
+		for w.Of(service).Repeat(now, 1) {
+			repeats++
+		}
+		return repeats
+	}
+	assert.Equal(t, spend("chat"), 9)
+	assert.Equal(t, spend("chat"), 0)
+	assert.Equal(t, spend("plain"), 9)
+	for range 100 {
+		w.Of("chat").Request(now)
+	}
+	assert.Equal(t, spend("chat"), 18)
+}
--- /dev/null
+++ b/retry/spread.go
@@ -0,0 +1,18 @@
+package retry
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// defaultSpread stands for a base of zero or less. Not measured.
+const defaultSpread = time.Second
+
+// Spread returns a time between base and twice base, so that callers refused
+// together do not come back together.
+func Spread(base time.Duration) time.Duration {
+	if base <= 0 {
+		base = defaultSpread
+	}
+	return base + time.Duration(rand.Int64N(int64(base)))
+}
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,13 +5,17 @@
 	"time"
 )
 
-// windowSlices is how many slices a Window's span is divided into.
+// windowSlices is how many slices a Window's span is divided into. A request or a
+// repeat counts for up to one slice longer than the span. Not measured.
 const windowSlices = 20
 
-// A Window bounds one service's arrivals beyond the first of each request, over
-// a sliding span of time: at most Ratio x requests + Reserve. It is one router's
-// own share of a bound that all routers together keep, and needs no word from
-// the others.
+// A Window is one router's retry budget for one service: over a sliding span of
+// time, repeats, which are attempts after a request's first, are at most
+//
+//	Ratio x requests + Reserve / routers
+//
+// All routers together then keep to Ratio x requests + Reserve without exchanging
+// their counts. Its methods may be called concurrently.
 type Window struct {
 	limits WindowLimits
 
@@ -22,12 +26,14 @@
 
 // WindowLimits are the bounds of a Window.
 type WindowLimits struct {
-	Span  time.Duration
+	Span time.Duration
+	// Ratio is the part of this router's requests that may be repeated.
 	Ratio float64
-	// Reserve is what all routers together may have beyond the ratio.
+	// Reserve is how many repeats all routers together may send beyond the ratio.
 	Reserve float64
 }
 
+// A windowSlice counts what came in one part of the span.
 type windowSlice struct {
 	number   int64 // of the slice since the epoch
 	requests int
@@ -46,8 +52,8 @@
 	w.slice(now).requests++
 }
 
-// Repeat takes one arrival beyond a request's first, and reports whether the
-// bound allows it to one of so many routers.
+// Repeat reports whether one more repeat is within the budget, given among how many
+// routers the Reserve is divided (Sharers), and if so counts it.
 func (w *Window) Repeat(now time.Time, routers int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -56,8 +56,8 @@
 	assert.Assert(t, w.Repeat(now.Add(11*time.Second), 1))
 }
 
-// TestWindowShares checks that routers that know of each other keep the reserve
-// together, without a word on each repeat.
+// TestWindowShares checks that routers that divide a reserve keep it together,
+// though they don't exchange their counts.
 func TestWindowShares(t *testing.T) {
 	const routers = 26
 	now := time.Unix(1000, 0)
