--- a/agentfleet/admission/admission.go
+++ b/agentfleet/admission/admission.go
@@ -1,5 +1,9 @@
-// Package admission decides at an engine whether one more request may run
-// there. It holds the counts of one engine and does no I/O.
+// Package admission decides at an engine whether it takes one more request, and
+// when a refused caller should come back.
+//
+// It owns the counts of what one engine runs (Gate) and the rule (Decide). It
+// relies on the caller for the mean load of the engines with the same model, for
+// the account's share and for the time; it does no I/O.
 package admission
 
 import (
@@ -9,85 +13,81 @@
 	"github.com/ryeford/ryeford"
 )
 
+const (
+	// priorityReserve is the part of the bound that each step below the highest
+	// priority leaves free for higher ones. No unit; not measured.
+	priorityReserve = 0.01
+	// shareReserve is the part of the bound that only accounts within their share
+	// may fill, however small the bound is. No unit; set by surge.txtar (docs/design.md,
+	// Shares).
+	shareReserve = 0.1
+)
+
 // Limits are the bounds of one engine.
 type Limits struct {
-	// PoolFactor bounds the load to a multiple of the mean of the engines with
-	// the same model.
+	// PoolFactor bounds the load to a multiple of the mean load of the engines
+	// with the same model.
 	PoolFactor float64
-	// Floor is the load that is allowed whatever the mean is.
+	// Floor is the load, in requests, that is allowed whatever the mean is.
 	Floor float64
-	// Capacity is the most requests that the engine takes.
+	// Capacity is the most requests that the engine may run.
 	Capacity float64
 	// ShareFrom is the part of the capacity above which shares are enforced.
 	// Below it, only the last tenth of the bound is kept for accounts within their
-	// share: the bound follows the load, and an account that was held to its share
-	// of all of a small bound would keep it small.
+	// share: the bound follows the load, so an account that was held to its share
+	// of a small bound would keep the bound small.
 	ShareFrom float64
 }
 
-// priorityReserve is the part of the bound that each step below the highest
-// priority leaves free for higher ones.
-const priorityReserve = 0.01
-
-// A Request is what the decision needs to know of a request.
+// A Request is what the rule needs to know of a request.
 type Request struct {
 	Account  ryeford.AccountID
 	Priority ryeford.Priority
-	Share    float64
+	// Share is the part of an engine that the account is entitled to, from 0 to 1.
+	Share float64
+	// PoolMean is the mean load, in requests, of the engines with the same model,
+	// as the router estimated it (package load) when it sent the request.
 	PoolMean float64
 }
 
+// A State is what the engine runs at the moment of the decision.
+type State struct {
+	Load int // requests of all accounts
+	Held int // requests of the account that asks
+}
+
 // A Decision is the outcome, with the numbers that decided it.
 type Decision struct {
-	Admitted   bool
-	Reason     ryeford.Reason
-	Load       float64
-	Bound      float64
-	Held       int // what the account holds
+	Admitted bool
+	Reason   ryeford.Reason // ReasonOverload or ReasonShare; empty if admitted
+	Load     float64        // requests, without this one
+	Bound    float64        // the highest load, in requests, for the highest priority
+	Held     int            // requests of the account, without this one
+	// RetryAfter is when a refused caller should come back; only Gate.Admit sets it.
 	RetryAfter time.Duration
 }
 
-// A Gate counts what one engine runs and decides on the next request.
+// Decide admits a request unless, with it, the engine's load passes the bound for
+// the request's priority, or passes the load from which shares are enforced while
+// the account holds its share of the bound already.
 //
-// A Gate must not be used by two goroutines at once.
-type Gate struct {
-	limits Limits
-	load   int
-	held   map[ryeford.AccountID]int
-	done   rate
-}
-
-// NewGate returns a Gate with nothing running.
-func NewGate(limits Limits) *Gate {
-	return &Gate{
-		limits: limits,
-		held:   make(map[ryeford.AccountID]int),
-	}
-}
-
-// Admit decides on a request and, where it admits it, counts it.
-func (g *Gate) Admit(now time.Time, r *Request) Decision {
-	d := g.Check(r)
-	if !d.Admitted {
-		d.RetryAfter = g.done.retryAfter(now, d.Load, d.Bound)
-		return d
-	}
-	g.load++
-	g.held[r.Account]++
-	return d
-}
-
-// Check decides on a request without counting it.
-func (g *Gate) Check(r *Request) Decision {
+// The bound follows the mean load, so that no engine is much busier than others
+// with the same model while a prompt's cached prefix draws requests to it.
+//
+// The gateway's bounded load (package choice) only looks the same: there a router
+// chooses between endpoints by estimates, and excess spills to the next one. Here
+// the engine's own exact counts decide, and a refusal is final.
+func Decide(limits *Limits, s State, r *Request) Decision {
 	d := Decision{
-		Load:  float64(g.load),
-		Bound: g.Bound(r.PoolMean),
-		Held:  g.held[r.Account],
+		Load:  float64(s.Load),
+		Bound: limits.Bound(r.PoolMean),
+		Held:  s.Held,
 	}
+	load, held := d.Load+1, float64(d.Held+1) // if it is admitted
 	switch {
-	case d.Load+1 > g.priorityBound(d.Bound, r.Priority):
+	case load > priorityBound(d.Bound, r.Priority):
 		d.Reason = ryeford.ReasonOverload
-	case d.Load+1 > g.shareFrom(d.Bound) && !g.withinShare(d.Bound, r):
+	case load > limits.sharesAbove(d.Bound) && held > entitled(d.Bound, r.Share):
 		d.Reason = ryeford.ReasonShare
 	default:
 		d.Admitted = true
@@ -95,41 +95,26 @@
 	return d
 }
 
-// Release counts an admitted request out.
-func (g *Gate) Release(now time.Time, account ryeford.AccountID) {
-	g.load--
-	if g.held[account]--; g.held[account] <= 0 {
-		delete(g.held, account)
-	}
-	g.done.add(now)
+// Bound returns the highest load, in requests, that a mean load allows.
+func (l *Limits) Bound(poolMean float64) float64 {
+	return min(max(l.PoolFactor*poolMean, l.Floor), l.Capacity)
 }
 
-// Load returns how many requests run.
-func (g *Gate) Load() int { return g.load }
-
-// Bound returns the highest load that a mean allows.
-func (g *Gate) Bound(poolMean float64) float64 {
-	return min(max(g.limits.PoolFactor*poolMean, g.limits.Floor), g.limits.Capacity)
-}
-
-// priorityBound returns the bound for a priority: whole requests are left free
-// for higher ones, so that a small bound is the same for all.
-func (g *Gate) priorityBound(bound float64, p ryeford.Priority) float64 {
+// priorityBound returns the highest load for a priority. It leaves whole requests
+// free for higher priorities, so that a small bound is the same for all.
+func priorityBound(bound float64, p ryeford.Priority) float64 {
 	steps := float64(ryeford.PriorityHighest - p)
 	return max(1, bound-math.Floor(bound*priorityReserve*steps))
 }
 
-// shareReserve is the part of the bound that is kept for accounts within their
-// share. It is in whole requests, so that a small bound has none.
-const shareReserve = 0.1
-
-// shareFrom returns the load above which shares are enforced.
-func (g *Gate) shareFrom(bound float64) float64 {
-	return min(g.limits.Capacity*g.limits.ShareFrom, bound-math.Floor(bound*shareReserve))
+// sharesAbove returns the load above which shares are enforced. The reserve is in
+// whole requests, so that a small bound has none.
+func (l *Limits) sharesAbove(bound float64) float64 {
+	return min(l.Capacity*l.ShareFrom, bound-math.Floor(bound*shareReserve))
 }
 
-// withinShare reports whether the account may hold one more of the bound.
-func (g *Gate) withinShare(bound float64, r *Request) bool {
-	due := max(1, r.Share*bound)
-	return float64(g.held[r.Account]+1) <= due
+// entitled returns how many requests an account may hold where shares are
+// enforced: its share of the bound, and at least one.
+func entitled(bound, share float64) float64 {
+	return max(1, share*bound)
 }
--- a/agentfleet/admission/admission_test.go
+++ b/agentfleet/admission/admission_test.go
@@ -63,6 +63,78 @@
 	assert.Equal(t, low+high, 100)
 }
 
+// TestDecide has one row a clause of the rule: the bound, the priorities below it,
+// and the shares.
+func TestDecide(t *testing.T) {
+	limits := &Limits{PoolFactor: 1.25, Floor: 4, Capacity: 64, ShareFrom: 0.8}
+	const low, high = ryeford.PriorityLowest, ryeford.PriorityHighest
+	for _, test := range []struct {
+		rule     string
+		load     int
+		held     int
+		mean     float64
+		priority ryeford.Priority
+		share    float64
+		want     ryeford.Reason // empty: admitted
+	}{
+		{"an idle engine admits", 0, 0, 0, low, 0, ""},
+		{"the floor holds whatever the mean is", 3, 0, 0, high, 1, ""},
+		{"above the floor the mean decides", 4, 0, 3.2, high, 1, ryeford.ReasonOverload},
+		{"up to the factor times the mean", 9, 0, 8, high, 1, ""},
+		{"and not beyond", 10, 0, 8, high, 1, ryeford.ReasonOverload},
+		{"the capacity holds whatever the mean is", 64, 0, 1000, high, 1, ryeford.ReasonOverload},
+		{"a small bound is the same for all priorities", 9, 0, 8, low, 1, ""},
+		{"of a large one the lowest priority leaves 9% free, in whole requests", 37, 0, 32, low, 1, ryeford.ReasonOverload},
+		{"for higher ones", 37, 0, 32, high, 1, ""},
+		{"below the last tenth of the bound an account may borrow", 35, 35, 32, high, 0.1, ""},
+		{"in the last tenth its share is enforced", 36, 36, 32, high, 0.1, ryeford.ReasonShare},
+		{"and others still have theirs", 36, 3, 32, high, 0.1, ""},
+		{"above share_from of the capacity too", 51, 40, 1000, high, 0.5, ryeford.ReasonShare},
+		{"an account may always hold one", 51, 0, 1000, high, 0, ""},
+		{"but not two", 51, 1, 1000, high, 0, ryeford.ReasonShare},
+		{"the bound is looked at before the share", 64, 64, 1000, high, 0, ryeford.ReasonOverload},
+	} {
+		t.Run(test.rule, func(t *testing.T) {
+			r := &Request{Account: "a", Priority: test.priority, Share: test.share, PoolMean: test.mean}
+			d := Decide(limits, State{Load: test.load, Held: test.held}, r)
+			assert.Equal(t, d.Reason, test.want)
+			assert.Equal(t, d.Admitted, test.want == "")
+			assert.Equal(t, d.Load, float64(test.load))
+			assert.Equal(t, d.Held, test.held)
+		})
+	}
+}
+
+// TestRetryAfter has requests end one second apart and checks when a refused
+// caller is told to come back.
+func TestRetryAfter(t *testing.T) {
+	start := time.Unix(1_000_000, 0)
+	var c completions
+	assert.Equal(t, c.retryAfter(start, 10, 10), time.Second) // nothing has ended
+	for i := range 3 {
+		c.add(start.Add(time.Duration(i) * time.Second))
+	}
+	last := start.Add(2 * time.Second)
+	for _, test := range []struct {
+		rule        string
+		since       time.Duration // the last completion
+		load, bound float64
+		want        time.Duration
+	}{
+		{"one spacing for one request too many", 0, 10, 10, time.Second},
+		{"never for less than one request", 0, 3, 10, time.Second},
+		{"in proportion to the excess", 0, 30, 20, 12 * time.Second},
+		{"a stalled engine is as slow as its stall", 4 * time.Second, 10, 10, 4 * time.Second},
+		{"at most", 0, 100, 10, 30 * time.Second},
+	} {
+		t.Run(test.rule, func(t *testing.T) {
+			assert.Equal(t, c.retryAfter(last.Add(test.since), test.load, test.bound), test.want)
+		})
+	}
+	fast := completions{last: last, spacing: time.Millisecond}
+	assert.Equal(t, fast.retryAfter(last, 10, 10), minRetryAfter)
+}
+
 func BenchmarkAdmit(b *testing.B) {
 	g := NewGate(testLimits)
 	r := Request{Account: "a", Priority: 5, Share: 1, PoolMean: 8}
