--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -40,7 +40,7 @@
 	control     *transport.Control
 	listener    *transport.Listener
 
-	units    map[ryeford.EngineID]*unit
+	backends map[ryeford.EngineID]*backend
 	attempts *attempts
 	book     *template.Book
 
@@ -72,14 +72,14 @@
 		metrics:     metrics,
 		control:     transport.NewControl(s.Transport.ControlBytesPerSecond, metrics.ControlSent),
 		listener:    listener,
-		units:       make(map[ryeford.EngineID]*unit),
+		backends:    make(map[ryeford.EngineID]*backend),
 		attempts:    newAttempts(s.Limits.Keep, s.Limits.ClockSkew),
 		book:        template.NewBook(),
 		leave:       make(chan struct{}),
 		changed:     make(chan struct{}),
 		peers:       make(map[*transport.Conn]struct{}),
 	}
-	a.addUnits()
+	a.addBackends()
 	metrics.Gauge("ryeford_revision", func() float64 { return float64(a.book.Revision()) })
 	return a, nil
 }
@@ -123,8 +123,8 @@
 	})
 }
 
-// addUnits makes the units of the settings.
-func (a *Agent) addUnits() {
+// addBackends makes the backends of the settings.
+func (a *Agent) addBackends() {
 	limits := admission.Limits{
 		PoolFactor: a.settings.Limits.PoolFactor,
 		Floor:      a.settings.Limits.Floor,
@@ -132,23 +132,23 @@
 		ShareFrom:  a.settings.Limits.ShareFrom,
 	}
 	for _, s := range a.settings.Engines {
-		u := newUnit(s.ID, limits, a.settings.Limits.Chats)
-		u.engine = engine.New(s.Address.AddrPort)
-		u.checksFences = s.ChecksFences
-		a.addUnit(u)
+		b := newBackend(s.ID, limits, a.settings.Limits.Chats)
+		b.engine = engine.New(s.Address.AddrPort)
+		b.checksFences = s.ChecksFences
+		a.addBackend(b)
 	}
 	for _, s := range a.settings.Services {
-		u := newUnit(s.ID, limits, a.settings.Limits.Chats)
-		u.service = engine.NewService(s.Address.AddrPort)
-		u.serviceName = s.Name
-		a.addUnit(u)
+		b := newBackend(s.ID, limits, a.settings.Limits.Chats)
+		b.service = engine.NewService(s.Address.AddrPort)
+		b.serviceName = s.Name
+		a.addBackend(b)
 	}
 }
 
-// addUnit adds a unit and its metrics.
-func (a *Agent) addUnit(u *unit) {
-	a.units[u.id] = u
-	a.metrics.Gauge(`ryeford_engine_load{engine="`+string(u.id)+`"}`, u.load)
+// addBackend adds a backend and its metrics.
+func (a *Agent) addBackend(b *backend) {
+	a.backends[b.id] = b
+	a.metrics.Gauge(`ryeford_engine_load{engine="`+string(b.id)+`"}`, b.load)
 }
 
 // inventory returns what the agent says of itself.
@@ -163,10 +163,10 @@
 		Leaving:       a.leaving.Load(),
 	}
 	for _, s := range a.settings.Engines {
-		inv.Engines = append(inv.Engines, a.units[s.ID].state())
+		inv.Engines = append(inv.Engines, a.backends[s.ID].state())
 	}
 	for _, s := range a.settings.Services {
-		inv.Engines = append(inv.Engines, a.units[s.ID].state())
+		inv.Engines = append(inv.Engines, a.backends[s.ID].state())
 	}
 	return inv, changed
 }
--- a/agentfleet/agent/attempts.go
+++ b/agentfleet/agent/attempts.go
@@ -13,7 +13,7 @@
 // A run is an attempt that was admitted here.
 type run struct {
 	dispatch *wire.Dispatch
-	unit     *unit
+	backend  *backend
 	log      *answer.Log
 	ctx      context.Context
 	cancel   context.CancelFunc
--- a/agentfleet/agent/chatmemory_test.go
+++ b/agentfleet/agent/chatmemory_test.go
@@ -33,21 +33,21 @@
 func BenchmarkChatMemory(b *testing.B) {
 	const chats = 100_000
 	before := heapBytes()
-	u := newUnit("endpoint-1.1", admission.Limits{}, chats)
+	served := newBackend("endpoint-1.1", admission.Limits{}, chats)
 	for i := range chats {
-		u.chats.add(testChat(i), ryeford.Pool{Model: "lira"})
+		served.chats.add(testChat(i), ryeford.Pool{Model: "lira"})
 	}
 	middle := heapBytes()
 	for i := range chats {
-		u.noteOverflow(time.Now(), &wire.Overflow{Chat: testChat(i), Engine: "endpoint-2.1"})
+		served.noteOverflow(time.Now(), &wire.Overflow{Chat: testChat(i), Engine: "endpoint-2.1"})
 	}
 	after := heapBytes()
 	for i := 0; b.Loop(); i++ {
-		u.chats.add(testChat(i%chats), ryeford.Pool{Model: "lira"})
+		served.chats.add(testChat(i%chats), ryeford.Pool{Model: "lira"})
 	}
 	b.ReportMetric(float64(middle-before)/chats, "B/chat")
 	b.ReportMetric(float64(after-middle)/chats, "B/overflow")
-	runtime.KeepAlive(u)
+	runtime.KeepAlive(served)
 }
 
 func heapBytes() int64 {
--- a/agentfleet/agent/connections.go
+++ b/agentfleet/agent/connections.go
@@ -97,17 +97,17 @@
 
 // serveImport puts a chat's KV cache from another VM into an engine.
 func (a *Agent) serveImport(ctx context.Context, stream *transport.Stream, m *wire.Import) {
-	u, ok := a.units[m.Engine]
-	if !ok || u.engine == nil {
+	b, ok := a.backends[m.Engine]
+	if !ok || b.engine == nil {
 		return
 	}
-	if err := u.engine.ImportCache(ctx, cacheKey(m.Chat), m.Cache); err != nil {
+	if err := b.engine.ImportCache(ctx, cacheKey(m.Chat), m.Cache); err != nil {
 		_ = a.log.Log("msg", "KV cache not imported", "engine", m.Engine, "err", err)
 		return
 	}
-	u.mu.Lock()
-	u.chats.add(m.Chat, m.Pool)
-	u.mu.Unlock()
+	b.mu.Lock()
+	b.chats.add(m.Chat, m.Pool)
+	b.mu.Unlock()
 	a.answer(stream, &wire.Message{Done: &wire.Done{}})
 }
 
@@ -119,9 +119,9 @@
 	for {
 		changed := false
 		for _, s := range a.settings.Engines {
-			u := a.units[s.ID]
-			changed = a.pollServing(ctx, u) || changed
-			after[s.ID] = a.pollCache(ctx, u, after[s.ID])
+			b := a.backends[s.ID]
+			changed = a.pollServing(ctx, b) || changed
+			after[s.ID] = a.pollCache(ctx, b, after[s.ID])
 		}
 		if changed {
 			a.inventoryChanged()
@@ -135,23 +135,23 @@
 }
 
 // pollServing asks an engine what it serves and reports whether that changed.
-func (a *Agent) pollServing(ctx context.Context, u *unit) bool {
-	order, err := u.engine.Serving(ctx)
-	changed := u.setServing(err == nil, order.Pools)
+func (a *Agent) pollServing(ctx context.Context, b *backend) bool {
+	order, err := b.engine.Serving(ctx)
+	changed := b.setServing(err == nil, order.Pools)
 	if changed {
-		_ = a.decisions.Note("", "decision", "serving", "engine", u.id, "alive", err == nil, "pools", len(order.Pools), "epoch", order.Epoch)
+		_ = a.decisions.Note("", "decision", "serving", "engine", b.id, "alive", err == nil, "pools", len(order.Pools), "epoch", order.Epoch)
 	}
 	return changed
 }
 
 // pollCache reads an engine's cache events and returns the last one's number.
 // A gap costs only a wrong hint.
-func (a *Agent) pollCache(ctx context.Context, u *unit, after int64) int64 {
-	events, err := u.engine.CacheEvents(ctx, after)
+func (a *Agent) pollCache(ctx context.Context, b *backend, after int64) int64 {
+	events, err := b.engine.CacheEvents(ctx, after)
 	if err != nil || len(events) == 0 {
 		return after
 	}
-	u.noteCacheEvents(events)
+	b.noteCacheEvents(events)
 	return events[len(events)-1].Sequence
 }
 
--- a/agentfleet/agent/dispatch.go
+++ b/agentfleet/agent/dispatch.go
@@ -25,7 +25,7 @@
 // admit decides on a dispatch. It returns the run, or why there is none.
 func (a *Agent) admit(d *wire.Dispatch) (*run, *wire.Refused) {
 	now := time.Now()
-	u, ok := a.units[d.Engine]
+	b, ok := a.backends[d.Engine]
 	switch {
 	case d.Incarnation != a.incarnation:
 		return nil, a.refusal(d, ryeford.ReasonIncarnation)
@@ -35,21 +35,21 @@
 		return nil, a.refusal(d, ryeford.ReasonNotServing)
 	}
 	if d.MayRedirect {
-		if to, ok := u.redirect(now, d); ok {
+		if to, ok := b.redirect(now, d); ok {
 			refused := a.refusal(d, ryeford.ReasonRedirect)
 			refused.Engine = to
-			refused.Load = u.load()
+			refused.Load = b.load()
 			return nil, refused
 		}
 	}
 	var decided admission.Decision
 	r, reason := a.attempts.admit(now, d, func() *run {
 		var warm bool
-		decided, warm = u.admit(now, d)
+		decided, warm = b.admit(now, d)
 		if !decided.Admitted {
 			return nil
 		}
-		r := newRun(d, u, warm)
+		r := newRun(d, b, warm)
 		r.load = decided.Load
 		return r
 	})
@@ -83,11 +83,11 @@
 }
 
 // newRun returns a run that has not begun.
-func newRun(d *wire.Dispatch, u *unit, warm bool) *run {
+func newRun(d *wire.Dispatch, b *backend, warm bool) *run {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &run{
 		dispatch: d,
-		unit:     u,
+		backend:  b,
 		log:      answer.NewLog(d.Offset),
 		ctx:      ctx,
 		cancel:   cancel,
--- a/agentfleet/agent/drain.go
+++ b/agentfleet/agent/drain.go
@@ -66,15 +66,15 @@
 	}
 	defer func() { _ = dialer.Close() }()
 	e := &exporter{agent: a, router: peers[0], dialer: dialer, conns: make(map[netip.AddrPort]*transport.Conn)}
-	for _, u := range a.units {
-		if u.engine == nil {
+	for _, b := range a.backends {
+		if b.engine == nil {
 			continue
 		}
-		u.mu.Lock()
-		recent := u.chats.recent(exportChats)
-		u.mu.Unlock()
+		b.mu.Lock()
+		recent := b.chats.recent(exportChats)
+		b.mu.Unlock()
 		for pool, chats := range recent {
-			e.exportPool(ctx, u, pool, chats)
+			e.exportPool(ctx, b, pool, chats)
 		}
 	}
 	_ = a.decisions.Note("", "decision", "export", "exported", e.exported, "failed", e.failed)
@@ -91,7 +91,7 @@
 }
 
 // exportPool hands on the chats of one engine and pool, in batches.
-func (e *exporter) exportPool(ctx context.Context, u *unit, pool ryeford.Pool, chats []wire.ChatKey) {
+func (e *exporter) exportPool(ctx context.Context, b *backend, pool ryeford.Pool, chats []wire.ChatKey) {
 	for len(chats) > 0 {
 		batch := chats[:min(exportBatch, len(chats))]
 		chats = chats[len(batch):]
@@ -102,7 +102,7 @@
 			continue
 		}
 		for i, placement := range m.Placements.Placements {
-			if e.exportChat(ctx, u, pool, batch[i], placement) {
+			if e.exportChat(ctx, b, pool, batch[i], placement) {
 				e.exported++
 			} else {
 				e.failed++
@@ -112,12 +112,12 @@
 }
 
 // exportChat hands one chat's KV cache on.
-func (e *exporter) exportChat(ctx context.Context, u *unit, pool ryeford.Pool, chat wire.ChatKey, to wire.Placement) bool {
+func (e *exporter) exportChat(ctx context.Context, b *backend, pool ryeford.Pool, chat wire.ChatKey, to wire.Placement) bool {
 	address, err := netip.ParseAddrPort(to.Address)
 	if err != nil {
 		return false
 	}
-	cache, err := u.engine.ExportCache(ctx, cacheKey(chat))
+	cache, err := b.engine.ExportCache(ctx, cacheKey(chat))
 	if err != nil {
 		return false
 	}
--- a/agentfleet/agent/execute.go
+++ b/agentfleet/agent/execute.go
@@ -21,7 +21,7 @@
 func (a *Agent) execute(r *run) {
 	defer r.cancel()
 	defer a.attempts.finished(r)
-	defer func() { r.unit.release(time.Now(), r.dispatch.Account) }()
+	defer func() { r.backend.release(time.Now(), r.dispatch.Account) }()
 	if r.dispatch.Call != nil {
 		a.executeCall(r)
 		return
@@ -38,9 +38,9 @@
 	for try := range resumeTries + 1 {
 		open := func(ctx context.Context) (ryeford.ChunkReader, error) {
 			if try > 0 {
-				return r.unit.engine.Resume(ctx, d.Attempt, asm.Next())
+				return r.backend.engine.Resume(ctx, d.Attempt, asm.Next())
 			}
-			return r.unit.engine.Complete(ctx, cacheKey(wire.ChatKey{Account: d.Account, Chat: d.Chat}), d.Completion)
+			return r.backend.engine.Complete(ctx, cacheKey(wire.ChatKey{Account: d.Account, Chat: d.Chat}), d.Completion)
 		}
 		failure = a.readAnswer(r, asm, open)
 		if failure != nil && try > 0 {
@@ -62,7 +62,7 @@
 func (a *Agent) executeCall(r *run) {
 	asm := answer.NewAssembler(r.dispatch.Attempt, 0)
 	failure := a.readAnswer(r, asm, func(ctx context.Context) (ryeford.ChunkReader, error) {
-		return r.unit.service.Call(ctx, r.dispatch.Call)
+		return r.backend.service.Call(ctx, r.dispatch.Call)
 	})
 	if failure != nil {
 		a.fail(r, asm.Next(), failure)
@@ -144,12 +144,12 @@
 	_ = a.decisions.Note(d.Request,
 		"decision", "fail", "request", d.Request, "attempt", d.Attempt, "account", d.Account, "chat", d.Chat,
 		"engine", d.Engine, "reason", failure.reason, "not_run", failure.notRun, "offset", next+d.Offset, "err", failure.err)
-	if r.unit.engine == nil || failure.notRun {
+	if r.backend.engine == nil || failure.notRun {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	if err := r.unit.engine.Cancel(ctx, d.Attempt); err != nil {
+	if err := r.backend.engine.Cancel(ctx, d.Attempt); err != nil {
 		_ = a.log.Log("msg", "run not cancelled", "attempt", d.Attempt, "engine", d.Engine, "err", err)
 	}
 }
--- a/agentfleet/agent/gossip.go
+++ b/agentfleet/agent/gossip.go
@@ -56,7 +56,7 @@
 		PlanSequence: sequence,
 	}
 	for _, s := range a.settings.Engines {
-		state := a.units[s.ID].state()
+		state := a.backends[s.ID].state()
 		if len(state.Pools) > 0 {
 			m.Loads = append(m.Loads, wire.EngineLoad{Model: state.Pools[0].Model, Load: state.Load})
 		}
@@ -89,8 +89,8 @@
 		}
 		now := time.Now()
 		for i := range m.Overflows {
-			if u, ok := a.units[m.Overflows[i].Home]; ok {
-				u.noteOverflow(now, &m.Overflows[i])
+			if b, ok := a.backends[m.Overflows[i].Home]; ok {
+				b.noteOverflow(now, &m.Overflows[i])
 			}
 		}
 		if m.Revision > a.book.Revision() {
--- a/agentfleet/agent/plan.go
+++ b/agentfleet/agent/plan.go
@@ -93,20 +93,20 @@
 // an order that another one superseded, and again at the next check, so that an
 // old order that slipped through is repaired.
 func (a *Agent) applyAssignment(ctx context.Context, plan *ryeford.Plan, assignment *ryeford.Assignment) {
-	u, ok := a.units[assignment.Engine]
-	if !ok || u.engine == nil || time.Now().Before(assignment.Start) {
+	b, ok := a.backends[assignment.Engine]
+	if !ok || b.engine == nil || time.Now().Before(assignment.Start) {
 		return
 	}
-	serving, err := u.engine.Serving(ctx)
+	serving, err := b.engine.Serving(ctx)
 	if err != nil || serving.Epoch > plan.Epoch || slices.Equal(serving.Pools, assignment.Pools) {
 		return
 	}
-	loading := u.issued.epoch == plan.Epoch && u.issued.sequence == plan.Sequence && serving.Epoch == plan.Epoch
-	if loading && time.Since(u.issued.at) < orderPatience {
+	loading := b.issued.epoch == plan.Epoch && b.issued.sequence == plan.Sequence && serving.Epoch == plan.Epoch
+	if loading && time.Since(b.issued.at) < orderPatience {
 		return
 	}
-	u.issued = issued{epoch: plan.Epoch, sequence: plan.Sequence, at: time.Now()}
-	err = u.engine.Order(ctx, ryeford.Order{Epoch: plan.Epoch, Pools: assignment.Pools})
-	_ = a.decisions.Note("", "decision", "order", "engine", u.id, "epoch", plan.Epoch, "sequence", plan.Sequence,
-		"seen", serving.Epoch, "pools", len(assignment.Pools), "reason", assignment.Reason, "checks_fences", u.checksFences, "err", err)
+	b.issued = issued{epoch: plan.Epoch, sequence: plan.Sequence, at: time.Now()}
+	err = b.engine.Order(ctx, ryeford.Order{Epoch: plan.Epoch, Pools: assignment.Pools})
+	_ = a.decisions.Note("", "decision", "order", "engine", b.id, "epoch", plan.Epoch, "sequence", plan.Sequence,
+		"seen", serving.Epoch, "pools", len(assignment.Pools), "reason", assignment.Reason, "checks_fences", b.checksFences, "err", err)
 }
--- a/agentfleet/agent/plan_test.go
+++ b/agentfleet/agent/plan_test.go
@@ -40,7 +40,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			e := &fakeEngine{fences: fences}
 			a := &Agent{
-				units:     map[ryeford.EngineID]*unit{"e": {id: "e", engine: e}},
+				backends:  map[ryeford.EngineID]*backend{"e": {id: "e", engine: e}},
 				decisions: decision.NewLog(log.NewNopLogger()),
 			}
 			want := []ryeford.Pool{{Model: "lira"}}
--- a/agentfleet/agent/waiting.go
+++ b/agentfleet/agent/waiting.go
@@ -66,31 +66,31 @@
 // that is shorter than to build the prefix anew elsewhere.
 func (a *Agent) admitOrWait(ctx context.Context, d *wire.Dispatch) (*run, *wire.Refused) {
 	r, refused := a.admit(d)
-	u, ok := a.units[d.Engine]
-	if refused == nil || !ok || d.Wait <= 0 || !u.isWarm(d) {
+	b, ok := a.backends[d.Engine]
+	if refused == nil || !ok || d.Wait <= 0 || !b.isWarm(d) {
 		return r, refused
 	}
 	began := time.Now()
 	limit := time.NewTimer(d.Wait)
 	defer limit.Stop()
 	for refused != nil && refused.Reason == ryeford.ReasonOverload {
-		w := u.waiting.enter(d.Priority)
+		w := b.waiting.enter(d.Priority)
 		if w == nil {
 			break
 		}
 		// A run may have ended between the refusal and the entry.
 		if r, refused = a.admit(d); refused == nil {
-			u.waiting.leave(w)
+			b.waiting.leave(w)
 			break
 		}
 		select {
 		case <-w.ready:
 			r, refused = a.admit(d)
 		case <-limit.C:
-			u.waiting.leave(w)
+			b.waiting.leave(w)
 			return nil, refused
 		case <-ctx.Done():
-			u.waiting.leave(w)
+			b.waiting.leave(w)
 			return nil, refused
 		}
 	}
