--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -21,7 +21,6 @@
 	"github.com/ryeford/ryeford/agentfleet/engine"
 	"github.com/ryeford/ryeford/agentfleet/template"
 	"github.com/ryeford/ryeford/agentfleet/transport"
-	"github.com/ryeford/ryeford/agentfleet/wire"
 	"github.com/ryeford/ryeford/internal/telemetry"
 	"github.com/ryeford/ryeford/settings"
 )
@@ -151,34 +150,6 @@
 	a.metrics.Gauge(`ryeford_engine_load{engine="`+string(b.id)+`"}`, b.load)
 }
 
-// inventory returns what the agent says of itself.
-func (a *Agent) inventory() (*wire.Inventory, <-chan struct{}) {
-	a.mu.Lock()
-	changed := a.changed
-	a.mu.Unlock()
-	inv := &wire.Inventory{
-		VM:            a.settings.VM,
-		Incarnation:   a.incarnation,
-		FailureDomain: a.settings.FailureDomain,
-		Leaving:       a.leaving.Load(),
-	}
-	for _, s := range a.settings.Engines {
-		inv.Engines = append(inv.Engines, a.backends[s.ID].state())
-	}
-	for _, s := range a.settings.Services {
-		inv.Engines = append(inv.Engines, a.backends[s.ID].state())
-	}
-	return inv, changed
-}
-
-// inventoryChanged wakes all that watch the inventory.
-func (a *Agent) inventoryChanged() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	close(a.changed)
-	a.changed = make(chan struct{})
-}
-
 // sweep forgets old attempts until ctx ends.
 func (a *Agent) sweep(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
--- a/agentfleet/agent/attempts.go
+++ b/agentfleet/agent/attempts.go
@@ -1,30 +1,13 @@
 package agent
 
 import (
-	"context"
 	"sync"
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/agentfleet/answer"
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// A run is an attempt that was admitted here.
-type run struct {
-	dispatch *wire.Dispatch
-	backend  *backend
-	log      *answer.Log
-	ctx      context.Context
-	cancel   context.CancelFunc
-	warm     bool
-	load     float64 // of the engine, before the run was admitted
-
-	mu      sync.Mutex
-	readers int
-	idle    *time.Timer // ends a run that no one reads
-}
-
 // attempts knows which attempts were admitted here and which never will be.
 // What it says of an attempt is the proof behind "not run".
 //
@@ -77,17 +60,6 @@
 	return r, ""
 }
 
-// A verdict is what is known of an attempt.
-type verdict int
-
-const (
-	verdictRuns    verdict = iota // the run is here
-	verdictRan                    // it ran, but the answer is gone
-	verdictNotRun                 // it did not run and never will
-	verdictUnknown                // nothing is known any more
-	verdictNotYet                 // it did not run so far (after a peek)
-)
-
 // settle says what is known of an attempt. Where it did not run, it leaves a
 // tombstone, so that a dispatch that is still under way is refused.
 func (a *attempts) settle(now time.Time, j *wire.Join) (*run, verdict) {
@@ -143,34 +115,3 @@
 	}
 	return count
 }
-
-// later returns the later of two times.
-func later(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
-}
-
-// attach counts a reader of the run.
-func (r *run) attach() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.readers++
-	if r.idle != nil {
-		r.idle.Stop()
-		r.idle = nil
-	}
-}
-
-// detach counts a reader out. A repeatable run that no one reads any more ends
-// after grace; one that may not be repeated goes on to its end.
-func (r *run) detach(grace time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.readers--
-	if r.readers > 0 || !r.dispatch.Repeatable {
-		return
-	}
-	r.idle = time.AfterFunc(grace, r.cancel)
-}
--- a/agentfleet/agent/backend.go
+++ b/agentfleet/agent/backend.go
@@ -28,17 +28,6 @@
 	overflow map[wire.ChatKey]overflow
 }
 
-// An overflow says which engine served a chat of ours last.
-type overflow struct {
-	engine ryeford.EngineID
-	until  time.Time
-}
-
-const (
-	overflowKept = 30 * time.Minute
-	maxOverflows = 100_000
-)
-
 // newBackend returns a backend with nothing running.
 func newBackend(id ryeford.EngineID, limits admission.Limits, chats int) *backend {
 	return &backend{
@@ -111,29 +100,6 @@
 	b.waiting.wake()
 }
 
-// redirect returns the engine that holds a chat's prefix, if another one does.
-func (b *backend) redirect(now time.Time, d *wire.Dispatch) (ryeford.EngineID, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	key := wire.ChatKey{Account: d.Account, Chat: d.Chat}
-	o, ok := b.overflow[key]
-	if !ok || now.After(o.until) {
-		delete(b.overflow, key)
-		return "", false
-	}
-	return o.engine, true
-}
-
-// noteOverflow notes that another engine served a chat of ours.
-func (b *backend) noteOverflow(now time.Time, o *wire.Overflow) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.overflow) >= maxOverflows {
-		clear(b.overflow) // hints only
-	}
-	b.overflow[o.Chat] = overflow{engine: o.Engine, until: now.Add(overflowKept)}
-}
-
 // noteCacheEvents forgets the chats that the engine evicted.
 func (b *backend) noteCacheEvents(events []ryeford.CacheEvent) {
 	b.mu.Lock()
--- a/agentfleet/agent/connections.go
+++ b/agentfleet/agent/connections.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"time"
 
-	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
@@ -71,30 +69,6 @@
 	}
 }
 
-// answer sends the one answer of an exchange.
-func (a *Agent) answer(stream *transport.Stream, m *wire.Message) {
-	if stream.Send(m) == nil {
-		stream.CloseSend()
-	}
-}
-
-// serveWatch sends the inventory, and again at each change.
-func (a *Agent) serveWatch(ctx context.Context, conn *transport.Conn, stream *transport.Stream) {
-	for {
-		inv, changed := a.inventory()
-		if stream.Send(&wire.Message{Inventory: inv}) != nil {
-			return
-		}
-		select {
-		case <-changed:
-		case <-conn.Done():
-			return
-		case <-ctx.Done():
-			return
-		}
-	}
-}
-
 // serveImport puts a chat's KV cache from another VM into an engine.
 func (a *Agent) serveImport(ctx context.Context, stream *transport.Stream, m *wire.Import) {
 	b, ok := a.backends[m.Engine]
@@ -110,69 +84,3 @@
 	b.mu.Unlock()
 	a.answer(stream, &wire.Message{Done: &wire.Done{}})
 }
-
-// pollEngines asks the engines what they serve, until ctx ends.
-func (a *Agent) pollEngines(ctx context.Context) error {
-	after := make(map[ryeford.EngineID]int64)
-	ticker := time.NewTicker(a.settings.Polls.Engine)
-	defer ticker.Stop()
-	for {
-		changed := false
-		for _, s := range a.settings.Engines {
-			b := a.backends[s.ID]
-			changed = a.pollServing(ctx, b) || changed
-			after[s.ID] = a.pollCache(ctx, b, after[s.ID])
-		}
-		if changed {
-			a.inventoryChanged()
-		}
-		select {
-		case <-ticker.C:
-		case <-ctx.Done():
-			return nil
-		}
-	}
-}
-
-// pollServing asks an engine what it serves and reports whether that changed.
-func (a *Agent) pollServing(ctx context.Context, b *backend) bool {
-	order, err := b.engine.Serving(ctx)
-	changed := b.setServing(err == nil, order.Pools)
-	if changed {
-		_ = a.decisions.Note("", "decision", "serving", "engine", b.id, "alive", err == nil, "pools", len(order.Pools), "epoch", order.Epoch)
-	}
-	return changed
-}
-
-// pollCache reads an engine's cache events and returns the last one's number.
-// A gap costs only a wrong hint.
-func (a *Agent) pollCache(ctx context.Context, b *backend, after int64) int64 {
-	events, err := b.engine.CacheEvents(ctx, after)
-	if err != nil || len(events) == 0 {
-		return after
-	}
-	b.noteCacheEvents(events)
-	return events[len(events)-1].Sequence
-}
-
-// pollVMs learns from the platform's list that this VM is leaving.
-func (a *Agent) pollVMs(ctx context.Context) error {
-	ticker := time.NewTicker(a.settings.Polls.List)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-ticker.C:
-		case <-ctx.Done():
-			return nil
-		}
-		vms, err := a.vms.VMs(ctx)
-		if err != nil {
-			continue
-		}
-		for _, vm := range vms {
-			if vm.ID == a.settings.VM && vm.State == ryeford.VMLeaving {
-				a.Leave("list")
-			}
-		}
-	}
-}
--- /dev/null
+++ b/agentfleet/agent/polls.go
@@ -0,0 +1,74 @@
+package agent
+
+import (
+	"context"
+	"time"
+
+	"github.com/ryeford/ryeford"
+)
+
+// pollEngines asks the engines what they serve, until ctx ends.
+func (a *Agent) pollEngines(ctx context.Context) error {
+	after := make(map[ryeford.EngineID]int64)
+	ticker := time.NewTicker(a.settings.Polls.Engine)
+	defer ticker.Stop()
+	for {
+		changed := false
+		for _, s := range a.settings.Engines {
+			b := a.backends[s.ID]
+			changed = a.pollServing(ctx, b) || changed
+			after[s.ID] = a.pollCache(ctx, b, after[s.ID])
+		}
+		if changed {
+			a.inventoryChanged()
+		}
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return nil
+		}
+	}
+}
+
+// pollServing asks an engine what it serves and reports whether that changed.
+func (a *Agent) pollServing(ctx context.Context, b *backend) bool {
+	order, err := b.engine.Serving(ctx)
+	changed := b.setServing(err == nil, order.Pools)
+	if changed {
+		_ = a.decisions.Note("", "decision", "serving", "engine", b.id, "alive", err == nil, "pools", len(order.Pools), "epoch", order.Epoch)
+	}
+	return changed
+}
+
+// pollCache reads an engine's cache events and returns the last one's number.
+// A gap costs only a wrong hint.
+func (a *Agent) pollCache(ctx context.Context, b *backend, after int64) int64 {
+	events, err := b.engine.CacheEvents(ctx, after)
+	if err != nil || len(events) == 0 {
+		return after
+	}
+	b.noteCacheEvents(events)
+	return events[len(events)-1].Sequence
+}
+
+// pollVMs learns from the platform's list that this VM is leaving.
+func (a *Agent) pollVMs(ctx context.Context) error {
+	ticker := time.NewTicker(a.settings.Polls.List)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return nil
+		}
+		vms, err := a.vms.VMs(ctx)
+		if err != nil {
+			continue
+		}
+		for _, vm := range vms {
+			if vm.ID == a.settings.VM && vm.State == ryeford.VMLeaving {
+				a.Leave("list")
+			}
+		}
+	}
+}
--- a/agentfleet/agent/waiting.go
+++ b/agentfleet/agent/waiting.go
@@ -1,13 +1,10 @@
 package agent
 
 import (
-	"context"
 	"slices"
 	"sync"
-	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // maxWaiting bounds how many dispatches wait at one engine.
@@ -60,40 +57,3 @@
 		q.queue = q.queue[1:]
 	}
 }
-
-// admitOrWait decides on a dispatch. One that is refused for the load alone, by
-// the engine that holds its chat's prefix, may wait a little for a run to end:
-// that is shorter than to build the prefix anew elsewhere.
-func (a *Agent) admitOrWait(ctx context.Context, d *wire.Dispatch) (*run, *wire.Refused) {
-	r, refused := a.admit(d)
-	b, ok := a.backends[d.Engine]
-	if refused == nil || !ok || d.Wait <= 0 || !b.isWarm(d) {
-		return r, refused
-	}
-	began := time.Now()
-	limit := time.NewTimer(d.Wait)
-	defer limit.Stop()
-	for refused != nil && refused.Reason == ryeford.ReasonOverload {
-		w := b.waiting.enter(d.Priority)
-		if w == nil {
-			break
-		}
-		// A run may have ended between the refusal and the entry.
-		if r, refused = a.admit(d); refused == nil {
-			b.waiting.leave(w)
-			break
-		}
-		select {
-		case <-w.ready:
-			r, refused = a.admit(d)
-		case <-limit.C:
-			b.waiting.leave(w)
-			return nil, refused
-		case <-ctx.Done():
-			b.waiting.leave(w)
-			return nil, refused
-		}
-	}
-	a.metrics.Observe("ryeford_warm_wait_seconds", time.Since(began).Seconds())
-	return r, refused
-}
