--- a/agentfleet/agent/admit.go
+++ b/agentfleet/agent/admit.go
@@ -14,14 +14,20 @@
 func (a *Agent) serveDispatch(ctx context.Context, stream *transport.Stream, d *wire.Dispatch) {
 	r, refused := a.admitOrWait(ctx, d)
 	if refused != nil {
-		a.noteRefused(d, refused)
-		a.answer(stream, &wire.Message{Refused: refused})
+		a.logRefused(d, refused)
+		a.reply(stream, &wire.Message{Refused: refused})
 		return
 	}
 	a.sendAnswer(ctx, stream, r, d.Request, d.Offset)
 }
 
-// admit decides on a dispatch. It returns the run, or why there is none.
+// admit decides on a dispatch at once. It returns the run, or why there is none.
+//
+// A dispatch is refused, by the first that applies, if it is meant for an earlier
+// life of this process, the VM is leaving, the engine is not one of this VM's,
+// another engine holds the chat's prefix (overflows), the attempt may not be
+// admitted (mayAdmit), the engine has not loaded the model, or it is at its bound
+// or the account's share (admission.Decide).
 func (a *Agent) admit(d *wire.Dispatch) (*run, *wire.Refused) {
 	now := time.Now()
 	b, ok := a.backends[d.Engine]
@@ -34,13 +40,20 @@
 		return nil, a.refusal(d, ryeford.ReasonNotServing)
 	}
 	if d.MayRedirect {
-		if to, ok := b.redirect(now, d); ok {
+		if holder, ok := b.holder(now, d); ok {
 			refused := a.refusal(d, ryeford.ReasonRedirect)
-			refused.Engine = to
+			refused.Engine = holder
 			refused.Load = b.load()
 			return nil, refused
 		}
 	}
+	return a.admitAttempt(now, b, d)
+}
+
+// admitAttempt admits an attempt to a backend and starts it, unless it is refused
+// or was admitted before. A repeated dispatch gets the earlier run, which its
+// account may join.
+func (a *Agent) admitAttempt(now time.Time, b *backend, d *wire.Dispatch) (*run, *wire.Refused) {
 	var decided admission.Decision
 	r, reason := a.attempts.admit(now, d, func() *run {
 		var warm bool
@@ -67,7 +80,7 @@
 		refused.RetryAfter = decided.RetryAfter
 		return nil, refused
 	}
-	a.noteAdmitted(d, &decided, r.warm)
+	a.logAdmitted(d, &decided, r.warm)
 	go a.execute(r)
 	return r, nil
 }
@@ -80,40 +93,3 @@
 		Incarnation: a.incarnation,
 	}
 }
-
-// admitOrWait decides on a dispatch. One that is refused for the load alone, by
-// the engine that holds its chat's prefix, may wait a little for a run to end:
-// that is shorter than to build the prefix anew elsewhere.
-func (a *Agent) admitOrWait(ctx context.Context, d *wire.Dispatch) (*run, *wire.Refused) {
-	r, refused := a.admit(d)
-	b, ok := a.backends[d.Engine]
-	if refused == nil || !ok || d.Wait <= 0 || !b.isWarm(d) {
-		return r, refused
-	}
-	began := time.Now()
-	limit := time.NewTimer(d.Wait)
-	defer limit.Stop()
-	for refused != nil && refused.Reason == ryeford.ReasonOverload {
-		w := b.waiting.enter(d.Priority)
-		if w == nil {
-			break
-		}
-		// A run may have ended between the refusal and the entry.
-		if r, refused = a.admit(d); refused == nil {
-			b.waiting.leave(w)
-			break
-		}
-		select {
-		case <-w.ready:
-			r, refused = a.admit(d)
-		case <-limit.C:
-			b.waiting.leave(w)
-			return nil, refused
-		case <-ctx.Done():
-			b.waiting.leave(w)
-			return nil, refused
-		}
-	}
-	a.metrics.Observe("ryeford_warm_wait_seconds", time.Since(began).Seconds())
-	return r, refused
-}
--- a/agentfleet/agent/answers.go
+++ b/agentfleet/agent/answers.go
@@ -8,14 +8,16 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// answer sends the one answer of an exchange.
-func (a *Agent) answer(stream *transport.Stream, m *wire.Message) {
+// reply sends the only message that answers a stream. If it can't be sent, the
+// router's connection is lost, and the router asks again on a new one.
+func (a *Agent) reply(stream *transport.Stream, m *wire.Message) {
 	if stream.Send(m) == nil {
 		stream.CloseSend()
 	}
 }
 
-// sendAnswer sends a run's answer from an offset on.
+// sendAnswer sends a run's answer from an offset on, until its end or until the
+// router is gone. The run goes on without a reader: see run.
 func (a *Agent) sendAnswer(ctx context.Context, stream *transport.Stream, r *run, request ryeford.RequestID, offset int64) {
 	r.attach()
 	defer func() { r.detach(a.settings.Limits.Grace) }()
@@ -25,11 +27,11 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go a.receiveCancel(stream, r, cancel)
+	go receiveCancel(stream, r, cancel)
 	for {
 		chunks, err := r.log.Read(ctx, offset)
 		if err != nil {
-			return
+			return // the router is gone, or asked for an offset that is not there
 		}
 		for i := range chunks {
 			if stream.Send(&wire.Message{Frame: wire.NewFrame(request, &chunks[i])}) != nil {
@@ -44,11 +46,12 @@
 	}
 }
 
-// receiveCancel waits for the router to cancel, or to go away.
-func (a *Agent) receiveCancel(stream *transport.Stream, r *run, gone context.CancelFunc) {
+// receiveCancel calls gone once the router cancels, or closes the stream. Only the
+// first is for the run; an error means that this reader is gone.
+func receiveCancel(stream *transport.Stream, r *run, gone context.CancelFunc) {
 	defer gone()
 	m, err := stream.Receive()
-	if err == nil && m.Cancel != nil && r.dispatch.Repeatable {
-		r.cancel()
+	if err == nil && m.Cancel != nil {
+		r.cancelIfRepeatable()
 	}
 }
--- a/agentfleet/agent/attempts.go
+++ b/agentfleet/agent/attempts.go
@@ -8,13 +8,10 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// attempts knows which attempts were admitted here and which never will be.
-// What it says of an attempt is the proof behind "not run".
-//
-// An attempt is admitted at most once: its id is kept until the dispatch's
-// Forget, and a dispatch is refused after its Expires, which is earlier.
+// attempts remembers which attempts were admitted here and which were given up.
+// The rules are in attemptrules.go.
 type attempts struct {
-	keep time.Duration // how long a finished answer stays
+	keep time.Duration // how long a finished answer is kept
 	skew time.Duration // by how much the clock may step back
 
 	mu         sync.Mutex
@@ -23,7 +20,7 @@
 	tombstones map[ryeford.AttemptID]time.Time // until when it is kept
 }
 
-// newAttempts returns an attempts that knows of none.
+// newAttempts returns an attempts that remembers none.
 func newAttempts(keep, skew time.Duration) *attempts {
 	return &attempts{
 		keep:       keep,
@@ -34,54 +31,55 @@
 	}
 }
 
-// admit adds a run if decide allows it. It returns the run that was admitted
-// under the same attempt before, or the reason why there can be none.
-func (a *attempts) admit(now time.Time, d *wire.Dispatch, decide func() *run) (r *run, reason ryeford.Reason) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if earlier, ok := a.runs[d.Attempt]; ok {
-		return earlier, ryeford.ReasonDuplicate
+// state returns what is remembered of an attempt, and its run if that is kept.
+// The caller holds a.mu.
+func (a *attempts) state(id ryeford.AttemptID) (attemptState, *run) {
+	if r, ok := a.runs[id]; ok {
+		return attemptKept, r
 	}
-	if _, ok := a.admitted[d.Attempt]; ok {
-		return nil, ryeford.ReasonDuplicate
+	if _, ok := a.admitted[id]; ok {
+		return attemptRan, nil
 	}
-	if _, ok := a.tombstones[d.Attempt]; ok {
-		return nil, ryeford.ReasonTombstone
+	if _, ok := a.tombstones[id]; ok {
+		return attemptTombstone, nil
 	}
-	if now.After(d.Expires) {
-		return nil, ryeford.ReasonExpired
+	return attemptUnseen, nil
+}
+
+// admit adds the run that decide returns, if the attempt may be admitted and
+// decide returns one. Otherwise it returns the run that was admitted under the
+// same attempt before, if any, and the reason; the reason is empty if decide
+// returned none.
+func (a *attempts) admit(now time.Time, d *wire.Dispatch, decide func() *run) (*run, ryeford.Reason) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	state, earlier := a.state(d.Attempt)
+	if reason := mayAdmit(state, now, d.Expires); reason != "" {
+		return earlier, reason
 	}
-	r = decide()
+	r := decide()
 	if r == nil {
 		return nil, ""
 	}
 	a.runs[d.Attempt] = r
-	a.admitted[d.Attempt] = later(d.Forget, d.Expires).Add(a.skew)
+	a.admitted[d.Attempt] = rememberUntil(d.Expires, d.Forget, a.skew)
 	return r, ""
 }
 
-// settle says what is known of an attempt. Where it did not run, it leaves a
-// tombstone, so that a dispatch that is still under way is refused.
+// settle answers a join, with the run if it is kept. If the attempt did not run,
+// it leaves a tombstone, so that a dispatch that is still under way is refused.
 func (a *attempts) settle(now time.Time, j *wire.Join) (*run, verdict) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if r, ok := a.runs[j.Attempt]; ok {
-		return r, verdictRuns
-	}
-	if _, ok := a.admitted[j.Attempt]; ok {
-		return nil, verdictRan
-	}
-	if now.After(later(j.Forget, j.Expires)) {
-		return nil, verdictUnknown
-	}
-	if j.Peek && !now.After(j.Expires) {
-		return nil, verdictNotYet
+	state, r := a.state(j.Attempt)
+	v := judge(state, now, j.Expires, j.Forget, j.Peek)
+	if v == verdictNotRun {
+		a.tombstones[j.Attempt] = tombstoneUntil(j.Expires, a.skew)
 	}
-	a.tombstones[j.Attempt] = j.Expires.Add(a.skew)
-	return nil, verdictNotRun
+	return r, v
 }
 
-// finished drops a finished run's answer after a while.
+// finished drops a finished run's answer after keep.
 func (a *attempts) finished(r *run) {
 	time.AfterFunc(a.keep, func() {
 		a.mu.Lock()
@@ -90,7 +88,7 @@
 	})
 }
 
-// sweep forgets what need not be known any more.
+// sweep forgets what need not be remembered any more.
 func (a *attempts) sweep(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -103,7 +101,7 @@
 	}
 }
 
-// unfinished returns how many runs go on.
+// unfinished returns how many runs have not finished.
 func (a *attempts) unfinished() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agentfleet/agent/backend.go
+++ b/agentfleet/agent/backend.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"slices"
 	"sync"
 	"time"
 
@@ -17,7 +18,7 @@
 	serviceName  string
 	checksFences bool
 
-	waiting waiting
+	queue queue // dispatches that wait for the load to fall
 
 	mu       sync.Mutex
 	gate     *admission.Gate
@@ -25,7 +26,7 @@
 	alive    bool
 	chats    *chatMemory
 	issued   issued // used by applyPlan only
-	overflow map[wire.ChatKey]overflow
+	overflow overflows
 }
 
 // newBackend returns a backend with nothing running.
@@ -34,7 +35,7 @@
 		id:       id,
 		gate:     admission.NewGate(limits),
 		chats:    newChatMemory(chats),
-		overflow: make(map[wire.ChatKey]overflow),
+		overflow: make(overflows),
 	}
 }
 
@@ -53,16 +54,11 @@
 	if b.engine == nil || d.Completion == nil || !b.alive {
 		return false
 	}
-	for _, pool := range b.pools {
-		if pool == d.Completion.Pool {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(b.pools, d.Completion.Pool)
 }
 
-// admit decides on a dispatch and counts it if it is admitted. warm tells
-// whether the chat was served here before.
+// admit decides on a dispatch and counts it if it is admitted. warm reports
+// whether the engine is believed to hold the chat's prefix already.
 func (b *backend) admit(now time.Time, d *wire.Dispatch) (decision admission.Decision, warm bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -75,33 +71,49 @@
 		Share:    d.Share,
 		PoolMean: d.PoolMean,
 	})
-	key := wire.ChatKey{Account: d.Account, Chat: d.Chat}
-	warm = b.chats.has(key)
+	chat := d.ChatKey()
+	warm = b.chats.has(chat)
 	if decision.Admitted && d.Completion != nil {
-		b.chats.add(key, d.Completion.Pool)
-		delete(b.overflow, key)
+		b.chats.add(chat, d.Completion.Pool)
+		delete(b.overflow, chat)
 	}
 	return decision, warm
 }
 
-// isWarm reports whether the engine holds the prefix of a dispatch's chat, as
-// far as is known.
+// isWarm reports whether the engine is believed to hold the prefix of a dispatch's
+// chat.
 func (b *backend) isWarm(d *wire.Dispatch) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.chats.has(wire.ChatKey{Account: d.Account, Chat: d.Chat})
+	return b.chats.has(d.ChatKey())
 }
 
-// release counts a run out and lets the first that waits try.
+// release removes a run that has ended from the counts, and lets the first
+// dispatch in the queue ask again.
 func (b *backend) release(now time.Time, account ryeford.AccountID) {
 	b.mu.Lock()
 	b.gate.Release(now, account)
 	b.mu.Unlock()
-	b.waiting.wake()
+	b.queue.wake()
+}
+
+// holder returns the engine to which a dispatch's chat is to be redirected, if
+// another one holds its prefix.
+func (b *backend) holder(now time.Time, d *wire.Dispatch) (ryeford.EngineID, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.overflow.holder(now, d.ChatKey())
 }
 
-// noteCacheEvents forgets the chats that the engine evicted.
-func (b *backend) noteCacheEvents(events []ryeford.CacheEvent) {
+// noteOverflow records that another engine served a chat whose home b is.
+func (b *backend) noteOverflow(now time.Time, o *wire.Overflow) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.overflow.add(now, o.Chat, o.Engine)
+}
+
+// forgetEvicted forgets the chats whose prefix the engine evicted.
+func (b *backend) forgetEvicted(events []ryeford.CacheEvent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range events {
@@ -126,14 +138,11 @@
 	return s
 }
 
-// setServing notes what the engine serves, and reports whether that is new.
+// setServing records what the engine serves, and reports whether that changed.
 func (b *backend) setServing(alive bool, pools []ryeford.Pool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	changed := alive != b.alive || len(pools) != len(b.pools)
-	for i := range pools {
-		changed = changed || pools[i] != b.pools[i]
-	}
+	changed := alive != b.alive || !slices.Equal(pools, b.pools)
 	b.alive = alive
 	b.pools = pools
 	return changed
--- a/agentfleet/agent/connections.go
+++ b/agentfleet/agent/connections.go
@@ -57,15 +57,15 @@
 		a.serveWatch(ctx, conn, stream)
 	case m.Pull != nil:
 		revision, templates := a.book.Since(m.Pull.Revision)
-		a.answer(stream, &wire.Message{Delta: &wire.Delta{Revision: revision, Templates: templates}})
+		a.reply(stream, &wire.Message{Delta: &wire.Delta{Revision: revision, Templates: templates}})
 	case m.Import != nil:
 		a.serveImport(ctx, stream, m.Import)
 	case m.Explain != nil:
 		lines := a.decisions.Lines(m.Explain.Request)
-		a.answer(stream, &wire.Message{Decisions: &wire.Decisions{Lines: lines}})
+		a.reply(stream, &wire.Message{Decisions: &wire.Decisions{Lines: lines}})
 	case m.Leave != nil:
 		a.Leave("operator")
-		a.answer(stream, &wire.Message{Done: &wire.Done{}})
+		a.reply(stream, &wire.Message{Done: &wire.Done{}})
 	}
 }
 
@@ -82,5 +82,5 @@
 	b.mu.Lock()
 	b.chats.add(m.Chat, m.Pool)
 	b.mu.Unlock()
-	a.answer(stream, &wire.Message{Done: &wire.Done{}})
+	a.reply(stream, &wire.Message{Done: &wire.Done{}})
 }
--- a/agentfleet/agent/decisionlog.go
+++ b/agentfleet/agent/decisionlog.go
@@ -6,8 +6,8 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// noteAdmitted logs an admission.
-func (a *Agent) noteAdmitted(d *wire.Dispatch, decided *admission.Decision, warm bool) {
+// logAdmitted logs an admission.
+func (a *Agent) logAdmitted(d *wire.Dispatch, decided *admission.Decision, warm bool) {
 	a.metrics.Count("ryeford_admitted_total", "")
 	_ = a.decisions.Note(d.Request,
 		"decision", "admit", "request", d.Request, "attempt", d.Attempt, "account", d.Account, "chat", d.Chat,
@@ -15,8 +15,8 @@
 		"load", decided.Load, "bound", decided.Bound, "mean", d.PoolMean, "held", decided.Held, "share", d.Share, "warm", warm)
 }
 
-// noteRefused logs a refusal.
-func (a *Agent) noteRefused(d *wire.Dispatch, refused *wire.Refused) {
+// logRefused logs a refusal.
+func (a *Agent) logRefused(d *wire.Dispatch, refused *wire.Refused) {
 	a.metrics.Count("ryeford_refused_total", string(refused.Reason))
 	_ = a.decisions.Note(d.Request,
 		"decision", "refuse", "request", d.Request, "attempt", d.Attempt, "account", d.Account, "chat", d.Chat,
@@ -24,8 +24,8 @@
 		"load", refused.Load, "bound", refused.Bound, "mean", d.PoolMean, "share", d.Share, "redirect", refused.Engine)
 }
 
-// noteDropped counts the chunks that were not part of an answer.
-func (a *Agent) noteDropped(r *run, dropped answer.Dropped) {
+// logDropped counts the chunks that were not part of an answer.
+func (a *Agent) logDropped(r *run, dropped answer.Dropped) {
 	if dropped == (answer.Dropped{}) {
 		return
 	}
--- a/agentfleet/agent/execute.go
+++ b/agentfleet/agent/execute.go
@@ -6,7 +6,6 @@
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/answer"
-	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 const (
@@ -37,21 +36,21 @@
 			if try > 0 {
 				return r.backend.engine.Resume(ctx, d.Attempt, asm.Next())
 			}
-			return r.backend.engine.Complete(ctx, cacheKey(wire.ChatKey{Account: d.Account, Chat: d.Chat}), d.Completion)
+			return r.backend.engine.Complete(ctx, cacheKey(d.ChatKey()), d.Completion)
 		}
 		failure = a.readAnswer(r, asm, open)
 		if failure != nil && try > 0 {
 			failure.notRun = false // the first try was sent
 		}
 		if failure == nil {
-			a.noteDropped(r, asm.Dropped())
+			a.logDropped(r, asm.Dropped())
 			return
 		}
 		if failure.notRun || r.ctx.Err() != nil {
 			break
 		}
 	}
-	a.noteDropped(r, asm.Dropped())
+	a.logDropped(r, asm.Dropped())
 	a.fail(r, asm.Next(), failure)
 }
 
--- a/agentfleet/agent/join.go
+++ b/agentfleet/agent/join.go
@@ -9,29 +9,22 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// serveJoin sends the answer of an attempt that may have been admitted before,
-// or says what is known of it.
+// serveJoin sends the answer of an attempt that may have been admitted before. If
+// the attempt is another account's, or its answer is not kept, it says what that
+// proves (judge).
 func (a *Agent) serveJoin(ctx context.Context, stream *transport.Stream, j *wire.Join) {
 	refused := &wire.Refused{Attempt: j.Attempt, Incarnation: a.incarnation}
 	if j.Incarnation != a.incarnation {
 		refused.Reason, refused.Unknown = ryeford.ReasonIncarnation, true
-		a.answer(stream, &wire.Message{Refused: refused})
+		a.reply(stream, &wire.Message{Refused: refused})
 		return
 	}
-	r, known := a.attempts.settle(time.Now(), j)
-	switch {
-	case known == verdictRuns && r.dispatch.Account == j.Account:
+	r, v := a.attempts.settle(time.Now(), j)
+	if v == verdictRuns && r.dispatch.Account == j.Account {
 		a.sendAnswer(ctx, stream, r, r.dispatch.Request, j.Offset)
 		return
-	case known == verdictNotRun:
-		refused.Reason = ryeford.ReasonTombstone
-	case known == verdictNotYet:
-		refused.Reason, refused.Unknown = ryeford.ReasonRunning, true
-	case known == verdictUnknown:
-		refused.Reason, refused.Unknown = ryeford.ReasonExpired, true
-	default:
-		refused.Reason, refused.Unknown = ryeford.ReasonDuplicate, true
 	}
+	refused.Reason, refused.Unknown = v.refusal()
 	_ = a.decisions.Note("", "decision", "settle", "attempt", j.Attempt, "reason", refused.Reason, "unknown", refused.Unknown)
-	a.answer(stream, &wire.Message{Refused: refused})
+	a.reply(stream, &wire.Message{Refused: refused})
 }
--- a/agentfleet/agent/polls.go
+++ b/agentfleet/agent/polls.go
@@ -47,7 +47,7 @@
 	if err != nil || len(events) == 0 {
 		return after
 	}
-	b.noteCacheEvents(events)
+	b.forgetEvicted(events)
 	return events[len(events)-1].Sequence
 }
 
--- a/agentfleet/agent/run.go
+++ b/agentfleet/agent/run.go
@@ -9,7 +9,12 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// A run is an attempt that was admitted here.
+// A run is an attempt that was admitted here. Any number of streams read its
+// answer.
+//
+// A run goes on to its end, whatever becomes of its readers, unless its request is
+// repeatable: then it is cancelled when the caller gives the request up, or when it
+// has had no reader for the grace period, in which a router may join it again.
 type run struct {
 	dispatch *wire.Dispatch
 	backend  *backend
@@ -21,7 +26,7 @@
 
 	mu      sync.Mutex
 	readers int
-	idle    *time.Timer // ends a run that no one reads
+	idle    *time.Timer // cancels the run at the end of the grace period
 }
 
 // newRun returns a run that has not begun.
@@ -37,7 +42,7 @@
 	}
 }
 
-// attach counts a reader of the run.
+// attach counts a reader of the run and ends the grace period.
 func (r *run) attach() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,8 +53,8 @@
 	}
 }
 
-// detach counts a reader out. A repeatable run that no one reads any more ends
-// after grace; one that may not be repeated goes on to its end.
+// detach counts a reader out. Without the last one, the grace period of a
+// repeatable run begins.
 func (r *run) detach(grace time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,3 +64,10 @@
 	}
 	r.idle = time.AfterFunc(grace, r.cancel)
 }
+
+// cancelIfRepeatable ends the run if its request may be repeated.
+func (r *run) cancelIfRepeatable() {
+	if r.dispatch.Repeatable {
+		r.cancel()
+	}
+}
--- a/agentfleet/wire/wire.go
+++ b/agentfleet/wire/wire.go
@@ -72,6 +72,11 @@
 	Wait time.Duration `cbor:"19,keyasint,omitempty"`
 }
 
+// ChatKey returns the key of the dispatch's chat.
+func (d *Dispatch) ChatKey() ChatKey {
+	return ChatKey{Account: d.Account, Chat: d.Chat}
+}
+
 // A Join asks for the answer of an attempt that may have been admitted. Where
 // it was not, the agent leaves a tombstone, and the attempt can never run.
 type Join struct {
