--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -1,6 +1,15 @@
 // Package agent is the process in the slot of an endpoint VM: the only way to
 // the VM's engines and services. It admits or refuses, runs each attempt at
 // most once, keeps answers for callers that come again, and drains.
+//
+// It owns what its VM runs: the load of each engine and service (backend), the
+// attempts that were admitted or given up, the answers of late, and which chats'
+// prefixes the engines are believed to hold. All of it is lost when the process
+// ends; the incarnation tells routers so.
+//
+// It relies on routers for the templates, the plan and the mean load; on package
+// admission for the rule of the load, and on its engines to run an attempt once
+// when it is sent once. The rules are listed in docs/decisions.md.
 package agent
 
 import (
@@ -25,6 +34,8 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
+// sweepInterval is how often attempts that need not be remembered are dropped. Not
+// measured: it bounds memory only.
 const sweepInterval = time.Second
 
 // An Agent runs the attempts of one endpoint VM.
@@ -44,13 +55,13 @@
 	book     *template.Book
 
 	leaving   atomic.Bool
-	leave     chan struct{} // closed when the agent is to leave
+	leave     chan struct{} // closed when leaving begins
 	leaveOnce sync.Once
 
 	mu      sync.Mutex
-	changed chan struct{} // closed at the next change of the inventory
-	peers   map[*transport.Conn]struct{}
-	plan    planState
+	changed chan struct{}                // closed at the next change of the inventory
+	peers   map[*transport.Conn]struct{} // connected routers
+	plan    *ryeford.Plan                // the newest known, this VM's part of it; nil before the first
 }
 
 // New returns an Agent that listens. Its engines are asked what they serve once
@@ -106,7 +117,7 @@
 	})
 	_ = a.log.Log("msg", "ready", "role", "agent", "address", a.Address(), "incarnation", a.incarnation)
 	err := group.Wait()
-	_ = a.listener.Close()
+	_ = a.listener.Close() // the process ends: nobody is left to be told
 	_ = a.log.Log("msg", "stopped", "role", "agent")
 	return err
 }
@@ -152,14 +163,5 @@
 
 // sweep forgets old attempts until ctx ends.
 func (a *Agent) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(sweepInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-ticker.C:
-			a.attempts.sweep(time.Now())
-		case <-ctx.Done():
-			return nil
-		}
-	}
+	return every(ctx, sweepInterval, func() { a.attempts.sweep(time.Now()) })
 }
--- a/agentfleet/agent/backend.go
+++ b/agentfleet/agent/backend.go
@@ -25,7 +25,7 @@
 	pools    []ryeford.Pool
 	alive    bool
 	chats    *chatMemory
-	issued   issued // used by applyPlan only
+	issued   issuedOrder // used by applyPlan only
 	overflow overflows
 }
 
--- a/agentfleet/agent/connections.go
+++ b/agentfleet/agent/connections.go
@@ -7,7 +7,7 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// accept serves connections until ctx ends.
+// accept serves connections until ctx ends or the listener fails.
 func (a *Agent) accept(ctx context.Context) error {
 	for {
 		conn, err := a.listener.Accept(ctx)
@@ -35,13 +35,14 @@
 	for {
 		stream, err := conn.Accept(ctx)
 		if err != nil {
-			return
+			return // the connection, or ctx, has ended
 		}
 		go a.serveStream(ctx, conn, stream)
 	}
 }
 
-// serveStream serves one exchange.
+// serveStream answers the one message that a stream begins with. A stream that ends
+// before it, or brings another message, is closed without an answer.
 func (a *Agent) serveStream(ctx context.Context, conn *transport.Conn, stream *transport.Stream) {
 	defer stream.Close()
 	m, err := stream.Receive()
@@ -68,19 +69,3 @@
 		a.reply(stream, &wire.Message{Done: &wire.Done{}})
 	}
 }
-
-// serveImport puts a chat's KV cache from another VM into an engine.
-func (a *Agent) serveImport(ctx context.Context, stream *transport.Stream, m *wire.Import) {
-	b, ok := a.backends[m.Engine]
-	if !ok || b.engine == nil {
-		return
-	}
-	if err := b.engine.ImportCache(ctx, cacheKey(m.Chat), m.Cache); err != nil {
-		_ = a.log.Log("msg", "KV cache not imported", "engine", m.Engine, "err", err)
-		return
-	}
-	b.mu.Lock()
-	b.chats.add(m.Chat, m.Pool)
-	b.mu.Unlock()
-	a.reply(stream, &wire.Message{Done: &wire.Done{}})
-}
--- a/agentfleet/agent/drain.go
+++ b/agentfleet/agent/drain.go
@@ -6,12 +6,17 @@
 )
 
 const (
-	drainCheck  = 20 * time.Millisecond
-	drainLinger = time.Second // for routers whose dispatch is under way
+	// drainCheck is how often a leaving agent looks whether its runs have ended.
+	// Not measured.
+	drainCheck = 20 * time.Millisecond
+	// drainGrace is how long a drained agent still answers: dispatches that are
+	// under way are refused, and so proved not to have run. Not measured.
+	drainGrace = time.Second
 )
 
-// drain waits for the agent to be told to leave, then for what is in flight,
-// and hands the chats' KV caches on.
+// drain waits until the agent is to leave. From then on admit refuses; runs may
+// end within the setting drain; then the chats' KV caches are handed on, and
+// drainGrace later the agent ends. Runs that are left then are lost.
 func (a *Agent) drain(ctx context.Context) error {
 	select {
 	case <-a.leave:
@@ -23,14 +28,14 @@
 	a.waitUnfinished(ctx, limit.C)
 	a.exportCaches(ctx)
 	select {
-	case <-time.After(drainLinger):
+	case <-time.After(drainGrace):
 	case <-ctx.Done():
 	}
 	_ = a.decisions.Note("", "decision", "drained", "unfinished", a.attempts.unfinished())
 	return nil
 }
 
-// waitUnfinished waits until no run goes on, or until the limit.
+// waitUnfinished waits until all runs have finished, or until the limit.
 func (a *Agent) waitUnfinished(ctx context.Context, limit <-chan time.Time) {
 	ticker := time.NewTicker(drainCheck)
 	defer ticker.Stop()
--- a/agentfleet/agent/execute.go
+++ b/agentfleet/agent/execute.go
@@ -8,12 +8,12 @@
 	"github.com/ryeford/ryeford/agentfleet/answer"
 )
 
-const (
-	resumeTries   = 2
-	cancelTimeout = 2 * time.Second
-)
+// cancelTimeout bounds the call that cancels a failed run at its engine. Not
+// measured.
+const cancelTimeout = 2 * time.Second
 
-// execute runs an admitted attempt to its end.
+// execute runs an admitted attempt to its end: the answer is whole, or ends with a
+// failure.
 func (a *Agent) execute(r *run) {
 	defer r.cancel()
 	defer a.attempts.finished(r)
@@ -25,36 +25,35 @@
 	a.executeCompletion(r)
 }
 
-// executeCompletion runs a completion. An engine whose stream breaks, or
-// stalls, is asked for the rest of the same run before it is given up.
+// executeCompletion runs a completion. An engine whose stream breaks or stalls is
+// asked for the rest of the same run (mayResume) before the run is given up.
 func (a *Agent) executeCompletion(r *run) {
 	d := r.dispatch
 	asm := answer.NewAssembler(d.Attempt, 0)
-	var failure *streamError
-	for try := range resumeTries + 1 {
-		open := func(ctx context.Context) (ryeford.ChunkReader, error) {
-			if try > 0 {
+	for resumes := 0; ; resumes++ {
+		failure := a.readAnswer(r, asm, func(ctx context.Context) (ryeford.ChunkReader, error) {
+			if resumes > 0 {
 				return r.backend.engine.Resume(ctx, d.Attempt, asm.Next())
 			}
 			return r.backend.engine.Complete(ctx, cacheKey(d.ChatKey()), d.Completion)
-		}
-		failure = a.readAnswer(r, asm, open)
-		if failure != nil && try > 0 {
-			failure.notRun = false // the first try was sent
-		}
+		})
 		if failure == nil {
 			a.logDropped(r, asm.Dropped())
 			return
 		}
-		if failure.notRun || r.ctx.Err() != nil {
-			break
+		if resumes > 0 {
+			failure.notRun = false // the engine had the request before
+		}
+		if !mayResume(failure, resumes, r.ctx.Err() != nil) {
+			a.logDropped(r, asm.Dropped())
+			a.fail(r, asm.Next(), failure)
+			return
 		}
 	}
-	a.logDropped(r, asm.Dropped())
-	a.fail(r, asm.Next(), failure)
 }
 
-// executeCall runs a call of a plain service. It is sent once.
+// executeCall runs a call of a plain service. It is sent once: a service has no
+// way to read the rest of a response.
 func (a *Agent) executeCall(r *run) {
 	asm := answer.NewAssembler(r.dispatch.Attempt, 0)
 	failure := a.readAnswer(r, asm, func(ctx context.Context) (ryeford.ChunkReader, error) {
@@ -65,7 +64,8 @@
 	}
 }
 
-// fail ends a run's answer with a failure and cancels it at its engine.
+// fail ends a run's answer with a failure, and cancels it at its engine unless it
+// did not start there.
 func (a *Agent) fail(r *run, next int64, failure *streamError) {
 	d := r.dispatch
 	r.log.Append(ryeford.Chunk{
--- a/agentfleet/agent/export.go
+++ b/agentfleet/agent/export.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net/netip"
+	"slices"
 	"time"
 
 	"github.com/ryeford/ryeford"
@@ -10,34 +11,35 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
+// The bounds of the export. None is measured.
 const (
-	exportTimeout  = 20 * time.Second
-	exportChats    = 2000 // of each pool and engine
-	exportBatch    = 200
-	exportDialTime = 2 * time.Second
+	exportTimeout     = 20 * time.Second // of the whole export
+	exportDialTimeout = 2 * time.Second  // of one connection
+	exportChats       = 2000             // of each pool and engine
+	exportBatchSize   = 200              // chats in one question to the router
 )
 
 // exportCaches hands the KV caches of the chats that were served last to the
-// engines that are next in their order.
+// engines that are next in their order, as a router knows it. A chat that is not
+// handed on costs its next request the time to build the prefix again.
 func (a *Agent) exportCaches(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, exportTimeout)
 	defer cancel()
-	peers := a.randomPeers(1)
+	routers := a.randomPeers(1)
+	if len(routers) == 0 {
+		_ = a.log.Log("msg", "KV caches not handed on", "err", "no router is connected")
+		return
+	}
 	dialer, err := transport.NewDialer(a.settings.Listen.Addr(), a.tls, a.settings.Transport.Options())
-	if err != nil || len(peers) == 0 {
+	if err != nil {
+		_ = a.log.Log("msg", "KV caches not handed on", "err", err)
 		return
 	}
-	defer func() { _ = dialer.Close() }()
-	e := &exporter{agent: a, router: peers[0], dialer: dialer, conns: make(map[netip.AddrPort]*transport.Conn)}
+	defer func() { _ = dialer.Close() }() // what was sent is confirmed; the process ends
+	e := &exporter{agent: a, router: routers[0], dialer: dialer, conns: make(map[netip.AddrPort]*transport.Conn)}
 	for _, b := range a.backends {
-		if b.engine == nil {
-			continue
-		}
-		b.mu.Lock()
-		recent := b.chats.recent(exportChats)
-		b.mu.Unlock()
-		for pool, chats := range recent {
-			e.exportPool(ctx, b, pool, chats)
+		if b.engine != nil {
+			e.exportBackend(ctx, b)
 		}
 	}
 	_ = a.decisions.Note("", "decision", "export", "exported", e.exported, "failed", e.failed)
@@ -53,28 +55,38 @@
 	failed   int
 }
 
-// exportPool hands on the chats of one engine and pool, in batches.
-func (e *exporter) exportPool(ctx context.Context, b *backend, pool ryeford.Pool, chats []wire.ChatKey) {
-	for len(chats) > 0 {
-		batch := chats[:min(exportBatch, len(chats))]
-		chats = chats[len(batch):]
-		question := &wire.Successors{Pool: pool, Chats: batch, Leaving: e.agent.settings.VM}
-		m, err := e.router.Ask(ctx, &wire.Message{Successors: question})
-		if err != nil || m.Placements == nil || len(m.Placements.Placements) != len(batch) {
-			e.failed += len(batch)
-			continue
+// exportBackend hands on the chats that an engine served last, by pool.
+func (e *exporter) exportBackend(ctx context.Context, b *backend) {
+	b.mu.Lock()
+	recent := b.chats.recent(exportChats)
+	b.mu.Unlock()
+	for pool, chats := range recent {
+		for batch := range slices.Chunk(chats, exportBatchSize) {
+			e.exportBatch(ctx, b, pool, batch)
 		}
-		for i, placement := range m.Placements.Placements {
-			if e.exportChat(ctx, b, pool, batch[i], placement) {
-				e.exported++
-			} else {
-				e.failed++
-			}
+	}
+}
+
+// exportBatch hands on chats of one engine and pool. A chat that fails is counted;
+// the causes are not logged, since a lost router or VM fails them all alike.
+func (e *exporter) exportBatch(ctx context.Context, b *backend, pool ryeford.Pool, chats []wire.ChatKey) {
+	question := &wire.Successors{Pool: pool, Chats: chats, Leaving: e.agent.settings.VM}
+	m, err := e.router.Ask(ctx, &wire.Message{Successors: question})
+	if err != nil || m.Placements == nil || len(m.Placements.Placements) != len(chats) {
+		e.failed += len(chats)
+		return
+	}
+	for i, placement := range m.Placements.Placements {
+		if e.exportChat(ctx, b, pool, chats[i], placement) {
+			e.exported++
+		} else {
+			e.failed++
 		}
 	}
 }
 
-// exportChat hands one chat's KV cache on.
+// exportChat hands one chat's KV cache on, and reports whether the other agent
+// confirmed it. A chat without a successor has no address.
 func (e *exporter) exportChat(ctx context.Context, b *backend, pool ryeford.Pool, chat wire.ChatKey, to wire.Placement) bool {
 	address, err := netip.ParseAddrPort(to.Address)
 	if err != nil {
@@ -92,12 +104,12 @@
 	return err == nil && m.Done != nil
 }
 
-// connect returns a connection to another agent.
+// connect returns a connection to another agent, the open one if there is one.
 func (e *exporter) connect(ctx context.Context, address netip.AddrPort) (*transport.Conn, error) {
 	if conn, ok := e.conns[address]; ok {
 		return conn, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, exportDialTime)
+	ctx, cancel := context.WithTimeout(ctx, exportDialTimeout)
 	defer cancel()
 	conn, err := e.dialer.Dial(ctx, address)
 	if err != nil {
--- a/agentfleet/agent/gossip.go
+++ b/agentfleet/agent/gossip.go
@@ -96,7 +96,7 @@
 		if m.Revision > a.book.Revision() {
 			a.pullTemplates(ctx, conn)
 		}
-		if a.planIsNews(m.PlanEpoch, m.PlanSequence) {
+		if a.planIsNewer(m.PlanEpoch, m.PlanSequence) {
 			a.pullPlan(ctx, conn)
 		}
 	}
--- a/agentfleet/agent/plan.go
+++ b/agentfleet/agent/plan.go
@@ -10,34 +10,38 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-const planCheckInterval = 500 * time.Millisecond
-
-// A planState is the newest plan that the agent knows: this VM's part of it.
-type planState struct {
-	plan *ryeford.Plan
-}
+const (
+	// planCheckInterval is how often engines are compared with the plan. Not
+	// measured.
+	planCheckInterval = 500 * time.Millisecond
+	// orderTimeout is how long an engine may take to load what it was ordered,
+	// before the order is given again. Not measured.
+	orderTimeout = time.Minute
+)
 
 // knownPlan returns the epoch and sequence of the newest plan.
 func (a *Agent) knownPlan() (epoch, sequence int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.plan.plan == nil {
+	if a.plan == nil {
 		return 0, 0
 	}
-	return a.plan.plan.Epoch, a.plan.plan.Sequence
+	return a.plan.Epoch, a.plan.Sequence
 }
 
-// planIsNews reports whether a plan supersedes the one that is known.
-func (a *Agent) planIsNews(epoch, sequence int64) bool {
+// planIsNewer reports whether a plan supersedes the one that is known. A router
+// without a plan names epoch 0.
+func (a *Agent) planIsNewer(epoch, sequence int64) bool {
 	if epoch == 0 {
 		return false
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return (&ryeford.Plan{Epoch: epoch, Sequence: sequence}).Newer(a.plan.plan)
+	return (&ryeford.Plan{Epoch: epoch, Sequence: sequence}).Newer(a.plan)
 }
 
-// pullPlan reads this VM's part of the plan from a router.
+// pullPlan reads this VM's part of the plan from a router. After an error the next
+// gossip of a router shows the newer plan again.
 func (a *Agent) pullPlan(ctx context.Context, conn *transport.Conn) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
@@ -47,65 +51,68 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !m.Plan.Newer(a.plan.plan) {
+	if !m.Plan.Newer(a.plan) {
 		return
 	}
-	a.plan.plan = m.Plan
+	a.plan = m.Plan
 	_ = a.decisions.Note("", "decision", "plan", "epoch", m.Plan.Epoch, "sequence", m.Plan.Sequence, "assignments", len(m.Plan.Assignments))
 }
 
 // applyPlan orders the engines to serve what the plan says, until ctx ends.
-// One order is under way at a time.
+// One order is under way at a time. A leaving agent gives none.
 func (a *Agent) applyPlan(ctx context.Context) error {
-	ticker := time.NewTicker(planCheckInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-ticker.C:
-		case <-ctx.Done():
-			return nil
-		}
+	return every(ctx, planCheckInterval, func() {
 		a.mu.Lock()
-		plan := a.plan.plan
+		plan := a.plan
 		a.mu.Unlock()
 		if plan == nil || a.leaving.Load() {
-			continue
+			return
 		}
 		for i := range plan.Assignments {
 			a.applyAssignment(ctx, plan, &plan.Assignments[i])
 		}
-	}
+	})
 }
 
-// An issued is the last order that an engine was given.
-type issued struct {
+// An issuedOrder is the last order that an engine was given.
+type issuedOrder struct {
 	epoch    int64
 	sequence int64
 	at       time.Time
 }
 
-// orderPatience is how long an engine may take to load what it was ordered,
-// before the order is given again.
-const orderPatience = time.Minute
+// orderDue reports whether an engine is to be ordered to serve what a plan assigns
+// to it: unless it does already, has seen a newer epoch, or was given this very
+// order less than orderTimeout ago and shows its epoch, so that it is loading.
+//
+// An engine that shows an older epoch is ordered again at once: an old order came
+// after the current one, and the engine checks no fences.
+func orderDue(serving *ryeford.Order, plan *ryeford.Plan, assigned []ryeford.Pool, last issuedOrder, now time.Time) bool {
+	if serving.Epoch > plan.Epoch || slices.Equal(serving.Pools, assigned) {
+		return false
+	}
+	given := last.epoch == plan.Epoch && last.sequence == plan.Sequence
+	loading := given && serving.Epoch == plan.Epoch
+	return !loading || now.Sub(last.at) >= orderTimeout
+}
 
-// applyAssignment orders one engine if it does not serve what it should. What
-// it serves is read right before, so that an engine without fences is not given
-// an order that another one superseded, and again at the next check, so that an
-// old order that slipped through is repaired.
+// applyAssignment orders one engine, from the assignment's start on, if an order is
+// due. What the engine serves is read right before, so that one without fences is
+// not given an order that another one superseded.
 func (a *Agent) applyAssignment(ctx context.Context, plan *ryeford.Plan, assignment *ryeford.Assignment) {
 	b, ok := a.backends[assignment.Engine]
 	if !ok || b.engine == nil || time.Now().Before(assignment.Start) {
 		return
 	}
 	serving, err := b.engine.Serving(ctx)
-	if err != nil || serving.Epoch > plan.Epoch || slices.Equal(serving.Pools, assignment.Pools) {
-		return
+	if err != nil {
+		return // pollServing logs an engine that does not answer; the next check asks again
 	}
-	loading := b.issued.epoch == plan.Epoch && b.issued.sequence == plan.Sequence && serving.Epoch == plan.Epoch
-	if loading && time.Since(b.issued.at) < orderPatience {
+	now := time.Now()
+	if !orderDue(&serving, plan, assignment.Pools, b.issued, now) {
 		return
 	}
-	b.issued = issued{epoch: plan.Epoch, sequence: plan.Sequence, at: time.Now()}
+	b.issued = issuedOrder{epoch: plan.Epoch, sequence: plan.Sequence, at: now}
 	err = b.engine.Order(ctx, ryeford.Order{Epoch: plan.Epoch, Pools: assignment.Pools})
 	_ = a.decisions.Note("", "decision", "order", "engine", b.id, "epoch", plan.Epoch, "sequence", plan.Sequence,
 		"seen", serving.Epoch, "pools", len(assignment.Pools), "reason", assignment.Reason, "checks_fences", b.checksFences, "err", err)
--- a/agentfleet/agent/plan_test.go
+++ b/agentfleet/agent/plan_test.go
@@ -33,8 +33,38 @@
 	return nil
 }
 
+// TestOrderDue has one row a clause of the rule.
+func TestOrderDue(t *testing.T) {
+	now := time.Unix(1_000_000, 0)
+	plan := &ryeford.Plan{Epoch: 7, Sequence: 3}
+	want, other := []ryeford.Pool{{Model: "lira"}}, []ryeford.Pool{{Model: "old"}}
+	given := issuedOrder{epoch: 7, sequence: 3, at: now.Add(-time.Second)}
+	overdue := issuedOrder{epoch: 7, sequence: 3, at: now.Add(-orderTimeout)}
+	for _, test := range []struct {
+		rule    string
+		epoch   int64 // that the engine has seen
+		serving []ryeford.Pool
+		last    issuedOrder
+		due     bool
+	}{
+		{"an engine that serves something else is ordered", 6, other, issuedOrder{}, true},
+		{"one that serves nothing too", 0, nil, issuedOrder{}, true},
+		{"one that serves what it should is not", 6, want, issuedOrder{}, false},
+		{"nor one that a newer plan has reached", 8, other, issuedOrder{}, false},
+		{"nor one that is loading", 7, other, given, false},
+		{"unless it takes too long", 7, other, overdue, true},
+		{"an older epoch after the order shows a stale one: repaired at once", 6, other, given, true},
+		{"an order of an older plan is no reason to wait", 7, other, issuedOrder{epoch: 7, sequence: 2, at: now}, true},
+	} {
+		t.Run(test.rule, func(t *testing.T) {
+			serving := &ryeford.Order{Epoch: test.epoch, Pools: test.serving}
+			assert.Equal(t, orderDue(serving, plan, want, test.last, now), test.due)
+		})
+	}
+}
+
 // TestStaleOrderIsRepaired lets an old order reach an engine that checks no
-// fences, behind the current one: the agent gives the current one again.
+// fences, after the current one: the agent gives the current one again.
 func TestStaleOrderIsRepaired(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
--- a/agentfleet/agent/polls.go
+++ b/agentfleet/agent/polls.go
@@ -7,7 +7,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// pollEngines asks the engines what they serve, until ctx ends.
+// pollEngines asks the engines what they serve, at once and after each interval,
+// until ctx ends.
 func (a *Agent) pollEngines(ctx context.Context) error {
 	after := make(map[ryeford.EngineID]int64)
 	ticker := time.NewTicker(a.settings.Polls.Engine)
@@ -30,7 +31,8 @@
 	}
 }
 
-// pollServing asks an engine what it serves and reports whether that changed.
+// pollServing asks an engine what it serves and reports whether that changed. An
+// engine that does not answer serves nothing.
 func (a *Agent) pollServing(ctx context.Context, b *backend) bool {
 	order, err := b.engine.Serving(ctx)
 	changed := b.setServing(err == nil, order.Pools)
@@ -40,8 +42,9 @@
 	return changed
 }
 
-// pollCache reads an engine's cache events and returns the last one's number.
-// A gap costs only a wrong hint.
+// pollCache reads an engine's cache events after a number and returns the last
+// one's number. After an error the next poll asks for the same events again; a gap
+// costs only a wrong belief about a chat's prefix.
 func (a *Agent) pollCache(ctx context.Context, b *backend, after int64) int64 {
 	events, err := b.engine.CacheEvents(ctx, after)
 	if err != nil || len(events) == 0 {
@@ -51,24 +54,21 @@
 	return events[len(events)-1].Sequence
 }
 
-// pollVMs learns from the platform's list that this VM is leaving.
+// pollVMs makes the agent leave once the platform's list says that its VM does,
+// until ctx ends. An operator's Leave message is faster, but may not come.
 func (a *Agent) pollVMs(ctx context.Context) error {
-	ticker := time.NewTicker(a.settings.Polls.List)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-ticker.C:
-		case <-ctx.Done():
-			return nil
-		}
+	return every(ctx, a.settings.Polls.List, func() {
 		vms, err := a.vms.VMs(ctx)
 		if err != nil {
-			continue
+			if ctx.Err() == nil {
+				_ = a.log.Log("msg", "list of VMs not read", "err", err)
+			}
+			return
 		}
 		for _, vm := range vms {
 			if vm.ID == a.settings.VM && vm.State == ryeford.VMLeaving {
 				a.Leave("list")
 			}
 		}
-	}
+	})
 }
--- a/agentfleet/agent/stream.go
+++ b/agentfleet/agent/stream.go
@@ -11,10 +11,10 @@
 	"github.com/ryeford/ryeford/agentfleet/engine"
 )
 
-// A streamError says why a stream of an answer ended early.
+// A streamError says why a stream ended before the answer did.
 type streamError struct {
 	reason ryeford.Reason
-	notRun bool
+	notRun bool // the attempt provably did not run
 	err    error
 }
 
@@ -23,17 +23,14 @@
 func (a *Agent) readAnswer(r *run, asm *answer.Assembler, open func(context.Context) (ryeford.ChunkReader, error)) *streamError {
 	ctx, cancel := context.WithCancelCause(r.ctx)
 	defer cancel(nil)
-	limit := a.settings.Limits.BetweenTokens
-	if asm.Next() == 0 {
-		limit = a.settings.Limits.FirstToken
-	}
-	watchdog := time.AfterFunc(limit, func() { cancel(errStalled{}) })
+	limits := &a.settings.Limits
+	watchdog := time.AfterFunc(stallLimit(limits, asm.Next() > 0), func() { cancel(errStalled{}) })
 	defer watchdog.Stop()
 	reader, err := open(ctx)
 	if err != nil {
 		return newStreamError(ctx, err, asm.Next() == 0 && engine.NotRun(err))
 	}
-	defer func() { _ = reader.Close() }()
+	defer func() { _ = reader.Close() }() // the answer is whole or failed already
 	for !asm.Finished() {
 		chunk, err := reader.Next()
 		if err != nil {
@@ -45,19 +42,20 @@
 			r.log.Append(ready[i])
 		}
 		if len(ready) > 0 {
-			watchdog.Reset(a.settings.Limits.BetweenTokens)
+			watchdog.Reset(stallLimit(limits, true))
 		}
 	}
 	return nil
 }
 
-// An errStalled is the cause of a stream that stopped to send.
+// An errStalled is the cause of a stream that was cancelled at its stallLimit.
 type errStalled struct{}
 
 // Error returns the text of the error.
 func (errStalled) Error() string { return "stalled" }
 
-// newStreamError returns the streamError of a failure.
+// newStreamError returns the streamError of a failed open or read. A cancelled
+// context is the cause of whatever error came of it.
 func newStreamError(ctx context.Context, err error, notRun bool) *streamError {
 	e := &streamError{reason: ryeford.ReasonEngineLost, notRun: notRun, err: err}
 	switch {
