--- a/agentfleet/admission/admission_test.go
+++ b/agentfleet/admission/admission_test.go
@@ -106,7 +106,7 @@
 }
 
 // TestRetryAfter has requests end one second apart and checks when a refused
-// caller is told to come back.
+// caller is to come back.
 func TestRetryAfter(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	var c completions
--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -5,7 +5,7 @@
 // It owns what its VM runs: the load of each engine and service (backend), the
 // attempts that were admitted or given up, the answers of late, and which chats'
 // prefixes the engines are believed to hold. All of it is lost when the process
-// ends; the incarnation tells routers so.
+// ends; a new incarnation shows it to routers.
 //
 // It relies on routers for the templates, the plan and the mean load; on package
 // admission for the rule of the load, and on its engines to run an attempt once
@@ -97,8 +97,7 @@
 // Address returns the address that the agent listens on.
 func (a *Agent) Address() netip.AddrPort { return a.listener.Address() }
 
-// Run serves until ctx ends, or until the agent was told to leave and all that
-// was in flight has ended. The end of ctx makes it leave.
+// Run serves until the agent has drained. The end of ctx makes it leave.
 func (a *Agent) Run(ctx context.Context) error {
 	stopLeave := context.AfterFunc(ctx, func() { a.Leave("signal") })
 	defer stopLeave()
@@ -117,7 +116,7 @@
 	})
 	_ = a.log.Log("msg", "ready", "role", "agent", "address", a.Address(), "incarnation", a.incarnation)
 	err := group.Wait()
-	_ = a.listener.Close() // the process ends: nobody is left to be told
+	_ = a.listener.Close() // the process ends, and no one is left to act on it
 	_ = a.log.Log("msg", "stopped", "role", "agent")
 	return err
 }
--- a/agentfleet/agent/attemptrules.go
+++ b/agentfleet/agent/attemptrules.go
@@ -68,7 +68,7 @@
 	return verdictNotRun
 }
 
-// refusal returns what a router is told if it may not have the answer. unknown
+// refusal returns the refusal of a join that does not get the answer. unknown
 // says that the attempt may have run, or may still.
 func (v verdict) refusal() (reason ryeford.Reason, unknown bool) {
 	switch v {
--- a/agentfleet/agent/gossip.go
+++ b/agentfleet/agent/gossip.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// gossipMessage returns what the agent tells its peers.
+// gossipMessage returns the state that the agent sends to its peers.
 func (a *Agent) gossipMessage() *wire.Gossip {
 	epoch, sequence := a.knownPlan()
 	m := &wire.Gossip{
--- a/agentfleet/answer/answer_test.go
+++ b/agentfleet/answer/answer_test.go
@@ -55,3 +55,31 @@
 		assert.ErrorType(t, err, &OffsetError{})
 	}
 }
+
+// TestAssemblerDrops has one row for each reason to drop a chunk.
+func TestAssemblerDrops(t *testing.T) {
+	chunk := func(attempt ryeford.AttemptID, offset int64) ryeford.Chunk {
+		return ryeford.Chunk{Attempt: attempt, Offset: offset}
+	}
+	for _, test := range []struct {
+		rule  string
+		chunk ryeford.Chunk
+		want  Dropped
+	}{
+		{"the next chunk is passed on", chunk("mine", 1), Dropped{}},
+		{"one after a gap is kept", chunk("mine", 4), Dropped{}},
+		{"one that was passed on", chunk("mine", 0), Dropped{Repeated: 1}},
+		{"one that is kept already", chunk("mine", 3), Dropped{Repeated: 1}},
+		{"one of another attempt", chunk("other", 1), Dropped{Foreign: 1}},
+		{"the last one that is not too far ahead", chunk("mine", 1+maxPending-1), Dropped{}},
+		{"one that is too far ahead", chunk("mine", 1+maxPending), Dropped{Overflow: 1}},
+	} {
+		t.Run(test.rule, func(t *testing.T) {
+			asm := NewAssembler("mine", 0)
+			asm.Add(chunk("mine", 0))
+			asm.Add(chunk("mine", 3))
+			asm.Add(test.chunk)
+			assert.Equal(t, asm.Dropped(), test.want)
+		})
+	}
+}
--- a/agentfleet/answer/assembler.go
+++ b/agentfleet/answer/assembler.go
@@ -1,13 +1,19 @@
 // Package answer puts answers together from chunks that may come late,
-// repeated, out of order or of another attempt, and keeps them for readers
-// that come again. It does no I/O.
+// repeated, out of order or of another attempt (Assembler), and keeps them for
+// readers that come again (Log).
+//
+// It relies on the sender to number the chunks of an attempt without a gap and to
+// mark the last one. It does no I/O, and owns nothing beyond one answer.
 package answer
 
 import "github.com/ryeford/ryeford"
 
+// maxPending is how many chunks ahead of the next one an Assembler keeps. It bounds
+// memory; a chunk further ahead is dropped, and the answer stalls there until it is
+// sent again. Not measured.
 const maxPending = 1024
 
-// Dropped counts the chunks that an Assembler did not pass on.
+// Dropped counts the chunks that an Assembler neither passed on nor kept.
 type Dropped struct {
 	Foreign  int // of another attempt
 	Repeated int // seen before
@@ -19,8 +25,8 @@
 // An Assembler must not be used by two goroutines at once.
 type Assembler struct {
 	attempt  ryeford.AttemptID
-	next     int64
-	pending  map[int64]ryeford.Chunk
+	next     int64                   // offset of the next chunk to pass on
+	pending  map[int64]ryeford.Chunk // those after a gap, by offset
 	finished bool
 	dropped  Dropped
 }
@@ -34,7 +40,9 @@
 	}
 }
 
-// Add takes one chunk and returns those that can be passed on now.
+// Add takes one chunk and returns those that can be passed on now, in order. It
+// drops a chunk of another attempt, one that it had before or that follows the
+// end, and one that is maxPending or more ahead.
 func (a *Assembler) Add(chunk ryeford.Chunk) []ryeford.Chunk {
 	switch {
 	case chunk.Attempt != a.attempt:
@@ -55,13 +63,13 @@
 	return a.contiguous()
 }
 
-// Dropped returns the counts of what was not passed on.
+// Dropped returns the counts so far.
 func (a *Assembler) Dropped() Dropped { return a.dropped }
 
 // Finished reports whether the last chunk was passed on.
 func (a *Assembler) Finished() bool { return a.finished }
 
-// Next returns the offset of the chunk that is waited for.
+// Next returns the offset of the next chunk to pass on.
 func (a *Assembler) Next() int64 { return a.next }
 
 // contiguous takes the chunks from pending that follow without a gap.
--- a/agentfleet/answer/errors.go
+++ b/agentfleet/answer/errors.go
@@ -2,11 +2,12 @@
 
 import "fmt"
 
-// An OffsetError says that an answer has no chunk at an offset.
+// An OffsetError says that an answer has no chunk at an offset, and will get none
+// next.
 type OffsetError struct {
-	Offset int64
-	First  int64
-	Next   int64
+	Offset int64 // that was asked for
+	First  int64 // of the answer's first chunk
+	Next   int64 // after its last chunk so far
 }
 
 // Error returns the text of e.
--- a/agentfleet/answer/log.go
+++ b/agentfleet/answer/log.go
@@ -8,14 +8,14 @@
 )
 
 // A Log keeps the chunks of one answer for any number of readers, each at its
-// own offset.
+// own offset. Its methods may be called concurrently.
 type Log struct {
-	first int64
+	first int64 // offset of the first chunk
 
 	mu       sync.Mutex
 	chunks   []ryeford.Chunk
 	finished bool
-	changed  chan struct{}
+	changed  chan struct{} // closed at the next Append
 }
 
 // NewLog returns an empty Log that begins at an offset.
@@ -23,7 +23,8 @@
 	return &Log{first: offset, changed: make(chan struct{})}
 }
 
-// Append adds the next chunk, and wakes the readers.
+// Append adds the next chunk and wakes the readers. Chunks after the last one of
+// an answer are dropped.
 func (l *Log) Append(chunk ryeford.Chunk) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,8 +38,8 @@
 }
 
 // Read returns the chunks from an offset on, waiting for the first of them.
-// An offset before the log's first chunk, or behind its last, is refused with
-// an *OffsetError.
+// An offset before the log's first chunk, or after the next one that it will get,
+// is refused with an *OffsetError, as is any after a finished answer.
 func (l *Log) Read(ctx context.Context, offset int64) ([]ryeford.Chunk, error) {
 	for {
 		chunks, changed, err := l.from(offset)
@@ -53,14 +54,15 @@
 	}
 }
 
-// Finished reports whether the answer is complete or failed.
+// Finished reports whether the answer is whole or has failed.
 func (l *Log) Finished() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.finished
 }
 
-// from returns the chunks from an offset on, and what to wait on for more.
+// from returns the chunks from an offset on, and a channel that is closed at the
+// next one.
 func (l *Log) from(offset int64) ([]ryeford.Chunk, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
