--- a/agentfleet/wire/attempt.go
+++ b/agentfleet/wire/attempt.go
@@ -6,31 +6,39 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Dispatch asks an agent to run an attempt.
+// A Dispatch asks an agent to run an attempt: a completion or a call. Numbers 11
+// and 15 are free; 11 was the caller's deadline.
 type Dispatch struct {
-	Request     ryeford.RequestID   `cbor:"1,keyasint"`
-	Attempt     ryeford.AttemptID   `cbor:"2,keyasint"`
-	Account     ryeford.AccountID   `cbor:"3,keyasint"`
-	Chat        ryeford.ChatID      `cbor:"4,keyasint"`
-	Engine      ryeford.EngineID    `cbor:"5,keyasint"`
+	Request ryeford.RequestID `cbor:"1,keyasint"`
+	Attempt ryeford.AttemptID `cbor:"2,keyasint"`
+	Account ryeford.AccountID `cbor:"3,keyasint"`
+	Chat    ryeford.ChatID    `cbor:"4,keyasint"`
+	// Engine is the engine or service of the agent's VM that is to run it.
+	Engine ryeford.EngineID `cbor:"5,keyasint"`
+	// Incarnation is the life of the agent's process that the router knows. Another
+	// one refuses, since it does not remember what was admitted before.
 	Incarnation ryeford.Incarnation `cbor:"6,keyasint"`
 	Priority    ryeford.Priority    `cbor:"7,keyasint"`
-	Share       float64             `cbor:"8,keyasint"`
-	Repeatable  bool                `cbor:"9,keyasint"`
+	// Share is the part of an engine that the account is entitled to, from 0 to 1.
+	Share float64 `cbor:"8,keyasint"`
+	// Repeatable says that the request may run more than once.
+	Repeatable bool `cbor:"9,keyasint"`
 	// Expires is the last moment at which the agent may admit the attempt.
 	Expires time.Time `cbor:"10,keyasint"`
-	// Forget is until when the agent must know that it admitted the attempt.
+	// Forget is until when the agent must remember that it admitted the attempt.
 	Forget time.Time `cbor:"12,keyasint"`
-	// PoolMean is the router's estimate of the mean load of the engines that
-	// serve the model.
+	// PoolMean is the router's estimate of the mean load, in requests, of the
+	// engines that serve the model.
 	PoolMean float64 `cbor:"13,keyasint"`
-	// MayRedirect lets the engine point to the one that holds the chat's prefix.
-	MayRedirect bool                `cbor:"14,keyasint,omitempty"`
-	Offset      int64               `cbor:"16,keyasint,omitempty"`
-	Completion  *ryeford.Completion `cbor:"17,keyasint,omitempty"`
-	Call        *ryeford.Call       `cbor:"18,keyasint,omitempty"`
-	// Wait is how long the dispatch may wait for the load of an engine that
-	// holds the chat's prefix.
+	// MayRedirect lets the engine refuse with the one that holds the chat's prefix.
+	MayRedirect bool `cbor:"14,keyasint,omitempty"`
+	// Offset is the number of the answer's first chunk: above 0 if the attempt goes
+	// on with an answer that another attempt began.
+	Offset     int64               `cbor:"16,keyasint,omitempty"`
+	Completion *ryeford.Completion `cbor:"17,keyasint,omitempty"` // nil for a call
+	Call       *ryeford.Call       `cbor:"18,keyasint,omitempty"` // nil for a completion
+	// Wait is how long the dispatch may wait for the load of an engine to fall that
+	// holds the chat's prefix. Zero: not at all.
 	Wait time.Duration `cbor:"19,keyasint,omitempty"`
 }
 
@@ -39,13 +47,14 @@
 	return ChatKey{Account: d.Account, Chat: d.Chat}
 }
 
-// A Join asks for the answer of an attempt that may have been admitted. Where
-// it was not, the agent leaves a tombstone, and the attempt can never run.
+// A Join asks for the answer of an attempt that may have been admitted. If it was
+// not, the agent leaves a tombstone, and the attempt can never run.
 type Join struct {
 	Account     ryeford.AccountID   `cbor:"1,keyasint"`
 	Attempt     ryeford.AttemptID   `cbor:"2,keyasint"`
 	Incarnation ryeford.Incarnation `cbor:"3,keyasint"`
-	Offset      int64               `cbor:"4,keyasint"`
+	// Offset is the number of the first chunk that the router lacks.
+	Offset int64 `cbor:"4,keyasint"`
 	// Expires and Forget are those of the dispatch that may be under way.
 	Expires time.Time `cbor:"5,keyasint"`
 	Forget  time.Time `cbor:"6,keyasint"`
@@ -56,27 +65,33 @@
 // An Admitted says that an attempt runs, or has run, here.
 type Admitted struct {
 	Attempt ryeford.AttemptID `cbor:"1,keyasint"`
-	// Load is the engine's load before the attempt was admitted.
+	// Load is the engine's load, in requests, before the attempt was admitted.
 	Load float64 `cbor:"2,keyasint"`
-	// Warm is true where the agent believes the chat's prefix is cached.
+	// Warm says that the agent believes the chat's prefix to be cached.
 	Warm bool `cbor:"3,keyasint,omitempty"`
 	// Request is the request that the attempt was first dispatched for.
 	Request ryeford.RequestID `cbor:"4,keyasint"`
 }
 
-// A Refused says that an attempt did not run, and by this answer never will.
+// A Refused says that an attempt did not run, and by this answer never will, unless
+// Unknown is set.
 type Refused struct {
-	Attempt     ryeford.AttemptID   `cbor:"1,keyasint"`
-	Reason      ryeford.Reason      `cbor:"2,keyasint"`
-	RetryAfter  time.Duration       `cbor:"3,keyasint"`
-	Load        float64             `cbor:"4,keyasint"`
-	Engine      ryeford.EngineID    `cbor:"5,keyasint,omitempty"`
+	Attempt ryeford.AttemptID `cbor:"1,keyasint"`
+	Reason  ryeford.Reason    `cbor:"2,keyasint"`
+	// RetryAfter is when the engine is likely to have room; zero if not known.
+	RetryAfter time.Duration `cbor:"3,keyasint"`
+	// Load is the engine's load in requests, with a refusal that depends on it.
+	Load float64 `cbor:"4,keyasint"`
+	// Engine holds the chat's prefix, with ReasonRedirect.
+	Engine ryeford.EngineID `cbor:"5,keyasint,omitempty"`
+	// Incarnation is that of the agent's process now.
 	Incarnation ryeford.Incarnation `cbor:"6,keyasint,omitempty"`
-	// Bound is the load up to which the engine would have admitted.
+	// Bound is the load up to which the engine would have admitted, in requests.
 	Bound float64 `cbor:"7,keyasint,omitempty"`
-	// Unknown is set where the agent can't prove that the attempt did not run.
+	// Unknown is set if the agent can't prove that the attempt did not run.
 	Unknown bool `cbor:"8,keyasint,omitempty"`
 }
 
-// A Cancel says that the caller gave the request up.
+// A Cancel says that the caller gave the request up. The agent ends the run if it
+// is repeatable.
 type Cancel struct{}
--- a/agentfleet/wire/errors.go
+++ b/agentfleet/wire/errors.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// A SizeError says that a message is larger than MaxMessageSize.
+// A SizeError says that a message is larger than maxMessageSize.
 type SizeError struct {
 	Size uint32
 }
 
 // Error returns the text of e.
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("message of %d bytes is over %d", e.Size, MaxMessageSize)
+	return fmt.Sprintf("message of %d bytes is over %d", e.Size, maxMessageSize)
 }
 
 // A MalformedError says that bytes are not a message.
--- a/agentfleet/wire/frame.go
+++ b/agentfleet/wire/frame.go
@@ -2,18 +2,20 @@
 
 import "github.com/ryeford/ryeford"
 
-// A Frame is one piece of an answer.
+// A Frame is one chunk of an answer to a request; its fields are those of
+// ryeford.Chunk.
 type Frame struct {
-	Request     ryeford.RequestID    `cbor:"1,keyasint"`
-	Attempt     ryeford.AttemptID    `cbor:"2,keyasint"`
-	Offset      int64                `cbor:"3,keyasint"`
-	Data        []byte               `cbor:"4,keyasint,omitempty"`
-	Finish      ryeford.FinishReason `cbor:"5,keyasint,omitempty"`
-	Failure     string               `cbor:"6,keyasint,omitempty"`
-	Usage       *ryeford.Usage       `cbor:"7,keyasint,omitempty"`
-	Status      int                  `cbor:"8,keyasint,omitempty"`
-	ContentType string               `cbor:"9,keyasint,omitempty"`
-	Reason      ryeford.Reason       `cbor:"10,keyasint,omitempty"`
+	Request ryeford.RequestID    `cbor:"1,keyasint"`
+	Attempt ryeford.AttemptID    `cbor:"2,keyasint"`
+	Offset  int64                `cbor:"3,keyasint"`
+	Data    []byte               `cbor:"4,keyasint,omitempty"`
+	Finish  ryeford.FinishReason `cbor:"5,keyasint,omitempty"`
+	Failure string               `cbor:"6,keyasint,omitempty"`
+	// Usage is set on the last frame only.
+	Usage       *ryeford.Usage `cbor:"7,keyasint,omitempty"`
+	Status      int            `cbor:"8,keyasint,omitempty"`
+	ContentType string         `cbor:"9,keyasint,omitempty"`
+	Reason      ryeford.Reason `cbor:"10,keyasint,omitempty"`
 	// NotRun is set on a last frame that says that the attempt did not run.
 	NotRun bool `cbor:"11,keyasint,omitempty"`
 }
--- a/agentfleet/wire/framing.go
+++ b/agentfleet/wire/framing.go
@@ -7,32 +7,40 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxMessageSize bounds one encoded message, in bytes.
-const MaxMessageSize = 8 << 20
+const (
+	// maxMessageSize bounds one encoded message, in bytes. It has to hold a prompt
+	// and a chat's KV cache. Not measured.
+	maxMessageSize = 8 << 20
+	// lengthSize is the size of the length before a message, in bytes.
+	lengthSize = 4
 
-const lengthSize = 4
+	// The bounds of a message's structure. Not measured.
+	maxNestedLevels  = 16
+	maxArrayElements = 1 << 20
+)
 
 var encMode, decMode = newModes()
 
-// newModes returns the CBOR modes of the protocol.
+// newModes returns the CBOR modes of the protocol. They are valid, or no test of
+// the package runs: hence the panics.
 func newModes() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
 	if err != nil {
 		panic(err)
 	}
-	dec, err := cbor.DecOptions{MaxNestedLevels: 16, MaxArrayElements: 1 << 20}.DecMode()
+	dec, err := cbor.DecOptions{MaxNestedLevels: maxNestedLevels, MaxArrayElements: maxArrayElements}.DecMode()
 	if err != nil {
 		panic(err)
 	}
 	return enc, dec
 }
 
-// Marshal returns the CBOR encoding of v.
+// Marshal returns the CBOR encoding of v, without framing.
 func Marshal(v any) ([]byte, error) {
 	return encMode.Marshal(v)
 }
 
-// Unmarshal decodes CBOR into v.
+// Unmarshal decodes CBOR into v. The error is a *MalformedError.
 func Unmarshal(data []byte, v any) error {
 	if err := decMode.Unmarshal(data, v); err != nil {
 		return &MalformedError{Err: err}
@@ -40,13 +48,14 @@
 	return nil
 }
 
-// WriteMessage writes one framed message in one call of Write.
+// WriteMessage writes one framed message in one call of Write. The error is a
+// *MalformedError, a *SizeError or that of w.
 func WriteMessage(w io.Writer, m *Message) error {
 	body, err := encMode.Marshal(m)
 	if err != nil {
 		return &MalformedError{Err: err}
 	}
-	if len(body) > MaxMessageSize {
+	if len(body) > maxMessageSize {
 		return &SizeError{Size: uint32(len(body))}
 	}
 	buf := make([]byte, lengthSize, lengthSize+len(body))
@@ -55,14 +64,15 @@
 	return err
 }
 
-// ReadMessage reads one framed message.
+// ReadMessage reads one framed message. The error is a *MalformedError, a
+// *SizeError, io.ErrUnexpectedEOF within a message, or that of r.
 func ReadMessage(r io.Reader) (*Message, error) {
 	var header [lengthSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
 	size := binary.BigEndian.Uint32(header[:])
-	if size > MaxMessageSize {
+	if size > maxMessageSize {
 		return nil, &SizeError{Size: size}
 	}
 	body, err := io.ReadAll(io.LimitReader(r, int64(size)))
--- a/agentfleet/wire/gossip.go
+++ b/agentfleet/wire/gossip.go
@@ -2,19 +2,23 @@
 
 import "github.com/ryeford/ryeford"
 
-// RumorFanout is to how many peers a process passes a new revision at once.
+// RumorFanout is to how many random peers a process passes a new revision at once.
+// Not measured.
 const RumorFanout = 8
 
-// A Gossip is one datagram of the control traffic.
+// A Gossip is one datagram of the control traffic. It may be lost: what it says is
+// sent again with the next one, but for Overflows, which are hints.
 type Gossip struct {
-	VM       ryeford.VMID `cbor:"1,keyasint"`
-	Revision int64        `cbor:"2,keyasint"`
-	// PlanEpoch and PlanSequence name the newest plan the sender knows.
+	VM ryeford.VMID `cbor:"1,keyasint"` // the sender's
+	// Revision is that of the templates in force at the sender.
+	Revision int64 `cbor:"2,keyasint"`
+	// PlanEpoch and PlanSequence name the newest plan that the sender knows; zero
+	// if it knows none.
 	PlanEpoch    int64 `cbor:"3,keyasint,omitempty"`
 	PlanSequence int64 `cbor:"4,keyasint,omitempty"`
-	// Loads are the sender's engines' loads (from agents).
+	// Loads are the loads of the sender's engines (from agents).
 	Loads []EngineLoad `cbor:"5,keyasint,omitempty"`
-	// Overflows tell a chat's home where the chat was served (from routers).
+	// Overflows say to a chat's home where the chat was served (from routers).
 	Overflows []Overflow `cbor:"6,keyasint,omitempty"`
 }
 
@@ -25,13 +29,8 @@
 	Engine ryeford.EngineID `cbor:"3,keyasint"`
 }
 
-// An EngineLoad is the load of one engine of a model.
+// An EngineLoad is the load, in requests, of one engine that serves a model.
 type EngineLoad struct {
 	Model string  `cbor:"1,keyasint"`
 	Load  float64 `cbor:"2,keyasint"`
 }
-
-// A PullPlan asks for a VM's part of the plan.
-type PullPlan struct {
-	VM ryeford.VMID `cbor:"1,keyasint"`
-}
--- a/agentfleet/wire/handover.go
+++ b/agentfleet/wire/handover.go
@@ -5,12 +5,12 @@
 // A Successors asks a router for the next candidates of chats whose engine
 // is leaving.
 type Successors struct {
-	Pool    ryeford.Pool `cbor:"1,keyasint"`
+	Pool    ryeford.Pool `cbor:"1,keyasint"` // that served the chats
 	Chats   []ChatKey    `cbor:"2,keyasint"`
-	Leaving ryeford.VMID `cbor:"3,keyasint"`
+	Leaving ryeford.VMID `cbor:"3,keyasint"` // no candidate is on it
 }
 
-// A ChatKey names a chat across accounts.
+// A ChatKey names a chat among those of all accounts.
 type ChatKey struct {
 	Account ryeford.AccountID `cbor:"1,keyasint"`
 	Chat    ryeford.ChatID    `cbor:"2,keyasint"`
@@ -18,11 +18,13 @@
 
 // A Placement is the next candidate of one chat.
 type Placement struct {
-	Engine  ryeford.EngineID `cbor:"1,keyasint"`
-	Address string           `cbor:"2,keyasint"`
+	Engine ryeford.EngineID `cbor:"1,keyasint"`
+	// Address is that of the engine's agent, as IP:port.
+	Address string `cbor:"2,keyasint"`
 }
 
-// Placements answers Successors, in its order. An empty engine means none.
+// Placements answers Successors, in the order of its chats. An empty engine means
+// that there is no candidate.
 type Placements struct {
 	Placements []Placement `cbor:"1,keyasint"`
 }
@@ -31,6 +33,6 @@
 type Import struct {
 	Engine ryeford.EngineID `cbor:"1,keyasint"`
 	Chat   ChatKey          `cbor:"2,keyasint"`
-	Cache  []byte           `cbor:"3,keyasint"`
-	Pool   ryeford.Pool     `cbor:"4,keyasint"`
+	Cache  []byte           `cbor:"3,keyasint"` // as the engine exported it
+	Pool   ryeford.Pool     `cbor:"4,keyasint"` // that served the chat
 }
--- a/agentfleet/wire/operator.go
+++ b/agentfleet/wire/operator.go
@@ -2,18 +2,18 @@
 
 import "github.com/ryeford/ryeford"
 
-// An Explain asks for the decisions on a request.
+// An Explain asks an agent for its decisions on a request.
 type Explain struct {
 	Request ryeford.RequestID `cbor:"1,keyasint"`
 }
 
-// Decisions holds the log lines of decisions.
+// Decisions holds the log lines of decisions, in logfmt and in the order of time.
 type Decisions struct {
 	Lines []string `cbor:"1,keyasint"`
 }
 
-// A Leave tells an agent that its VM is to stop.
+// A Leave makes an agent drain: an operator stops its VM.
 type Leave struct{}
 
-// A Done ends an exchange that has no other answer.
+// A Done confirms a message that has no other answer.
 type Done struct{}
--- a/agentfleet/wire/template.go
+++ b/agentfleet/wire/pull.go
@@ -2,7 +2,7 @@
 
 import "github.com/ryeford/ryeford"
 
-// A Pull asks a peer for the templates above a revision.
+// A Pull asks a router or an agent for the templates above a revision.
 type Pull struct {
 	Revision int64 `cbor:"1,keyasint"`
 }
@@ -12,3 +12,8 @@
 	Revision  int64              `cbor:"1,keyasint"`
 	Templates []ryeford.Template `cbor:"2,keyasint,omitempty"`
 }
+
+// A PullPlan asks a router for a VM's part of the plan. A ryeford.Plan answers it.
+type PullPlan struct {
+	VM ryeford.VMID `cbor:"1,keyasint"`
+}
--- a/agentfleet/wire/wire.go
+++ b/agentfleet/wire/wire.go
@@ -1,10 +1,24 @@
 // Package wire holds the messages that routers and agents exchange, and their
 // framing: a length in four bytes, big-endian, then one CBOR item.
+//
+// Fields are named by number on the wire, so that a Go name may change; a number is
+// never used again for another meaning. Durations are in nanoseconds, times in
+// RFC 3339. Package transport carries the messages: each stream begins with one
+// that asks, and Gossip alone goes in datagrams, without framing.
 package wire
 
 import "github.com/ryeford/ryeford"
 
-// A Message is exactly one of its fields.
+// A Message is exactly one of its fields. Those that ask, and what answers them:
+//
+//	Dispatch, Join  Admitted and Frames, or Refused; the router may send Cancel
+//	Watch           Inventory, now and at each change
+//	Pull            Delta
+//	PullPlan        Plan
+//	Successors      Placements
+//	Import          Done
+//	Explain         Decisions
+//	Leave           Done
 type Message struct {
 	Dispatch   *Dispatch     `cbor:"1,keyasint,omitempty"`
 	Join       *Join         `cbor:"2,keyasint,omitempty"`
