--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -57,7 +57,7 @@
 
 // New returns a Router.
 func New(s *settings.Router, tlsConfig *tls.Config, platform Platform, logger log.Logger) (*Router, error) {
-	dialer, err := transport.NewDialer(s.Callers.Addr(), tlsConfig, s.Transport.Options())
+	dialer, err := transport.NewDialer(s.Callers.Addr(), tlsConfig, transport.NewOptions(&s.Transport))
 	if err != nil {
 		return nil, err
 	}
--- a/agentfleet/transport/identity.go
+++ b/agentfleet/transport/identity.go
@@ -9,9 +9,11 @@
 	"crypto/x509/pkix"
 	"encoding/pem"
 	"math/big"
+	"os"
 	"time"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/settings"
 )
 
 const (
@@ -96,6 +98,20 @@
 	}, nil
 }
 
+// LoadTLSConfig returns the TLS settings of the process whose files settings name.
+// A file that can't be read is a *settings.Error.
+func LoadTLSConfig(files *settings.TLS) (*tls.Config, error) {
+	var contents [3][]byte
+	for i, name := range []string{files.Authority, files.Certificate, files.Key} {
+		content, err := os.ReadFile(name)
+		if err != nil {
+			return nil, &settings.Error{File: name, Err: err}
+		}
+		contents[i] = content
+	}
+	return TLSConfig(contents[0], KeyPair{Certificate: contents[1], Key: contents[2]})
+}
+
 // TLSConfig returns the TLS settings of a process: it shows its certificate and
 // accepts peers only with one of the same authority.
 func TLSConfig(authority []byte, pair KeyPair) (*tls.Config, error) {
--- a/agentfleet/transport/transport.go
+++ b/agentfleet/transport/transport.go
@@ -14,6 +14,7 @@
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/wire"
+	"github.com/ryeford/ryeford/settings"
 )
 
 const (
@@ -36,8 +37,11 @@
 	IdleTimeout time.Duration
 	// KeepAlive is how often an idle connection is probed.
 	KeepAlive time.Duration
-	// ControlBytesPerSecond bounds the control traffic that a process sends.
-	ControlBytesPerSecond int
+}
+
+// NewOptions returns the Options that settings ask for.
+func NewOptions(s *settings.Transport) Options {
+	return Options{IdleTimeout: s.IdleTimeout, KeepAlive: s.KeepAlive}
 }
 
 // A Control bounds and counts the control traffic that a process sends.
--- a/internal/cmd/routercmd.go
+++ b/internal/cmd/routercmd.go
@@ -7,6 +7,7 @@
 
 	"github.com/ryeford/ryeford/agentfleet/router"
 	"github.com/ryeford/ryeford/agentfleet/tableservice"
+	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/settings"
 )
 
@@ -26,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	tlsConfig, err := s.TLS.Config()
+	tlsConfig, err := transport.LoadTLSConfig(&s.TLS)
 	if err != nil {
 		return err
 	}
--- a/settings/errors.go
+++ b/settings/errors.go
@@ -26,7 +26,7 @@
 // A FieldError says which key of the settings is wrong and what is allowed. It
 // never shows values, which may be secret.
 type FieldError struct {
-	Line    int // zero where the key is missing
+	Line    int // zero if the key is missing
 	Key     string
 	Problem string
 }
@@ -39,6 +39,9 @@
 	return fmt.Sprintf("line %d: %s: %s", e.Line, e.Key, e.Problem)
 }
 
+// withoutEmbedded leaves the names of embedded structs out of the decoder's text.
+var withoutEmbedded = strings.NewReplacer(".Identity.", ".", ".Membership.", ".")
+
 // decodeError returns the FieldError of a failure to decode.
 func decodeError(err error) error {
 	var field *FieldError
@@ -51,7 +54,7 @@
 	}
 	tok := yamlErr.GetToken()
 	key := tok.Value
-	problem := yamlErr.GetMessage()
+	problem := withoutEmbedded.Replace(yamlErr.GetMessage())
 	if tok.Prev != nil && tok.Prev.Prev != nil && tok.Prev.Value == ":" {
 		key = tok.Prev.Prev.Value
 	}
@@ -70,6 +73,7 @@
 	}
 	first := list[0]
 	_, key, _ := strings.Cut(first.Namespace(), ".")
+	key = strings.TrimPrefix(key, inlined+".")
 	return &FieldError{
 		Line:    lineOf(content, key),
 		Key:     key,
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -137,12 +137,3 @@
 		},
 	}
 }
-
-// LoadGateway reads the settings of a gateway.
-func LoadGateway(file string) (*Gateway, error) {
-	s := DefaultGateway()
-	if err := load(file, s); err != nil {
-		return nil, err
-	}
-	return s, nil
-}
--- /dev/null
+++ b/settings/process.go
@@ -0,0 +1,85 @@
+package settings
+
+import (
+	"path/filepath"
+	"time"
+
+	"github.com/ryeford/ryeford"
+)
+
+// An Identity says which process this is. It begins the settings of every router,
+// gateway and agent.
+type Identity struct {
+	// VM is the id of the process's VM, as the platform's list has it. It is in
+	// the log, names a gateway's row among the routers of its fleet, and is the
+	// common name of a router's or agent's certificate. Two processes with one id
+	// overwrite each other's rows and leases.
+	VM ryeford.VMID `yaml:"vm" validate:"required"`
+	// Region is the region of the VM. No process reads it.
+	Region string `yaml:"region" validate:"required"`
+	// FailureDomain is the failure domain of the VM. A gateway prefers endpoints
+	// of its own for requests to plain services, an agent reports it to routers.
+	// A wrong one costs latency, and lets placement put an account's engines into
+	// one domain.
+	FailureDomain string `yaml:"failure_domain" validate:"required"`
+}
+
+// A Membership is how a router or an agent joins the fleet with agents.
+type Membership struct {
+	// Platform is the HTTP address of the platform's table, object store and list
+	// of VMs. If it is wrong, the process keeps running, logs each failed read and
+	// serves nothing.
+	Platform Address `yaml:"platform" validate:"required"`
+	// TLS names the files of the process's certificate.
+	TLS TLS `yaml:"tls"`
+	// Transport is how the process keeps its connections to others.
+	Transport Transport `yaml:"transport"`
+}
+
+// TLS names the files of a process's certificate, in PEM. Relative names are
+// relative to the settings file. A file that is missing or isn't PEM ends the
+// start.
+type TLS struct {
+	// Authority is the certificate that must have signed every peer's.
+	Authority string `yaml:"authority" validate:"required"`
+	// Certificate is the process's own certificate.
+	Certificate string `yaml:"certificate" validate:"required"`
+	// Key is the private key of the certificate.
+	Key string `yaml:"key" validate:"required"`
+}
+
+// Transport is how a process keeps its connections to others.
+type Transport struct {
+	// IdleTimeout is how long nothing may arrive from a peer until its connection
+	// is lost. If it is too short, a paused process loses its connections; if too
+	// long, requests wait for an agent that is gone.
+	IdleTimeout time.Duration `yaml:"idle_timeout" validate:"min=1s,max=10m"`
+	// KeepAlive is how often an idle connection is probed. It must be less than
+	// idle_timeout, or idle connections are lost.
+	KeepAlive time.Duration `yaml:"keep_alive" validate:"min=500ms,max=5m,ltfield=IdleTimeout"`
+	// ControlBytesPerSecond limits the gossip that a process sends. If it is too
+	// low, messages are left out and loads are known later.
+	ControlBytesPerSecond int `yaml:"control_bytes_per_second" unit:"bytes a second" validate:"min=1000,max=1000000"`
+	// GossipInterval is how often a process sends its loads and its revision to
+	// others. The longer, the older the loads that choices rest on.
+	GossipInterval time.Duration `yaml:"gossip_interval" validate:"min=50ms,max=10s"`
+}
+
+// defaultTransport returns the Transport of a file that doesn't set it.
+func defaultTransport() Transport {
+	return Transport{
+		IdleTimeout:           4 * time.Second,
+		KeepAlive:             1500 * time.Millisecond,
+		ControlBytesPerSecond: 10_000,
+		GossipInterval:        time.Second,
+	}
+}
+
+// resolve makes the names of the files relative to the settings file.
+func (t *TLS) resolve(file string) {
+	for _, name := range []*string{&t.Authority, &t.Certificate, &t.Key} {
+		if !filepath.IsAbs(*name) {
+			*name = filepath.Join(filepath.Dir(file), *name)
+		}
+	}
+}
--- a/settings/router.go
+++ b/settings/router.go
@@ -1,77 +1,110 @@
 package settings
 
-import (
-	"time"
+import "time"
 
-	"github.com/ryeford/ryeford"
-)
-
-// A Router is the settings of a router.
+// A Router is the settings of a router of the fleet with agents.
 type Router struct {
-	VM            ryeford.VMID `yaml:"vm" validate:"required"`
-	Region        string       `yaml:"region" validate:"required"`
-	FailureDomain string       `yaml:"failure_domain" validate:"required"`
-	Callers       Address      `yaml:"callers" validate:"required"`
-	Operators     Address      `yaml:"operators" validate:"required"`
-	OperatorKey   string       `yaml:"operator_key" validate:"required,min=8"`
-	Platform      Address      `yaml:"platform" validate:"required"`
-	TLS           TLS          `yaml:"tls"`
-	Transport     Transport    `yaml:"transport"`
-	Limits        RouterLimits `yaml:"limits"`
-	Polls         Polls        `yaml:"polls"`
-	Planner       Planner      `yaml:"planner"`
+	Identity `yaml:",inline"`
+	// Callers is the HTTP address for callers and for the balancer's probes.
+	Callers Address `yaml:"callers" validate:"required"`
+	// Operators is the HTTP address for operators.
+	Operators Address `yaml:"operators" validate:"required"`
+	// OperatorKey is the bearer token of the operators. It is never logged. If
+	// routers have different ones, an operator's command succeeds at some only.
+	OperatorKey string `yaml:"operator_key" unit:"bytes long" validate:"required,min=8"`
+	Membership  `yaml:",inline"`
+	// Limits bound what the router does with a request.
+	Limits RouterLimits `yaml:"limits"`
+	// Polls are how often the router reads from the platform.
+	Polls RouterPolls `yaml:"polls"`
+	// Planner is how the router places models on engines.
+	Planner Planner `yaml:"planner"`
 }
 
 // RouterLimits bound what a router does with a request.
 type RouterLimits struct {
-	MaxBody           int           `yaml:"max_body" validate:"min=1024,max=67108864"`
-	DefaultDeadline   time.Duration `yaml:"default_deadline" validate:"min=100ms,max=1h"`
-	FirstToken        time.Duration `yaml:"first_token" validate:"min=50ms,max=10m"`
-	BetweenTokens     time.Duration `yaml:"between_tokens" validate:"min=50ms,max=10m"`
-	Candidates        int           `yaml:"candidates" validate:"min=1,max=8"`
-	OverflowPerAnswer float64       `yaml:"overflow_per_answer" validate:"min=0,max=8"`
-	OverflowReserve   float64       `yaml:"overflow_reserve" validate:"min=0,max=100000"`
-	RetryPerAnswer    float64       `yaml:"retry_per_answer" validate:"min=0,max=1"`
-	RetryReserve      float64       `yaml:"retry_reserve" validate:"min=0,max=10000"`
-	ClaimTTL          time.Duration `yaml:"claim_ttl" validate:"min=1s,max=24h"`
-	// Dispatch is how long a try may take until it is admitted or refused.
+	// MaxBody is the largest body of a request; a larger one is refused with 413.
+	MaxBody int `yaml:"max_body" unit:"bytes" validate:"min=1024,max=67108864"`
+	// DefaultDeadline is how long a request may take whose caller gives no
+	// deadline.
+	DefaultDeadline time.Duration `yaml:"default_deadline" validate:"min=100ms,max=1h"`
+	// FirstToken is how long the router waits for the first part of an answer
+	// before it attempts a repeatable request at another engine. It should exceed
+	// the agents' first_token, or the router gives up before the agent reports why.
+	FirstToken time.Duration `yaml:"first_token" validate:"min=50ms,max=10m"`
+	// BetweenTokens is the same between two parts of an answer.
+	BetweenTokens time.Duration `yaml:"between_tokens" validate:"min=50ms,max=10m"`
+	// Candidates is how many engines, in the chat's rendezvous order, one request
+	// may be sent to. Fewer refuse more requests in an overload, more cost cached
+	// prefixes.
+	Candidates int `yaml:"candidates" unit:"engines" validate:"min=1,max=8"`
+	// OverflowPerAnswer is how many further attempts after refusals each answered
+	// request earns its client account.
+	OverflowPerAnswer float64 `yaml:"overflow_per_answer" unit:"attempts an answer" validate:"min=0,max=8"`
+	// OverflowReserve is how many such attempts an account starts with, and the
+	// most that it can hold.
+	OverflowReserve float64 `yaml:"overflow_reserve" unit:"attempts" validate:"min=0,max=100000"`
+	// RetryPerAnswer is how many further attempts after failures each answered
+	// request earns its client account. If it is too high, retries multiply the
+	// load of an outage.
+	RetryPerAnswer float64 `yaml:"retry_per_answer" unit:"attempts an answer" validate:"min=0,max=1"`
+	// RetryReserve is how many such attempts an account starts with, and the most
+	// that it can hold.
+	RetryReserve float64 `yaml:"retry_reserve" unit:"attempts" validate:"min=0,max=10000"`
+	// ClaimTTL is how long the answer to an idempotency key can be found again. A
+	// key that comes back later may run a second time.
+	ClaimTTL time.Duration `yaml:"claim_ttl" validate:"min=1s,max=24h"`
+	// Dispatch is how long an attempt may take to be admitted or refused; an agent
+	// never starts it later.
 	Dispatch time.Duration `yaml:"dispatch" validate:"min=50ms,max=30s"`
-	// WarmWait is how long a turn may wait at the engine that holds its chat's
-	// prefix before others are asked.
+	// WarmWait is how long a request may wait at an engine that is likely to have
+	// its chat's prefix cached, before it goes to another one.
 	WarmWait time.Duration `yaml:"warm_wait" validate:"min=0,max=5s"`
-	// LeaveNotice is how long a leaving router still takes new requests, until
-	// the balancer has noticed.
+	// LeaveNotice is how long a stopping router still takes requests after it has
+	// turned unready. If it is shorter than the balancer takes to notice, callers'
+	// connections are refused.
 	LeaveNotice time.Duration `yaml:"leave_notice" validate:"min=0,max=5m"`
-	// Drain bounds how long a leaving router waits for what is in flight.
+	// Drain is how long a stopping router waits for requests in flight.
 	Drain time.Duration `yaml:"drain" validate:"min=1s,max=1h"`
 }
 
-// Polls say how often a router asks the platform.
-type Polls struct {
-	List      time.Duration `yaml:"vms" validate:"min=50ms,max=1m"`
+// RouterPolls are how often a router reads from the platform. The shorter, the
+// sooner a change is in force, and the more the platform is read.
+type RouterPolls struct {
+	// VMs is how often the list of VMs is read.
+	VMs time.Duration `yaml:"vms" validate:"min=50ms,max=1m"`
+	// Templates is how often the table is read for changes of templates that no
+	// other router has reported.
 	Templates time.Duration `yaml:"templates" validate:"min=50ms,max=1m"`
 }
 
-// A Planner is the settings of placement.
+// A Planner is the settings of placement: which engine serves which model. One
+// router at a time, the holder of a lease, plans for the fleet.
 type Planner struct {
-	Enabled  bool          `yaml:"enabled"`
+	// Enabled says that the router may plan. If no router may, engines keep what
+	// they have loaded.
+	Enabled bool `yaml:"enabled"`
+	// Interval is how often a router tries to take the lease and to plan.
 	Interval time.Duration `yaml:"interval" validate:"min=100ms,max=10m"`
-	Lease    time.Duration `yaml:"lease" validate:"min=500ms,max=10m"`
-	// Patience is how long the engines of a VM that is lost keep their place, so
-	// that one that flaps moves nothing.
+	// Lease is how long the lease holds: after the planning router's loss, nobody
+	// plans for so long. It must exceed interval, or the lease ends between plans.
+	Lease time.Duration `yaml:"lease" validate:"min=500ms,max=10m"`
+	// Patience is how long the engines of a lost VM keep their place, so that a VM
+	// that is back soon moves no model.
 	Patience time.Duration `yaml:"patience" validate:"min=0,max=1h"`
-	// LoadTime is how long the weight store takes for one load of a model.
+	// LoadTime is how long the weight store takes to load one model. If it is set
+	// too short, engines are still loading when their event begins.
 	LoadTime time.Duration `yaml:"load_time" validate:"min=1ms,max=1h"`
 	// ParallelLoads is how many loads the weight store serves at once.
-	ParallelLoads int `yaml:"parallel_loads" validate:"min=1,max=10000"`
-	// Ahead is how long before an event its engines are to be warm.
+	ParallelLoads int `yaml:"parallel_loads" unit:"loads" validate:"min=1,max=10000"`
+	// Ahead is how long before an event's begin its engines are to be warm.
 	Ahead time.Duration `yaml:"ahead" validate:"min=0,max=1h"`
 }
 
 // DefaultRouter returns a Router with the defaults of what may be left out.
 func DefaultRouter() *Router {
 	return &Router{
-		Transport: defaultTransport(),
+		Membership: Membership{Transport: defaultTransport()},
 		Limits: RouterLimits{
 			MaxBody:           4 << 20,
 			DefaultDeadline:   60 * time.Second,
@@ -88,7 +121,7 @@
 			LeaveNotice:       2 * time.Second,
 			Drain:             2 * time.Minute,
 		},
-		Polls: Polls{List: 2 * time.Second, Templates: 3 * time.Second},
+		Polls: RouterPolls{VMs: 2 * time.Second, Templates: 3 * time.Second},
 		Planner: Planner{
 			Enabled:       true,
 			Interval:      2 * time.Second,
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,61 +1,27 @@
-// Package settings reads the settings of the processes, in YAML. Reading is
-// strict: an unknown key, a wrong unit or a missing address is an error that
-// names the file, the line and what is allowed.
+// Package settings reads the settings files of the processes, in YAML.
+//
+// It owns the names, units, defaults and bounds of all settings, and the rules by
+// which a gateway derives some from others (derived.go); docs/settings.md is made
+// from its types. Reading is strict: an unknown key, a duration without its unit, a
+// value out of bounds or a missing address is an error that names the file, the
+// line and what is allowed, and never shows a value, which may be secret.
+//
+// It relies on the root package's types only.
 package settings
 
 import (
 	"bytes"
-	"crypto/tls"
 	"errors"
 	"io"
 	"os"
-	"path/filepath"
-	"time"
 
 	"github.com/goccy/go-yaml"
-
-	"github.com/ryeford/ryeford/agentfleet/transport"
 )
 
-// TLS names the files of a process's identity. Relative names are relative to
-// the settings file.
-type TLS struct {
-	Authority   string `yaml:"authority" validate:"required"`
-	Certificate string `yaml:"certificate" validate:"required"`
-	Key         string `yaml:"key" validate:"required"`
-}
-
-// Transport is how processes talk to each other.
-type Transport struct {
-	IdleTimeout           time.Duration `yaml:"idle_timeout" validate:"min=1s,max=10m"`
-	KeepAlive             time.Duration `yaml:"keep_alive" validate:"min=500ms,max=5m,ltfield=IdleTimeout"`
-	ControlBytesPerSecond int           `yaml:"control_bytes_per_second" validate:"min=1000,max=1000000"`
-	GossipInterval        time.Duration `yaml:"gossip_interval" validate:"min=50ms,max=10s"`
-}
-
-// defaultTransport returns the Transport of a file that says nothing of it.
-func defaultTransport() Transport {
-	return Transport{
-		IdleTimeout:           4 * time.Second,
-		KeepAlive:             1500 * time.Millisecond,
-		ControlBytesPerSecond: 10_000,
-		GossipInterval:        time.Second,
-	}
-}
-
-// Options returns the transport's options.
-func (t *Transport) Options() transport.Options {
-	return transport.Options{
-		IdleTimeout:           t.IdleTimeout,
-		KeepAlive:             t.KeepAlive,
-		ControlBytesPerSecond: t.ControlBytesPerSecond,
-	}
-}
-
 // LoadRouter reads the settings of a router.
 func LoadRouter(file string) (*Router, error) {
-	s := DefaultRouter()
-	if err := load(file, s); err != nil {
+	s, err := load(file, DefaultRouter())
+	if err != nil {
 		return nil, err
 	}
 	s.TLS.resolve(file)
@@ -64,58 +30,37 @@
 
 // LoadAgent reads the settings of an agent.
 func LoadAgent(file string) (*Agent, error) {
-	s := DefaultAgent()
-	if err := load(file, s); err != nil {
+	s, err := load(file, DefaultAgent())
+	if err != nil {
 		return nil, err
 	}
 	s.TLS.resolve(file)
 	return s, nil
 }
 
-// LoadStandin reads the settings of a stand-in process.
-func LoadStandin(file string) (*Standin, error) {
-	s := &Standin{}
-	if err := load(file, s); err != nil {
-		return nil, err
-	}
-	return s, nil
-}
+// LoadGateway reads the settings of a gateway.
+func LoadGateway(file string) (*Gateway, error) { return load(file, DefaultGateway()) }
 
-// Config returns the TLS settings of the identity that t names.
-func (t *TLS) Config() (*tls.Config, error) {
-	var contents [3][]byte
-	for i, name := range []string{t.Authority, t.Certificate, t.Key} {
-		content, err := os.ReadFile(name)
-		if err != nil {
-			return nil, &Error{File: name, Err: err}
-		}
-		contents[i] = content
-	}
-	return transport.TLSConfig(contents[0], transport.KeyPair{Certificate: contents[1], Key: contents[2]})
-}
+// LoadStandin reads the settings of stand-ins.
+func LoadStandin(file string) (*Standin, error) { return load(file, &Standin{}) }
 
-// resolve makes the file names relative to the settings file.
-func (t *TLS) resolve(file string) {
-	for _, name := range []*string{&t.Authority, &t.Certificate, &t.Key} {
-		if !filepath.IsAbs(*name) {
-			*name = filepath.Join(filepath.Dir(file), *name)
-		}
-	}
-}
+// LoadTemplate reads a template file.
+func LoadTemplate(file string) (*Template, error) { return load(file, DefaultTemplate()) }
 
-// load reads a file strictly.
-func load(file string, into any) error {
+// load reads a file into defaults and returns them.
+func load[S any](file string, defaults *S) (*S, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
-		return &Error{File: file, Err: err}
+		return nil, &Error{File: file, Err: err}
 	}
-	if err := Parse(content, into); err != nil {
-		return &Error{File: file, Err: err}
+	if err := Parse(content, defaults); err != nil {
+		return nil, &Error{File: file, Err: err}
 	}
-	return nil
+	return defaults, nil
 }
 
-// Parse reads YAML strictly into a settings value.
+// Parse reads YAML strictly into a settings value, whose fields that the YAML
+// doesn't name stay. Its errors are of type *FieldError.
 func Parse(content []byte, into any) error {
 	decoder := yaml.NewDecoder(bytes.NewReader(content), yaml.Strict())
 	if err := decoder.Decode(into); err != nil && !errors.Is(err, io.EOF) {
--- a/settings/strict_test.go
+++ b/settings/strict_test.go
@@ -19,7 +19,7 @@
 	"gateway":  func() any { return DefaultGateway() },
 	"router":   func() any { return DefaultRouter() },
 	"standin":  func() any { return &Standin{} },
-	"template": func() any { return &Template{} },
+	"template": func() any { return DefaultTemplate() },
 }
 
 // keyAndValue matches a key with a plain value.
--- a/settings/template.go
+++ b/settings/template.go
@@ -22,14 +22,8 @@
 	KeyHashes []string `yaml:"key_hashes" validate:"dive,len=64,hexadecimal"`
 }
 
-// LoadTemplate reads a template file.
-func LoadTemplate(file string) (*Template, error) {
-	t := &Template{Priority: ryeford.PriorityDefault}
-	if err := load(file, t); err != nil {
-		return nil, err
-	}
-	return t, nil
-}
+// DefaultTemplate returns a Template with the defaults of what may be left out.
+func DefaultTemplate() *Template { return &Template{Priority: ryeford.PriorityDefault} }
 
 // Publishable returns the template as it is published.
 func (t *Template) Publishable() *ryeford.Template {
