--- a/settings/agent.go
+++ b/settings/agent.go
@@ -43,7 +43,7 @@
 	// ID names the instance in the whole fleet.
 	ID ryeford.EngineID `yaml:"id" validate:"required"`
 	// Name is the service's name, as callers give it in the path.
-	Name string `yaml:"name" unit:"bytes long" validate:"required,max=64,excludesall=/"`
+	Name string `yaml:"name" unit:"characters" validate:"required,max=64,excludesall=/"`
 	// Address is the service's HTTP address.
 	Address Address `yaml:"address" validate:"required"`
 }
--- /dev/null
+++ b/settings/reference_test.go
@@ -0,0 +1,238 @@
+package settings
+
+import (
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"github.com/ryeford/ryeford"
+)
+
+// referenceFile is the page of all settings, from testdata/, where package golden
+// looks for its files.
+const referenceFile = "../../docs/settings.md"
+
+// referenceHead begins the page.
+const referenceHead = `# Settings
+
+Made from the types in ` + "`settings/`" + ` by ` + "`go test ./settings -update`" + `; a test fails when it is out of date.
+
+A settings file is YAML and read strictly: an unknown key, a value out of bounds or a
+duration without its unit (` + "`250ms`, `2s`, `10m`" + `) is an error that names the file, the line,
+the key and what is allowed. ` + "`ryeford check ROLE FILE`" + ` reads a file as the role would. A
+process learns its addresses and its failure domain from its file only. ` + "`ryeford cert VM...`" + `
+makes an authority and certificates for a trial.
+`
+
+// sections are the kinds of settings files, in the order of the page.
+var sections = []struct {
+	name, title string
+}{
+	{"gateway", "Gateway: a router on the users' platform"},
+	{"router", "Router of the fleet with agents"},
+	{"agent", "Agent"},
+	{"template", "Template"},
+	{"standin", "Stand-ins, for trials"},
+}
+
+// TestReference checks that docs/settings.md says of each setting what its type
+// says, and that each one has a comment and each number a unit.
+func TestReference(t *testing.T) {
+	r := &reference{t: t, comments: fieldComments(t)}
+	r.out.WriteString(referenceHead)
+	for _, s := range sections {
+		fmt.Fprintf(&r.out, "\n## %s\n\nAnnotated example: [%s.yaml](examples/%s.yaml).\n\n", s.title, s.name, s.name)
+		r.out.WriteString("| setting | value | default | bounds | meaning |\n|---|---|---|---|---|\n")
+		r.addFields(reflect.ValueOf(defaults[s.name]()).Elem(), "")
+	}
+	golden.Assert(t, r.out.String(), referenceFile)
+}
+
+// A reference collects the text of the page.
+type reference struct {
+	t        *testing.T
+	out      strings.Builder
+	comments map[string]string // by Type.Field
+}
+
+// addFields adds a row for each setting of a struct.
+func (r *reference) addFields(v reflect.Value, prefix string) {
+	for i := range v.NumField() {
+		field := v.Type().Field(i)
+		if field.Anonymous {
+			r.addFields(v.Field(i), prefix)
+			continue
+		}
+		key := prefix + keyIn(field)
+		value := v.Field(i)
+		if value.Kind() == reflect.Pointer && value.IsNil() {
+			value = reflect.New(field.Type.Elem())
+		}
+		value = reflect.Indirect(value)
+		switch {
+		case isBlock(value.Type()):
+			r.addFields(value, key+".")
+		case value.Kind() == reflect.Slice && isBlock(value.Type().Elem()):
+			r.addRow(v.Type(), field, key, value)
+			r.addFields(reflect.New(value.Type().Elem()).Elem(), key+"[].")
+		default:
+			r.addRow(v.Type(), field, key, value)
+		}
+	}
+}
+
+// addRow adds the row of a setting.
+func (r *reference) addRow(owner reflect.Type, field reflect.StructField, key string, value reflect.Value) {
+	comment := r.comments[owner.Name()+"."+field.Name]
+	if comment == "" {
+		r.t.Errorf("%s.%s has no comment", owner.Name(), field.Name)
+	}
+	comment = meaning(comment, field)
+	unit := field.Tag.Get("unit")
+	if unit == "" && isNumber(value.Type()) {
+		r.t.Errorf("%s.%s has no unit", owner.Name(), field.Name)
+	}
+	rules := field.Tag.Get("validate")
+	byDefault := defaultText(value)
+	if mustBeGiven.MatchString(rules) {
+		byDefault = "required"
+	}
+	fmt.Fprintf(&r.out, "| `%s` | %s | %s | %s | %s |\n", key, valueText(value.Type(), unit), byDefault, boundsText(owner, rules), comment)
+}
+
+// mustBeGiven matches the rules that no empty value satisfies.
+var mustBeGiven = regexp.MustCompile(`^(required|gt=0|oneof=)`)
+
+// meaning returns a comment without the Go name that begins it.
+func meaning(comment string, field reflect.StructField) string {
+	for _, verb := range []string{" is ", " are "} {
+		if rest, ok := strings.CutPrefix(comment, field.Name+verb); ok {
+			return strings.ToUpper(rest[:1]) + rest[1:]
+		}
+	}
+	return strings.Replace(comment, field.Name+" ", "`"+keyIn(field)+"` ", 1)
+}
+
+// keyIn returns the key of a field in a file.
+func keyIn(field reflect.StructField) string {
+	key, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
+	return key
+}
+
+// isBlock reports whether a type is a block of further settings.
+func isBlock(t reflect.Type) bool {
+	return t.Kind() == reflect.Struct && t.PkgPath() == reflect.TypeFor[Gateway]().PkgPath() && t != reflect.TypeFor[Address]()
+}
+
+// isNumber reports whether a type is a number that needs a unit.
+func isNumber(t reflect.Type) bool {
+	return t != reflect.TypeFor[time.Duration]() && (t.Kind() == reflect.Int || t.Kind() == reflect.Int64 || t.Kind() == reflect.Float64)
+}
+
+// valueText says what form a value has.
+func valueText(t reflect.Type, unit string) string {
+	switch {
+	case t == reflect.TypeFor[time.Duration]():
+		return "duration"
+	case t == reflect.TypeFor[time.Time]():
+		return "time, RFC 3339"
+	case t == reflect.TypeFor[Address]():
+		return "`IP:PORT`"
+	case t == reflect.TypeFor[[]ryeford.Pool]():
+		return "list of model, adapter, version"
+	case t.Kind() == reflect.Slice && isBlock(t.Elem()):
+		return "list"
+	case t.Kind() == reflect.Slice:
+		return "list of texts, " + unit
+	case t.Kind() == reflect.Bool:
+		return "true or false"
+	case t.Kind() == reflect.String && unit != "":
+		return "text, " + unit
+	case t.Kind() == reflect.String:
+		return "text"
+	case t.Kind() == reflect.Float64:
+		return "number, " + unit
+	}
+	return "whole number, " + unit
+}
+
+// zeroUnits matches the parts of a duration's text that say nothing, as in 2m0s.
+var zeroUnits = regexp.MustCompile(`([hm])0[ms](0s)?$`)
+
+// defaultText returns the text of a default.
+func defaultText(value reflect.Value) string {
+	if d, ok := value.Interface().(time.Duration); ok {
+		return "`" + zeroUnits.ReplaceAllString(d.String(), "$1") + "`"
+	}
+	if value.IsZero() && !isNumber(value.Type()) && value.Kind() != reflect.Bool {
+		return "none"
+	}
+	return fmt.Sprintf("`%v`", value.Interface())
+}
+
+// boundsText says what the rules of a validate tag allow.
+func boundsText(owner reflect.Type, rules string) string {
+	var texts []string
+	for rule := range strings.SplitSeq(rules, ",") {
+		name, value, _ := strings.Cut(rule, "=")
+		switch name {
+		case "min":
+			texts = append(texts, "from "+value)
+		case "max", "lte":
+			texts = append(texts, "to "+value)
+		case "gt":
+			texts = append(texts, "above "+value)
+		case "len":
+			texts = append(texts, "exactly "+value)
+		case "oneof":
+			texts = append(texts, strings.ReplaceAll(value, " ", " or "))
+		case "ltfield":
+			other, _ := owner.FieldByName(value)
+			texts = append(texts, "less than `"+keyIn(other)+"`")
+		case "excludesall":
+			texts = append(texts, "without "+strings.ReplaceAll(strings.ReplaceAll(value, " ", " and spaces"), "/", "`/`"))
+		}
+	}
+	return strings.Join(texts, ", ")
+}
+
+// fieldComments returns the comments of all fields of the package's types, each on
+// one line, by Type.Field.
+func fieldComments(t *testing.T) map[string]string {
+	t.Helper()
+	comments := make(map[string]string)
+	names, err := filepath.Glob("*.go")
+	assert.NilError(t, err)
+	for _, name := range names {
+		content, err := os.ReadFile(name)
+		assert.NilError(t, err)
+		file, err := parser.ParseFile(token.NewFileSet(), name, content, parser.ParseComments)
+		assert.NilError(t, err)
+		ast.Inspect(file, func(node ast.Node) bool {
+			spec, ok := node.(*ast.TypeSpec)
+			if !ok {
+				return true
+			}
+			if s, ok := spec.Type.(*ast.StructType); ok {
+				for _, field := range s.Fields.List {
+					for _, fieldName := range field.Names {
+						comments[spec.Name.Name+"."+fieldName.Name] = strings.Join(strings.Fields(field.Doc.Text()), " ")
+					}
+				}
+			}
+			return false
+		})
+	}
+	return comments
+}
--- a/settings/router.go
+++ b/settings/router.go
@@ -11,7 +11,7 @@
 	Operators Address `yaml:"operators" validate:"required"`
 	// OperatorKey is the bearer token of the operators. It is never logged. If
 	// routers have different ones, an operator's command succeeds at some only.
-	OperatorKey string `yaml:"operator_key" unit:"bytes long" validate:"required,min=8"`
+	OperatorKey string `yaml:"operator_key" unit:"characters" validate:"required,min=8"`
 	Membership  `yaml:",inline"`
 	// Limits bound what the router does with a request.
 	Limits RouterLimits `yaml:"limits"`
--- a/settings/standin.go
+++ b/settings/standin.go
@@ -85,7 +85,7 @@
 	Address Address `yaml:"address" validate:"required"`
 	// Pools are what the engine has loaded at first.
 	Pools []ryeford.Pool `yaml:"pools"`
-	// Step is the time of one step of the batch.
+	// Step is the time of one step of the batch; zero is the engine's default.
 	Step time.Duration `yaml:"step" validate:"min=0,max=10s"`
 	// Slots is how many requests run at once; zero is the engine's default.
 	Slots int `yaml:"slots" unit:"requests" validate:"min=0,max=1000"`
--- a/settings/template.go
+++ b/settings/template.go
@@ -10,15 +10,15 @@
 // A Template is a template as an operator writes it.
 type Template struct {
 	// Account is the client account whose template it is.
-	Account ryeford.AccountID `yaml:"account" unit:"bytes long" validate:"required,max=64,excludesall=/ "`
+	Account ryeford.AccountID `yaml:"account" unit:"characters" validate:"required,max=64,excludesall=/ "`
 	// Name names the template among those of its account.
-	Name string `yaml:"name" unit:"bytes long" validate:"required,max=64,excludesall=/ "`
+	Name string `yaml:"name" unit:"characters" validate:"required,max=64,excludesall=/ "`
 	// Model is the model that its requests run on.
-	Model string `yaml:"model" unit:"bytes long" validate:"required,max=64"`
+	Model string `yaml:"model" unit:"characters" validate:"required,max=64"`
 	// Adapter is the adapter that is loaded with the model; empty is none.
-	Adapter string `yaml:"adapter" unit:"bytes long" validate:"max=64"`
+	Adapter string `yaml:"adapter" unit:"characters" validate:"max=64"`
 	// Version is the version of the model and adapter.
-	Version string `yaml:"version" unit:"bytes long" validate:"max=64"`
+	Version string `yaml:"version" unit:"characters" validate:"max=64"`
 	// Priority is the highest priority that its requests may ask for, and theirs if
 	// they ask for none: 9 is the highest.
 	Priority ryeford.Priority `yaml:"priority" unit:"levels" validate:"min=0,max=9"`
@@ -28,9 +28,9 @@
 	// template is in force at once.
 	Begin time.Time `yaml:"begin"`
 	// Keys are the account's keys. Only their hashes are published.
-	Keys []string `yaml:"keys" unit:"bytes long" validate:"dive,min=8,max=256"`
+	Keys []string `yaml:"keys" unit:"characters" validate:"dive,min=8,max=256"`
 	// KeyHashes are SHA-256 hashes of more keys, in hexadecimal.
-	KeyHashes []string `yaml:"key_hashes" unit:"digits" validate:"dive,len=64,hexadecimal"`
+	KeyHashes []string `yaml:"key_hashes" unit:"characters" validate:"dive,len=64,hexadecimal"`
 }
 
 // DefaultTemplate returns a Template with the defaults of what may be left out.
