--- a/internal/cmd/agentcmd.go
+++ b/internal/cmd/agentcmd.go
@@ -1,8 +1,6 @@
 package cmd
 
 import (
-	"context"
-
 	"github.com/urfave/cli/v3"
 
 	"github.com/ryeford/ryeford/agentfleet/agent"
@@ -13,28 +11,21 @@
 
 // newAgentCommand returns the command that runs an agent.
 func newAgentCommand() *cli.Command {
-	return &cli.Command{
-		Name:   "agent",
-		Usage:  "run the agent of an endpoint VM",
-		Flags:  []cli.Flag{settingsFlag()},
-		Action: runAgent,
+	agents := role[settings.Agent]{
+		name:  "agent",
+		usage: "run the agent of an endpoint VM (fleet with agents)",
+		load:  settings.LoadAgent,
+		build: newAgent,
 	}
+	return agents.command()
 }
 
-// runAgent runs an agent until it has drained.
-func runAgent(ctx context.Context, c *cli.Command) error {
-	s, err := settings.LoadAgent(c.String("settings"))
-	if err != nil {
-		return err
-	}
+// newAgent returns an agent with the identity that its settings name.
+func newAgent(p *startup[settings.Agent]) (runner, error) {
+	s := p.settings
 	tlsConfig, err := transport.LoadTLSConfig(&s.TLS)
 	if err != nil {
-		return err
-	}
-	client := tableservice.New(s.Platform.AddrPort, tableservice.WithVM(s.VM))
-	a, err := agent.New(s, tlsConfig, client, newLogger(c.Root().ErrWriter, "agent"))
-	if err != nil {
-		return err
+		return nil, err
 	}
-	return a.Run(ctx)
+	return agent.New(s, tlsConfig, tableservice.New(s.Platform.AddrPort, tableservice.WithVM(s.VM)), p.logger)
 }
--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -11,9 +11,7 @@
 	"os"
 	"os/signal"
 	"syscall"
-	"time"
 
-	"github.com/go-kit/log"
 	"github.com/urfave/cli/v3"
 
 	"github.com/ryeford/ryeford"
@@ -116,17 +114,6 @@
 	return exitUnknown
 }
 
-// newLogger returns the logger of a process.
-func newLogger(w io.Writer, role string) log.Logger {
-	logger := log.NewLogfmtLogger(log.NewSyncWriter(w))
-	return log.With(logger, "ts", log.TimestampFormat(func() time.Time { return time.Now().UTC() }, time.RFC3339Nano), "role", role)
-}
-
-// settingsFlag returns the flag that names a settings file.
-func settingsFlag() cli.Flag {
-	return &cli.StringFlag{Name: "settings", Usage: "the settings `FILE`, in YAML", Required: true}
-}
-
 // jsonFlag returns the flag that asks for JSON.
 func jsonFlag() cli.Flag {
 	return &cli.BoolFlag{Name: "json", Usage: "print JSON"}
--- a/internal/cmd/devplatform.go
+++ b/internal/cmd/devplatform.go
@@ -11,7 +11,6 @@
 	"github.com/urfave/cli/v3"
 	"golang.org/x/sync/errgroup"
 
-	"github.com/ryeford/ryeford/gateway"
 	"github.com/ryeford/ryeford/internal/telemetry"
 	"github.com/ryeford/ryeford/platform"
 	"github.com/ryeford/ryeford/settings"
@@ -41,10 +40,7 @@
 	if c.Bool("verbose") {
 		logger = newLogger(c.Root().ErrWriter, "gateway")
 	}
-	store := platform.NewStore(s.Store.AddrPort, s.Routing.StoreTimeout)
-	g := gateway.New(s, gateway.Platform{
-		Protocol: platform.Protocol{}, Configurations: store, Endpoints: store, ReadyPath: platform.PathReady,
-	}, logger, telemetry.NewSet())
+	g := newGateway(s, logger, telemetry.NewSet())
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return emulator.New(emulated, emulator.DemoConfiguration(devKey)).Run(ctx) })
 	group.Go(func() error { return g.Run(ctx) })
--- a/internal/cmd/routercmd.go
+++ b/internal/cmd/routercmd.go
@@ -1,8 +1,6 @@
 package cmd
 
 import (
-	"context"
-
 	"github.com/urfave/cli/v3"
 
 	"github.com/ryeford/ryeford/agentfleet/router"
@@ -11,30 +9,23 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// newRouterCommand returns the command that runs a router.
+// newRouterCommand returns the command that runs a router of the fleet with agents.
 func newRouterCommand() *cli.Command {
-	return &cli.Command{
-		Name:   "router",
-		Usage:  "run a router on an entry VM",
-		Flags:  []cli.Flag{settingsFlag()},
-		Action: runRouter,
+	routers := role[settings.Router]{
+		name:  "router",
+		usage: "run a router on an entry VM (fleet with agents)",
+		load:  settings.LoadRouter,
+		build: newRouter,
 	}
+	return routers.command()
 }
 
-// runRouter runs a router until it is told to stop.
-func runRouter(ctx context.Context, c *cli.Command) error {
-	s, err := settings.LoadRouter(c.String("settings"))
-	if err != nil {
-		return err
-	}
+// newRouter returns a router with the identity that its settings name.
+func newRouter(p *startup[settings.Router]) (runner, error) {
+	s := p.settings
 	tlsConfig, err := transport.LoadTLSConfig(&s.TLS)
 	if err != nil {
-		return err
-	}
-	client := tableservice.New(s.Platform.AddrPort, tableservice.WithVM(s.VM))
-	r, err := router.New(s, tlsConfig, client, newLogger(c.Root().ErrWriter, "router"))
-	if err != nil {
-		return err
+		return nil, err
 	}
-	return r.Run(ctx)
+	return router.New(s, tlsConfig, tableservice.New(s.Platform.AddrPort, tableservice.WithVM(s.VM)), p.logger)
 }
--- a/internal/cmd/standincmd.go
+++ b/internal/cmd/standincmd.go
@@ -20,16 +20,18 @@
 
 // newStandinCommand returns the commands of the stand-ins.
 func newStandinCommand() *cli.Command {
+	standins := role[settings.Standin]{
+		name:    "run",
+		logName: "standin",
+		usage:   "run the stand-ins of a settings file",
+		load:    settings.LoadStandin,
+		build:   newStandins,
+	}
 	return &cli.Command{
 		Name:  "standin",
 		Usage: "run and steer stand-ins of outside systems, for tests",
 		Commands: []*cli.Command{
-			{
-				Name:   "run",
-				Usage:  "run the stand-ins of a settings file",
-				Flags:  []cli.Flag{settingsFlag()},
-				Action: runStandin,
-			},
+			standins.command(),
 			{
 				Name:      "fault",
 				Usage:     "set what is wrong with a stand-in",
@@ -52,13 +54,9 @@
 	}
 }
 
-// runStandin runs stand-ins until it is told to stop.
-func runStandin(ctx context.Context, c *cli.Command) error {
-	s, err := settings.LoadStandin(c.String("settings"))
-	if err != nil {
-		return err
-	}
-	return standin.Run(ctx, s, newLogger(c.Root().ErrWriter, "standin"))
+// newStandins returns the stand-ins of a settings file.
+func newStandins(p *startup[settings.Standin]) (runner, error) {
+	return runnerFunc(func(ctx context.Context) error { return standin.Run(ctx, p.settings, p.logger) }), nil
 }
 
 // setFault posts a fault to a stand-in.
