--- a/agentfleet/engine/engine.go
+++ b/agentfleet/engine/engine.go
@@ -131,8 +131,8 @@
 }
 
 // Load implements ryeford.Engine.
-func (c *Client) Load(ctx context.Context) (ryeford.Load, error) {
-	var load ryeford.Load
+func (c *Client) Load(ctx context.Context) (ryeford.EngineLoad, error) {
+	var load ryeford.EngineLoad
 	err := c.callJSON(ctx, http.MethodGet, PathLoad, nil, &load)
 	return load, err
 }
--- a/configuration.go
+++ b/configuration.go
@@ -7,10 +7,10 @@
 
 // The kinds of routes.
 const (
-	// RouteOnce marks requests that run at most once.
-	RouteOnce RouteKind = iota
-	// RouteRepeatable marks requests that may run more than once.
-	RouteRepeatable
+	// RouteAtMostOnce marks requests that run at most once.
+	RouteAtMostOnce RouteKind = iota
+	// RouteIdempotent marks requests that may run more than once.
+	RouteIdempotent
 	// RouteStream marks requests that are answered with a stream of events.
 	RouteStream
 )
@@ -39,9 +39,9 @@
 	Split []WeightedService
 }
 
-// Repeatable reports whether a request on the route may run more than once.
-func (r *RouteRule) Repeatable() bool {
-	return r.Kind == RouteRepeatable || (r.Kind == RouteStream && r.Resumable)
+// Idempotent reports whether a request on the route may run more than once.
+func (r *RouteRule) Idempotent() bool {
+	return r.Kind == RouteIdempotent || (r.Kind == RouteStream && r.Resumable)
 }
 
 // A WeightedService is one of the services that serve a route.
--- a/engine.go
+++ b/engine.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// A Load is what an engine reports of itself, with a lag.
-type Load struct {
+// An EngineLoad is what an engine reports of itself, with a lag.
+type EngineLoad struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 }
@@ -41,7 +41,7 @@
 	// Cancel stops an attempt.
 	Cancel(ctx context.Context, attempt AttemptID) error
 	// Load returns the last reported load.
-	Load(ctx context.Context) (Load, error)
+	Load(ctx context.Context) (EngineLoad, error)
 	// CacheEvents returns the events after a sequence number.
 	CacheEvents(ctx context.Context, after int64) ([]CacheEvent, error)
 	// ExportCache returns a chat's KV cache, or a *NotFoundError.
--- a/gateway/admit/admit.go
+++ b/gateway/admit/admit.go
@@ -100,7 +100,7 @@
 	case s.NeedsKey && !s.Reliable:
 		return giveup.NotRun(ryeford.ReasonStaleConfiguration)
 	case s.NeedsKey && !s.KeyFound:
-		return giveup.NotRun(ryeford.ReasonKeyTaken)
+		return giveup.NotRun(ryeford.ReasonKeyRevoked)
 	}
 	return nil
 }
--- a/gateway/admit/admit_test.go
+++ b/gateway/admit/admit_test.go
@@ -77,7 +77,7 @@
 		{"nothing has changed", func(*Sending) {}, ""},
 		{"the endpoint is draining or gone", func(s *Sending) { s.EndpointServes = false }, ryeford.ReasonLeaving},
 		{"the configuration went stale", func(s *Sending) { s.Reliable = false }, ryeford.ReasonStaleConfiguration},
-		{"the key was revoked", func(s *Sending) { s.KeyFound = false }, ryeford.ReasonKeyTaken},
+		{"the key was revoked", func(s *Sending) { s.KeyFound = false }, ryeford.ReasonKeyRevoked},
 		{"a public route needs neither", func(s *Sending) { s.NeedsKey, s.Reliable, s.KeyFound = false, false, false }, ""},
 		{"the endpoint comes first: another may serve", func(s *Sending) { s.EndpointServes, s.Reliable = false, false }, ryeford.ReasonLeaving},
 	} {
--- a/gateway/choose_bench_test.go
+++ b/gateway/choose_bench_test.go
@@ -38,7 +38,7 @@
 	const loadsEach = 20
 	g := New(settings.DefaultGateway(), Platform{Protocol: platform.Protocol{}}, log.NewNopLogger(), telemetry.NewSet())
 	now := time.Now()
-	update := &ryeford.EndpointUpdate{Whole: true, Revision: 1}
+	update := &ryeford.EndpointUpdate{Snapshot: true, Revision: 1}
 	for i := range endpoints {
 		update.Present = append(update.Present, ryeford.Endpoint{ID: ryeford.EndpointID(fmt.Sprintf("i-%08x", i*7919)), Service: "s", Slots: 64})
 	}
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -63,7 +63,7 @@
 	return watch.Run(ctx, source, options, watch.Handler[ryeford.EndpointUpdate]{
 		Apply: func(update ryeford.EndpointUpdate, revision int64, _ time.Time) bool {
 			l.applyEndpoints(&update, revision)
-			return len(update.Present)+len(update.Gone) > 0
+			return len(update.Present)+len(update.Removed) > 0
 		},
 		Lost: func(err error) { l.outages.lost("endpoints", err) },
 		Regained: func(after time.Duration) {
@@ -85,7 +85,7 @@
 	if change.Empty() {
 		return
 	}
-	_ = l.log.Log("decision", "endpoints", "revision", revision, "whole", update.Whole, "troubled", troubled,
+	_ = l.log.Log("decision", "endpoints", "revision", revision, "whole", update.Snapshot, "troubled", troubled,
 		"added", join(change.Added), "draining", join(change.Drained), "dropped", join(change.Dropped), "doubted", join(change.Doubted), "departed", join(change.Departed), "known", l.roster.Len())
 	for _, id := range change.Dropped {
 		l.forget(id)
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -93,7 +93,7 @@
 		x.unsent++
 		return x.unsent < maxUnsent
 	}
-	if result == outcomeFailed && !x.request.rule.Repeatable() {
+	if result == outcomeFailed && !x.request.rule.Idempotent() {
 		return false
 	}
 	if x.sent >= x.request.rule.MaxAttempts {
@@ -109,7 +109,7 @@
 	meta := &ryeford.ForwardMeta{
 		Request:   q.meta.ID,
 		Endpoint:  to.ID,
-		Deadline:  time.Until(q.deadline),
+		Timeout:   time.Until(q.deadline),
 		Account:   q.accountID(),
 		Priority:  q.priority(),
 		LastEvent: x.relay.lastEvent(),
@@ -158,7 +158,7 @@
 // allowed.
 func (x *exchange) patience() (time.Duration, bool) {
 	rule := x.request.rule
-	if !rule.Repeatable() || rule.Goal <= 0 || x.sent+1 >= rule.MaxAttempts {
+	if !rule.Idempotent() || rule.Goal <= 0 || x.sent+1 >= rule.MaxAttempts {
 		return 0, false
 	}
 	return time.Duration(patience * float64(rule.Goal)), true
@@ -178,7 +178,7 @@
 		return &ryeford.NotRunError{Reason: ryeford.ReasonStaleConfiguration, RetryAfter: retryStale}
 	}
 	if current := g.configuration.current(); current != q.catalog && current.Account(q.meta.Key) == nil {
-		return &ryeford.NotRunError{Reason: ryeford.ReasonKeyTaken, RetryAfter: retryStale}
+		return &ryeford.NotRunError{Reason: ryeford.ReasonKeyRevoked, RetryAfter: retryStale}
 	}
 	return nil
 }
--- a/gateway/giveup/giveup_test.go
+++ b/gateway/giveup/giveup_test.go
@@ -71,7 +71,7 @@
 		ryeford.ReasonNoCandidate:        150 * time.Millisecond,
 		ryeford.ReasonUnreachable:        150 * time.Millisecond,
 		ryeford.ReasonStaleConfiguration: 100 * time.Millisecond,
-		ryeford.ReasonKeyTaken:           100 * time.Millisecond,
+		ryeford.ReasonKeyRevoked:         100 * time.Millisecond,
 		ryeford.ReasonLeaving:            100 * time.Millisecond,
 		ryeford.ReasonOverload:           100 * time.Millisecond,
 		ryeford.ReasonDeadline:           100 * time.Millisecond,
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -74,7 +74,7 @@
 // anotherTry reports whether a failure that an endpoint answered would be tried
 // elsewhere.
 func (x *exchange) anotherTry() bool {
-	return x.request.rule.Repeatable() && x.sent < x.request.rule.MaxAttempts
+	return x.request.rule.Idempotent() && x.sent < x.request.rule.MaxAttempts
 }
 
 // promisesNotRun reports whether callers take a status for a promise that the
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -179,8 +179,8 @@
 	if q.rule.Timeout > 0 {
 		wait = q.rule.Timeout
 	}
-	if q.meta.Deadline > 0 {
-		wait = min(wait, q.meta.Deadline)
+	if q.meta.Timeout > 0 {
+		wait = min(wait, q.meta.Timeout)
 	}
 	q.deadline = q.arrived.Add(wait)
 }
--- a/gateway/roster/roster.go
+++ b/gateway/roster/roster.go
@@ -83,10 +83,10 @@
 		present[endpoint.ID] = true
 		r.put(now, endpoint, &change)
 	}
-	for _, id := range update.Gone {
+	for _, id := range update.Removed {
 		r.drop(now, id, troubled, &change)
 	}
-	if update.Whole {
+	if update.Snapshot {
 		for id, entry := range r.entries {
 			if !present[id] && !entry.lingers() {
 				r.drop(now, id, troubled, &change)
--- a/gateway/roster/roster_test.go
+++ b/gateway/roster/roster_test.go
@@ -36,7 +36,7 @@
 func TestChanges(t *testing.T) {
 	r := New(lingers)
 	assert.Assert(t, !r.Known())
-	r.Apply(start, &ryeford.EndpointUpdate{Whole: true, Revision: 1, Present: []ryeford.Endpoint{ready("b"), ready("a")}}, false)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("b"), ready("a")}}, false)
 	assert.Equal(t, serving(r), "ab")
 	r.Apply(start, &ryeford.EndpointUpdate{Revision: 2, Present: []ryeford.Endpoint{draining("a"), ready("c")}}, false)
 	assert.Equal(t, serving(r), "bc")
@@ -44,10 +44,10 @@
 	assert.Assert(t, !r.Takes("a") && r.Takes("c") && !r.Takes("d"))
 	assert.Assert(t, r.Serving("s")[0].Since.IsZero())
 	assert.Equal(t, r.Serving("s")[1].Since, start)
-	r.Apply(start, &ryeford.EndpointUpdate{Revision: 3, Gone: []ryeford.EndpointID{"a", "b"}}, false)
+	r.Apply(start, &ryeford.EndpointUpdate{Revision: 3, Removed: []ryeford.EndpointID{"a", "b"}}, false)
 	assert.Equal(t, serving(r), "c")
 	// An answer that was held up changes nothing.
-	r.Apply(start, &ryeford.EndpointUpdate{Whole: true, Revision: 2, Present: []ryeford.Endpoint{ready("b")}}, false)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 2, Present: []ryeford.Endpoint{ready("b")}}, false)
 	assert.Equal(t, serving(r), "c")
 }
 
@@ -55,12 +55,12 @@
 // and that what leaves is not doubted.
 func TestDoubt(t *testing.T) {
 	r := New(lingers)
-	r.Apply(start, &ryeford.EndpointUpdate{Whole: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), draining("d")}}, false)
-	r.Apply(start, &ryeford.EndpointUpdate{Whole: true, Revision: 5}, true)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), draining("d")}}, false)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 5}, true)
 	assert.Equal(t, serving(r), "ab")
 	assert.Equal(t, len(r.Draining("s")), 0)
 	// One of them writes its entry anew; a later list takes nothing back.
-	r.Apply(start, &ryeford.EndpointUpdate{Whole: true, Revision: 6, Present: []ryeford.Endpoint{ready("b")}}, false)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 6, Present: []ryeford.Endpoint{ready("b")}}, false)
 	assert.Equal(t, serving(r), "ab")
 	assert.Equal(t, len(r.Expire(start.Add(time.Second))), 0)
 	assert.DeepEqual(t, r.Expire(start.Add(time.Second+1)), []ryeford.EndpointID{"a"})
@@ -72,8 +72,8 @@
 // one that had said that it leaves goes with its entry.
 func TestDeparted(t *testing.T) {
 	r := New(lingers)
-	r.Apply(start, &ryeford.EndpointUpdate{Whole: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), draining("d")}}, false)
-	change := r.Apply(start, &ryeford.EndpointUpdate{Revision: 2, Gone: []ryeford.EndpointID{"a", "d"}}, false)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), draining("d")}}, false)
+	change := r.Apply(start, &ryeford.EndpointUpdate{Revision: 2, Removed: []ryeford.EndpointID{"a", "d"}}, false)
 	assert.DeepEqual(t, change.Departed, []ryeford.EndpointID{"a"})
 	assert.DeepEqual(t, change.Dropped, []ryeford.EndpointID{"d"})
 	assert.Equal(t, serving(r), "b")
@@ -81,7 +81,7 @@
 	assert.Equal(t, len(r.Draining("s")), 1)
 	assert.Assert(t, r.Knows("a") && !r.Knows("d"))
 	// A whole list that lacks it too changes nothing.
-	assert.Assert(t, ptr(r.Apply(start, &ryeford.EndpointUpdate{Whole: true, Revision: 3, Present: []ryeford.Endpoint{ready("b")}}, false)).Empty())
+	assert.Assert(t, ptr(r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 3, Present: []ryeford.Endpoint{ready("b")}}, false)).Empty())
 	assert.Equal(t, len(r.Expire(start.Add(2*time.Second))), 0)
 	assert.DeepEqual(t, r.Expire(start.Add(2*time.Second+1)), []ryeford.EndpointID{"a"})
 	assert.Equal(t, len(r.Draining("s")), 0)
--- a/protocol.go
+++ b/protocol.go
@@ -18,8 +18,8 @@
 type RequestMeta struct {
 	ID  RequestID
 	Key string
-	// Deadline is how long the caller waits from now; zero if it does not say.
-	Deadline time.Duration
+	// Timeout is how long the caller waits from now; zero if it does not say.
+	Timeout time.Duration
 	// Prefix holds the parts of the prompt in their order. The last one belongs
 	// to this request alone.
 	Prefix []PromptPart
@@ -30,8 +30,8 @@
 type ForwardMeta struct {
 	Request  RequestID
 	Endpoint EndpointID
-	// Deadline is the time left until the request's deadline.
-	Deadline time.Duration
+	// Timeout is the time left until the request's deadline.
+	Timeout  time.Duration
 	Account  AccountID
 	Priority Priority
 	// FetchFrom is an engine that the endpoint may fetch cached parts of the
--- a/reason.go
+++ b/reason.go
@@ -27,5 +27,5 @@
 	ReasonEngineError        Reason = "engine_error"        // the engine reported an error
 	ReasonNotReady           Reason = "not_ready"           // the router has no configuration yet
 	ReasonStaleConfiguration Reason = "stale_configuration" // the configuration may be out of date
-	ReasonKeyTaken           Reason = "key_taken"           // the key was taken away meanwhile
+	ReasonKeyRevoked         Reason = "key_taken"           // the key was taken away meanwhile
 )
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -77,7 +77,7 @@
 // ForRoute returns the Policy of a route. It holds for as long as the request is
 // served, also if the configuration changes meanwhile.
 func ForRoute(rule *ryeford.RouteRule) Policy {
-	return Policy{Repeatable: rule.Repeatable(), MaxAttempts: rule.MaxAttempts, Goal: rule.Goal}
+	return Policy{Repeatable: rule.Idempotent(), MaxAttempts: rule.MaxAttempts, Goal: rule.Goal}
 }
 
 // A History counts the attempts of one request so far.
--- a/source.go
+++ b/source.go
@@ -26,10 +26,10 @@
 
 // An EndpointUpdate is an answer of an EndpointSource.
 type EndpointUpdate struct {
-	// Whole says that Present is the whole list, and not what has changed.
-	Whole    bool
+	// Snapshot says that Present is the whole list, and not what has changed.
+	Snapshot bool
 	Present  []Endpoint
-	Gone     []EndpointID
+	Removed  []EndpointID
 	Revision int64
 }
 
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -76,7 +76,7 @@
 	counts   EngineCounts
 	serving  ryeford.Order
 	loading  []ryeford.Pool
-	report   ryeford.Load
+	report   ryeford.EngineLoad
 	reported time.Time
 }
 
@@ -348,7 +348,7 @@
 		return
 	}
 	if time.Since(e.reported) > loadReportEvery {
-		e.report = ryeford.Load{Running: running, Waiting: waiting}
+		e.report = ryeford.EngineLoad{Running: running, Waiting: waiting}
 		e.reported = time.Now()
 	}
 	writeJSON(ctx, &e.report)
