--- a/gateway/endpoint/endpoint_test.go
+++ b/gateway/endpoint/endpoint_test.go
@@ -171,7 +171,7 @@
 	_, err := pool.Send(t.Context(), to, &endpoint.Request{ID: "r", Method: "GET", Target: "/", Host: "h"}, func() error { return refusal })
 	var unsent *endpoint.UnsentError
 	assert.Assert(t, errors.As(err, &unsent) && errors.Is(err, refusal))
-	pool.Forget("e")
+	pool.CloseIdle("e")
 	select {
 	case <-received:
 		t.Error("the request was sent")
--- a/gateway/endpoint/errors.go
+++ b/gateway/endpoint/errors.go
@@ -23,18 +23,18 @@
 // Unwrap returns the cause of e.
 func (e *LostError) Unwrap() error { return e.Err }
 
-// A ForeignAnswerError says that an answer belongs to another request.
-type ForeignAnswerError struct{}
+// A MismatchedResponseError says that an answer belongs to another request.
+type MismatchedResponseError struct{}
 
 // Error returns the text of e.
-func (e *ForeignAnswerError) Error() string { return "the answer is another request's" }
+func (e *MismatchedResponseError) Error() string { return "the answer is another request's" }
 
-// An UnsignedAnswerError says that a success lacks the endpoint's signature, or
+// An UnverifiedResponseError says that a success lacks the endpoint's signature, or
 // that its body is not the endpoint's plain bytes.
-type UnsignedAnswerError struct{}
+type UnverifiedResponseError struct{}
 
 // Error returns the text of e.
-func (e *UnsignedAnswerError) Error() string { return "the answer is not the endpoint's own" }
+func (e *UnverifiedResponseError) Error() string { return "the answer is not the endpoint's own" }
 
 // A TooLargeError says that an answer is larger than is kept.
 type TooLargeError struct{}
--- a/gateway/endpoint/pool.go
+++ b/gateway/endpoint/pool.go
@@ -29,8 +29,8 @@
 	Idle time.Duration
 	// IdleMargin is taken off what an endpoint says.
 	IdleMargin time.Duration
-	// IdleMost is how many resting connections are kept to one endpoint.
-	IdleMost int
+	// MaxIdle is how many resting connections are kept to one endpoint.
+	MaxIdle int
 }
 
 // DefaultOptions returns the Options of a small router.
@@ -39,7 +39,7 @@
 		Dial:       400 * time.Millisecond,
 		Idle:       4 * time.Second,
 		IdleMargin: 700 * time.Millisecond,
-		IdleMost:   16,
+		MaxIdle:    16,
 	}
 }
 
@@ -106,15 +106,15 @@
 	c.restsTo = time.Now().Add(c.idleFor)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.endpoint]) >= p.options.IdleMost {
+	if len(p.idle[c.endpoint]) >= p.options.MaxIdle {
 		_ = c.Close()
 		return
 	}
 	p.idle[c.endpoint] = append(p.idle[c.endpoint], c)
 }
 
-// Forget closes the resting connections to an endpoint.
-func (p *Pool) Forget(id ryeford.EndpointID) {
+// CloseIdle closes the resting connections to an endpoint.
+func (p *Pool) CloseIdle(id ryeford.EndpointID) {
 	p.mu.Lock()
 	list := p.idle[id]
 	delete(p.idle, id)
@@ -124,8 +124,8 @@
 	}
 }
 
-// Sweep closes the connections that have rested for too long.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes the connections that have rested for too long.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, list := range p.idle {
--- a/gateway/endpoint/send.go
+++ b/gateway/endpoint/send.go
@@ -31,8 +31,8 @@
 	HasBody bool
 }
 
-// An Answer is the head of an endpoint's answer, and its body to be read.
-type Answer struct {
+// A Response is the head of an endpoint's answer, and its body to be read.
+type Response struct {
 	Status int
 	Header http.Header
 	Meta   ryeford.ResponseMeta
@@ -51,7 +51,7 @@
 //
 // ready is called right before the first byte is sent; an error of it stops the
 // request there.
-func (p *Pool) Send(ctx context.Context, to *ryeford.Endpoint, request *Request, ready func() error) (*Answer, error) {
+func (p *Pool) Send(ctx context.Context, to *ryeford.Endpoint, request *Request, ready func() error) (*Response, error) {
 	c := p.take(to.ID)
 	if c == nil {
 		var err error
@@ -75,7 +75,7 @@
 }
 
 // exchange writes a request and reads the head of its answer.
-func (p *Pool) exchange(ctx context.Context, c *connection, request *Request) (*Answer, error) {
+func (p *Pool) exchange(ctx context.Context, c *connection, request *Request) (*Response, error) {
 	n, writeErr := c.Write(encode(request))
 	if writeErr != nil && n == 0 && ctx.Err() == nil {
 		return nil, &UnsentError{Err: writeErr}
@@ -96,17 +96,17 @@
 			break
 		}
 	}
-	return nil, &LostError{Err: &ForeignAnswerError{}}
+	return nil, &LostError{Err: &MismatchedResponseError{}}
 }
 
 // accept checks the head of the answer that was due.
-func (p *Pool) accept(c *connection, response *http.Response, meta ryeford.ResponseMeta, written bool) (*Answer, error) {
+func (p *Pool) accept(c *connection, response *http.Response, meta ryeford.ResponseMeta, written bool) (*Response, error) {
 	success := response.StatusCode >= 200 && response.StatusCode < 300
 	if meta.Encoded || (success && !meta.Signed) {
-		return nil, &LostError{Err: &UnsignedAnswerError{}}
+		return nil, &LostError{Err: &UnverifiedResponseError{}}
 	}
 	c.noteKeepAlive(response.Header, p.options.IdleMargin)
-	return &Answer{
+	return &Response{
 		Status:     response.StatusCode,
 		Header:     response.Header,
 		Meta:       meta,
@@ -159,7 +159,7 @@
 }
 
 // Read implements io.Reader. io.EOF says that the answer is whole.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if err == io.EOF {
 		a.whole = true
@@ -168,7 +168,7 @@
 }
 
 // ReadAll reads the body, of at most limit bytes.
-func (a *Answer) ReadAll(limit int64) ([]byte, error) {
+func (a *Response) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a, limit+1))
 	if err != nil {
 		return nil, &LostError{Err: err}
@@ -181,7 +181,7 @@
 
 // Close ends the use of an answer. A connection whose answer was read whole
 // rests; any other is closed.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.connection == nil {
 		return
 	}
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -94,7 +94,7 @@
 
 // forget drops all that is known of an endpoint.
 func (l *endpointList) forget(id ryeford.EndpointID) {
-	l.pool.Forget(id)
+	l.pool.CloseIdle(id)
 	l.detector.Forget(id)
 	l.loads.forget(id)
 	l.holders.Forget(id)
@@ -109,7 +109,7 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			l.pool.Sweep(now)
+			l.pool.CloseExpired(now)
 			for _, id := range l.roster.Expire(now) {
 				_ = l.log.Log("decision", "endpoints", "expired", id)
 				l.forget(id)
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -236,7 +236,7 @@
 }
 
 // take judges an answer's head and passes the answer on.
-func (x *exchange) take(ctx, attempt context.Context, to *roster.Entry, answer *endpoint.Answer) (outcome, error) {
+func (x *exchange) take(ctx, attempt context.Context, to *roster.Entry, answer *endpoint.Response) (outcome, error) {
 	g := x.gateway
 	if answer.Meta.NotRun {
 		_, _ = answer.ReadAll(maxWhole)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -41,7 +41,7 @@
 func (r *relay) lastEvent() string { return r.lastID }
 
 // pass passes an answer on.
-func (r *relay) pass(ctx context.Context, answer *endpoint.Answer) (outcome, error) {
+func (r *relay) pass(ctx context.Context, answer *endpoint.Response) (outcome, error) {
 	success := answer.Status >= 200 && answer.Status < 300
 	if success && isEventStream(answer.Header) {
 		return r.passEvents(ctx, answer)
@@ -95,7 +95,7 @@
 
 // passEvents passes a stream on, event by event. Bytes of an event that is not
 // whole are never passed on.
-func (r *relay) passEvents(ctx context.Context, answer *endpoint.Answer) (outcome, error) {
+func (r *relay) passEvents(ctx context.Context, answer *endpoint.Response) (outcome, error) {
 	reader := bufio.NewReader(answer)
 	for {
 		event, err := readEvent(reader)
@@ -124,7 +124,7 @@
 }
 
 // endEvents ends a stream that is whole.
-func (r *relay) endEvents(answer *endpoint.Answer) (outcome, error) {
+func (r *relay) endEvents(answer *endpoint.Response) (outcome, error) {
 	if !r.begun {
 		r.begin(answer)
 	}
@@ -144,7 +144,7 @@
 }
 
 // writeHead writes the answer's header, without sending it yet.
-func (r *relay) writeHead(answer *endpoint.Answer) {
+func (r *relay) writeHead(answer *endpoint.Response) {
 	_ = r.control.SetWriteDeadline(r.exchange.request.deadline.Add(writeMargin))
 	header := r.writer.Header()
 	for name, values := range r.exchange.gateway.platform.Protocol.ResponseHeader(answer.Header) {
@@ -158,14 +158,14 @@
 }
 
 // begin sends the head of a stream.
-func (r *relay) begin(answer *endpoint.Answer) {
+func (r *relay) begin(answer *endpoint.Response) {
 	r.writeHead(answer)
 	r.writer.WriteHeader(answer.Status)
 	r.begun = true
 }
 
 // writeEvent passes one event on at once.
-func (r *relay) writeEvent(answer *endpoint.Answer, event []byte) error {
+func (r *relay) writeEvent(answer *endpoint.Response, event []byte) error {
 	if !r.begun {
 		r.begin(answer)
 	}
