--- a/standin/emulator/demo.go
+++ b/standin/emulator/demo.go
@@ -3,9 +3,11 @@
 import (
 	"fmt"
 	"net/netip"
+
+	"github.com/ryeford/ryeford/platform/wire"
 )
 
-// The demo's host and its services, whose servers the caller starts.
+// The demo's host and its services. The settings name their endpoints.
 const (
 	demoHost = "dev.example"
 	// DemoModel and DemoNotes are the services of the demo configuration.
@@ -13,8 +15,8 @@
 	DemoNotes = "notes"
 )
 
-// DemoConfiguration returns a small configuration of the operators for trials,
-// in the platform's JSON, with one account and its key.
+// DemoConfiguration returns a small configuration for trials, in the platform's JSON,
+// with one client account and its key.
 func DemoConfiguration(key string) []byte {
 	return fmt.Appendf(nil, `{"version":1,
 "routes":[
@@ -25,8 +27,9 @@
 "tenants":[{"name":"demo","apiKeys":[%[4]q]}]}`, demoHost, DemoModel, DemoNotes, key)
 }
 
-// DemoCommand returns a command line that sends a request of the demo account.
+// DemoCommand returns a shell command that sends a request with the demo account's
+// key to a router.
 func DemoCommand(callers netip.AddrPort, key string) string {
 	return fmt.Sprintf("curl -sN http://%s/chat/1 -H 'Host: %s' -H '%s: 1' -H 'Authorization: Bearer %s' -d 'good morning'",
-		callers, demoHost, "Ryeford-Request-Id", key)
+		callers, demoHost, wire.HeaderRequestID, key)
 }
--- a/standin/emulator/emulator.go
+++ b/standin/emulator/emulator.go
@@ -1,11 +1,14 @@
-// Package emulator runs a small stand-in of the users' platform as one process:
-// its store of rows and any number of servers, with one address by which tests
-// change them.
+// Package emulator plays the users' platform in one process, for the soak, for tests
+// of the built program, and for `ryeford dev --platform`: its store of rows
+// (standin/rowstore) and any number of endpoints (standin/appserver), each at an
+// address of its own, and an admin address at which a test changes them over HTTP.
+//
+// It does not play the platform's load balancer, the operator, machines and their
+// links, or anything that the two stand-ins leave out: the platform's bench does.
 package emulator
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"net"
 	"net/http"
@@ -13,42 +16,15 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"github.com/ryeford/ryeford/platform/wire"
 	"github.com/ryeford/ryeford/settings"
 	"github.com/ryeford/ryeford/standin/appserver"
 	"github.com/ryeford/ryeford/standin/rowstore"
 )
 
-// The paths of the tests' address.
-const (
-	PathChange = "/fault"
-	PathRuns   = "/runs"
-)
-
-// The tables and keys that the emulator writes.
-const (
-	tableOperators = "op"
-	keyConfig      = "config"
-	tableServers   = "servers"
-)
-
-// stateGone in a Change drops a server's entry.
-const stateGone = "gone"
-
-// A Change is what a test does to the emulator. Each field may be left out.
-type Change struct {
-	// Store sets what is wrong with the store.
-	Store *rowstore.Fault `json:"store"`
-	// ForgetHistory drops the store's history.
-	ForgetHistory bool `json:"forget_history"`
-	// Configuration is the operators' next configuration.
-	Configuration json.RawMessage `json:"configuration"`
-	// Server names a server, or is empty for all of them. Fault strikes its next
-	// Requests requests; State is what its entry says from now on.
-	Server   string           `json:"server"`
-	Fault    *appserver.Fault `json:"fault"`
-	Requests int              `json:"requests"`
-	State    string           `json:"state"`
-}
+// reportedSlots is the number of slots in the endpoints' rows. It bounds nothing
+// here.
+const reportedSlots = 64
 
 // An Emulator is the stand-in.
 type Emulator struct {
@@ -57,11 +33,12 @@
 	servers  []*appserver.Server
 }
 
-// New returns an Emulator with the operators' first configuration, or none.
+// New returns an Emulator with the operators' first configuration, in the platform's
+// JSON; nil stands for none yet.
 func New(s *settings.Emulator, configuration []byte) *Emulator {
 	e := &Emulator{settings: s, store: rowstore.New()}
 	if configuration != nil {
-		e.store.Put(tableOperators, keyConfig, configuration)
+		e.store.Put(wire.TableOperators, wire.KeyConfig, configuration)
 	}
 	for i := range s.Servers {
 		server := &s.Servers[i]
@@ -78,23 +55,20 @@
 		if err := serve(ctx, group, listen, server); err != nil {
 			return err
 		}
-		if err := e.enter(i, "ready"); err != nil {
+		if err := e.enter(i, wire.StateReady); err != nil {
 			return err
 		}
 	}
 	if err := serve(ctx, group, e.settings.Store.AddrPort, e.store); err != nil {
 		return err
 	}
-	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+PathChange, e.serveChange)
-	mux.HandleFunc("GET "+PathRuns, e.serveRuns)
-	if err := serve(ctx, group, e.settings.Admin.AddrPort, mux); err != nil {
+	if err := serve(ctx, group, e.settings.Admin.AddrPort, e.adminHandler()); err != nil {
 		return err
 	}
 	return group.Wait()
 }
 
-// serve runs an HTTP server until ctx ends.
+// serve starts an HTTP server, which group runs until ctx ends.
 func serve(ctx context.Context, group *errgroup.Group, address netip.AddrPort, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -112,69 +86,19 @@
 	return nil
 }
 
-// enter writes the entry of the i-th server.
+// enter writes the row of the i-th endpoint, or removes it.
 func (e *Emulator) enter(i int, state string) error {
 	server := &e.settings.Servers[i]
 	if state == stateGone {
-		e.store.Remove(tableServers, server.ID)
+		e.store.Remove(wire.TableEndpoints, server.ID)
 		return nil
 	}
-	_, err := e.store.PutJSON(tableServers, server.ID, map[string]any{
-		"service": server.Service, "address": server.Address.String(), "zone": server.FailureDomain, "slots": 64, "state": state,
+	_, err := e.store.PutJSON(wire.TableEndpoints, server.ID, wire.Endpoint{
+		Service:       server.Service,
+		Address:       server.Address.String(),
+		FailureDomain: server.FailureDomain,
+		Slots:         reportedSlots,
+		State:         state,
 	})
 	return err
 }
-
-// serveChange does what a test asks for.
-func (e *Emulator) serveChange(w http.ResponseWriter, r *http.Request) {
-	var change Change
-	decoder := json.NewDecoder(r.Body)
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&change); err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
-	if err := e.Apply(&change); err != nil {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
-	}
-}
-
-// Apply does what a change says.
-func (e *Emulator) Apply(change *Change) error {
-	if change.Store != nil {
-		e.store.SetFault(*change.Store)
-	}
-	if len(change.Configuration) > 0 {
-		e.store.Put(tableOperators, keyConfig, change.Configuration)
-	}
-	if change.ForgetHistory {
-		e.store.ForgetHistory()
-	}
-	for i, server := range e.servers {
-		if change.Server != "" && change.Server != server.ID {
-			continue
-		}
-		if change.Fault != nil {
-			server.SetFault(*change.Fault, change.Requests)
-		}
-		if change.State != "" {
-			if err := e.enter(i, change.State); err != nil {
-				return err
-			}
-		}
-	}
-	return nil
-}
-
-// serveRuns answers with how often each request has run, on all servers
-// together.
-func (e *Emulator) serveRuns(w http.ResponseWriter, _ *http.Request) {
-	total := make(map[string]int)
-	for _, server := range e.servers {
-		for id, n := range server.AllRuns() {
-			total[id] += n
-		}
-	}
-	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(total)
-}
--- /dev/null
+++ b/standin/rowstore/fault.go
@@ -0,0 +1,40 @@
+package rowstore
+
+import (
+	"net/http"
+	"time"
+)
+
+// A Fault is what is wrong with the store. The zero value is a store that works.
+type Fault struct {
+	// Status, unless zero, answers each call, which does nothing.
+	Status int `json:"status"`
+	// Silent accepts calls and never answers.
+	Silent bool `json:"silent"`
+	// Slow delays each response.
+	Slow time.Duration `json:"slow"`
+	// DeafFeed withholds changes from calls that wait for them.
+	DeafFeed bool `json:"deaf_feed"`
+	// StaleReads answers reads as of when the fault was set.
+	StaleReads bool `json:"stale_reads"`
+}
+
+// serve applies the fault to a call, and reports whether that ended the call.
+func (f Fault) serve(w http.ResponseWriter, r *http.Request) bool {
+	if f.Slow > 0 {
+		select {
+		case <-time.After(f.Slow):
+		case <-r.Context().Done():
+			return true
+		}
+	}
+	switch {
+	case f.Silent:
+		<-r.Context().Done()
+		return true
+	case f.Status != 0:
+		w.WriteHeader(f.Status)
+		return true
+	}
+	return false
+}
--- /dev/null
+++ b/standin/rowstore/serve.go
@@ -0,0 +1,157 @@
+package rowstore
+
+import (
+	"cmp"
+	"encoding/json"
+	"net/http"
+	"net/url"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/ryeford/ryeford/platform/wire"
+)
+
+// ServeHTTP implements http.Handler.
+func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	fault := s.fault
+	s.mu.Unlock()
+	if fault.serve(w, r) {
+		return
+	}
+	switch r.URL.Path {
+	case wire.PathRows:
+		s.serveRows(w, r)
+	case wire.PathChanges:
+		s.serveChanges(w, r)
+	case wire.PathTransaction:
+		s.serveTransaction(w, r)
+	default:
+		w.WriteHeader(http.StatusNotFound)
+	}
+}
+
+// serveRows answers with one page of a table.
+func (s *Store) serveRows(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	limit := wire.MaxPageRows
+	if n, err := strconv.Atoi(query.Get(wire.QueryLimit)); err == nil && n > 0 {
+		limit = min(limit, n)
+	}
+	rows, version := s.read(query.Get(wire.QueryTable), query.Get(wire.QueryFrom))
+	slices.SortFunc(rows, func(a, b wire.Row) int { return cmp.Compare(a.Key, b.Key) })
+	s.write(w, http.StatusOK, &wire.RowsResponse{
+		Rows:    rows[:min(limit, len(rows))],
+		More:    len(rows) > limit,
+		Version: version,
+	})
+}
+
+// read returns the rows of a table from a key on, in no order, and the version that
+// they are of.
+func (s *Store) read(table, from string) ([]wire.Row, int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	current, version := s.rows, s.version
+	if s.fault.StaleReads {
+		current, version = s.staleRows, s.staleVersion
+	}
+	var rows []wire.Row
+	for _, row := range current {
+		if row.Table == table && row.Key >= from {
+			rows = append(rows, row)
+		}
+	}
+	return rows, version
+}
+
+// serveChanges answers with what has changed in a table, once something has or the
+// wait is over.
+func (s *Store) serveChanges(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	since := number(query, wire.QuerySince)
+	timeout := time.NewTimer(time.Duration(number(query, wire.QueryWait)) * time.Millisecond)
+	defer timeout.Stop()
+	for {
+		s.mu.Lock()
+		rows, known := s.changesSince(query.Get(wire.QueryTable), since)
+		version, changed, fault := s.version, s.changed, s.fault
+		s.mu.Unlock()
+		if fault.serve(w, r) {
+			return
+		}
+		if !known {
+			w.WriteHeader(http.StatusGone)
+			return
+		}
+		if len(rows) > 0 && !fault.DeafFeed {
+			s.write(w, http.StatusOK, &wire.RowsResponse{Rows: rows, Version: version})
+			return
+		}
+		select {
+		case <-changed:
+		case <-timeout.C:
+			// Withheld changes are counted off, or the caller would take them for read.
+			s.write(w, http.StatusOK, &wire.RowsResponse{Rows: []wire.Row{}, Version: max(since, version-int64(len(rows)))})
+			return
+		case <-r.Context().Done():
+			return
+		}
+	}
+}
+
+// serveTransaction makes a change, or answers 412 with the rows whose version is
+// not the expected one.
+func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request) {
+	var transaction wire.Transaction
+	if r.Method != http.MethodPost || json.NewDecoder(r.Body).Decode(&transaction) != nil {
+		w.WriteHeader(http.StatusBadRequest)
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if differ := s.unexpected(transaction.Expected); len(differ) > 0 {
+		s.write(w, http.StatusPreconditionFailed, &wire.RowsResponse{Rows: differ, Version: s.version})
+		return
+	}
+	for _, row := range transaction.Put {
+		s.apply(row)
+	}
+	for _, row := range transaction.Remove {
+		row.Removed = true
+		s.apply(row)
+	}
+	s.wake()
+	s.write(w, http.StatusOK, &wire.RowsResponse{Version: s.version})
+}
+
+// unexpected returns the rows whose version is not the expected one, as they are.
+// s.mu is held.
+func (s *Store) unexpected(expected []wire.Row) []wire.Row {
+	var differ []wire.Row
+	for _, row := range expected {
+		if now := s.rows[rowName{table: row.Table, key: row.Key}]; now.Version != row.Version {
+			differ = append(differ, now)
+		}
+	}
+	return differ
+}
+
+// number returns a query parameter that is a number; one that is not counts as zero.
+func number(query url.Values, name string) int64 {
+	n, err := strconv.ParseInt(query.Get(name), 10, 64)
+	if err != nil {
+		return 0
+	}
+	return n
+}
+
+// write writes a response with the store's clock. An error means that the caller
+// has closed the connection.
+func (s *Store) write(w http.ResponseWriter, status int, response *wire.RowsResponse) {
+	response.ClockMs = time.Since(s.began).Milliseconds()
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(response)
+}
