--- a/standin/emulator/change.go
+++ b/standin/emulator/change.go
@@ -11,8 +11,8 @@
 
 // The paths of the admin address.
 const (
-	PathChange = "/fault" // POST: a Change
-	PathRuns   = "/runs"  // GET: how often each request has run
+	pathChange = "/fault" // POST: a Change
+	pathRuns   = "/runs"  // GET: how often each request has run
 )
 
 // stateGone in a Change removes an endpoint's row.
@@ -38,8 +38,8 @@
 // adminHandler serves the admin address.
 func (e *Emulator) adminHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+PathChange, e.serveChange)
-	mux.HandleFunc("GET "+PathRuns, e.serveRuns)
+	mux.HandleFunc("POST "+pathChange, e.serveChange)
+	mux.HandleFunc("GET "+pathRuns, e.serveRuns)
 	return mux
 }
 
