--- a/agentfleet/decision/log.go
+++ b/agentfleet/decision/log.go
@@ -1,6 +1,11 @@
 // Package decision logs each routing, refusal, placement and configuration
-// decision as one line, and keeps the last lines by request, so that a process
-// can explain what it did.
+// decision of the fleet with agents as one line, and keeps the last lines on
+// requests in memory, so that `ryeford explain` can ask a process what it did.
+//
+// It owns the kept lines, and relies on the logger for the others. A gateway writes
+// its decisions to the log alone, and explain reads them there: its memory is
+// bounded, and its operators have its log, while those of a fleet with agents ask
+// its routers.
 package decision
 
 import (
@@ -14,17 +19,20 @@
 	"github.com/ryeford/ryeford"
 )
 
-const kept = 20_000 // lines
+// keptLines is how many lines on requests a Log keeps. Not measured.
+const keptLines = 20_000
 
-// A Log logs decisions and keeps the last ones.
+// A Log logs decisions and keeps the last ones on requests. Its methods may be
+// called concurrently.
 type Log struct {
 	out log.Logger
 
 	mu    sync.Mutex
-	lines [kept]line
-	next  int
+	lines [keptLines]line
+	next  int // where the next line goes: the oldest one
 }
 
+// A line is a decision on a request, in logfmt.
 type line struct {
 	request ryeford.RequestID
 	text    string
@@ -35,7 +43,11 @@
 	return &Log{out: out}
 }
 
-// Note logs one decision. The pairs are keys and values in turn.
+// Note logs one decision, and keeps it if it is on a request. The pairs are keys
+// and values in turn.
+//
+// The error is the logger's. Callers may drop it, as that of any log line: it says
+// that standard error can't be written to, and there is no other place to say so.
 func (l *Log) Note(request ryeford.RequestID, pairs ...any) error {
 	if request != "" {
 		l.keep(request, pairs)
@@ -43,27 +55,27 @@
 	return l.out.Log(pairs...)
 }
 
-// keep keeps a decision's line.
+// keep keeps a decision's line, with the time.
 func (l *Log) keep(request ryeford.RequestID, pairs []any) {
 	var b bytes.Buffer
 	e := logfmt.NewEncoder(&b)
+	// A buffer takes all that is written; a value that can't be encoded is replaced
+	// by the error's text.
 	_ = e.EncodeKeyval("ts", time.Now().UTC().Format(time.RFC3339Nano))
-	for i := 0; i+1 < len(pairs); i += 2 {
-		_ = e.EncodeKeyval(pairs[i], pairs[i+1])
-	}
+	_ = e.EncodeKeyvals(pairs...)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lines[l.next] = line{request: request, text: b.String()}
-	l.next = (l.next + 1) % kept
+	l.next = (l.next + 1) % keptLines
 }
 
-// Lines returns the kept decisions on a request, in their order.
+// Lines returns the kept decisions on a request, in the order of time.
 func (l *Log) Lines(request ryeford.RequestID) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []string
-	for i := range kept {
-		if line := &l.lines[(l.next+i)%kept]; line.request == request {
+	for i := range keptLines {
+		if line := &l.lines[(l.next+i)%keptLines]; line.request == request {
 			found = append(found, line.text)
 		}
 	}
