--- a/agentfleet/router/callers_test.go
+++ b/agentfleet/router/callers_test.go
@@ -28,7 +28,7 @@
 	r.synced.Store(true)
 	r.book.Apply(0, 1, []ryeford.Template{{
 		Account: "bank", Name: "calls", Model: "lira", Priority: 5, Share: 1, Revision: 1,
-		KeyHashes: []string{template.HashKey("bank-key")},
+		KeyHashes: []string{ryeford.HashKey("bank-key")},
 	}})
 	return r
 }
--- a/agentfleet/template/book.go
+++ b/agentfleet/template/book.go
@@ -4,8 +4,6 @@
 
 import (
 	"cmp"
-	"crypto/sha256"
-	"encoding/hex"
 	"slices"
 	"sync"
 
@@ -106,7 +104,7 @@
 
 // Account returns the client account that a key belongs to.
 func (b *Book) Account(key string) (ryeford.AccountID, bool) {
-	return b.KeyOwner(HashKey(key))
+	return b.KeyOwner(ryeford.HashKey(key))
 }
 
 // KeyOwner returns the client account that a key's hash belongs to.
@@ -136,9 +134,3 @@
 	}
 	return found, found != nil
 }
-
-// HashKey returns the hash under which an account's key is kept.
-func HashKey(key string) string {
-	sum := sha256.Sum256([]byte(key))
-	return hex.EncodeToString(sum[:])
-}
--- a/agentfleet/template/template_test.go
+++ b/agentfleet/template/template_test.go
@@ -107,7 +107,7 @@
 		templates = append(templates, ryeford.Template{
 			Account: ryeford.AccountID(fmt.Sprintf("account-%d", i)), Name: "calls", Model: "lira", Adapter: "harbour",
 			Share: 0.1, Revision: int64(i + 1), Change: "280cf740-4e2c-404c-851e-5152ba7e4550",
-			KeyHashes: []string{HashKey(fmt.Sprint(i))},
+			KeyHashes: []string{ryeford.HashKey(fmt.Sprint(i))},
 		})
 	}
 	before := heapBytes()
--- a/internal/cmd/devcmd.go
+++ b/internal/cmd/devcmd.go
@@ -185,7 +185,7 @@
 		Model:     devModel,
 		Priority:  ryeford.PriorityDefault,
 		Share:     1,
-		KeyHashes: []string{template.HashKey(devKey)},
+		KeyHashes: []string{ryeford.HashKey(devKey)},
 		Change:    uuid.NewString(),
 	}
 	for {
--- a/settings/template.go
+++ b/settings/template.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/agentfleet/template"
 )
 
 // A Template is a template as an operator writes it.
@@ -50,7 +49,7 @@
 		KeyHashes: t.KeyHashes,
 	}
 	for _, key := range t.Keys {
-		p.KeyHashes = append(p.KeyHashes, template.HashKey(key))
+		p.KeyHashes = append(p.KeyHashes, ryeford.HashKey(key))
 	}
 	return p
 }
--- a/template.go
+++ b/template.go
@@ -1,6 +1,10 @@
 package ryeford
 
-import "time"
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"time"
+)
 
 // A Template is what an operator publishes for a client account: which model
 // serves it, with which priority and share, and when its event begins.
@@ -27,3 +31,10 @@
 func (t *Template) Pool() Pool {
 	return Pool{Model: t.Model, Adapter: t.Adapter, Version: t.ModelTag}
 }
+
+// HashKey returns the hash of a client account's key as KeyHashes holds it: the
+// SHA-256 of the key, in 64 hexadecimal digits. The key itself is stored nowhere.
+func HashKey(key string) string {
+	sum := sha256.Sum256([]byte(key))
+	return hex.EncodeToString(sum[:])
+}
