--- a/agentfleet/router/answers.go
+++ b/agentfleet/router/answers.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"fmt"
 	"io"
 	"strconv"
 	"sync"
@@ -13,6 +12,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/internal/eventstream"
 )
 
 // An answerBody is the JSON of a whole answer.
@@ -144,22 +144,14 @@
 	// connection.
 	encodeError func(err error)
 
-	buf   bytes.Buffer
+	buf   eventstream.Buffer
 	ended bool
 	once  sync.Once
 }
 
 // Read implements io.Reader. It waits for the next chunk.
 func (s *answerStream) Read(p []byte) (int, error) {
-	for s.buf.Len() == 0 {
-		if s.ended {
-			return 0, io.EOF
-		}
-		if err := s.fill(); err != nil {
-			return 0, err
-		}
-	}
-	return s.buf.Read(p)
+	return s.buf.ReadOrFill(p, s.fill)
 }
 
 // Close implements io.Closer.
@@ -175,8 +167,11 @@
 	return nil
 }
 
-// fill encodes the next chunk.
+// fill encodes the next chunk. It returns io.EOF after the last one.
 func (s *answerStream) fill() error {
+	if s.ended {
+		return io.EOF
+	}
 	chunk, err := s.exchange.read(s.ctx)
 	if err == nil {
 		s.ended = chunk.Finish != ""
@@ -222,9 +217,9 @@
 		body.Usage = &chunk.Usage
 	}
 	body.Choices = []answerChoice{choice}
-	s.writeEvent(id.String(), "", body)
+	s.writeEvent(eventstream.Event{ID: id.String(), Data: body})
 	if chunk.Finish != "" {
-		s.buf.WriteString("data: [DONE]\n\n")
+		s.buf.WriteDone()
 	}
 }
 
@@ -232,20 +227,13 @@
 // follows it.
 func (s *answerStream) encodeErrorEvent(err error) {
 	body, _ := newErrorBody(s.exchange.turn.request, err)
-	s.writeEvent("", "error", &body)
+	s.writeEvent(eventstream.Event{Name: "error", Data: &body})
 }
 
-// writeEvent writes one server-sent event.
-func (s *answerStream) writeEvent(id, event string, data any) {
-	content, err := json.Marshal(data)
-	if err != nil {
-		return
-	}
-	if id != "" {
-		fmt.Fprintf(&s.buf, "id: %s\n", id)
-	}
-	if event != "" {
-		fmt.Fprintf(&s.buf, "event: %s\n", event)
+// writeEvent writes one server-sent event. One that can't be encoded is left out: its
+// parts are strings and numbers of ours, so that it would be a fault of this program.
+func (s *answerStream) writeEvent(event eventstream.Event) {
+	if err := s.buf.WriteEvent(event); err != nil {
+		_ = s.router.log.Log("msg", "event not encoded", "request", s.exchange.turn.request, "err", err)
 	}
-	fmt.Fprintf(&s.buf, "data: %s\n\n", content)
 }
--- /dev/null
+++ b/internal/eventstream/eventstream.go
@@ -0,0 +1,68 @@
+// Package eventstream writes responses of the media type text/event-stream, in the
+// form that chat completions use: each event is JSON, and the last line of a complete
+// response is "data: [DONE]". It owns the bytes that are encoded and not read yet; what
+// the events are, and when there are more, is its caller's business.
+package eventstream
+
+import (
+	"bytes"
+	"encoding/json"
+)
+
+// done is the end marker. A response without it was cut.
+const done = "data: [DONE]\n\n"
+
+// An Event is one server-sent event. An empty ID or Name is left out.
+type Event struct {
+	ID   string
+	Name string
+	Data any // is written as JSON
+}
+
+// A Buffer holds encoded events until the HTTP server reads them. The zero Buffer is
+// empty.
+//
+// A Buffer must not be used by two goroutines at once.
+type Buffer struct {
+	bytes.Buffer
+}
+
+// WriteEvent appends one event. If its data can't be encoded, it appends nothing and
+// returns the error of encoding/json.
+func (b *Buffer) WriteEvent(e Event) error {
+	data, err := json.Marshal(e.Data)
+	if err != nil {
+		return err
+	}
+	b.writeField("id: ", e.ID)
+	b.writeField("event: ", e.Name)
+	b.WriteString("data: ")
+	b.Write(data)
+	b.WriteString("\n\n")
+	return nil
+}
+
+// writeField appends one line of an event, unless its value is empty.
+func (b *Buffer) writeField(name, value string) {
+	if value == "" {
+		return
+	}
+	b.WriteString(name)
+	b.WriteString(value)
+	b.WriteByte('\n')
+}
+
+// WriteDone appends the end marker of a complete response.
+func (b *Buffer) WriteDone() { b.WriteString(done) }
+
+// ReadOrFill reads from b as an io.Reader does. While b is empty it calls fill, which
+// is to append to b or to return an error: io.EOF after the last event, any other error
+// to cut the response. That error is returned as it is.
+func (b *Buffer) ReadOrFill(p []byte, fill func() error) (int, error) {
+	for b.Len() == 0 {
+		if err := fill(); err != nil {
+			return 0, err
+		}
+	}
+	return b.Read(p)
+}
--- /dev/null
+++ b/internal/eventstream/eventstream_test.go
@@ -0,0 +1,79 @@
+package eventstream
+
+import (
+	"errors"
+	"io"
+	"math"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// TestWriteEvent checks the lines of an event.
+func TestWriteEvent(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		event Event
+		want  string
+	}{
+		{"data alone", Event{Data: 1}, "data: 1\n\n"},
+		{"with an id", Event{ID: "a/1", Data: "x"}, "id: a/1\ndata: \"x\"\n\n"},
+		{"with a name", Event{Name: "error", Data: "x"}, "event: error\ndata: \"x\"\n\n"},
+		{"with both", Event{ID: "a/1", Name: "error", Data: "x"}, "id: a/1\nevent: error\ndata: \"x\"\n\n"},
+		{"a line break is escaped", Event{Data: "x\ny"}, "data: \"x\\ny\"\n\n"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var b Buffer
+			assert.NilError(t, b.WriteEvent(test.event))
+			assert.Equal(t, b.String(), test.want)
+		})
+	}
+}
+
+// TestWriteEventFails checks that an event that can't be encoded leaves no part of it.
+func TestWriteEventFails(t *testing.T) {
+	var b Buffer
+	assert.Assert(t, b.WriteEvent(Event{ID: "a/1", Data: math.NaN()}) != nil)
+	assert.Equal(t, b.Len(), 0)
+}
+
+// TestReadOrFill checks that a body is read event by event, to its end marker or to
+// the error that cuts it.
+func TestReadOrFill(t *testing.T) {
+	cut := errors.New("cut")
+	for _, test := range []struct {
+		name string
+		end  error
+		want error
+	}{
+		{"complete", io.EOF, nil},
+		{"cut", cut, cut},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var b Buffer
+			fills := 0
+			fill := func() error {
+				fills++
+				switch fills {
+				case 1:
+					return b.WriteEvent(Event{Data: 1})
+				case 2:
+					return nil // nothing yet: fill is called again
+				case 3:
+					b.WriteDone()
+					return nil
+				}
+				return test.end
+			}
+			content, err := io.ReadAll(readerFunc(func(p []byte) (int, error) { return b.ReadOrFill(p, fill) }))
+			assert.Assert(t, errors.Is(err, test.want))
+			assert.Equal(t, string(content), "data: 1\n\ndata: [DONE]\n\n")
+		})
+	}
+}
+
+// A readerFunc is an io.Reader.
+type readerFunc func(p []byte) (int, error)
+
+// Read implements io.Reader.
+func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
--- a/standin/eventstream.go
+++ b/standin/eventstream.go
@@ -1,13 +1,12 @@
 package standin
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
-	"fmt"
 	"io"
 
+	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/engine"
+	"github.com/ryeford/ryeford/internal/eventstream"
 )
 
 // errCut makes fasthttp cut a connection amid an answer.
@@ -19,36 +18,34 @@
 	run    *run
 	fault  EngineFault
 	index  int
-	buf    bytes.Buffer
+	buf    eventstream.Buffer
 	ended  bool
 }
 
 // Read implements io.Reader. It waits for the next events.
 func (s *eventStream) Read(p []byte) (int, error) {
-	for s.buf.Len() == 0 {
-		if s.ended {
-			return 0, io.EOF
-		}
-		if err := s.fill(); err != nil {
-			return 0, err
-		}
-	}
-	return s.buf.Read(p)
+	return s.buf.ReadOrFill(p, s.fill)
 }
 
-// fill writes the next events to the buffer, or waits for some.
+// fill writes the next events to the buffer, or waits for some. It returns io.EOF
+// after the last one.
 func (s *eventStream) fill() error {
+	if s.ended {
+		return io.EOF
+	}
 	events, done, changed := s.run.from(s.index)
 	for _, event := range events {
 		if s.fault.DieAfter > 0 && s.index >= s.fault.DieAfter {
 			s.engine.lose(s.run)
 			return errCut
 		}
-		s.writeEvent(event)
+		if err := s.writeEvent(event); err != nil {
+			return err
+		}
 		s.index++
 	}
 	if done {
-		s.buf.WriteString("data: [DONE]\n\n")
+		s.buf.WriteDone()
 		s.ended = true
 		return nil
 	}
@@ -63,36 +60,31 @@
 	}
 }
 
-// writeEvent writes one event, in disorder if the fault says so: each second
-// event goes behind its successor.
-func (s *eventStream) writeEvent(event engine.CompletionChunk) {
+// writeEvent writes one event, in disorder if the fault says so: each second event is
+// sent after its successor.
+func (s *eventStream) writeEvent(event engine.CompletionChunk) error {
 	if !s.fault.Disorder {
-		s.writeSSE(s.index, event)
-		return
+		return s.write(s.run.attempt, s.index, event)
+	}
+	if err := s.write("another-attempt", s.index, tokenEvent(s.run, "of another answer ")); err != nil {
+		return err
 	}
-	foreign := tokenEvent(s.run, "of another answer ")
-	s.write(engine.EventID("another-attempt", int64(s.index)), foreign)
 	if s.index%2 == 0 && event.Choices[0].FinishReason == "" {
-		return // sent behind the next one
+		return nil // sent after the next one
 	}
-	s.writeSSE(s.index, event)
-	s.writeSSE(s.index, event)
-	if s.index > 0 {
-		earlier, _, _ := s.run.from(s.index - 1)
-		s.writeSSE(s.index-1, earlier[0])
+	for range 2 {
+		if err := s.write(s.run.attempt, s.index, event); err != nil {
+			return err
+		}
 	}
-}
-
-// writeSSE writes one event of the run.
-func (s *eventStream) writeSSE(index int, event engine.CompletionChunk) {
-	s.write(engine.EventID(s.run.attempt, int64(index)), event)
+	if s.index == 0 {
+		return nil
+	}
+	earlier, _, _ := s.run.from(s.index - 1)
+	return s.write(s.run.attempt, s.index-1, earlier[0])
 }
 
 // write writes one server-sent event.
-func (s *eventStream) write(id string, event engine.CompletionChunk) {
-	data, err := json.Marshal(&event)
-	if err != nil {
-		return
-	}
-	fmt.Fprintf(&s.buf, "id: %s\ndata: %s\n\n", id, data)
+func (s *eventStream) write(attempt ryeford.AttemptID, index int, event engine.CompletionChunk) error {
+	return s.buf.WriteEvent(eventstream.Event{ID: engine.EventID(attempt, int64(index)), Data: &event})
 }
