--- a/agentfleet/agent/gossip.go
+++ b/agentfleet/agent/gossip.go
@@ -2,47 +2,28 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"time"
 
+	"github.com/ryeford/ryeford/agentfleet/gossip"
 	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// gossip sends the engines' loads and the revision to a random router each
-// interval, and to several at once after a new revision, until ctx ends.
+// gossip sends the engines' loads and the revision to routers until ctx ends.
 func (a *Agent) gossip(ctx context.Context) error {
-	ticker := time.NewTicker(a.settings.Transport.GossipInterval)
-	defer ticker.Stop()
-	changed := a.book.Changed()
-	for {
-		select {
-		case <-ticker.C:
-			a.sendGossip(1)
-		case <-changed:
-			changed = a.book.Changed()
-			_ = a.decisions.Note("", "decision", "in_force", "revision", a.book.Revision())
-			a.sendGossip(wire.RumorFanout)
-		case <-ctx.Done():
-			return nil
-		}
+	loop := &gossip.Loop{
+		Interval:  a.settings.Transport.GossipInterval,
+		Book:      a.book,
+		Decisions: a.decisions,
+		Send:      a.sendGossip,
 	}
+	return loop.Run(ctx)
 }
 
 // sendGossip sends a datagram to n random peers.
 func (a *Agent) sendGossip(n int) {
-	peers := a.randomPeers(n)
-	if len(peers) == 0 {
-		return
-	}
-	data, err := wire.Marshal(a.gossipMessage())
-	if err != nil {
-		return
-	}
-	for _, peer := range peers {
-		if a.control.Allow(len(data)) {
-			_ = peer.SendDatagram(data)
-		}
+	if peers := a.randomPeers(n); len(peers) > 0 {
+		gossip.Send(a.control, a.gossipMessage(), peers...)
 	}
 }
 
@@ -72,21 +53,12 @@
 	for peer := range a.peers {
 		peers = append(peers, peer)
 	}
-	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	return peers[:min(n, len(peers))]
+	return gossip.Sample(peers, n)
 }
 
 // receiveGossip takes a router's datagrams until the connection ends.
 func (a *Agent) receiveGossip(ctx context.Context, conn *transport.Conn) {
-	for {
-		data, err := conn.ReceiveDatagram(ctx)
-		if err != nil {
-			return
-		}
-		var m wire.Gossip
-		if wire.Unmarshal(data, &m) != nil {
-			continue
-		}
+	gossip.Receive(ctx, conn, func(m *wire.Gossip) {
 		now := time.Now()
 		for i := range m.Overflows {
 			if b, ok := a.backends[m.Overflows[i].Home]; ok {
@@ -94,24 +66,10 @@
 			}
 		}
 		if m.Revision > a.book.Revision() {
-			a.pullTemplates(ctx, conn)
+			gossip.PullTemplates(ctx, conn, a.book)
 		}
 		if a.planIsNewer(m.PlanEpoch, m.PlanSequence) {
 			a.pullPlan(ctx, conn)
 		}
-	}
+	})
 }
-
-// pullTemplates reads the templates that this process lacks from a router.
-func (a *Agent) pullTemplates(ctx context.Context, conn *transport.Conn) {
-	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
-	defer cancel()
-	from := a.book.Revision()
-	m, err := conn.Ask(ctx, &wire.Message{Pull: &wire.Pull{Revision: from}})
-	if err != nil || m.Delta == nil {
-		return
-	}
-	a.book.Apply(from, m.Delta.Revision, m.Delta.Templates)
-}
-
-const pullTimeout = 3 * time.Second
--- a/agentfleet/agent/plan.go
+++ b/agentfleet/agent/plan.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/gossip"
 	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
@@ -43,7 +44,7 @@
 // pullPlan reads this VM's part of the plan from a router. After an error the next
 // gossip of a router shows the newer plan again.
 func (a *Agent) pullPlan(ctx context.Context, conn *transport.Conn) {
-	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
+	ctx, cancel := context.WithTimeout(ctx, gossip.PullTimeout)
 	defer cancel()
 	m, err := conn.Ask(ctx, &wire.Message{PullPlan: &wire.PullPlan{VM: a.settings.VM}})
 	if err != nil || m.Plan == nil {
--- /dev/null
+++ b/agentfleet/gossip/gossip_test.go
@@ -0,0 +1,69 @@
+package gossip
+
+import (
+	"context"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/go-kit/log"
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford/agentfleet/decision"
+	"github.com/ryeford/ryeford/agentfleet/template"
+)
+
+// TestLoop checks when gossip is sent, and to how many peers.
+func TestLoop(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		change func(book *template.Book, plans chan struct{}) // 50 ms after the start
+		want   []int                                          // within 250 ms, at an interval of 100 ms
+	}{
+		{"nothing changes", func(*template.Book, chan struct{}) {}, []int{1, 1}},
+		{"a new revision", func(book *template.Book, _ chan struct{}) { book.Apply(0, 1, nil) }, []int{fanout, 1, 1}},
+		{"a new plan", func(_ *template.Book, plans chan struct{}) { plans <- struct{}{} }, []int{fanout, 1, 1}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				ctx, cancel := context.WithTimeout(t.Context(), 250*time.Millisecond)
+				defer cancel()
+				plans := make(chan struct{})
+				var sent []int
+				loop := &Loop{
+					Interval:    100 * time.Millisecond,
+					Book:        template.NewBook(),
+					Decisions:   decision.NewLog(log.NewNopLogger()),
+					PlanChanged: func() <-chan struct{} { return plans },
+					Send:        func(peers int) { sent = append(sent, peers) },
+				}
+				go func() {
+					time.Sleep(50 * time.Millisecond)
+					test.change(loop.Book, plans)
+				}()
+				assert.NilError(t, loop.Run(ctx))
+				assert.DeepEqual(t, sent, test.want)
+			})
+		})
+	}
+}
+
+// TestSample checks that a sample has no peer twice, and all if it asks for more than
+// there are.
+func TestSample(t *testing.T) {
+	for _, test := range []struct{ peers, n, want int }{
+		{0, 1, 0},
+		{3, 1, 1},
+		{3, 8, 3},
+	} {
+		peers := make([]int, test.peers)
+		for i := range peers {
+			peers[i] = i
+		}
+		sample := Sample(peers, test.n)
+		assert.Equal(t, len(sample), test.want)
+		slices.Sort(sample)
+		assert.Equal(t, len(slices.Compact(sample)), test.want)
+	}
+}
--- a/agentfleet/router/gossip.go
+++ b/agentfleet/router/gossip.go
@@ -2,48 +2,35 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"time"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/gossip"
 	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/agentfleet/wire"
 	"github.com/ryeford/ryeford/route"
 )
 
 const (
-	pullTimeout  = 3 * time.Second
 	syncQuorum   = 3 // agents that a fresh router asks while the store is down
 	syncInterval = 500 * time.Millisecond
 )
 
-// gossip tells a random agent the revision and the plan each interval, and
-// several at once after a change, until ctx ends.
+// gossip sends the revision and the plan to agents until ctx ends.
 func (r *Router) gossip(ctx context.Context) error {
-	ticker := time.NewTicker(r.settings.Transport.GossipInterval)
-	defer ticker.Stop()
-	changed := r.book.Changed()
-	for {
-		select {
-		case <-ticker.C:
-			r.sendGossip(1)
-		case <-changed:
-			changed = r.book.Changed()
-			_ = r.decisions.Note("", "decision", "in_force", "revision", r.book.Revision())
-			r.sendGossip(wire.RumorFanout)
-		case <-r.planner.changed():
-			r.sendGossip(wire.RumorFanout)
-		case <-ctx.Done():
-			return nil
-		}
-	}
+	loop := &gossip.Loop{
+		Interval:    r.settings.Transport.GossipInterval,
+		Book:        r.book,
+		Decisions:   r.decisions,
+		PlanChanged: r.planner.changed,
+		Send:        r.sendGossip,
+	}
+	return loop.Run(ctx)
 }
 
 // sendGossip sends a datagram to n random agents.
 func (r *Router) sendGossip(n int) {
-	peers := r.fleet.all()
-	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	for _, p := range peers[:min(n, len(peers))] {
+	for _, p := range gossip.Sample(r.fleet.all(), n) {
 		r.sendTo(p.conn, &wire.Gossip{})
 	}
 }
@@ -53,45 +40,20 @@
 	m.VM = r.settings.VM
 	m.Revision = r.book.Revision()
 	m.PlanEpoch, m.PlanSequence = r.planner.known()
-	data, err := wire.Marshal(m)
-	if err == nil && r.control.Allow(len(data)) {
-		_ = conn.SendDatagram(data)
-	}
+	gossip.Send(r.control, m, conn)
 }
 
 // receiveGossip takes an agent's datagrams until the connection ends.
 func (r *Router) receiveGossip(ctx context.Context, conn *transport.Conn) {
-	for {
-		data, err := conn.ReceiveDatagram(ctx)
-		if err != nil {
-			return
-		}
-		var m wire.Gossip
-		if wire.Unmarshal(data, &m) != nil {
-			continue
-		}
+	gossip.Receive(ctx, conn, func(m *wire.Gossip) {
 		now := time.Now()
 		for _, l := range m.Loads {
 			r.fleet.addLoad(now, l.Model, l.Load)
 		}
 		if m.Revision > r.book.Revision() {
-			r.pullTemplates(ctx, conn)
+			gossip.PullTemplates(ctx, conn, r.book)
 		}
-	}
-}
-
-// pullTemplates reads the templates that this router lacks from an agent. It
-// returns the revision that the agent has, or -1.
-func (r *Router) pullTemplates(ctx context.Context, conn *transport.Conn) int64 {
-	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
-	defer cancel()
-	from := r.book.Revision()
-	m, err := conn.Ask(ctx, &wire.Message{Pull: &wire.Pull{Revision: from}})
-	if err != nil || m.Delta == nil {
-		return -1
-	}
-	r.book.Apply(from, m.Delta.Revision, m.Delta.Templates)
-	return m.Delta.Revision
+	})
 }
 
 // syncTemplates reads the accepted templates from the platform's table, until
@@ -123,13 +85,12 @@
 // the highest revision of several agents.
 func (r *Router) syncFromAgents(ctx context.Context) {
 	peers := r.fleet.all()
-	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	answered := 0
-	for _, p := range peers {
+	for _, p := range gossip.Sample(peers, len(peers)) {
 		if answered == syncQuorum {
 			break
 		}
-		if r.pullTemplates(ctx, p.conn) > 0 {
+		if revision, ok := gossip.PullTemplates(ctx, p.conn, r.book); ok && revision > 0 {
 			answered++
 		}
 	}
--- a/agentfleet/wire/gossip.go
+++ b/agentfleet/wire/gossip.go
@@ -2,10 +2,6 @@
 
 import "github.com/ryeford/ryeford"
 
-// RumorFanout is to how many random peers a process passes a new revision at once.
-// Not measured.
-const RumorFanout = 8
-
 // A Gossip is one datagram of the control traffic. It may be lost: what it says is
 // sent again with the next one, but for Overflows, which are hints.
 type Gossip struct {
