--- a/agentfleet/load/walk.go
+++ b/agentfleet/load/probes.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// A Walk holds the loads that one request's candidates have reported. The zero
-// Walk is empty.
-type Walk struct {
+// A Probes holds the loads that one request's candidates have reported. The zero
+// Probes is empty.
+type Probes struct {
 	sum       float64
 	count     int
 	saturated bool
@@ -12,7 +12,7 @@
 
 // Add notes the load that a candidate had before the request, here and in the
 // estimate.
-func (w *Walk) Add(now time.Time, estimate *Mean, value float64) {
+func (w *Probes) Add(now time.Time, estimate *Mean, value float64) {
 	w.sum += value
 	w.count++
 	estimate.Add(now, value)
@@ -37,7 +37,7 @@
 // that is higher. They are no fair sample: a walk goes on because they refused,
 // and so they are the loaded ones. Where there is a good estimate they raise it by
 // maxRaise only.
-func (w *Walk) Mean(now time.Time, estimate *Mean) float64 {
+func (w *Probes) Mean(now time.Time, estimate *Mean) float64 {
 	known := estimate.Value(now)
 	enough := estimate.Count(now) >= enoughSamples
 	if w.count == 0 || (enough && w.count < saturatedWalk && !w.saturated) {
@@ -51,4 +51,4 @@
 }
 
 // Saturated notes that all candidates that there are have refused.
-func (w *Walk) Saturated() { w.saturated = true }
+func (w *Probes) Saturated() { w.saturated = true }
--- a/agentfleet/router/answers.go
+++ b/agentfleet/router/answers.go
@@ -42,14 +42,14 @@
 // caller asked for.
 func (r *Router) writeAnswer(work context.Context, cancel context.CancelFunc, ctx *fasthttp.RequestCtx, x *exchange) {
 	header := &ctx.Response.Header
-	header.Set(HeaderRequest, string(x.turn.request))
+	header.Set(HeaderRequest, string(x.request.id))
 	header.Set(HeaderEngine, string(x.candidate.Engine))
-	header.Set(HeaderTries, strconv.Itoa(x.tried))
+	header.Set(HeaderTries, strconv.Itoa(x.dispatches))
 	body := &answerStream{router: r, exchange: x, ctx: work, cancel: cancel}
 	switch {
-	case x.turn.call != nil:
+	case x.request.call != nil:
 		r.writeCallAnswer(ctx, body)
-	case x.turn.stream:
+	case x.request.stream:
 		ctx.SetContentType("text/event-stream")
 		header.Set("Cache-Control", "no-store")
 		header.Set("X-Accel-Buffering", "no")
@@ -70,7 +70,7 @@
 	}
 	if err != nil {
 		_ = body.Close()
-		writeError(ctx, body.exchange.turn.request, err)
+		writeError(ctx, body.exchange.request.id, err)
 		return
 	}
 	ctx.SetStatusCode(first.Status)
@@ -98,8 +98,8 @@
 		}
 		if err != nil {
 			body.ended = true
-			body.noteBroken(err)
-			writeError(ctx, x.turn.request, err)
+			body.logInterrupted(err)
+			writeError(ctx, x.request.id, err)
 			return
 		}
 		text.Write(chunk.Data)
@@ -113,7 +113,7 @@
 		answer.Usage = &chunk.Usage
 		content, err := json.Marshal(answer)
 		if err != nil {
-			writeError(ctx, x.turn.request, err)
+			writeError(ctx, x.request.id, err)
 			return
 		}
 		ctx.SetContentType("application/json")
@@ -125,10 +125,10 @@
 // newAnswerBody returns an answer without choices.
 func newAnswerBody(x *exchange, object string) *answerBody {
 	return &answerBody{
-		ID:      string(x.turn.request),
+		ID:      string(x.request.id),
 		Object:  object,
 		Created: time.Now().Unix(),
-		Model:   x.turn.model,
+		Model:   x.request.model,
 	}
 }
 
@@ -158,8 +158,8 @@
 func (s *answerStream) Close() error {
 	s.once.Do(func() {
 		if !s.ended {
-			_ = s.router.decisions.Note(s.exchange.turn.request, "decision", "caller_gone",
-				"request", s.exchange.turn.request, "offset", s.exchange.next)
+			_ = s.router.decisions.Note(s.exchange.request.id, "decision", "caller_gone",
+				"request", s.exchange.request.id, "offset", s.exchange.next)
 			s.exchange.cancel()
 		}
 		s.router.finish(s.exchange, s.cancel)
@@ -179,7 +179,7 @@
 		return nil
 	}
 	s.ended = true
-	s.noteBroken(err)
+	s.logInterrupted(err)
 	if s.encodeError == nil {
 		return err
 	}
@@ -187,11 +187,11 @@
 	return nil
 }
 
-// noteBroken logs an answer that broke off.
-func (s *answerStream) noteBroken(err error) {
-	t := s.exchange.turn
+// logInterrupted logs an answer that broke off.
+func (s *answerStream) logInterrupted(err error) {
+	req := s.exchange.request
 	s.router.metrics.Count("ryeford_interrupted_total", string(reasonOf(err)))
-	_ = s.router.decisions.Note(t.request, "decision", "interrupt", "request", t.request, "account", t.account, "chat", t.chat,
+	_ = s.router.decisions.Note(req.id, "decision", "interrupt", "request", req.id, "account", req.account, "chat", req.chat,
 		"engine", s.exchange.candidate.Engine, "offset", s.exchange.next, "reason", reasonOf(err), "err", err)
 }
 
@@ -226,7 +226,7 @@
 // encodeErrorEvent writes a failure as a server-sent event. No end marker
 // follows it.
 func (s *answerStream) encodeErrorEvent(err error) {
-	body, _ := newErrorBody(s.exchange.turn.request, err)
+	body, _ := newErrorBody(s.exchange.request.id, err)
 	s.writeEvent(eventstream.Event{Name: "error", Data: &body})
 }
 
@@ -234,6 +234,6 @@
 // parts are strings and numbers of ours, so that it would be a fault of this program.
 func (s *answerStream) writeEvent(event eventstream.Event) {
 	if err := s.buf.WriteEvent(event); err != nil {
-		_ = s.router.log.Log("msg", "event not encoded", "request", s.exchange.turn.request, "err", err)
+		_ = s.router.log.Log("msg", "event not encoded", "request", s.exchange.request.id, "err", err)
 	}
 }
--- a/agentfleet/router/callers.go
+++ b/agentfleet/router/callers.go
@@ -101,11 +101,11 @@
 	case path == "/metrics":
 		ctx.SetBody(r.metrics.Write())
 	case path == PathCompletions && ctx.IsPost():
-		r.serveTurn(ctx, r.parseCompletion)
+		r.serveRequest(ctx, r.parseCompletion)
 	case path == PathAnswers && ctx.IsGet():
 		r.serveResume(ctx)
 	case strings.HasPrefix(path, PathServices):
-		r.serveTurn(ctx, r.parseCall)
+		r.serveRequest(ctx, r.parseCall)
 	case path == PathCompletions || path == PathAnswers:
 		writeError(ctx, "", &ryeford.InputError{Field: "method", Problem: "not allowed here", Status: fasthttp.StatusMethodNotAllowed})
 	default:
@@ -123,33 +123,33 @@
 	ctx.SetBodyString("not ready\n")
 }
 
-// serveTurn parses a request, serves it and writes the answer.
-func (r *Router) serveTurn(ctx *fasthttp.RequestCtx, parse func(*fasthttp.RequestCtx, *turn) error) {
-	t := &turn{request: ryeford.RequestID(uuid.NewString())}
+// serveRequest parses a request, serves it and writes the answer.
+func (r *Router) serveRequest(ctx *fasthttp.RequestCtx, parse func(*fasthttp.RequestCtx, *request) error) {
+	req := &request{id: ryeford.RequestID(uuid.NewString())}
 	if !r.synced.Load() {
-		writeError(ctx, t.request, &ryeford.NotRunError{Reason: ryeford.ReasonNotReady, RetryAfter: retry.Spread(time.Second)})
+		writeError(ctx, req.id, &ryeford.NotRunError{Reason: ryeford.ReasonNotReady, RetryAfter: retry.Spread(time.Second)})
 		return
 	}
-	err := r.parseCommon(ctx, t)
+	err := r.parseCommon(ctx, req)
 	if err == nil {
-		err = parse(ctx, t)
+		err = parse(ctx, req)
 	}
 	if err != nil {
 		r.metrics.Count("ryeford_requests_total", "input")
-		writeError(ctx, t.request, err)
+		writeError(ctx, req.id, err)
 		return
 	}
 	r.inFlight.Add(1)
 	began := time.Now()
-	work, cancel := context.WithDeadline(context.Background(), t.deadline)
-	x := r.newExchange(t)
+	work, cancel := context.WithDeadline(context.Background(), req.deadline)
+	x := r.newExchange(req)
 	if err := x.start(work); err != nil {
-		r.noteRefused(x, err)
+		r.logGivenUp(x, err)
 		r.finish(x, cancel)
-		writeError(ctx, t.request, err)
+		writeError(ctx, req.id, err)
 		return
 	}
-	r.noteRouted(x, time.Since(began))
+	r.logRouted(x, time.Since(began))
 	r.writeAnswer(work, cancel, ctx, x)
 }
 
@@ -162,37 +162,37 @@
 
 // serveResume goes on with an answer that the caller has a part of.
 func (r *Router) serveResume(ctx *fasthttp.RequestCtx) {
-	t := &turn{stream: true, chat: "resume", deadline: time.Now().Add(r.settings.Limits.DefaultDeadline)}
-	if err := r.authenticate(ctx, t); err != nil {
-		writeError(ctx, t.request, err)
+	req := &request{stream: true, chat: "resume", deadline: time.Now().Add(r.settings.Limits.DefaultDeadline)}
+	if err := r.authenticate(ctx, req); err != nil {
+		writeError(ctx, req.id, err)
 		return
 	}
 	where, err := parseEventID(string(ctx.Request.Header.Peek(HeaderLastEvent)))
 	if err != nil {
-		writeError(ctx, t.request, err)
+		writeError(ctx, req.id, err)
 		return
 	}
-	t.completion = &ryeford.Completion{}
+	req.completion = &ryeford.Completion{}
 	r.inFlight.Add(1)
-	work, cancel := context.WithDeadline(context.Background(), t.deadline)
-	x := &exchange{router: r, turn: t, attempt: where.attempt, candidate: where.candidate, next: where.offset + 1, joins: reattachTries}
+	work, cancel := context.WithDeadline(context.Background(), req.deadline)
+	x := &exchange{router: r, request: req, attempt: where.attempt, candidate: where.candidate, next: where.offset + 1, rejoins: maxRejoins}
 	found, err := x.joinAt(work, where.candidate, false)
 	if !found && err == nil {
 		err = &ryeford.NotRunError{Reason: ryeford.ReasonTombstone}
 	}
 	if err != nil {
 		r.finish(x, cancel)
-		writeError(ctx, t.request, err)
+		writeError(ctx, req.id, err)
 		return
 	}
-	_ = r.decisions.Note(t.request, "decision", "resume", "request", t.request, "account", t.account,
+	_ = r.decisions.Note(req.id, "decision", "resume", "request", req.id, "account", req.account,
 		"vm", where.candidate.VM, "attempt", where.attempt, "offset", x.next)
 	r.writeAnswer(work, cancel, ctx, x)
 }
 
-// noteRouted logs where a turn went.
-func (r *Router) noteRouted(x *exchange, took time.Duration) {
-	t := x.turn
+// logRouted logs where a turn went.
+func (r *Router) logRouted(x *exchange, took time.Duration) {
+	req := x.request
 	r.metrics.Count("ryeford_requests_total", "routed")
 	r.metrics.Observe("ryeford_first_chunk_seconds", took.Seconds())
 	warm := "cold"
@@ -200,15 +200,15 @@
 		warm = "warm"
 	}
 	r.metrics.Count("ryeford_turns_total", warm)
-	_ = r.decisions.Note(t.request, "decision", "route", "request", t.request, "attempt", x.attempt, "account", t.account, "chat", t.chat,
-		"engine", x.candidate.Engine, "vm", x.candidate.VM, "failure_domain", r.fleet.domain(x.candidate.VM), "home", x.home, "try", x.tried, "mean", x.poolMean(),
+	_ = r.decisions.Note(req.id, "decision", "route", "request", req.id, "attempt", x.attempt, "account", req.account, "chat", req.chat,
+		"engine", x.candidate.Engine, "vm", x.candidate.VM, "failure_domain", r.fleet.domain(x.candidate.VM), "home", x.home, "try", x.dispatches, "mean", x.poolMean(),
 		"warm", x.warm, "first_chunk", took)
 }
 
-// noteRefused logs why a turn was not served.
-func (r *Router) noteRefused(x *exchange, err error) {
-	t := x.turn
+// logGivenUp logs why a turn was not served.
+func (r *Router) logGivenUp(x *exchange, err error) {
+	req := x.request
 	r.metrics.Count("ryeford_requests_total", string(reasonOf(err)))
-	_ = r.decisions.Note(t.request, "decision", "give_up", "request", t.request, "account", t.account, "chat", t.chat,
-		"tries", x.tried, "reason", reasonOf(err), "mean", x.poolMean(), "err", err)
+	_ = r.decisions.Note(req.id, "decision", "give_up", "request", req.id, "account", req.account, "chat", req.chat,
+		"tries", x.dispatches, "reason", reasonOf(err), "mean", x.poolMean(), "err", err)
 }
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -15,15 +15,15 @@
 // Where the key is claimed already, it joins the first run, or finds out that
 // there was none.
 func (x *exchange) startClaimed(ctx context.Context) error {
-	key := claim.Key{Account: x.turn.account, Key: x.turn.key}
+	key := claim.Key{Account: x.request.account, Key: x.request.key}
 	held, err := x.router.claims.Claim(ctx, key, x.newRecord())
 	if err != nil {
-		return x.noteClaimFailed(err)
+		return x.claimFailed(err)
 	}
 	if held.Mine {
-		return x.tryClaimed(ctx, key, held)
+		return x.dispatchClaimed(ctx, key, held)
 	}
-	if held.Record.Digest != x.turn.digest {
+	if held.Record.Digest != x.request.digest {
 		return &ryeford.InputError{Field: HeaderKey, Problem: "the key belongs to another request", Status: statusKeyReused}
 	}
 	settled, err := x.joinFirst(ctx, held)
@@ -32,18 +32,18 @@
 	}
 	replaced, err := x.router.claims.Replace(ctx, key, held, x.newRecord())
 	if err != nil {
-		return x.noteClaimFailed(err)
+		return x.claimFailed(err)
 	}
 	if !replaced.Mine {
 		return &ryeford.UnknownError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Spread(x.router.settings.Limits.Dispatch)}
 	}
-	return x.tryClaimed(ctx, key, replaced)
+	return x.dispatchClaimed(ctx, key, replaced)
 }
 
-// tryClaimed tries the candidates of a claim of ours. Where the attempt did
+// dispatchClaimed tries the candidates of a claim of ours. Where the attempt did
 // not run, it gives the claim up.
-func (x *exchange) tryClaimed(ctx context.Context, key claim.Key, held *claim.Claim) error {
-	err := x.tryQueue(ctx)
+func (x *exchange) dispatchClaimed(ctx context.Context, key claim.Key, held *claim.Claim) error {
+	err := x.dispatchQueue(ctx)
 	var notRun *ryeford.NotRunError
 	if errors.As(err, &notRun) {
 		go func() {
@@ -62,18 +62,18 @@
 	x.newAttempt(time.Now())
 	return claim.Record{
 		Attempt:    x.attempt,
-		Request:    x.turn.request,
-		Digest:     x.turn.digest,
+		Request:    x.request.id,
+		Digest:     x.request.digest,
 		Expires:    x.expires,
 		Forget:     x.forget,
 		Candidates: x.queue,
 	}
 }
 
-// noteClaimFailed logs that a key could not be claimed. Nothing was dispatched.
-func (x *exchange) noteClaimFailed(err error) error {
-	_ = x.router.decisions.Note(x.turn.request, "decision", "refuse", "request", x.turn.request, "account", x.turn.account,
-		"chat", x.turn.chat, "reason", ryeford.ReasonStoreUnavailable, "err", err)
+// claimFailed logs that a key could not be claimed. Nothing was dispatched.
+func (x *exchange) claimFailed(err error) error {
+	_ = x.router.decisions.Note(x.request.id, "decision", "refuse", "request", x.request.id, "account", x.request.account,
+		"chat", x.request.chat, "reason", ryeford.ReasonStoreUnavailable, "err", err)
 	return &ryeford.NotRunError{Reason: ryeford.ReasonStoreUnavailable, RetryAfter: retry.Spread(storeRetryAfter)}
 }
 
@@ -86,7 +86,7 @@
 	record := &held.Record
 	mine := *x
 	x.attempt, x.expires, x.forget = record.Attempt, record.Expires, record.Forget
-	x.turn.request = record.Request
+	x.request.id = record.Request
 	if found, err := x.peekUntilExpired(ctx, record); found || err != nil {
 		return found, err
 	}
@@ -100,7 +100,7 @@
 			unknown++
 		}
 	}
-	x.turn.request = mine.turn.request
+	x.request.id = mine.request.id
 	x.attempt, x.expires, x.forget = mine.attempt, mine.expires, mine.forget
 	if unknown > 0 {
 		return false, &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, RetryAfter: retry.Spread(x.router.settings.Limits.Dispatch)}
@@ -119,7 +119,7 @@
 				return true, x.awaitFirst(ctx)
 			}
 		}
-		if time.Now().After(x.turn.deadline) {
+		if time.Now().After(x.request.deadline) {
 			return false, &ryeford.UnknownError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Spread(time.Until(record.Expires))}
 		}
 		select {
@@ -142,7 +142,7 @@
 	switch {
 	case reply.Admitted != nil:
 		x.candidate = c
-		x.turn.request = reply.Admitted.Request
+		x.request.id = reply.Admitted.Request
 		x.stream = stream
 		x.asm = answer.NewAssembler(x.attempt, x.next)
 		return true, nil
--- a/agentfleet/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -26,15 +26,15 @@
 	x.stream = stream
 	stream.SetReadDeadline(x.expires.Add(dispatchGrace))
 	if err := stream.Send(&wire.Message{Dispatch: x.dispatchMessage(c)}); err != nil {
-		return x.settle(ctx, err)
+		return x.resolveLost(ctx, err)
 	}
 	m, err := stream.Receive()
 	if err != nil {
 		x.router.suspects.add(time.Now(), c.VM)
-		return x.settle(ctx, err)
+		return x.resolveLost(ctx, err)
 	}
 	x.router.suspects.clear(c.VM)
-	return x.noteReply(m)
+	return x.handleReply(m)
 }
 
 // dispatchGrace is how long behind a dispatch's expiry its reply is waited for.
@@ -42,73 +42,73 @@
 
 // dispatchMessage returns the dispatch of the attempt.
 func (x *exchange) dispatchMessage(c claim.Candidate) *wire.Dispatch {
-	t := x.turn
+	req := x.request
 	d := &wire.Dispatch{
-		Request:     t.request,
+		Request:     req.id,
 		Attempt:     x.attempt,
-		Account:     t.account,
-		Chat:        t.chat,
+		Account:     req.account,
+		Chat:        req.chat,
 		Engine:      c.Engine,
 		Incarnation: c.Incarnation,
-		Priority:    t.priority,
-		Share:       t.share,
-		Repeatable:  t.repeatable,
+		Priority:    req.priority,
+		Share:       req.share,
+		Repeatable:  req.repeatable,
 		Expires:     x.expires,
 		Forget:      x.forget,
 		PoolMean:    x.poolMean(),
-		MayRedirect: c.Engine == x.home && x.tried == 1 && !t.claimed() && t.call == nil,
+		MayRedirect: c.Engine == x.home && x.dispatches == 1 && !req.claimed() && req.call == nil,
 		Offset:      x.next,
 	}
-	if x.rounds == 0 && x.tried <= maxWarmTries {
+	if x.rounds == 0 && x.dispatches <= maxWaitingDispatches {
 		d.Wait = x.router.settings.Limits.WarmWait
 	}
-	if t.call != nil {
-		call := *t.call
+	if req.call != nil {
+		call := *req.call
 		call.Attempt = x.attempt
 		d.Call = &call
 		return d
 	}
-	completion := *t.completion
+	completion := *req.completion
 	completion.Attempt = x.attempt
 	completion.Prefix = string(x.text)
 	d.Completion = &completion
 	return d
 }
 
-// maxWarmTries is how many of the first tries may wait: the home, and the engine
+// maxWaitingDispatches is how many of the first tries may wait: the home, and the engine
 // that it points to.
-const maxWarmTries = 2
+const maxWaitingDispatches = 2
 
 // poolMean returns the mean load that an engine is to be measured against.
 func (x *exchange) poolMean() float64 {
-	return x.router.fleet.walkMean(time.Now(), x.turn.model, &x.walk)
+	return x.router.fleet.probedMean(time.Now(), x.request.model, &x.probes)
 }
 
-// noteReply takes the agent's reply to a dispatch or a join.
-func (x *exchange) noteReply(m *wire.Message) error {
+// handleReply takes the agent's reply to a dispatch or a join.
+func (x *exchange) handleReply(m *wire.Message) error {
 	switch {
 	case m.Admitted != nil && m.Admitted.Attempt == x.attempt:
-		x.addSample(m.Admitted.Load)
+		x.addProbe(m.Admitted.Load)
 		x.warm = m.Admitted.Warm
-		x.turn.request = m.Admitted.Request
+		x.request.id = m.Admitted.Request
 		x.asm = answer.NewAssembler(x.attempt, x.next)
 		return nil
 	case m.Refused != nil && m.Refused.Attempt == x.attempt:
-		return x.noteRefused(m.Refused)
+		return x.handleRefusal(m.Refused)
 	}
 	return &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: &ProtocolError{}}
 }
 
-// noteRefused takes a refusal.
-func (x *exchange) noteRefused(refused *wire.Refused) error {
+// handleRefusal takes a refusal.
+func (x *exchange) handleRefusal(refused *wire.Refused) error {
 	if refused.Unknown {
 		return &ryeford.UnknownError{Reason: refused.Reason, RetryAfter: refused.RetryAfter}
 	}
 	switch refused.Reason {
 	case ryeford.ReasonOverload, ryeford.ReasonShare:
-		x.addSample(refused.Load)
-		if x.hint == 0 || refused.RetryAfter < x.hint {
-			x.hint = refused.RetryAfter
+		x.addProbe(refused.Load)
+		if x.retryAfter == 0 || refused.RetryAfter < x.retryAfter {
+			x.retryAfter = refused.RetryAfter
 		}
 	case ryeford.ReasonRedirect:
 		x.redirect(refused.Engine)
@@ -131,7 +131,7 @@
 	x.queue = queue
 }
 
-// addSample notes the load that a candidate reported.
-func (x *exchange) addSample(value float64) {
-	x.router.fleet.addWalk(time.Now(), x.turn.model, x.candidate.Engine, &x.walk, value)
+// addProbe notes the load that a candidate reported.
+func (x *exchange) addProbe(value float64) {
+	x.router.fleet.addProbe(time.Now(), x.request.model, x.candidate.Engine, &x.probes, value)
 }
--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -18,52 +18,52 @@
 )
 
 const (
-	forgetAfter   = 30 * time.Second // for attempts without a claim
-	settleTime    = 5 * time.Second  // how long a lost attempt is asked after
-	settleRedial  = 25 * time.Millisecond
-	reattachTries = 3
+	forgetAfter    = 30 * time.Second // for attempts without a claim
+	rejoinTime     = 5 * time.Second  // how long a lost attempt is asked after
+	rejoinInterval = 25 * time.Millisecond
+	maxRejoins     = 3
 )
 
-// An exchange serves one turn: it tries engines until one has admitted the
+// An exchange serves one request: it tries engines until one has admitted the
 // turn, and yields the answer's chunks in their order, each once.
 //
 // An exchange must not be used by two goroutines at once.
 type exchange struct {
-	router *Router
-	turn   *turn
-
-	home   ryeford.EngineID  // the first in the chat's order
-	first  claim.Candidate   // the first that was asked, not counting a redirect
-	queue  []claim.Candidate // still to be tried
-	tried  int
-	rounds int
-
-	attempt   ryeford.AttemptID
-	candidate claim.Candidate // where the attempt is
-	expires   time.Time
-	forget    time.Time
-	maybeRan  bool // an earlier attempt may have run
-	walk      load.Walk
-	hint      time.Duration // the least Retry-After of the refusals
-
-	stream *transport.Stream
-	asm    *answer.Assembler
-	ready  []ryeford.Chunk
-	next   int64  // the caller's next offset
-	text   []byte // what the caller has
-	warm   bool
-	joins  int
+	router  *Router
+	request *request
+
+	home       ryeford.EngineID  // the first in the chat's order
+	first      claim.Candidate   // the first that was asked, not counting a redirect
+	queue      []claim.Candidate // still to be tried
+	dispatches int
+	rounds     int
+
+	attempt    ryeford.AttemptID
+	candidate  claim.Candidate // where the attempt is
+	expires    time.Time
+	forget     time.Time
+	mayHaveRun bool // an earlier attempt may have run
+	probes     load.Probes
+	retryAfter time.Duration // the least Retry-After of the refusals
+
+	stream  *transport.Stream
+	asm     *answer.Assembler
+	ready   []ryeford.Chunk
+	next    int64  // the caller's next offset
+	text    []byte // what the caller has
+	warm    bool
+	rejoins int
 }
 
 // newExchange returns an exchange with the candidates of a turn.
-func (r *Router) newExchange(t *turn) *exchange {
-	x := &exchange{router: r, turn: t}
-	set := r.targets(t)
+func (r *Router) newExchange(req *request) *exchange {
+	x := &exchange{router: r, request: req}
+	set := r.targets(req)
 	if set == nil {
 		return x
 	}
 	var ranking route.Ranking
-	set.Rank(route.ChatHash(t.account, t.chat), r.settings.Limits.Candidates, &ranking)
+	set.Rank(route.ChatHash(req.account, req.chat), r.settings.Limits.Candidates, &ranking)
 	for _, index := range ranking.Index[:ranking.Len] {
 		target := set.Target(int(index))
 		if c, ok := r.candidate(target.Engine); ok {
@@ -91,17 +91,17 @@
 	if len(x.queue) == 0 {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(time.Second)}
 	}
-	if x.turn.claimed() {
+	if x.request.claimed() {
 		return x.startClaimed(ctx)
 	}
-	return x.tryQueue(ctx)
+	return x.dispatchQueue(ctx)
 }
 
-// tryQueue tries the queue's engines until the first chunk is there.
-func (x *exchange) tryQueue(ctx context.Context) error {
+// dispatchQueue tries the queue's engines until the first chunk is there.
+func (x *exchange) dispatchQueue(ctx context.Context) error {
 	var last error
 	for len(x.queue) > 0 || x.anotherRound(last) {
-		if time.Now().After(x.turn.deadline) {
+		if time.Now().After(x.request.deadline) {
 			last = &ryeford.NotRunError{Reason: ryeford.ReasonDeadline}
 			break
 		}
@@ -111,16 +111,16 @@
 		}
 		c := x.queue[0]
 		x.queue = x.queue[1:]
-		last = x.try(ctx, c)
+		last = x.dispatchTo(ctx, c)
 		if last == nil {
 			return nil
 		}
-		x.noteFailed(c, last)
+		x.logFailed(c, last)
 		if !x.mayGoOn(last) {
 			break
 		}
 	}
-	return x.verdict(last)
+	return x.finalError(last)
 }
 
 // maxRounds is how often the candidates are asked.
@@ -134,7 +134,7 @@
 	if reasonOf(last) != ryeford.ReasonOverload || x.rounds >= maxRounds {
 		return false
 	}
-	x.walk.Saturated()
+	x.probes.Saturated()
 	x.queue = append(x.queue, x.first)
 	return true
 }
@@ -147,21 +147,21 @@
 	case last == nil:
 		return true
 	case errors.As(last, &unknown):
-		return x.router.retries.Spend(x.turn.account)
+		return x.router.retries.Spend(x.request.account)
 	case errors.As(last, &notRun) && notRun.Reason == ryeford.ReasonRedirect:
 		return true
 	case errors.As(last, &notRun):
-		return x.router.overflow.Spend(x.turn.account)
+		return x.router.overflow.Spend(x.request.account)
 	}
-	return x.router.retries.Spend(x.turn.account)
+	return x.router.retries.Spend(x.request.account)
 }
 
 // mayGoOn reports whether another engine may be tried after a failure.
 func (x *exchange) mayGoOn(err error) bool {
 	var unknown *ryeford.UnknownError
 	if errors.As(err, &unknown) {
-		x.maybeRan = true
-		return x.turn.repeatable
+		x.mayHaveRun = true
+		return x.request.repeatable
 	}
 	var notRun *ryeford.NotRunError
 	if !errors.As(err, &notRun) {
@@ -171,27 +171,27 @@
 }
 
 // verdict returns what the caller is told after the last try.
-func (x *exchange) verdict(last error) error {
+func (x *exchange) finalError(last error) error {
 	var notRun *ryeford.NotRunError
 	if !errors.As(last, &notRun) {
 		return last
 	}
-	if x.maybeRan {
+	if x.mayHaveRun {
 		// The refusal is told by its text only: the outcome must not be taken for it.
-		return &ryeford.UnknownError{Reason: notRun.Reason, RetryAfter: retry.Spread(x.hint), Err: &EngineError{Text: last.Error()}}
+		return &ryeford.UnknownError{Reason: notRun.Reason, RetryAfter: retry.Spread(x.retryAfter), Err: &EngineError{Text: last.Error()}}
 	}
-	return &ryeford.NotRunError{Reason: notRun.Reason, RetryAfter: retry.Spread(x.hint)}
+	return &ryeford.NotRunError{Reason: notRun.Reason, RetryAfter: retry.Spread(x.retryAfter)}
 }
 
 // try dispatches the turn to one engine and waits for the first chunk.
-func (x *exchange) try(ctx context.Context, c claim.Candidate) error {
+func (x *exchange) dispatchTo(ctx context.Context, c claim.Candidate) error {
 	x.close()
-	x.tried++
+	x.dispatches++
 	x.candidate = c
-	if x.tried == 1 || c.Engine == x.home {
+	if x.dispatches == 1 || c.Engine == x.home {
 		x.first = c
 	}
-	if !x.turn.claimed() {
+	if !x.request.claimed() {
 		x.newAttempt(time.Now())
 	}
 	if err := x.dispatch(ctx, c); err != nil {
@@ -205,7 +205,7 @@
 	x.attempt = ryeford.AttemptID(uuid.NewString())
 	x.expires = now.Add(x.router.settings.Limits.Dispatch)
 	x.forget = now.Add(forgetAfter)
-	if x.turn.claimed() {
+	if x.request.claimed() {
 		x.forget = now.Add(x.router.settings.Limits.ClaimTTL)
 	}
 }
@@ -228,10 +228,10 @@
 	x.stream.CloseSend()
 }
 
-// noteFailed logs a try that failed.
-func (x *exchange) noteFailed(c claim.Candidate, err error) {
+// logFailed logs a try that failed.
+func (x *exchange) logFailed(c claim.Candidate, err error) {
 	x.router.metrics.Count("ryeford_tries_failed_total", string(reasonOf(err)))
-	_ = x.router.decisions.Note(x.turn.request,
-		"decision", "try", "request", x.turn.request, "attempt", x.attempt, "account", x.turn.account, "chat", x.turn.chat,
-		"engine", c.Engine, "vm", c.VM, "failure_domain", x.router.fleet.domain(c.VM), "try", x.tried, "reason", reasonOf(err), "mean", x.poolMean(), "left", len(x.queue), "err", err)
+	_ = x.router.decisions.Note(x.request.id,
+		"decision", "try", "request", x.request.id, "attempt", x.attempt, "account", x.request.account, "chat", x.request.chat,
+		"engine", c.Engine, "vm", c.VM, "failure_domain", x.router.fleet.domain(c.VM), "try", x.dispatches, "reason", reasonOf(err), "mean", x.poolMean(), "left", len(x.queue), "err", err)
 }
--- a/agentfleet/router/failure_test.go
+++ b/agentfleet/router/failure_test.go
@@ -13,8 +13,8 @@
 // have run is never said not to have run, whatever refused the last try.
 func TestUnknownIsNeverNotRun(t *testing.T) {
 	refused := &ryeford.NotRunError{Reason: ryeford.ReasonOverload, RetryAfter: time.Second}
-	x := &exchange{turn: &turn{repeatable: true}, maybeRan: true}
-	verdict := x.verdict(refused)
+	x := &exchange{request: &request{repeatable: true}, mayHaveRun: true}
+	verdict := x.finalError(refused)
 	body, status := newErrorBody("r", verdict)
 	assert.Equal(t, body.Error.Ran, "unknown")
 	assert.Equal(t, status, 502)
@@ -24,7 +24,7 @@
 	body, _ = newErrorBody("r", &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: refused})
 	assert.Equal(t, body.Error.Ran, "unknown")
 
-	x.maybeRan = false
-	body, _ = newErrorBody("r", x.verdict(refused))
+	x.mayHaveRun = false
+	body, _ = newErrorBody("r", x.finalError(refused))
 	assert.Equal(t, body.Error.Ran, "not_run")
 }
--- a/agentfleet/router/fleet.go
+++ b/agentfleet/router/fleet.go
@@ -15,11 +15,11 @@
 
 const (
 	meanWindow = time.Second
-	seenWindow = 10 * time.Second // of loads, for the skew that is shown
+	skewWindow = 10 * time.Second // of loads, for the skew that is shown
 )
 
 // A peer is an agent that this router is connected to.
-type peer struct {
+type agent struct {
 	vm        ryeford.VM
 	conn      *transport.Conn
 	inventory *wire.Inventory
@@ -28,18 +28,18 @@
 // A fleet is what the router knows of the agents and their engines.
 type fleet struct {
 	mu       sync.RWMutex
-	peers    map[ryeford.VMID]*peer
+	agents   map[ryeford.VMID]*agent
 	pools    map[ryeford.Pool]*route.Set
 	services map[string]*route.Set
-	engines  map[ryeford.EngineID]*peer
+	engines  map[ryeford.EngineID]*agent
 
-	meanMu sync.Mutex
-	means  map[string]*load.Mean // by model
-	seen   map[ryeford.EngineID]seenLoad
+	meanMu    sync.Mutex
+	means     map[string]*load.Mean // by model
+	lastLoads map[ryeford.EngineID]engineLoad
 }
 
-// A seenLoad is the load that an engine showed last.
-type seenLoad struct {
+// An engineLoad is the load that an engine showed last.
+type engineLoad struct {
 	at    time.Time
 	model string
 	load  float64
@@ -48,18 +48,18 @@
 // newFleet returns a fleet without agents.
 func newFleet() *fleet {
 	return &fleet{
-		peers:   make(map[ryeford.VMID]*peer),
-		engines: make(map[ryeford.EngineID]*peer),
-		means:   make(map[string]*load.Mean),
-		seen:    make(map[ryeford.EngineID]seenLoad),
+		agents:    make(map[ryeford.VMID]*agent),
+		engines:   make(map[ryeford.EngineID]*agent),
+		means:     make(map[string]*load.Mean),
+		lastLoads: make(map[ryeford.EngineID]engineLoad),
 	}
 }
 
 // put notes what an agent says of itself.
-func (f *fleet) put(p *peer) {
+func (f *fleet) put(p *agent) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.peers[p.vm.ID] = p
+	f.agents[p.vm.ID] = p
 	f.rebuild()
 }
 
@@ -67,8 +67,8 @@
 func (f *fleet) remove(vm ryeford.VMID, conn *transport.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if p, ok := f.peers[vm]; ok && p.conn == conn {
-		delete(f.peers, vm)
+	if p, ok := f.agents[vm]; ok && p.conn == conn {
+		delete(f.agents, vm)
 		f.rebuild()
 	}
 }
@@ -77,10 +77,10 @@
 func (f *fleet) setState(vm ryeford.VM) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if p, ok := f.peers[vm.ID]; ok && p.vm != vm {
+	if p, ok := f.agents[vm.ID]; ok && p.vm != vm {
 		changed := *p
 		changed.vm = vm
-		f.peers[vm.ID] = &changed
+		f.agents[vm.ID] = &changed
 		f.rebuild()
 	}
 }
@@ -89,9 +89,9 @@
 func (f *fleet) rebuild() {
 	pools := make(map[ryeford.Pool][]route.Target)
 	services := make(map[string][]route.Target)
-	f.engines = make(map[ryeford.EngineID]*peer)
+	f.engines = make(map[ryeford.EngineID]*agent)
 	for _, id := range f.sortedVMs() {
-		p := f.peers[id]
+		p := f.agents[id]
 		for _, e := range p.inventory.Engines {
 			f.engines[e.ID] = p
 		}
@@ -122,8 +122,8 @@
 }
 
 func (f *fleet) sortedVMs() []ryeford.VMID {
-	ids := make([]ryeford.VMID, 0, len(f.peers))
-	for id := range f.peers {
+	ids := make([]ryeford.VMID, 0, len(f.agents))
+	for id := range f.agents {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -145,7 +145,7 @@
 }
 
 // engine returns the agent of an engine.
-func (f *fleet) engine(id ryeford.EngineID) (*peer, bool) {
+func (f *fleet) engine(id ryeford.EngineID) (*agent, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	p, ok := f.engines[id]
@@ -153,10 +153,10 @@
 }
 
 // vm returns a connected agent.
-func (f *fleet) vm(id ryeford.VMID) (*peer, bool) {
+func (f *fleet) vm(id ryeford.VMID) (*agent, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	p, ok := f.peers[id]
+	p, ok := f.agents[id]
 	return p, ok
 }
 
@@ -170,12 +170,12 @@
 }
 
 // all returns the connected agents in the order of their VMs.
-func (f *fleet) all() []*peer {
+func (f *fleet) all() []*agent {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	peers := make([]*peer, 0, len(f.peers))
+	peers := make([]*agent, 0, len(f.agents))
 	for _, id := range f.sortedVMs() {
-		peers = append(peers, f.peers[id])
+		peers = append(peers, f.agents[id])
 	}
 	return peers
 }
@@ -184,7 +184,7 @@
 func (f *fleet) reachable() int {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	return len(f.peers)
+	return len(f.agents)
 }
 
 // addLoad adds a sample of some engine's load.
@@ -194,20 +194,20 @@
 	f.meanOf(model).Add(now, value)
 }
 
-// addWalk adds the load that a request's candidate had.
-func (f *fleet) addWalk(now time.Time, model string, engine ryeford.EngineID, walk *load.Walk, value float64) {
+// addProbe adds the load that a request's candidate had.
+func (f *fleet) addProbe(now time.Time, model string, engine ryeford.EngineID, probes *load.Probes, value float64) {
 	f.meanMu.Lock()
 	defer f.meanMu.Unlock()
-	walk.Add(now, f.meanOf(model), value)
-	f.seen[engine] = seenLoad{at: now, model: model, load: value}
+	probes.Add(now, f.meanOf(model), value)
+	f.lastLoads[engine] = engineLoad{at: now, model: model, load: value}
 }
 
-// walkMean returns the mean load of a model's engines, as a request that has
+// probedMean returns the mean load of a model's engines, as a request that has
 // asked candidates is to take it.
-func (f *fleet) walkMean(now time.Time, model string, walk *load.Walk) float64 {
+func (f *fleet) probedMean(now time.Time, model string, probes *load.Probes) float64 {
 	f.meanMu.Lock()
 	defer f.meanMu.Unlock()
-	return walk.Mean(now, f.meanOf(model))
+	return probes.Mean(now, f.meanOf(model))
 }
 
 func (f *fleet) meanOf(model string) *load.Mean {
@@ -226,9 +226,9 @@
 	defer f.meanMu.Unlock()
 	type total struct{ sum, count, busiest float64 }
 	totals := make(map[string]total)
-	for engine, s := range f.seen {
-		if now.Sub(s.at) > seenWindow {
-			delete(f.seen, engine)
+	for engine, s := range f.lastLoads {
+		if now.Sub(s.at) > skewWindow {
+			delete(f.lastLoads, engine)
 			continue
 		}
 		t := totals[s.model]
--- a/agentfleet/router/settle.go
+++ b/agentfleet/router/join.go
@@ -12,29 +12,29 @@
 
 // settle finds out what became of an attempt whose stream was lost. A
 // repeatable one is not worth the wait: it counts as unknown at once.
-func (x *exchange) settle(ctx context.Context, cause error) error {
+func (x *exchange) resolveLost(ctx context.Context, cause error) error {
 	unknown := &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: cause}
-	if x.turn.repeatable || ctx.Err() != nil {
+	if x.request.repeatable || ctx.Err() != nil {
 		return unknown
 	}
 	x.close()
-	x.joins++
-	limit := time.Now().Add(settleTime)
-	if x.turn.deadline.Before(limit) {
-		limit = x.turn.deadline
+	x.rejoins++
+	limit := time.Now().Add(rejoinTime)
+	if x.request.deadline.Before(limit) {
+		limit = x.request.deadline
 	}
 	for time.Now().Before(limit) {
 		reply, stream, err := x.join(ctx, x.candidate, false, limit)
 		if err == nil {
 			x.stream = stream
-			return x.noteReply(reply)
+			return x.handleReply(reply)
 		}
 		if p, ok := x.router.fleet.vm(x.candidate.VM); ok && p.inventory.Incarnation != x.candidate.Incarnation {
 			unknown.Reason = ryeford.ReasonIncarnation
 			return unknown
 		}
 		select {
-		case <-time.After(settleRedial):
+		case <-time.After(rejoinInterval):
 		case <-ctx.Done():
 			return unknown
 		}
@@ -56,7 +56,7 @@
 	}
 	stream.SetReadDeadline(limit)
 	question := &wire.Join{
-		Account:     x.turn.account,
+		Account:     x.request.account,
 		Attempt:     x.attempt,
 		Incarnation: c.Incarnation,
 		Offset:      x.next,
--- a/agentfleet/router/membership.go
+++ b/agentfleet/router/membership.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	dialTimeout  = 3 * time.Second
-	minRedial    = 50 * time.Millisecond
-	maxRedial    = 2 * time.Second
-	flapForgiven = 10 * time.Second // a connection that held so long is no flap
+	dialTimeout = 3 * time.Second
+	minRedial   = 50 * time.Millisecond
+	maxRedial   = 2 * time.Second
+	stableAfter = 10 * time.Second // a connection that held so long is no flap
 )
 
 // pollVMs reads the platform's list of VMs, and keeps a connection to each
 // agent on it, until ctx ends. The list only says which VMs there are: whether
 // one can serve is learnt from its connection.
 func (r *Router) pollVMs(ctx context.Context) error {
-	keepers := make(map[ryeford.VMID]*keeper)
+	watches := make(map[ryeford.VMID]*watch)
 	for {
 		vms, err := r.platform.VMs(ctx)
 		if err == nil {
-			r.updateKeepers(ctx, keepers, vms)
+			r.updateWatches(ctx, watches, vms)
 		} else if ctx.Err() == nil {
 			_ = r.log.Log("msg", "list of VMs not read", "err", err)
 		}
@@ -37,21 +37,21 @@
 	}
 }
 
-// A keeper keeps the connection to one agent.
-type keeper struct {
+// A watch keeps the connection to one agent.
+type watch struct {
 	vm   ryeford.VM
 	stop context.CancelFunc
 }
 
-// updateKeepers starts and stops keepers as the list says.
-func (r *Router) updateKeepers(ctx context.Context, keepers map[ryeford.VMID]*keeper, vms []ryeford.VM) {
+// updateWatches starts and stops watches as the list says.
+func (r *Router) updateWatches(ctx context.Context, watches map[ryeford.VMID]*watch, vms []ryeford.VM) {
 	listed := make(map[ryeford.VMID]bool)
 	for _, vm := range vms {
 		if vm.Role != ryeford.RoleAgent {
 			continue
 		}
 		listed[vm.ID] = true
-		k, ok := keepers[vm.ID]
+		k, ok := watches[vm.ID]
 		if ok && k.vm.Address == vm.Address {
 			k.vm = vm
 			r.fleet.setState(vm)
@@ -60,14 +60,14 @@
 		if ok {
 			k.stop()
 		}
-		keeperCtx, stop := context.WithCancel(ctx)
-		keepers[vm.ID] = &keeper{vm: vm, stop: stop}
-		go r.keepConnected(keeperCtx, vm)
+		watchCtx, stop := context.WithCancel(ctx)
+		watches[vm.ID] = &watch{vm: vm, stop: stop}
+		go r.keepConnected(watchCtx, vm)
 	}
-	for id, k := range keepers {
+	for id, k := range watches {
 		if !listed[id] {
 			k.stop()
-			delete(keepers, id)
+			delete(watches, id)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	for ctx.Err() == nil {
 		began := time.Now()
 		err := r.connect(ctx, vm)
-		if time.Since(began) > flapForgiven {
+		if time.Since(began) > stableAfter {
 			wait = minRedial
 		}
 		if ctx.Err() == nil {
@@ -124,14 +124,14 @@
 			return err
 		}
 		if m.Inventory != nil {
-			r.noteInventory(vm, conn, m.Inventory)
+			r.updateInventory(vm, conn, m.Inventory)
 		}
 	}
 }
 
-// noteInventory notes what an agent says of itself.
-func (r *Router) noteInventory(vm ryeford.VM, conn *transport.Conn, inv *wire.Inventory) {
-	r.fleet.put(&peer{vm: vm, conn: conn, inventory: inv})
+// updateInventory notes what an agent says of itself.
+func (r *Router) updateInventory(vm ryeford.VM, conn *transport.Conn, inv *wire.Inventory) {
+	r.fleet.put(&agent{vm: vm, conn: conn, inventory: inv})
 	r.sendTo(conn, &wire.Gossip{}) // so that a new agent need not wait for its turn
 	_ = r.decisions.Note("", "decision", "agent", "vm", vm.ID, "failure_domain", inv.FailureDomain,
 		"incarnation", inv.Incarnation, "leaving", inv.Leaving, "engines", len(inv.Engines))
--- a/agentfleet/router/operators.go
+++ b/agentfleet/router/operators.go
@@ -31,8 +31,8 @@
 const (
 	stopSuffix      = "/stop"
 	operatorTimeout = 10 * time.Second
-	askTimeout      = time.Second
-	askParallel     = 32
+	queryTimeout    = time.Second
+	maxQueries      = 32
 )
 
 // A Status is what a router says of itself and of the agents it reaches.
@@ -216,7 +216,7 @@
 	}
 	peers := r.fleet.all()
 	s.Agents = make([]AgentStatus, len(peers))
-	r.askAll(ctx, peers, &wire.Message{Pull: &wire.Pull{Revision: s.Revision}}, func(i int, m *wire.Message) {
+	r.queryAgents(ctx, peers, &wire.Message{Pull: &wire.Pull{Revision: s.Revision}}, func(i int, m *wire.Message) {
 		s.Agents[i] = agentStatus(peers[i])
 		if m != nil && m.Delta != nil {
 			s.Agents[i].Revision = m.Delta.Revision
@@ -226,7 +226,7 @@
 }
 
 // agentStatus returns what is known of an agent without asking it.
-func agentStatus(p *peer) AgentStatus {
+func agentStatus(p *agent) AgentStatus {
 	a := AgentStatus{
 		VM:          p.vm.ID,
 		Domain:      p.inventory.FailureDomain,
@@ -245,7 +245,7 @@
 func (r *Router) explain(ctx context.Context, request ryeford.RequestID) *Explanation {
 	e := &Explanation{Request: request, Decisions: r.decisions.Lines(request)}
 	var mu sync.Mutex
-	r.askAll(ctx, r.fleet.all(), &wire.Message{Explain: &wire.Explain{Request: request}}, func(_ int, m *wire.Message) {
+	r.queryAgents(ctx, r.fleet.all(), &wire.Message{Explain: &wire.Explain{Request: request}}, func(_ int, m *wire.Message) {
 		if m != nil && m.Decisions != nil {
 			mu.Lock()
 			defer mu.Unlock()
@@ -256,18 +256,18 @@
 	return e
 }
 
-// askAll asks agents the same, a few at once. It calls take with each answer,
+// queryAgents asks agents the same, a few at once. It calls take with each answer,
 // which is nil where there was none.
-func (r *Router) askAll(ctx context.Context, peers []*peer, question *wire.Message, take func(int, *wire.Message)) {
+func (r *Router) queryAgents(ctx context.Context, peers []*agent, query *wire.Message, take func(int, *wire.Message)) {
 	var wait sync.WaitGroup
-	slots := make(chan struct{}, askParallel)
+	slots := make(chan struct{}, maxQueries)
 	for i, p := range peers {
 		slots <- struct{}{}
 		wait.Go(func() {
 			defer func() { <-slots }()
-			ctx, cancel := context.WithTimeout(ctx, askTimeout)
+			ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 			defer cancel()
-			m, err := p.conn.Ask(ctx, question)
+			m, err := p.conn.Ask(ctx, query)
 			if err != nil {
 				m = nil
 			}
--- a/agentfleet/router/parse.go
+++ b/agentfleet/router/parse.go
@@ -13,25 +13,25 @@
 )
 
 // parseCommon reads what all requests carry.
-func (r *Router) parseCommon(ctx *fasthttp.RequestCtx, t *turn) error {
-	if err := r.authenticate(ctx, t); err != nil {
+func (r *Router) parseCommon(ctx *fasthttp.RequestCtx, req *request) error {
+	if err := r.authenticate(ctx, req); err != nil {
 		return err
 	}
 	header := &ctx.Request.Header
-	t.chat = ryeford.ChatID(header.Peek(HeaderChat))
-	t.key = string(header.Peek(HeaderKey))
-	if t.chat == "" {
-		t.chat = ryeford.ChatID(t.request)
+	req.chat = ryeford.ChatID(header.Peek(HeaderChat))
+	req.key = string(header.Peek(HeaderKey))
+	if req.chat == "" {
+		req.chat = ryeford.ChatID(req.id)
 	}
-	if err := checkID(HeaderChat, string(t.chat)); err != nil {
+	if err := checkID(HeaderChat, string(req.chat)); err != nil {
 		return err
 	}
-	if t.key != "" {
-		if err := checkID(HeaderKey, t.key); err != nil {
+	if req.key != "" {
+		if err := checkID(HeaderKey, req.key); err != nil {
 			return err
 		}
 	}
-	if err := parseRepeatable(ctx, t); err != nil {
+	if err := parseRepeatable(ctx, req); err != nil {
 		return err
 	}
 	deadline := r.settings.Limits.DefaultDeadline
@@ -42,32 +42,32 @@
 		}
 		deadline = d
 	}
-	t.deadline = time.Now().Add(deadline)
-	t.digest = claim.Digest(ctx.Method(), ctx.RequestURI(), ctx.PostBody())
+	req.deadline = time.Now().Add(deadline)
+	req.digest = claim.Digest(ctx.Method(), ctx.RequestURI(), ctx.PostBody())
 	return nil
 }
 
 // authenticate finds the client account of the request's key.
-func (r *Router) authenticate(ctx *fasthttp.RequestCtx, t *turn) error {
+func (r *Router) authenticate(ctx *fasthttp.RequestCtx, req *request) error {
 	key, ok := strings.CutPrefix(string(ctx.Request.Header.Peek("Authorization")), bearerPrefix)
 	account, known := r.book.Account(key)
 	if !ok || !known {
 		return &ryeford.InputError{Field: "Authorization", Problem: "want the bearer token of a client account", Status: fasthttp.StatusUnauthorized}
 	}
-	t.account = account
+	req.account = account
 	return nil
 }
 
 // parseRepeatable reads whether the request may be repeated. Completions, GET
 // and HEAD may be unless they are marked; other calls of services may not.
-func parseRepeatable(ctx *fasthttp.RequestCtx, t *turn) error {
+func parseRepeatable(ctx *fasthttp.RequestCtx, req *request) error {
 	switch string(ctx.Request.Header.Peek(HeaderRepeatable)) {
 	case "true":
-		t.repeatable = true
+		req.repeatable = true
 	case "false":
-		t.repeatable = false
+		req.repeatable = false
 	case "":
-		t.repeatable = string(ctx.Path()) == PathCompletions || ctx.IsGet() || ctx.IsHead()
+		req.repeatable = string(ctx.Path()) == PathCompletions || ctx.IsGet() || ctx.IsHead()
 	default:
 		return &ryeford.InputError{Field: HeaderRepeatable, Problem: "want true or false"}
 	}
@@ -96,7 +96,7 @@
 }
 
 // parseCompletion reads a chat completion.
-func (r *Router) parseCompletion(ctx *fasthttp.RequestCtx, t *turn) error {
+func (r *Router) parseCompletion(ctx *fasthttp.RequestCtx, req *request) error {
 	var body completionRequest
 	if err := json.Unmarshal(ctx.PostBody(), &body); err != nil {
 		return &ryeford.InputError{Field: "body", Problem: "not the JSON of a chat completion: " + err.Error()}
@@ -109,7 +109,7 @@
 	case body.MaxTokens < 0 || body.MaxTokens > maxTokens:
 		return &ryeford.InputError{Field: "max_tokens", Problem: "want 1 to 1048576, or none"}
 	}
-	template, ok := r.book.Find(t.account, body.Model)
+	template, ok := r.book.Find(req.account, body.Model)
 	if !ok {
 		return &ryeford.InputError{Field: "model", Problem: "no template of the account serves it", Status: fasthttp.StatusNotFound}
 	}
@@ -117,11 +117,11 @@
 	if err != nil {
 		return err
 	}
-	t.stream = body.Stream
-	t.priority = priority
-	t.share = template.Share
-	t.model = template.Model
-	t.completion = &ryeford.Completion{
+	req.stream = body.Stream
+	req.priority = priority
+	req.share = template.Share
+	req.model = template.Model
+	req.completion = &ryeford.Completion{
 		Pool:      template.Pool(),
 		Priority:  priority,
 		Messages:  body.Messages,
@@ -145,7 +145,7 @@
 }
 
 // parseCall reads a call of a plain service.
-func (r *Router) parseCall(ctx *fasthttp.RequestCtx, t *turn) error {
+func (r *Router) parseCall(ctx *fasthttp.RequestCtx, req *request) error {
 	uri := strings.TrimPrefix(string(ctx.RequestURI()), PathServices)
 	name, rest, _ := strings.Cut(uri, "/")
 	name, _, _ = strings.Cut(name, "?")
@@ -156,16 +156,16 @@
 	if err != nil {
 		return err
 	}
-	t.service = name
-	t.model = "service:" + name
-	t.priority = priority
-	t.share = 1
-	t.call = &ryeford.Call{
+	req.service = name
+	req.model = "service:" + name
+	req.priority = priority
+	req.share = 1
+	req.call = &ryeford.Call{
 		Method:      string(ctx.Method()),
 		Path:        "/" + rest,
 		ContentType: string(ctx.Request.Header.ContentType()),
 		Body:        append([]byte(nil), ctx.PostBody()...),
-		Repeatable:  t.repeatable,
+		Repeatable:  req.repeatable,
 	}
 	return nil
 }
--- a/agentfleet/router/planner.go
+++ b/agentfleet/router/planner.go
@@ -36,15 +36,15 @@
 	router *Router
 	lease  *lease.Lease
 
-	seen map[ryeford.EngineID]seenEngine // used by run only
+	lastSeen map[ryeford.EngineID]knownEngine // used by run only
 
 	mu     sync.Mutex
 	plan   *ryeford.Plan
 	notify chan struct{}
 }
 
-// A seenEngine is an engine as it was when its agent was connected last.
-type seenEngine struct {
+// A knownEngine is an engine as it was when its agent was connected last.
+type knownEngine struct {
 	engine placement.Engine
 	at     time.Time
 }
@@ -52,10 +52,10 @@
 // newPlanner returns a planner without a plan.
 func newPlanner(r *Router) *planner {
 	return &planner{
-		router: r,
-		lease:  lease.New(r.platform, leaseName, r.settings.VM, uuid.NewString(), r.settings.Planner.Lease),
-		seen:   make(map[ryeford.EngineID]seenEngine),
-		notify: make(chan struct{}),
+		router:   r,
+		lease:    lease.New(r.platform, leaseName, r.settings.VM, uuid.NewString(), r.settings.Planner.Lease),
+		lastSeen: make(map[ryeford.EngineID]knownEngine),
+		notify:   make(chan struct{}),
 	}
 }
 
@@ -193,12 +193,12 @@
 func (p *planner) engines(now time.Time) []placement.Engine {
 	connected, leaving := p.router.fleet.placeable(p.current())
 	for _, e := range connected {
-		p.seen[e.ID] = seenEngine{engine: e, at: now}
+		p.lastSeen[e.ID] = knownEngine{engine: e, at: now}
 	}
 	var engines []placement.Engine
-	for id, s := range p.seen {
+	for id, s := range p.lastSeen {
 		if leaving[s.engine.VM] || now.Sub(s.at) > p.router.settings.Planner.Patience {
-			delete(p.seen, id)
+			delete(p.lastSeen, id)
 			continue
 		}
 		engines = append(engines, s.engine)
--- a/agentfleet/router/planner_test.go
+++ b/agentfleet/router/planner_test.go
@@ -21,9 +21,9 @@
 	ryeford.VMList
 }
 
-// testPeer returns an agent with one engine.
-func testPeer(vm ryeford.VMID, model string) *peer {
-	return &peer{
+// testAgent returns an agent with one engine.
+func testAgent(vm ryeford.VMID, model string) *agent {
+	return &agent{
 		vm: ryeford.VM{ID: vm, Role: ryeford.RoleAgent, State: ryeford.VMLive},
 		inventory: &wire.Inventory{VM: vm, FailureDomain: "zone-" + string(vm), Engines: []wire.EngineState{
 			{ID: ryeford.EngineID(vm + ".1"), Pools: []ryeford.Pool{{Model: model}}},
@@ -38,9 +38,9 @@
 		r := newTestRouter()
 		r.platform = &testPlatform{Table: faketable.New(nil)}
 		p := newPlanner(r)
-		lost := testPeer("endpoint-1", "lira")
+		lost := testAgent("endpoint-1", "lira")
 		r.fleet.put(lost)
-		r.fleet.put(testPeer("endpoint-2", "lira"))
+		r.fleet.put(testAgent("endpoint-2", "lira"))
 		engines := func() int { return len(p.input().Engines) }
 		assert.Equal(t, engines(), 2)
 		for range 2 {
--- a/agentfleet/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -14,7 +14,7 @@
 // lead to another engine.
 func (x *exchange) awaitFirst(ctx context.Context) error {
 	if err := x.receive(ctx, x.router.settings.Limits.FirstToken); err != nil {
-		return x.settle(ctx, err)
+		return x.resolveLost(ctx, err)
 	}
 	first := &x.ready[0]
 	switch {
@@ -31,8 +31,8 @@
 // receive waits until there are chunks to pass on.
 func (x *exchange) receive(ctx context.Context, limit time.Duration) error {
 	timeout := time.Now().Add(limit)
-	if x.turn.deadline.Before(timeout) {
-		timeout = x.turn.deadline
+	if x.request.deadline.Before(timeout) {
+		timeout = x.request.deadline
 	}
 	x.stream.SetReadDeadline(timeout)
 	stop := context.AfterFunc(ctx, x.stream.Close)
@@ -42,7 +42,7 @@
 		if err != nil {
 			return err
 		}
-		if m.Frame == nil || m.Frame.Request != x.turn.request {
+		if m.Frame == nil || m.Frame.Request != x.request.id {
 			x.router.metrics.Count("ryeford_frames_dropped_total", "foreign")
 			continue
 		}
@@ -72,25 +72,25 @@
 			}
 			continue
 		}
-		x.notePassed(&chunk)
+		x.delivered(&chunk)
 		return chunk, nil
 	}
 }
 
-// notePassed notes what the caller gets.
-func (x *exchange) notePassed(chunk *ryeford.Chunk) {
+// delivered notes what the caller gets.
+func (x *exchange) delivered(chunk *ryeford.Chunk) {
 	x.next = chunk.Offset + 1
-	if x.turn.call == nil && x.turn.repeatable {
+	if x.request.call == nil && x.request.repeatable {
 		x.text = append(x.text, chunk.Data...)
 	}
 	if chunk.Finish == "" {
 		return
 	}
 	x.stream.CloseSend()
-	x.router.overflow.Earn(x.turn.account)
-	x.router.retries.Earn(x.turn.account)
-	if x.home != "" && x.turn.completion != nil && x.candidate.Engine != x.home {
-		chat := wire.ChatKey{Account: x.turn.account, Chat: x.turn.chat}
+	x.router.overflow.Earn(x.request.account)
+	x.router.retries.Earn(x.request.account)
+	if x.home != "" && x.request.completion != nil && x.candidate.Engine != x.home {
+		chat := wire.ChatKey{Account: x.request.account, Chat: x.request.chat}
 		x.router.sendOverflow(x.home, x.candidate.Engine, chat)
 	}
 }
@@ -101,24 +101,24 @@
 func (x *exchange) recover(ctx context.Context, cause error) error {
 	var unknown *ryeford.UnknownError
 	lostLink := !errors.As(cause, &unknown)
-	if ctx.Err() != nil || time.Now().After(x.turn.deadline) {
+	if ctx.Err() != nil || time.Now().After(x.request.deadline) {
 		return &ryeford.UnknownError{Reason: ryeford.ReasonDeadline, Err: cause}
 	}
-	if lostLink && x.joins < reattachTries && !x.turn.repeatable {
-		return x.reattach(ctx, cause)
+	if lostLink && x.rejoins < maxRejoins && !x.request.repeatable {
+		return x.rejoin(ctx, cause)
 	}
-	if !x.turn.repeatable || x.turn.call != nil {
+	if !x.request.repeatable || x.request.call != nil {
 		return &ryeford.UnknownError{Reason: ryeford.ReasonEngineLost, Err: cause}
 	}
 	x.router.metrics.Count("ryeford_continued_total", "")
-	x.maybeRan = true
+	x.mayHaveRun = true
 	x.refill()
 	return x.continueElsewhere(ctx, cause)
 }
 
-// reattach goes on with the answer that the agent keeps.
-func (x *exchange) reattach(ctx context.Context, cause error) error {
-	err := x.settle(ctx, cause)
+// rejoin goes on with the answer that the agent keeps.
+func (x *exchange) rejoin(ctx context.Context, cause error) error {
+	err := x.resolveLost(ctx, cause)
 	var notRun *ryeford.NotRunError
 	if errors.As(err, &notRun) {
 		return &ryeford.UnknownError{Reason: notRun.Reason, Err: cause}
@@ -130,7 +130,7 @@
 func (x *exchange) refill() {
 	lost := x.candidate.Engine
 	x.queue = nil
-	for _, c := range x.router.newExchange(x.turn).queue {
+	for _, c := range x.router.newExchange(x.request).queue {
 		if c.Engine != lost {
 			x.queue = append(x.queue, c)
 		}
@@ -139,11 +139,11 @@
 
 // continueElsewhere goes on at another engine.
 func (x *exchange) continueElsewhere(ctx context.Context, cause error) error {
-	if !x.router.retries.Spend(x.turn.account) {
-		return &ryeford.UnknownError{Reason: ryeford.ReasonRetryBudget, RetryAfter: retry.Spread(x.hint), Err: cause}
+	if !x.router.retries.Spend(x.request.account) {
+		return &ryeford.UnknownError{Reason: ryeford.ReasonRetryBudget, RetryAfter: retry.Spread(x.retryAfter), Err: cause}
 	}
 	if len(x.queue) == 0 {
-		return &ryeford.UnknownError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(x.hint), Err: cause}
+		return &ryeford.UnknownError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(x.retryAfter), Err: cause}
 	}
-	return x.tryQueue(ctx)
+	return x.dispatchQueue(ctx)
 }
--- a/agentfleet/router/turn.go
+++ b/agentfleet/router/request.go
@@ -8,8 +8,8 @@
 )
 
 // A turn is one request of a caller.
-type turn struct {
-	request    ryeford.RequestID
+type request struct {
+	id         ryeford.RequestID
 	account    ryeford.AccountID
 	chat       ryeford.ChatID
 	priority   ryeford.Priority
@@ -28,12 +28,12 @@
 
 // claimed reports whether the turn needs a claim: it may not be repeated, and
 // its caller may send it again.
-func (t *turn) claimed() bool { return !t.repeatable && t.key != "" }
+func (req *request) claimed() bool { return !req.repeatable && req.key != "" }
 
 // targets returns the engines, or the service's instances, that can serve t.
-func (r *Router) targets(t *turn) *route.Set {
-	if t.call != nil {
-		return r.fleet.service(t.service)
+func (r *Router) targets(req *request) *route.Set {
+	if req.call != nil {
+		return r.fleet.service(req.service)
 	}
-	return r.fleet.pool(t.completion.Pool)
+	return r.fleet.pool(req.completion.Pool)
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -298,7 +298,7 @@
 	return nil
 }
 
-// chooseOurs is what the running roles do: the mean from samples, a walk of the
+// chooseOurs is what the running roles do: the mean from samples, probes of the
 // candidates, and the home's memory of where a chat went.
 func chooseOurs(s *sim, router int, chat uint64, account ryeford.AccountID) *simEngine {
 	var ranking route.Ranking
@@ -311,19 +311,19 @@
 	for _, index := range ranking.Index[:ranking.Len] {
 		candidates = append(candidates, s.engines[s.index[s.set.Target(int(index)).Engine]])
 	}
-	var walk load.Walk
+	var probes load.Probes
 	candidates = append(candidates, candidates[0]) // the second round
 	for i, e := range candidates {
 		if i == len(candidates)-1 {
-			walk.Saturated()
+			probes.Saturated()
 		}
 		request := &admission.Request{
 			Account: account, Priority: ryeford.PriorityHighest, Share: 1,
-			PoolMean: walk.Mean(s.now, s.means[router]),
+			PoolMean: probes.Mean(s.now, s.means[router]),
 		}
 		d := e.gate.Admit(s.now, request)
 		s.hops++
-		walk.Add(s.now, s.means[router], d.Load)
+		probes.Add(s.now, s.means[router], d.Load)
 		if !d.Admitted {
 			continue
 		}
