--- a/agentfleet/router/callers.go
+++ b/agentfleet/router/callers.go
@@ -2,10 +2,6 @@
 
 import (
 	"context"
-	"errors"
-	"net"
-	"net/netip"
-	"strconv"
 	"strings"
 	"time"
 
@@ -37,60 +33,11 @@
 	PathServices    = "/v1/services/"
 )
 
-const (
-	maxIDLength     = 128
-	maxMessages     = 4096
-	maxTokens       = 1 << 20
-	statusKeyReused = fasthttp.StatusUnprocessableEntity
-	bearerPrefix    = "Bearer "
-)
+// unavailableRetryAfter is when a caller is to come back to a router that has no
+// configuration yet, or has no engine for the request. Not measured.
+const unavailableRetryAfter = time.Second
 
-// serveHTTP runs an HTTP server until ctx ends.
-func (r *Router) serveHTTP(ctx context.Context, address netip.AddrPort, handler fasthttp.RequestHandler) error {
-	listener, err := net.Listen("tcp", address.String())
-	if err != nil {
-		return &ListenError{Address: address, Err: err}
-	}
-	server := &fasthttp.Server{
-		Handler:               handler,
-		MaxRequestBodySize:    r.settings.Limits.MaxBody,
-		NoDefaultServerHeader: true,
-		ReadTimeout:           30 * time.Second,
-		IdleTimeout:           2 * time.Minute,
-		ErrorHandler:          r.serveBadRequest,
-	}
-	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
-	defer stop()
-	err = server.Serve(listener)
-	if ctx.Err() != nil {
-		return nil
-	}
-	return &ListenError{Address: address, Err: err}
-}
-
-// A ListenError says that a server could not run at its address.
-type ListenError struct {
-	Address netip.AddrPort
-	Err     error
-}
-
-// Error returns the text of e.
-func (e *ListenError) Error() string { return "serve " + e.Address.String() + ": " + e.Err.Error() }
-
-// Unwrap returns the cause of e.
-func (e *ListenError) Unwrap() error { return e.Err }
-
-// serveBadRequest answers a request that is no HTTP, or is too large.
-func (r *Router) serveBadRequest(ctx *fasthttp.RequestCtx, err error) {
-	problem := &ryeford.InputError{Field: "request", Problem: "not a valid HTTP request", Status: fasthttp.StatusBadRequest}
-	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-		problem.Problem = "body larger than " + strconv.Itoa(r.settings.Limits.MaxBody) + " bytes"
-		problem.Status = fasthttp.StatusRequestEntityTooLarge
-	}
-	writeError(ctx, "", problem)
-}
-
-// serveCaller answers one request of a caller or of the balancer.
+// serveCaller answers one request of a caller or of the load balancer.
 func (r *Router) serveCaller(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
@@ -113,7 +60,7 @@
 	}
 }
 
-// serveReady tells the balancer whether to send callers here.
+// serveReady answers the load balancer's readiness probe.
 func (r *Router) serveReady(ctx *fasthttp.RequestCtx) {
 	if r.Ready() {
 		ctx.SetBodyString("ready\n")
@@ -127,7 +74,7 @@
 func (r *Router) serveRequest(ctx *fasthttp.RequestCtx, parse func(*fasthttp.RequestCtx, *request) error) {
 	req := &request{id: ryeford.RequestID(uuid.NewString())}
 	if !r.synced.Load() {
-		writeError(ctx, req.id, &ryeford.NotRunError{Reason: ryeford.ReasonNotReady, RetryAfter: retry.Spread(time.Second)})
+		writeError(ctx, req.id, &ryeford.NotRunError{Reason: ryeford.ReasonNotReady, RetryAfter: retry.Spread(unavailableRetryAfter)})
 		return
 	}
 	err := r.parseCommon(ctx, req)
@@ -160,23 +107,35 @@
 	r.inFlight.Add(-1)
 }
 
-// serveResume goes on with an answer that the caller has a part of.
+// serveResume goes on with an answer that the caller has a part of. It asks the one
+// agent that the event id names, and rejoins no further: the caller can come again.
 func (r *Router) serveResume(ctx *fasthttp.RequestCtx) {
-	req := &request{stream: true, chat: "resume", deadline: time.Now().Add(r.settings.Limits.DefaultDeadline)}
+	req := &request{
+		stream:     true,
+		chat:       "resume",
+		deadline:   time.Now().Add(r.settings.Limits.DefaultDeadline),
+		completion: &ryeford.Completion{},
+	}
 	if err := r.authenticate(ctx, req); err != nil {
 		writeError(ctx, req.id, err)
 		return
 	}
-	where, err := parseEventID(string(ctx.Request.Header.Peek(HeaderLastEvent)))
+	last, err := parseEventID(string(ctx.Request.Header.Peek(HeaderLastEvent)))
 	if err != nil {
 		writeError(ctx, req.id, err)
 		return
 	}
-	req.completion = &ryeford.Completion{}
 	r.inFlight.Add(1)
 	work, cancel := context.WithDeadline(context.Background(), req.deadline)
-	x := &exchange{router: r, request: req, attempt: where.attempt, candidate: where.candidate, next: where.offset + 1, rejoins: maxRejoins}
-	found, err := x.joinAt(work, where.candidate, false)
+	x := &exchange{
+		router:    r,
+		request:   req,
+		attempt:   last.attempt,
+		candidate: last.candidate,
+		next:      last.offset + 1,
+		rejoins:   maxRejoins,
+	}
+	found, err := x.joinAt(work, last.candidate, false)
 	if !found && err == nil {
 		err = &ryeford.NotRunError{Reason: ryeford.ReasonTombstone}
 	}
@@ -186,11 +145,11 @@
 		return
 	}
 	_ = r.decisions.Note(req.id, "decision", "resume", "request", req.id, "account", req.account,
-		"vm", where.candidate.VM, "attempt", where.attempt, "offset", x.next)
+		"vm", last.candidate.VM, "attempt", last.attempt, "offset", x.next)
 	r.writeAnswer(work, cancel, ctx, x)
 }
 
-// logRouted logs where a turn went.
+// logRouted logs which engine serves a request.
 func (r *Router) logRouted(x *exchange, took time.Duration) {
 	req := x.request
 	r.metrics.Count("ryeford_requests_total", "routed")
@@ -201,11 +160,11 @@
 	}
 	r.metrics.Count("ryeford_turns_total", warm)
 	_ = r.decisions.Note(req.id, "decision", "route", "request", req.id, "attempt", x.attempt, "account", req.account, "chat", req.chat,
-		"engine", x.candidate.Engine, "vm", x.candidate.VM, "failure_domain", r.fleet.domain(x.candidate.VM), "home", x.home, "try", x.dispatches, "mean", x.poolMean(),
-		"warm", x.warm, "first_chunk", took)
+		"engine", x.candidate.Engine, "vm", x.candidate.VM, "failure_domain", r.fleet.domain(x.candidate.VM), "home", x.home,
+		"try", x.dispatches, "mean", x.poolMean(), "warm", x.warm, "first_chunk", took)
 }
 
-// logGivenUp logs why a turn was not served.
+// logGivenUp logs why a request was not served.
 func (r *Router) logGivenUp(x *exchange, err error) {
 	req := x.request
 	r.metrics.Count("ryeford_requests_total", string(reasonOf(err)))
--- a/agentfleet/router/callers_test.go
+++ b/agentfleet/router/callers_test.go
@@ -21,6 +21,7 @@
 		settings:  settings.DefaultRouter(),
 		book:      template.NewBook(),
 		fleet:     newFleet(),
+		loads:     newLoads(),
 		suspects:  newSuspects(),
 		metrics:   telemetry.NewSet(),
 		decisions: decision.NewLog(log.NewNopLogger()),
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -11,23 +11,66 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// startClaimed claims the caller's key and then tries the claim's candidates.
-// Where the key is claimed already, it joins the first run, or finds out that
-// there was none.
+// A request with an idempotency key that must not run twice.
+//
+// Its key is claimed in the platform's table before anything is dispatched, for one
+// attempt and its candidates. A key that another request has claimed leads to that
+// request's run: while its dispatch may still be under way, the candidates are only
+// looked at; after that each is asked for the answer, which also makes sure that an
+// attempt that was not admitted never will be. Only if every candidate answers that it
+// did not admit the attempt is the claim replaced; one that does not answer leaves the
+// outcome unknown.
+
+const (
+	// releaseTimeout bounds the release of a claim. Not measured: it is above the few
+	// milliseconds of a write, and no caller waits for it.
+	releaseTimeout = 2 * time.Second
+
+	// storeRetryAfter is when a caller is to come back whose key could not be claimed.
+	// Not measured.
+	storeRetryAfter = 2 * time.Second
+
+	// peekInterval is the time between two looks at another request's run. Not measured.
+	peekInterval = 50 * time.Millisecond
+)
+
+// A claimStep is what follows the claim of a key.
+type claimStep int
+
+const (
+	claimDispatch  claimStep = iota // the claim is ours
+	claimWrongKey                   // the key belongs to a request of another content
+	claimJoinFirst                  // the same request has claimed the key before
+)
+
+// afterClaim returns what follows a claim for a request with a digest.
+func afterClaim(held *claim.Claim, digest string) claimStep {
+	switch {
+	case held.Mine:
+		return claimDispatch
+	case held.Record.Digest != digest:
+		return claimWrongKey
+	}
+	return claimJoinFirst
+}
+
+// startClaimed claims the caller's key and then dispatches to the claim's candidates.
+// If the key is claimed already, it joins the first run, or finds out that there was
+// none.
 func (x *exchange) startClaimed(ctx context.Context) error {
 	key := claim.Key{Account: x.request.account, Key: x.request.key}
 	held, err := x.router.claims.Claim(ctx, key, x.newRecord())
 	if err != nil {
 		return x.claimFailed(err)
 	}
-	if held.Mine {
+	switch afterClaim(held, x.request.digest) {
+	case claimDispatch:
 		return x.dispatchClaimed(ctx, key, held)
-	}
-	if held.Record.Digest != x.request.digest {
+	case claimWrongKey:
 		return &ryeford.InputError{Field: HeaderKey, Problem: "the key belongs to another request", Status: statusKeyReused}
 	}
-	settled, err := x.joinFirst(ctx, held)
-	if settled || err != nil {
+	found, err := x.joinFirst(ctx, held)
+	if found || err != nil {
 		return err
 	}
 	replaced, err := x.router.claims.Replace(ctx, key, held, x.newRecord())
@@ -40,22 +83,26 @@
 	return x.dispatchClaimed(ctx, key, replaced)
 }
 
-// dispatchClaimed tries the candidates of a claim of ours. Where the attempt did
-// not run, it gives the claim up.
+// dispatchClaimed dispatches to the candidates of a claim of ours. If the attempt did
+// not run, it gives the claim up while the caller already has its answer.
 func (x *exchange) dispatchClaimed(ctx context.Context, key claim.Key, held *claim.Claim) error {
 	err := x.dispatchQueue(ctx)
 	var notRun *ryeford.NotRunError
 	if errors.As(err, &notRun) {
-		go func() {
-			release, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
-			defer cancel()
-			_ = x.router.claims.Release(release, key, held)
-		}()
+		go x.router.release(context.WithoutCancel(ctx), x.request.id, key, held)
 	}
 	return err
 }
 
-const releaseTimeout = 2 * time.Second
+// release gives up a claim whose attempt did not run. A claim that stays costs the
+// caller's next request with the key the questions of joinFirst, and nothing else.
+func (r *Router) release(ctx context.Context, request ryeford.RequestID, key claim.Key, held *claim.Claim) {
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+	defer cancel()
+	if err := r.claims.Release(ctx, key, held); err != nil {
+		_ = r.log.Log("msg", "claim not released", "request", request, "account", key.Account, "err", err)
+	}
+}
 
 // newRecord names a new attempt and returns the record that claims it.
 func (x *exchange) newRecord() claim.Record {
@@ -70,48 +117,47 @@
 	}
 }
 
-// claimFailed logs that a key could not be claimed. Nothing was dispatched.
+// claimFailed logs that a key could not be claimed, and returns what the caller gets.
+// Nothing was dispatched.
 func (x *exchange) claimFailed(err error) error {
-	_ = x.router.decisions.Note(x.request.id, "decision", "refuse", "request", x.request.id, "account", x.request.account,
-		"chat", x.request.chat, "reason", ryeford.ReasonStoreUnavailable, "err", err)
+	req := x.request
+	_ = x.router.decisions.Note(req.id, "decision", "refuse", "request", req.id, "account", req.account,
+		"chat", req.chat, "reason", ryeford.ReasonStoreUnavailable, "err", err)
 	return &ryeford.NotRunError{Reason: ryeford.ReasonStoreUnavailable, RetryAfter: retry.Spread(storeRetryAfter)}
 }
 
-const storeRetryAfter = 2 * time.Second
-
-// joinFirst joins the run of a claim that another request made. It reports
-// whether the run was found; where it was not and there is no error, the
-// claim's attempt did not run and never will.
+// joinFirst joins the run of a claim that another request made. It reports whether the
+// run was found; if it was not and there is no error, the claim's attempt did not run
+// and never will. The request has the first one's id from here on, under which agents
+// send the answer.
 func (x *exchange) joinFirst(ctx context.Context, held *claim.Claim) (bool, error) {
 	record := &held.Record
-	mine := *x
+	attempt, expires, forget := x.attempt, x.expires, x.forget
 	x.attempt, x.expires, x.forget = record.Attempt, record.Expires, record.Forget
 	x.request.id = record.Request
 	if found, err := x.peekUntilExpired(ctx, record); found || err != nil {
 		return found, err
 	}
-	unknown := 0
+	unanswered := 0
 	for _, c := range record.Candidates {
 		found, err := x.joinAt(ctx, c, false)
 		switch {
 		case found:
 			return true, x.awaitFirst(ctx)
 		case err != nil:
-			unknown++
+			unanswered++
 		}
 	}
-	x.request.id = mine.request.id
-	x.attempt, x.expires, x.forget = mine.attempt, mine.expires, mine.forget
-	if unknown > 0 {
+	x.attempt, x.expires, x.forget = attempt, expires, forget
+	if unanswered > 0 {
 		return false, &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, RetryAfter: retry.Spread(x.router.settings.Limits.Dispatch)}
 	}
 	return false, nil
 }
 
-const peekInterval = 50 * time.Millisecond
-
-// peekUntilExpired looks for the first run while its dispatch may still be on
-// its way, so as not to stop it.
+// peekUntilExpired looks for the first run while its dispatch may still be under way,
+// without stopping it. An agent that doesn't answer is looked at again, and asked in
+// earnest by joinFirst.
 func (x *exchange) peekUntilExpired(ctx context.Context, record *claim.Record) (bool, error) {
 	for time.Now().Before(record.Expires) {
 		for _, c := range record.Candidates {
@@ -131,7 +177,7 @@
 	return false, nil
 }
 
-// joinAt joins the attempt at one candidate. It reports whether it was found
+// joinAt joins the attempt at one candidate. It reports whether the attempt was found
 // there; an error says that this is not known.
 func (x *exchange) joinAt(ctx context.Context, c claim.Candidate, peek bool) (bool, error) {
 	limit := time.Now().Add(x.router.settings.Limits.Dispatch)
@@ -139,17 +185,16 @@
 	if err != nil {
 		return false, &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: err}
 	}
-	switch {
-	case reply.Admitted != nil:
+	if reply.Admitted != nil {
 		x.candidate = c
 		x.request.id = reply.Admitted.Request
 		x.stream = stream
 		x.asm = answer.NewAssembler(x.attempt, x.next)
 		return true, nil
-	case reply.Refused != nil && !reply.Refused.Unknown:
-		stream.Close()
-		return false, nil
 	}
 	stream.Close()
+	if reply.Refused != nil && !reply.Refused.Unknown {
+		return false, nil
+	}
 	return false, &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable}
 }
--- /dev/null
+++ b/agentfleet/router/claimed_test.go
@@ -0,0 +1,28 @@
+package router
+
+import (
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford/agentfleet/claim"
+)
+
+// TestAfterClaim checks what follows the claim of a key.
+func TestAfterClaim(t *testing.T) {
+	record := claim.Record{Digest: "d"}
+	for _, test := range []struct {
+		name   string
+		held   claim.Claim
+		digest string
+		want   claimStep
+	}{
+		{"claimed for this request", claim.Claim{Record: record, Mine: true}, "d", claimDispatch},
+		{"claimed by the same request before", claim.Claim{Record: record}, "d", claimJoinFirst},
+		{"claimed by a request of another content", claim.Claim{Record: record}, "other", claimWrongKey},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			assert.Equal(t, afterClaim(&test.held, test.digest), test.want)
+		})
+	}
+}
--- /dev/null
+++ b/agentfleet/router/connect_test.go
@@ -0,0 +1,49 @@
+package router
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// TestRedial checks the waits between connections to an agent.
+func TestRedial(t *testing.T) {
+	var backoff redial
+	for _, test := range []struct {
+		name   string
+		lasted time.Duration
+		want   time.Duration
+	}{
+		{"first loss", 0, 50 * time.Millisecond},
+		{"lost at once", 0, 100 * time.Millisecond},
+		{"lost soon", stableAfter, 200 * time.Millisecond},
+		{"again", 0, 400 * time.Millisecond},
+		{"again", 0, 800 * time.Millisecond},
+		{"again", 0, 1600 * time.Millisecond},
+		{"at the most", 0, 2 * time.Second},
+		{"stays there", 0, 2 * time.Second},
+		{"after a stable connection", stableAfter + 1, 50 * time.Millisecond},
+		{"lost at once", 0, 100 * time.Millisecond},
+	} {
+		assert.Equal(t, backoff.next(test.lasted), test.want, test.name)
+	}
+}
+
+// TestAgentsSuffice checks how many agents stand in for the table.
+func TestAgentsSuffice(t *testing.T) {
+	for _, test := range []struct {
+		name                string
+		answered, connected int
+		want                bool
+	}{
+		{"no agent", 0, 0, false},
+		{"no answer", 0, 5, false},
+		{"too few", 2, 5, false},
+		{"a quorum", 3, 5, true},
+		{"all of a small fleet", 2, 2, true},
+		{"not all of a small fleet", 1, 2, false},
+	} {
+		assert.Equal(t, agentsSuffice(test.answered, test.connected), test.want, test.name)
+	}
+}
--- a/agentfleet/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -10,16 +10,28 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// dispatch sends the attempt to an engine's agent and waits until it is
-// admitted or refused.
+const (
+	// dispatchGrace is how long after a dispatch's expiry its reply is waited for: an
+	// agent that admits in the last moment needs the way back. Not measured.
+	dispatchGrace = 250 * time.Millisecond
+
+	// maxWaitingDispatches is how many of a request's first dispatches may wait at a
+	// full engine: the one to the chat's home, and the one to the engine that the home
+	// points to. No other engine has the chat's prefix, for which the wait is made
+	// (docs/design.md, "The load bound").
+	maxWaitingDispatches = 2
+)
+
+// dispatch sends the attempt to an engine's agent and waits until it is admitted or
+// refused. What was not sent did not run; if the reply is lost, resolveLost finds out.
 func (x *exchange) dispatch(ctx context.Context, c claim.Candidate) error {
-	p, ok := x.router.fleet.vm(c.VM)
-	if !ok || p.inventory.Incarnation != c.Incarnation {
+	a, ok := x.router.fleet.vm(c.VM)
+	if !ok || a.inventory.Incarnation != c.Incarnation {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonUnreachable}
 	}
 	openCtx, cancel := context.WithDeadline(ctx, x.expires)
 	defer cancel()
-	stream, err := p.conn.Open(openCtx)
+	stream, err := a.conn.Open(openCtx)
 	if err != nil {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonUnreachable}
 	}
@@ -37,9 +49,6 @@
 	return x.handleReply(m)
 }
 
-// dispatchGrace is how long behind a dispatch's expiry its reply is waited for.
-const dispatchGrace = 250 * time.Millisecond
-
 // dispatchMessage returns the dispatch of the attempt.
 func (x *exchange) dispatchMessage(c claim.Candidate) *wire.Dispatch {
 	req := x.request
@@ -56,10 +65,10 @@
 		Expires:     x.expires,
 		Forget:      x.forget,
 		PoolMean:    x.poolMean(),
-		MayRedirect: c.Engine == x.home && x.dispatches == 1 && !req.claimed() && req.call == nil,
+		MayRedirect: mayRedirect(req, c.Engine == x.home, x.dispatches),
 		Offset:      x.next,
 	}
-	if x.rounds == 0 && x.dispatches <= maxWaitingDispatches {
+	if mayWait(x.rounds, x.dispatches) {
 		d.Wait = x.router.settings.Limits.WarmWait
 	}
 	if req.call != nil {
@@ -75,13 +84,22 @@
 	return d
 }
 
-// maxWaitingDispatches is how many of the first tries may wait: the home, and the engine
-// that it points to.
-const maxWaitingDispatches = 2
+// mayRedirect reports whether an agent may name another engine instead of running the
+// request: only the chat's home remembers where the chat went, only the first dispatch
+// asks for it, and a claim names its candidates before it is dispatched.
+func mayRedirect(req *request, home bool, dispatches int) bool {
+	return home && dispatches == 1 && !req.claimed() && req.call == nil
+}
+
+// mayWait reports whether the dispatch of that number may wait at a full engine for
+// limits.warm_wait: in the first round, at the engines that may have the chat's prefix.
+func mayWait(rounds, dispatches int) bool {
+	return rounds == 0 && dispatches <= maxWaitingDispatches
+}
 
-// poolMean returns the mean load that an engine is to be measured against.
+// poolMean returns the mean load that an engine is to admit against.
 func (x *exchange) poolMean() float64 {
-	return x.router.fleet.probedMean(time.Now(), x.request.model, &x.probes)
+	return x.router.loads.probedMean(time.Now(), x.request.model, &x.probes)
 }
 
 // handleReply takes the agent's reply to a dispatch or a join.
@@ -99,7 +117,7 @@
 	return &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: &ProtocolError{}}
 }
 
-// handleRefusal takes a refusal.
+// handleRefusal takes a refusal, and returns it as an error.
 func (x *exchange) handleRefusal(refused *wire.Refused) error {
 	if refused.Unknown {
 		return &ryeford.UnknownError{Reason: refused.Reason, RetryAfter: refused.RetryAfter}
@@ -111,27 +129,29 @@
 			x.retryAfter = refused.RetryAfter
 		}
 	case ryeford.ReasonRedirect:
-		x.redirect(refused.Engine)
+		target, ok := x.router.candidate(refused.Engine)
+		x.queue = redirected(x.queue, x.candidate, refused.Engine, target, ok)
 	}
 	return &ryeford.NotRunError{Reason: refused.Reason, RetryAfter: refused.RetryAfter, Engine: refused.Engine}
 }
 
-// redirect puts an engine first in the queue, and the home behind it.
-func (x *exchange) redirect(engine ryeford.EngineID) {
-	queue := make([]claim.Candidate, 0, len(x.queue)+2)
-	if c, ok := x.router.candidate(engine); ok {
-		queue = append(queue, c)
+// redirected returns the queue after a home pointed to an engine: that engine first, if
+// it is connected and so has a candidate, the home next, then the others.
+func redirected(queue []claim.Candidate, home claim.Candidate, engine ryeford.EngineID, target claim.Candidate, connected bool) []claim.Candidate {
+	next := make([]claim.Candidate, 0, len(queue)+2)
+	if connected {
+		next = append(next, target)
 	}
-	queue = append(queue, x.candidate)
-	for _, c := range x.queue {
+	next = append(next, home)
+	for _, c := range queue {
 		if c.Engine != engine {
-			queue = append(queue, c)
+			next = append(next, c)
 		}
 	}
-	x.queue = queue
+	return next
 }
 
-// addProbe notes the load that a candidate reported.
+// addProbe takes the load that a candidate reported.
 func (x *exchange) addProbe(value float64) {
-	x.router.fleet.addProbe(time.Now(), x.request.model, x.candidate.Engine, &x.probes, value)
+	x.router.loads.addProbe(time.Now(), x.request.model, x.candidate.Engine, &x.probes, value)
 }
--- /dev/null
+++ b/agentfleet/router/dispatch_test.go
@@ -0,0 +1,93 @@
+package router
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/claim"
+)
+
+// TestMayRedirect checks which dispatch an agent may answer with another engine.
+func TestMayRedirect(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		request    request
+		home       bool
+		dispatches int
+		want       bool
+	}{
+		{"first, to the home", request{repeatable: true}, true, 1, true},
+		{"to another engine", request{repeatable: true}, false, 1, false},
+		{"home again", request{repeatable: true}, true, 2, false},
+		{"with a claim", request{key: "k"}, true, 1, false},
+		{"a key, but repeatable", request{key: "k", repeatable: true}, true, 1, true},
+		{"call of a service", request{repeatable: true, call: &ryeford.Call{}}, true, 1, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			assert.Equal(t, mayRedirect(&test.request, test.home, test.dispatches), test.want)
+		})
+	}
+}
+
+// TestMayWait checks which dispatches may wait at a full engine.
+func TestMayWait(t *testing.T) {
+	for _, test := range []struct {
+		rounds, dispatches int
+		want               bool
+	}{
+		{0, 1, true},
+		{0, 2, true},
+		{0, 3, false},
+		{1, 1, false},
+	} {
+		assert.Equal(t, mayWait(test.rounds, test.dispatches), test.want, "round %d, dispatch %d", test.rounds, test.dispatches)
+	}
+}
+
+// TestRedirected checks the order of candidates after a redirect.
+func TestRedirected(t *testing.T) {
+	a, b, c := claim.Candidate{Engine: "a"}, claim.Candidate{Engine: "b"}, claim.Candidate{Engine: "c"}
+	for _, test := range []struct {
+		name      string
+		queue     []claim.Candidate
+		connected bool
+		want      []claim.Candidate
+	}{
+		{"named engine first, then the home", []claim.Candidate{b, c}, true, []claim.Candidate{c, a, b}},
+		{"not in the queue", []claim.Candidate{b}, true, []claim.Candidate{c, a, b}},
+		{"not connected", []claim.Candidate{b, c}, false, []claim.Candidate{a, b}},
+		{"nothing else left", nil, false, []claim.Candidate{a}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			assert.DeepEqual(t, redirected(test.queue, a, "c", c, test.connected), test.want)
+		})
+	}
+}
+
+// TestSuspectsAreAskedLast checks the order of candidates after a dispatch went
+// unanswered.
+func TestSuspectsAreAskedLast(t *testing.T) {
+	a, b, c := claim.Candidate{VM: "a"}, claim.Candidate{VM: "b"}, claim.Candidate{VM: "c"}
+	now := time.Unix(1_000_000, 0)
+	for _, test := range []struct {
+		name    string
+		prepare func(s *suspects)
+		after   time.Duration
+		want    []claim.Candidate
+	}{
+		{"none", func(*suspects) {}, 0, []claim.Candidate{a, b, c}},
+		{"one", func(s *suspects) { s.add(now, "a") }, 0, []claim.Candidate{b, c, a}},
+		{"two, in their order", func(s *suspects) { s.add(now, "b"); s.add(now, "a") }, 0, []claim.Candidate{c, a, b}},
+		{"until its time is over", func(s *suspects) { s.add(now, "a") }, suspectedFor, []claim.Candidate{a, b, c}},
+		{"until it answers", func(s *suspects) { s.add(now, "a"); s.clear("a") }, 0, []claim.Candidate{a, b, c}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := newSuspects()
+			test.prepare(s)
+			assert.DeepEqual(t, s.last(now.Add(test.after), []claim.Candidate{a, b, c}), test.want)
+		})
+	}
+}
--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"time"
 
 	"github.com/google/uuid"
@@ -17,45 +16,43 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-const (
-	forgetAfter    = 30 * time.Second // for attempts without a claim
-	rejoinTime     = 5 * time.Second  // how long a lost attempt is asked after
-	rejoinInterval = 25 * time.Millisecond
-	maxRejoins     = 3
-)
+// forgetAfter is how long an agent must remember an attempt without a claim, which is
+// asked after for rejoinTime at most. Not measured: above the dispatch time and
+// rejoinTime together.
+const forgetAfter = 30 * time.Second
 
-// An exchange serves one request: it tries engines until one has admitted the
-// turn, and yields the answer's chunks in their order, each once.
+// An exchange serves one request: it dispatches it to engines until one has admitted
+// it, and yields the answer's chunks in their order, each once.
 //
 // An exchange must not be used by two goroutines at once.
 type exchange struct {
 	router  *Router
 	request *request
 
-	home       ryeford.EngineID  // the first in the chat's order
+	home       ryeford.EngineID  // the first in the chat's rendezvous order
 	first      claim.Candidate   // the first that was asked, not counting a redirect
-	queue      []claim.Candidate // still to be tried
-	dispatches int
-	rounds     int
+	queue      []claim.Candidate // still to be asked
+	dispatches int               // so far
+	rounds     int               // that all candidates were asked
 
 	attempt    ryeford.AttemptID
 	candidate  claim.Candidate // where the attempt is
-	expires    time.Time
-	forget     time.Time
-	mayHaveRun bool // an earlier attempt may have run
+	expires    time.Time       // until when the attempt may be admitted
+	forget     time.Time       // until when the agent remembers the attempt
+	mayHaveRun bool            // an earlier attempt may have run
 	probes     load.Probes
-	retryAfter time.Duration // the least Retry-After of the refusals
+	retryAfter time.Duration // the shortest that a refusal named
 
 	stream  *transport.Stream
 	asm     *answer.Assembler
-	ready   []ryeford.Chunk
-	next    int64  // the caller's next offset
-	text    []byte // what the caller has
-	warm    bool
-	rejoins int
+	ready   []ryeford.Chunk // received and not yet passed on
+	next    int64           // the caller's next offset
+	text    []byte          // what the caller has of a repeatable completion
+	warm    bool            // the engine has the chat's prefix cached
+	rejoins int             // that were used up after lost connections
 }
 
-// newExchange returns an exchange with the candidates of a turn.
+// newExchange returns an exchange with the candidates of a request.
 func (r *Router) newExchange(req *request) *exchange {
 	x := &exchange{router: r, request: req}
 	set := r.targets(req)
@@ -79,17 +76,17 @@
 
 // candidate returns an engine as a candidate, if its agent is connected.
 func (r *Router) candidate(engine ryeford.EngineID) (claim.Candidate, bool) {
-	p, ok := r.fleet.engine(engine)
+	a, ok := r.fleet.engine(engine)
 	if !ok {
 		return claim.Candidate{}, false
 	}
-	return claim.Candidate{Engine: engine, VM: p.vm.ID, Incarnation: p.inventory.Incarnation}, true
+	return claim.Candidate{Engine: engine, VM: a.vm.ID, Incarnation: a.inventory.Incarnation}, true
 }
 
-// start tries engines until the first chunk of the answer is there.
+// start dispatches the request until the first chunk of an answer is there.
 func (x *exchange) start(ctx context.Context) error {
 	if len(x.queue) == 0 {
-		return &ryeford.NotRunError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(time.Second)}
+		return &ryeford.NotRunError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(unavailableRetryAfter)}
 	}
 	if x.request.claimed() {
 		return x.startClaimed(ctx)
@@ -97,15 +94,17 @@
 	return x.dispatchQueue(ctx)
 }
 
-// dispatchQueue tries the queue's engines until the first chunk is there.
+// dispatchQueue asks the queue's engines in turn until the first chunk is there. What
+// follows a failure is decided by afterFailure.
 func (x *exchange) dispatchQueue(ctx context.Context) error {
 	var last error
-	for len(x.queue) > 0 || x.anotherRound(last) {
+	step := stepFree
+	for len(x.queue) > 0 || x.startRound(last) {
 		if time.Now().After(x.request.deadline) {
 			last = &ryeford.NotRunError{Reason: ryeford.ReasonDeadline}
 			break
 		}
-		if !x.mayTry(last) {
+		if !x.pay(step) {
 			last = &ryeford.NotRunError{Reason: ryeford.ReasonRetryBudget}
 			break
 		}
@@ -116,22 +115,19 @@
 			return nil
 		}
 		x.logFailed(c, last)
-		if !x.mayGoOn(last) {
+		x.mayHaveRun = x.mayHaveRun || mayHaveRun(last)
+		step = afterFailure(last, x.request.repeatable)
+		if step == stepGiveUp {
 			break
 		}
 	}
-	return x.finalError(last)
+	return finalError(last, x.mayHaveRun, retry.Spread(x.retryAfter))
 }
 
-// maxRounds is how often the candidates are asked.
-const maxRounds = 2
-
-// anotherRound puts the first candidate into the queue again once all have
-// refused for their load: the fleet is saturated, and what they reported raises
-// the mean that they are measured against.
-func (x *exchange) anotherRound(last error) bool {
+// startRound puts the first candidate into the queue again if anotherRound says so.
+func (x *exchange) startRound(last error) bool {
 	x.rounds++
-	if reasonOf(last) != ryeford.ReasonOverload || x.rounds >= maxRounds {
+	if !anotherRound(last, x.rounds) {
 		return false
 	}
 	x.probes.Saturated()
@@ -139,51 +135,19 @@
 	return true
 }
 
-// mayTry reports whether the account's budgets allow one more try.
-func (x *exchange) mayTry(last error) bool {
-	var unknown *ryeford.UnknownError
-	var notRun *ryeford.NotRunError
-	switch {
-	case last == nil:
-		return true
-	case errors.As(last, &unknown):
-		return x.router.retries.Spend(x.request.account)
-	case errors.As(last, &notRun) && notRun.Reason == ryeford.ReasonRedirect:
-		return true
-	case errors.As(last, &notRun):
+// pay takes what a step costs from the account's budgets, and reports whether the
+// account had it.
+func (x *exchange) pay(step nextStep) bool {
+	switch step {
+	case stepOverflow:
 		return x.router.overflow.Spend(x.request.account)
+	case stepRetry:
+		return x.router.retries.Spend(x.request.account)
 	}
-	return x.router.retries.Spend(x.request.account)
-}
-
-// mayGoOn reports whether another engine may be tried after a failure.
-func (x *exchange) mayGoOn(err error) bool {
-	var unknown *ryeford.UnknownError
-	if errors.As(err, &unknown) {
-		x.mayHaveRun = true
-		return x.request.repeatable
-	}
-	var notRun *ryeford.NotRunError
-	if !errors.As(err, &notRun) {
-		return false
-	}
-	return notRun.Reason != ryeford.ReasonTombstone
-}
-
-// verdict returns what the caller is told after the last try.
-func (x *exchange) finalError(last error) error {
-	var notRun *ryeford.NotRunError
-	if !errors.As(last, &notRun) {
-		return last
-	}
-	if x.mayHaveRun {
-		// The refusal is told by its text only: the outcome must not be taken for it.
-		return &ryeford.UnknownError{Reason: notRun.Reason, RetryAfter: retry.Spread(x.retryAfter), Err: &EngineError{Text: last.Error()}}
-	}
-	return &ryeford.NotRunError{Reason: notRun.Reason, RetryAfter: retry.Spread(x.retryAfter)}
+	return true
 }
 
-// try dispatches the turn to one engine and waits for the first chunk.
+// dispatchTo dispatches the request to one engine and waits for the first chunk.
 func (x *exchange) dispatchTo(ctx context.Context, c claim.Candidate) error {
 	x.close()
 	x.dispatches++
@@ -210,7 +174,7 @@
 	}
 }
 
-// close gives up the stream of the last try.
+// close gives up the stream of the last dispatch.
 func (x *exchange) close() {
 	if x.stream != nil {
 		x.stream.Close()
@@ -219,7 +183,9 @@
 	x.ready = nil
 }
 
-// cancel tells the agent that the caller is gone.
+// cancel sends the agent word that the caller is gone. If that can't be sent, the
+// connection is lost, and the agent stops the run itself once nobody has read its
+// answer for a while.
 func (x *exchange) cancel() {
 	if x.stream == nil {
 		return
@@ -228,10 +194,12 @@
 	x.stream.CloseSend()
 }
 
-// logFailed logs a try that failed.
+// logFailed logs a dispatch that failed.
 func (x *exchange) logFailed(c claim.Candidate, err error) {
+	req := x.request
 	x.router.metrics.Count("ryeford_tries_failed_total", string(reasonOf(err)))
-	_ = x.router.decisions.Note(x.request.id,
-		"decision", "try", "request", x.request.id, "attempt", x.attempt, "account", x.request.account, "chat", x.request.chat,
-		"engine", c.Engine, "vm", c.VM, "failure_domain", x.router.fleet.domain(c.VM), "try", x.dispatches, "reason", reasonOf(err), "mean", x.poolMean(), "left", len(x.queue), "err", err)
+	_ = x.router.decisions.Note(req.id,
+		"decision", "try", "request", req.id, "attempt", x.attempt, "account", req.account, "chat", req.chat,
+		"engine", c.Engine, "vm", c.VM, "failure_domain", x.router.fleet.domain(c.VM), "try", x.dispatches,
+		"reason", reasonOf(err), "mean", x.poolMean(), "left", len(x.queue), "err", err)
 }
--- a/agentfleet/router/join.go
+++ b/agentfleet/router/join.go
@@ -10,8 +10,20 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// settle finds out what became of an attempt whose stream was lost. A
-// repeatable one is not worth the wait: it counts as unknown at once.
+const (
+	// rejoinTime is how long an agent is asked after an attempt whose stream was lost.
+	// Not measured.
+	rejoinTime = 5 * time.Second
+
+	// rejoinInterval is the time between such questions. Not measured: short against a
+	// caller's wait, long against a connection's round trip.
+	rejoinInterval = 25 * time.Millisecond
+)
+
+// resolveLost finds out what became of an attempt whose stream was lost, by asking its
+// agent until it answers. If the agent has been restarted, what it knew is lost, and the
+// outcome is unknown. A repeatable request is not worth the wait: its outcome counts as
+// unknown at once, and it goes to another engine.
 func (x *exchange) resolveLost(ctx context.Context, cause error) error {
 	unknown := &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: cause}
 	if x.request.repeatable || ctx.Err() != nil {
@@ -29,7 +41,7 @@
 			x.stream = stream
 			return x.handleReply(reply)
 		}
-		if p, ok := x.router.fleet.vm(x.candidate.VM); ok && p.inventory.Incarnation != x.candidate.Incarnation {
+		if a, ok := x.router.fleet.vm(x.candidate.VM); ok && a.inventory.Incarnation != x.candidate.Incarnation {
 			unknown.Reason = ryeford.ReasonIncarnation
 			return unknown
 		}
@@ -42,20 +54,22 @@
 	return unknown
 }
 
-// join asks a candidate's agent for the attempt's answer.
+// join asks a candidate's agent for the attempt's answer, from the caller's next offset
+// on. Unless peek is set, an agent that has not admitted the attempt never will after
+// it was asked.
 func (x *exchange) join(ctx context.Context, c claim.Candidate, peek bool, limit time.Time) (*wire.Message, *transport.Stream, error) {
-	p, ok := x.router.fleet.vm(c.VM)
+	a, ok := x.router.fleet.vm(c.VM)
 	if !ok {
 		return nil, nil, &ryeford.NotFoundError{Kind: "VM", Name: string(c.VM)}
 	}
 	ctx, cancel := context.WithDeadline(ctx, limit)
 	defer cancel()
-	stream, err := p.conn.Open(ctx)
+	stream, err := a.conn.Open(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
 	stream.SetReadDeadline(limit)
-	question := &wire.Join{
+	query := &wire.Join{
 		Account:     x.request.account,
 		Attempt:     x.attempt,
 		Incarnation: c.Incarnation,
@@ -64,7 +78,7 @@
 		Forget:      x.forget,
 		Peek:        peek,
 	}
-	if err := stream.Send(&wire.Message{Join: question}); err != nil {
+	if err := stream.Send(&wire.Message{Join: query}); err != nil {
 		stream.Close()
 		return nil, nil, err
 	}
--- a/agentfleet/router/parse.go
+++ b/agentfleet/router/parse.go
@@ -12,6 +12,20 @@
 	"github.com/ryeford/ryeford/agentfleet/claim"
 )
 
+// Bounds on what a caller may send. Not measured: well above real use, and low enough
+// that one request costs a router little.
+const (
+	maxIDLength = 128       // bytes of a chat's or a key's name
+	maxMessages = 4096      // of one completion
+	maxTokens   = 1 << 20   // that one completion may ask for
+	maxDeadline = time.Hour // as limits.default_deadline allows
+)
+
+const (
+	statusKeyReused = fasthttp.StatusUnprocessableEntity
+	bearerPrefix    = "Bearer "
+)
+
 // parseCommon reads what all requests carry.
 func (r *Router) parseCommon(ctx *fasthttp.RequestCtx, req *request) error {
 	if err := r.authenticate(ctx, req); err != nil {
@@ -19,34 +33,43 @@
 	}
 	header := &ctx.Request.Header
 	req.chat = ryeford.ChatID(header.Peek(HeaderChat))
-	req.key = string(header.Peek(HeaderKey))
 	if req.chat == "" {
 		req.chat = ryeford.ChatID(req.id)
 	}
 	if err := checkID(HeaderChat, string(req.chat)); err != nil {
 		return err
 	}
-	if req.key != "" {
-		if err := checkID(HeaderKey, req.key); err != nil {
-			return err
-		}
+	req.key = string(header.Peek(HeaderKey))
+	if err := checkID(HeaderKey, req.key); err != nil {
+		return err
 	}
-	if err := parseRepeatable(ctx, req); err != nil {
+	repeatable, err := parseRepeatable(ctx)
+	if err != nil {
 		return err
 	}
-	deadline := r.settings.Limits.DefaultDeadline
-	if text := string(header.Peek(HeaderDeadline)); text != "" {
-		d, err := time.ParseDuration(text)
-		if err != nil || d <= 0 || d > time.Hour {
-			return &ryeford.InputError{Field: HeaderDeadline, Problem: "want a duration up to 1h, such as 2s"}
-		}
-		deadline = d
+	req.repeatable = repeatable
+	deadline, err := parseDeadline(ctx, r.settings.Limits.DefaultDeadline)
+	if err != nil {
+		return err
 	}
 	req.deadline = time.Now().Add(deadline)
 	req.digest = claim.Digest(ctx.Method(), ctx.RequestURI(), ctx.PostBody())
 	return nil
 }
 
+// parseDeadline reads how long the caller waits.
+func parseDeadline(ctx *fasthttp.RequestCtx, byDefault time.Duration) (time.Duration, error) {
+	text := string(ctx.Request.Header.Peek(HeaderDeadline))
+	if text == "" {
+		return byDefault, nil
+	}
+	d, err := time.ParseDuration(text)
+	if err != nil || d <= 0 || d > maxDeadline {
+		return 0, &ryeford.InputError{Field: HeaderDeadline, Problem: "want a duration up to 1h, such as 2s"}
+	}
+	return d, nil
+}
+
 // authenticate finds the client account of the request's key.
 func (r *Router) authenticate(ctx *fasthttp.RequestCtx, req *request) error {
 	key, ok := strings.CutPrefix(string(ctx.Request.Header.Peek("Authorization")), bearerPrefix)
@@ -58,23 +81,21 @@
 	return nil
 }
 
-// parseRepeatable reads whether the request may be repeated. Completions, GET
-// and HEAD may be unless they are marked; other calls of services may not.
-func parseRepeatable(ctx *fasthttp.RequestCtx, req *request) error {
+// parseRepeatable reads whether the request may run twice. Completions, GET and HEAD
+// may unless they are marked; other calls of services may not.
+func parseRepeatable(ctx *fasthttp.RequestCtx) (bool, error) {
 	switch string(ctx.Request.Header.Peek(HeaderRepeatable)) {
 	case "true":
-		req.repeatable = true
+		return true, nil
 	case "false":
-		req.repeatable = false
+		return false, nil
 	case "":
-		req.repeatable = string(ctx.Path()) == PathCompletions || ctx.IsGet() || ctx.IsHead()
-	default:
-		return &ryeford.InputError{Field: HeaderRepeatable, Problem: "want true or false"}
+		return string(ctx.Path()) == PathCompletions || ctx.IsGet() || ctx.IsHead(), nil
 	}
-	return nil
+	return false, &ryeford.InputError{Field: HeaderRepeatable, Problem: "want true or false"}
 }
 
-// checkID checks an identifier that a caller chose.
+// checkID checks an identifier that a caller chose. None at all is valid.
 func checkID(field, id string) error {
 	if len(id) > maxIDLength {
 		return &ryeford.InputError{Field: field, Problem: "longer than 128 bytes"}
--- /dev/null
+++ b/agentfleet/router/readiness.go
@@ -0,0 +1,59 @@
+package router
+
+import (
+	"context"
+	"time"
+)
+
+// drainCheck is the time between two looks at whether all requests have ended. Not
+// measured: short against the stop of a process.
+const drainCheck = 20 * time.Millisecond
+
+// Ready reports whether the load balancer is to send callers here.
+func (r *Router) Ready() bool {
+	return ready(r.synced.Load(), r.leaving.Load(), r.fleet.reachable())
+}
+
+// ready is the rule of readiness: the router has read the templates that are in force,
+// is not leaving, and is connected to an agent.
+func ready(synced, leaving bool, agents int) bool {
+	return synced && !leaving && agents > 0
+}
+
+// drain waits for stop to end. It then turns the router unready, goes on serving for
+// limits.leave_notice, until the load balancer has noticed, and waits for the requests
+// in flight, limits.drain at most.
+func (r *Router) drain(stop, work context.Context) error {
+	select {
+	case <-stop.Done():
+	case <-work.Done():
+		return nil
+	}
+	r.leaving.Store(true)
+	_ = r.decisions.Note("", "decision", "leave", "in_flight", r.inFlight.Load())
+	notice := time.NewTimer(r.settings.Limits.LeaveNotice)
+	defer notice.Stop()
+	select {
+	case <-notice.C:
+		r.awaitIdle(work)
+	case <-work.Done():
+	}
+	return nil
+}
+
+// awaitIdle waits until no request is in flight, for limits.drain at most.
+func (r *Router) awaitIdle(work context.Context) {
+	ticker := time.NewTicker(drainCheck)
+	defer ticker.Stop()
+	limit := time.NewTimer(r.settings.Limits.Drain)
+	defer limit.Stop()
+	for r.inFlight.Load() > 0 {
+		select {
+		case <-ticker.C:
+		case <-limit.C:
+			return
+		case <-work.Done():
+			return
+		}
+	}
+}
--- a/agentfleet/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -6,117 +6,74 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/agentfleet/wire"
 	"github.com/ryeford/ryeford/retry"
 )
 
-// awaitFirst waits for the answer's first chunk. Up to it, a failure can still
-// lead to another engine.
-func (x *exchange) awaitFirst(ctx context.Context) error {
-	if err := x.receive(ctx, x.router.settings.Limits.FirstToken); err != nil {
-		return x.resolveLost(ctx, err)
-	}
-	first := &x.ready[0]
-	switch {
-	case first.Finish != ryeford.FinishError:
-		return nil
-	case first.NotRun:
-		return &ryeford.NotRunError{Reason: first.Reason}
-	case first.Reason == "":
-		return nil // the engine's own error, which is passed on
-	}
-	return &ryeford.UnknownError{Reason: first.Reason, Err: &EngineError{Text: first.Failure}}
-}
+// What follows an answer whose stream broke off midway.
+//
+// If only the connection was lost, the agent still has the answer, and one that must
+// not run twice is read on from there, a few times. A repeatable completion does not
+// wait for that: it goes on at another engine, which gets the text that the caller
+// already has. Everything else ends with an unknown outcome.
 
-// receive waits until there are chunks to pass on.
-func (x *exchange) receive(ctx context.Context, limit time.Duration) error {
-	timeout := time.Now().Add(limit)
-	if x.request.deadline.Before(timeout) {
-		timeout = x.request.deadline
-	}
-	x.stream.SetReadDeadline(timeout)
-	stop := context.AfterFunc(ctx, x.stream.Close)
-	defer stop()
-	for len(x.ready) == 0 {
-		m, err := x.stream.Receive()
-		if err != nil {
-			return err
-		}
-		if m.Frame == nil || m.Frame.Request != x.request.id {
-			x.router.metrics.Count("ryeford_frames_dropped_total", "foreign")
-			continue
-		}
-		x.ready = x.asm.Add(m.Frame.Chunk())
-	}
-	return nil
-}
+// maxRejoins is how often an answer is read on at the same agent after its connection
+// was lost. Not measured.
+const maxRejoins = 3
 
-// read returns the answer's next chunk. After an error the answer is not
-// complete and will not be.
-func (x *exchange) read(ctx context.Context) (ryeford.Chunk, error) {
-	for {
-		if len(x.ready) == 0 {
-			if err := x.receive(ctx, x.router.settings.Limits.BetweenTokens); err != nil {
-				if err := x.recover(ctx, err); err != nil {
-					return ryeford.Chunk{}, err
-				}
-				continue
-			}
-		}
-		chunk := x.ready[0]
-		x.ready = x.ready[1:]
-		if chunk.Finish == ryeford.FinishError && chunk.Reason != "" {
-			cause := &ryeford.UnknownError{Reason: chunk.Reason, Err: &EngineError{Text: chunk.Failure}}
-			if err := x.recover(ctx, cause); err != nil {
-				return ryeford.Chunk{}, err
-			}
-			continue
-		}
-		x.delivered(&chunk)
-		return chunk, nil
-	}
+// A lostStream is what is known of an answer that broke off.
+type lostStream struct {
+	expired    bool // the caller is gone, or its deadline has passed
+	reported   bool // the agent reported the loss itself, so it has no more of the answer
+	repeatable bool
+	call       bool // of a plain service, whose answer has no text to go on from
+	rejoins    int  // so far
 }
 
-// delivered notes what the caller gets.
-func (x *exchange) delivered(chunk *ryeford.Chunk) {
-	x.next = chunk.Offset + 1
-	if x.request.call == nil && x.request.repeatable {
-		x.text = append(x.text, chunk.Data...)
-	}
-	if chunk.Finish == "" {
-		return
-	}
-	x.stream.CloseSend()
-	x.router.overflow.Earn(x.request.account)
-	x.router.retries.Earn(x.request.account)
-	if x.home != "" && x.request.completion != nil && x.candidate.Engine != x.home {
-		chat := wire.ChatKey{Account: x.request.account, Chat: x.request.chat}
-		x.router.sendOverflow(x.home, x.candidate.Engine, chat)
+// A recovery is what follows a lost stream.
+type recovery int
+
+const (
+	recoverNot       recovery = iota // the outcome stays unknown
+	recoverTooLate                   // the same, since no time is left
+	recoverRejoin                    // read on at the same agent
+	recoverElsewhere                 // go on at another engine, for one of the retry budget
+)
+
+// afterLostStream returns what follows a lost stream.
+func afterLostStream(l lostStream) recovery {
+	switch {
+	case l.expired:
+		return recoverTooLate
+	case !l.reported && !l.repeatable && l.rejoins < maxRejoins:
+		return recoverRejoin
+	case !l.repeatable || l.call:
+		return recoverNot
 	}
+	return recoverElsewhere
 }
 
-// recover goes on with an answer whose stream was lost: at the same agent,
-// which keeps the answer, or for a repeatable completion at another engine,
-// behind the text that the caller already has.
+// recover goes on with an answer whose stream was lost, as afterLostStream says.
 func (x *exchange) recover(ctx context.Context, cause error) error {
-	var unknown *ryeford.UnknownError
-	lostLink := !errors.As(cause, &unknown)
-	if ctx.Err() != nil || time.Now().After(x.request.deadline) {
-		return &ryeford.UnknownError{Reason: ryeford.ReasonDeadline, Err: cause}
+	lost := lostStream{
+		expired:    ctx.Err() != nil || time.Now().After(x.request.deadline),
+		reported:   mayHaveRun(cause),
+		repeatable: x.request.repeatable,
+		call:       x.request.call != nil,
+		rejoins:    x.rejoins,
 	}
-	if lostLink && x.rejoins < maxRejoins && !x.request.repeatable {
+	switch afterLostStream(lost) {
+	case recoverTooLate:
+		return &ryeford.UnknownError{Reason: ryeford.ReasonDeadline, Err: cause}
+	case recoverRejoin:
 		return x.rejoin(ctx, cause)
+	case recoverElsewhere:
+		return x.continueElsewhere(ctx, cause)
 	}
-	if !x.request.repeatable || x.request.call != nil {
-		return &ryeford.UnknownError{Reason: ryeford.ReasonEngineLost, Err: cause}
-	}
-	x.router.metrics.Count("ryeford_continued_total", "")
-	x.mayHaveRun = true
-	x.refill()
-	return x.continueElsewhere(ctx, cause)
+	return &ryeford.UnknownError{Reason: ryeford.ReasonEngineLost, Err: cause}
 }
 
-// rejoin goes on with the answer that the agent keeps.
+// rejoin reads on at the agent that keeps the answer. A refusal there proves nothing,
+// since a part of the answer was sent.
 func (x *exchange) rejoin(ctx context.Context, cause error) error {
 	err := x.resolveLost(ctx, cause)
 	var notRun *ryeford.NotRunError
@@ -126,6 +83,20 @@
 	return err
 }
 
+// continueElsewhere goes on at another engine than the lost one.
+func (x *exchange) continueElsewhere(ctx context.Context, cause error) error {
+	x.router.metrics.Count("ryeford_continued_total", "")
+	x.mayHaveRun = true
+	x.refill()
+	if !x.pay(stepRetry) {
+		return &ryeford.UnknownError{Reason: ryeford.ReasonRetryBudget, RetryAfter: retry.Spread(x.retryAfter), Err: cause}
+	}
+	if len(x.queue) == 0 {
+		return &ryeford.UnknownError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(x.retryAfter), Err: cause}
+	}
+	return x.dispatchQueue(ctx)
+}
+
 // refill fills the queue anew, without the engine that was lost.
 func (x *exchange) refill() {
 	lost := x.candidate.Engine
@@ -136,14 +107,3 @@
 		}
 	}
 }
-
-// continueElsewhere goes on at another engine.
-func (x *exchange) continueElsewhere(ctx context.Context, cause error) error {
-	if !x.router.retries.Spend(x.request.account) {
-		return &ryeford.UnknownError{Reason: ryeford.ReasonRetryBudget, RetryAfter: retry.Spread(x.retryAfter), Err: cause}
-	}
-	if len(x.queue) == 0 {
-		return &ryeford.UnknownError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(x.retryAfter), Err: cause}
-	}
-	return x.dispatchQueue(ctx)
-}
--- a/agentfleet/router/request.go
+++ b/agentfleet/router/request.go
@@ -7,30 +7,35 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// A turn is one request of a caller.
+// A request is one request of a caller: a chat completion, a call of a plain service,
+// or the rest of an answer that the caller has a part of.
 type request struct {
 	id         ryeford.RequestID
 	account    ryeford.AccountID
-	chat       ryeford.ChatID
+	chat       ryeford.ChatID // orders the engines; the request's id if the caller named none
 	priority   ryeford.Priority
-	share      float64
-	repeatable bool
-	key        string // the caller's idempotency key
-	digest     string // of what is asked for
+	share      float64 // of the account's template, above 0 and up to 1
+	repeatable bool    // running it twice does no harm
+	key        string  // the caller's idempotency key
+	digest     string  // of method, path and body
 	deadline   time.Time
-	stream     bool
+	stream     bool // answer as an event stream
 
-	model      string // by which loads are averaged
+	model string // whose engines' mean load counts
+
+	// Exactly one is set.
 	completion *ryeford.Completion
-	service    string
 	call       *ryeford.Call
+
+	service string // that call goes to
 }
 
-// claimed reports whether the turn needs a claim: it may not be repeated, and
-// its caller may send it again.
+// claimed reports whether the request needs a claim on its key: it may not run twice,
+// and its caller may send it again.
 func (req *request) claimed() bool { return !req.repeatable && req.key != "" }
 
-// targets returns the engines, or the service's instances, that can serve t.
+// targets returns the engines, or the service's instances, that can serve a request, or
+// nil if there are none.
 func (r *Router) targets(req *request) *route.Set {
 	if req.call != nil {
 		return r.fleet.service(req.service)
--- /dev/null
+++ b/agentfleet/router/retry.go
@@ -0,0 +1,83 @@
+package router
+
+import (
+	"errors"
+	"time"
+
+	"github.com/ryeford/ryeford"
+)
+
+// What follows a dispatch that failed.
+//
+// A dispatch that provably did not run goes to the next engine and costs one of the
+// account's overflow budget; if the refusal names the engine that has the chat's
+// prefix, going there is free. One that may have run goes on only if the request is
+// repeatable, and costs one of the retry budget, which is small: after a refusal for
+// load a second engine is the normal way of a bounded load, after a failure it
+// multiplies an outage. An attempt that was given up for good (a tombstone) ends the
+// request, since its id is dead at that agent.
+//
+// How much there is of each budget is a setting (limits.overflow_per_answer,
+// overflow_reserve, retry_per_answer, retry_reserve); package retry keeps the count.
+
+// maxRounds is how many rounds of all candidates a request is dispatched in. Set by
+// the load bound: the loads that a saturated fleet reports in the first round raise the
+// mean that the second is admitted against (docs/design.md, "The load bound"; commit
+// 2e4bed6). A third was not measured.
+const maxRounds = 2
+
+// A nextStep is what follows a failed dispatch, and what it costs the account.
+type nextStep int
+
+const (
+	stepGiveUp   nextStep = iota
+	stepFree              // ask the next engine, at no cost
+	stepOverflow          // ask the next engine, for one of the overflow budget
+	stepRetry             // ask the next engine, for one of the retry budget
+)
+
+// afterFailure returns what follows a dispatch that failed with err, for a request that
+// is repeatable or not.
+func afterFailure(err error, repeatable bool) nextStep {
+	if mayHaveRun(err) {
+		if repeatable {
+			return stepRetry
+		}
+		return stepGiveUp
+	}
+	var notRun *ryeford.NotRunError
+	switch {
+	case !errors.As(err, &notRun), notRun.Reason == ryeford.ReasonTombstone:
+		return stepGiveUp
+	case notRun.Reason == ryeford.ReasonRedirect:
+		return stepFree
+	}
+	return stepOverflow
+}
+
+// mayHaveRun reports whether a failure leaves open that the attempt ran. An unknown
+// outcome stays unknown if a refusal caused it.
+func mayHaveRun(err error) bool {
+	var unknown *ryeford.UnknownError
+	return errors.As(err, &unknown)
+}
+
+// anotherRound reports whether the first candidate is asked again once all were asked
+// so many times: the last refused for its load, so the fleet is saturated.
+func anotherRound(last error, rounds int) bool {
+	return reasonOf(last) == ryeford.ReasonOverload && rounds < maxRounds
+}
+
+// finalError returns the error that the caller gets after the last dispatch. A request
+// of which an earlier dispatch may have run is never said not to have run.
+func finalError(last error, mayHaveRun bool, retryAfter time.Duration) error {
+	var notRun *ryeford.NotRunError
+	if !errors.As(last, &notRun) {
+		return last
+	}
+	if mayHaveRun {
+		// The refusal goes along as text only: errors.As must not find it.
+		return &ryeford.UnknownError{Reason: notRun.Reason, RetryAfter: retryAfter, Err: &EngineError{Text: last.Error()}}
+	}
+	return &ryeford.NotRunError{Reason: notRun.Reason, RetryAfter: retryAfter}
+}
--- /dev/null
+++ b/agentfleet/router/retry_test.go
@@ -0,0 +1,58 @@
+package router
+
+import (
+	"errors"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+)
+
+// TestAfterFailure checks what follows each end of a dispatch.
+func TestAfterFailure(t *testing.T) {
+	notRun := func(reason ryeford.Reason) error { return &ryeford.NotRunError{Reason: reason} }
+	unknown := func(cause error) error { return &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: cause} }
+	for _, test := range []struct {
+		name       string
+		err        error
+		repeatable bool
+		want       nextStep
+	}{
+		{"refused for load", notRun(ryeford.ReasonOverload), false, stepOverflow},
+		{"refused for the share", notRun(ryeford.ReasonShare), false, stepOverflow},
+		{"agent leaving", notRun(ryeford.ReasonLeaving), false, stepOverflow},
+		{"agent not connected", notRun(ryeford.ReasonUnreachable), false, stepOverflow},
+		{"too late for the agent", notRun(ryeford.ReasonExpired), false, stepOverflow},
+		{"another engine has the prefix", notRun(ryeford.ReasonRedirect), true, stepFree},
+		{"attempt given up", notRun(ryeford.ReasonTombstone), true, stepGiveUp},
+		{"may have run, repeatable", unknown(nil), true, stepRetry},
+		{"may have run, not repeatable", unknown(nil), false, stepGiveUp},
+		{"unknown, caused by a refusal", unknown(notRun(ryeford.ReasonOverload)), false, stepGiveUp},
+		{"any other error", errors.New("fault"), true, stepGiveUp},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			assert.Equal(t, afterFailure(test.err, test.repeatable), test.want)
+		})
+	}
+}
+
+// TestAnotherRound checks when the candidates are asked again.
+func TestAnotherRound(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		last   error
+		rounds int
+		want   bool
+	}{
+		{"the last was full", &ryeford.NotRunError{Reason: ryeford.ReasonOverload}, 1, true},
+		{"full again", &ryeford.NotRunError{Reason: ryeford.ReasonOverload}, 2, false},
+		{"above its share", &ryeford.NotRunError{Reason: ryeford.ReasonShare}, 1, false},
+		{"may have run", &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable}, 1, false},
+		{"nobody was asked", nil, 1, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			assert.Equal(t, anotherRound(test.last, test.rounds), test.want)
+		})
+	}
+}
--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -1,6 +1,20 @@
-// Package router is the process on an entry VM: it takes callers' requests,
-// chooses engines for them, relays the answers, and serves the operators. It
-// keeps nothing that must last.
+// Package router is the process on an entry VM of the fleet with agents: it takes
+// callers' requests, chooses engines for them, relays the answers, and serves the
+// operators.
+//
+// It owns nothing that must last. It holds what agents say of themselves (fleet, loads),
+// the templates in force (template.Book), the current plan (currentPlan) and the
+// accounts' budgets for further dispatches; all of it is read or earned again after a
+// restart. Claims of idempotency keys, templates, plans and the planner's lease are rows
+// and objects of the platform.
+//
+// A request goes from callers.go through parse.go to exchange.go, which dispatches it
+// (dispatch.go), receives the answer (receive.go) and recovers it (recover.go, join.go);
+// one with an idempotency key that must not run twice is claimed first (claimed.go). The
+// rules are functions without I/O: afterFailure and finalError in retry.go,
+// afterLostStream in recover.go, afterClaim in claimed.go, mayWait and mayRedirect in
+// dispatch.go, newErrorBody in failure.go, ready in readiness.go. docs/decisions.md lists
+// them.
 package router
 
 import (
@@ -22,8 +36,6 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-const drainCheck = 20 * time.Millisecond
-
 // A Platform is what a router needs of the platform.
 type Platform interface {
 	ryeford.Table
@@ -45,10 +57,11 @@
 	templates *template.Store
 	synced    atomic.Bool // the book holds what the fleet had accepted
 	fleet     *fleet
+	loads     *loads
 	suspects  *suspects
 	claims    *claim.Claims
-	overflow  *retry.Budget // tries after a refusal
-	retries   *retry.Budget // tries after a failure
+	overflow  *retry.Budget // dispatches after a refusal
+	retries   *retry.Budget // dispatches after a failure
 	planner   *planner
 
 	leaving  atomic.Bool
@@ -73,6 +86,7 @@
 		book:      template.NewBook(),
 		templates: template.NewStore(platform),
 		fleet:     newFleet(),
+		loads:     newLoads(),
 		suspects:  newSuspects(),
 		claims:    claim.New(platform),
 		overflow:  retry.NewBudget(retry.Limits{PerSuccess: s.Limits.OverflowPerAnswer, Reserve: s.Limits.OverflowReserve}),
@@ -101,54 +115,15 @@
 	})
 	_ = r.log.Log("msg", "started", "role", "router", "callers", r.settings.Callers, "operators", r.settings.Operators)
 	err := group.Wait()
-	_ = r.dialer.Close()
+	_ = r.dialer.Close() // the process ends, and its sockets with it
 	_ = r.log.Log("msg", "stopped", "role", "router")
 	return err
 }
 
-// Ready reports whether the router can serve: it knows the templates that are
-// in force, it is not leaving, and it reaches an engine.
-func (r *Router) Ready() bool {
-	return r.synced.Load() && !r.leaving.Load() && r.fleet.reachable() > 0
-}
-
-// drain turns the router unready once stop ends, and waits for the balancer to
-// notice and for what is in flight.
-func (r *Router) drain(stop, work context.Context) error {
-	select {
-	case <-stop.Done():
-	case <-work.Done():
-		return nil
-	}
-	r.leaving.Store(true)
-	_ = r.decisions.Note("", "decision", "leave", "in_flight", r.inFlight.Load())
-	notice := time.NewTimer(r.settings.Limits.LeaveNotice)
-	defer notice.Stop()
-	select {
-	case <-notice.C:
-	case <-work.Done():
-		return nil
-	}
-	ticker := time.NewTicker(drainCheck)
-	defer ticker.Stop()
-	limit := time.NewTimer(r.settings.Limits.Drain)
-	defer limit.Stop()
-	for r.inFlight.Load() > 0 {
-		select {
-		case <-ticker.C:
-		case <-limit.C:
-			return nil
-		case <-work.Done():
-			return nil
-		}
-	}
-	return nil
-}
-
 // addMetrics adds the gauges.
 func (r *Router) addMetrics() {
 	r.metrics.Gauge("ryeford_revision", func() float64 { return float64(r.book.Revision()) })
 	r.metrics.Gauge("ryeford_agents_connected", func() float64 { return float64(r.fleet.reachable()) })
 	r.metrics.Gauge("ryeford_in_flight", func() float64 { return float64(r.inFlight.Load()) })
-	r.metrics.Gauge("ryeford_skew", func() float64 { return r.fleet.skew(time.Now()) })
+	r.metrics.Gauge("ryeford_skew", func() float64 { return r.loads.skew(time.Now()) })
 }
--- a/agentfleet/router/suspects.go
+++ b/agentfleet/router/suspects.go
@@ -8,38 +8,40 @@
 	"github.com/ryeford/ryeford/agentfleet/claim"
 )
 
-// suspectedFor is how long a VM that left a dispatch unanswered is asked last.
+// suspectedFor is how long a VM that left a dispatch unanswered is asked last. Not
+// measured: the time is a multiple of a dispatch's (2.25 s with its grace), so that a
+// frozen VM costs few requests that wait; freeze.txtar passes with it.
 const suspectedFor = 5 * time.Second
 
 // suspects are the VMs that left a dispatch unanswered a short while ago. Their
-// connection may live on: a frozen process is not seen by it for as long as the
-// idle time-out.
+// connections may still be up: that a process is frozen is noticed by a connection only
+// after the idle time-out.
 type suspects struct {
 	mu    sync.Mutex
 	until map[ryeford.VMID]time.Time
 }
 
-// newSuspects returns suspects without any.
+// newSuspects returns an empty suspects.
 func newSuspects() *suspects {
 	return &suspects{until: make(map[ryeford.VMID]time.Time)}
 }
 
-// add notes that a VM left a dispatch unanswered.
+// add suspects a VM that left a dispatch unanswered.
 func (s *suspects) add(now time.Time, vm ryeford.VMID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.until[vm] = now.Add(suspectedFor)
 }
 
-// clear notes that a VM answered.
+// clear ends the suspicion of a VM that answered.
 func (s *suspects) clear(vm ryeford.VMID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.until, vm)
 }
 
-// last moves the candidates of suspected VMs behind the others, and keeps the
-// order otherwise.
+// last returns the candidates with those of suspected VMs after the others, and keeps
+// the order otherwise. They are not left out: all may be suspected.
 func (s *suspects) last(now time.Time, candidates []claim.Candidate) []claim.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
