--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -183,7 +183,7 @@
 	x.ready = nil
 }
 
-// cancel sends the agent word that the caller is gone. If that can't be sent, the
+// cancel sends the agent that the caller is gone. If that can't be sent, the
 // connection is lost, and the agent stops the run itself once nobody has read its
 // answer for a while.
 func (x *exchange) cancel() {
