--- a/agentfleet/claim/claim_test.go
+++ b/agentfleet/claim/claim_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/faketable"
+	"github.com/ryeford/ryeford/internal/memtable"
 )
 
 // TestClaimIsExclusive lets several routers claim the same key at once, over a
@@ -20,11 +20,11 @@
 // may run.
 func TestClaimIsExclusive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fates := rapid.SliceOfN(rapid.SampledFrom([]faketable.Fate{
-			faketable.Succeeds, faketable.Succeeds, faketable.Fails, faketable.Lost,
+		fates := rapid.SliceOfN(rapid.SampledFrom([]memtable.Fate{
+			memtable.Succeeds, memtable.Succeeds, memtable.Fails, memtable.Lost,
 		}), 1, 12).Draw(t, "fates")
 		calls := 0
-		table := faketable.New(func(_ bool) faketable.Fate {
+		table := memtable.New(func(_ bool) memtable.Fate {
 			calls++
 			return fates[calls%len(fates)]
 		})
@@ -65,11 +65,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		writes := 0
-		table := faketable.New(func(write bool) faketable.Fate {
+		table := memtable.New(func(write bool) memtable.Fate {
 			if write {
 				writes++
 			}
-			return faketable.Succeeds
+			return memtable.Succeeds
 		})
 		claims := New(table)
 		go func() { _ = claims.Run(ctx) }()
--- a/agentfleet/lease/lease_test.go
+++ b/agentfleet/lease/lease_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/faketable"
+	"github.com/ryeford/ryeford/internal/memtable"
 )
 
 // TestPausedHolder pauses a holder for longer than its lease, between acquiring
@@ -20,7 +20,7 @@
 	for _, written := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx := context.Background()
-			table := faketable.New(nil)
+			table := memtable.New(nil)
 			old := New(table, "planner", "router-1", "life-1", 10*time.Second)
 			young := New(table, "planner", "router-2", "life-2", 10*time.Second)
 			held, err := old.Acquire(ctx)
@@ -58,7 +58,7 @@
 
 // TestRestartedHolder checks that a new life of the same VM is another holder.
 func TestRestartedHolder(t *testing.T) {
-	table := faketable.New(nil)
+	table := memtable.New(nil)
 	_, err := New(table, "planner", "router-1", "life-1", time.Minute).Acquire(t.Context())
 	assert.NilError(t, err)
 	var other *HeldError
--- a/agentfleet/router/planner_test.go
+++ b/agentfleet/router/planner_test.go
@@ -10,13 +10,13 @@
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/placement"
 	"github.com/ryeford/ryeford/agentfleet/wire"
-	"github.com/ryeford/ryeford/internal/faketable"
+	"github.com/ryeford/ryeford/internal/memtable"
 )
 
 // A testPlatform is a platform whose table is in memory; its other services are
 // not called here.
 type testPlatform struct {
-	*faketable.Table
+	*memtable.Table
 	ryeford.ObjectStore
 	ryeford.VMList
 }
@@ -36,7 +36,7 @@
 func TestFlappingMovesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTestRouter()
-		r.platform = &testPlatform{Table: faketable.New(nil)}
+		r.platform = &testPlatform{Table: memtable.New(nil)}
 		p := newPlanner(r)
 		lost := testAgent("endpoint-1", "lira")
 		r.fleet.put(lost)
--- a/agentfleet/template/template_test.go
+++ b/agentfleet/template/template_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/internal/faketable"
+	"github.com/ryeford/ryeford/internal/memtable"
 )
 
 // TestBookNeverReverts applies deltas in any order, repeated, and with gaps.
@@ -53,12 +53,12 @@
 // answers: each version is published once, and no accepted change is lost.
 func TestPublishRace(t *testing.T) {
 	calls := 0
-	table := faketable.New(func(write bool) faketable.Fate {
+	table := memtable.New(func(write bool) memtable.Fate {
 		calls++
 		if write && calls%3 == 0 {
-			return faketable.Lost
+			return memtable.Lost
 		}
-		return faketable.Succeeds
+		return memtable.Succeeds
 	})
 	const operators = 6
 	var wait sync.WaitGroup
@@ -89,7 +89,7 @@
 
 // TestPublishAgain checks that the same change takes effect once.
 func TestPublishAgain(t *testing.T) {
-	store := NewStore(faketable.New(nil))
+	store := NewStore(memtable.New(nil))
 	change := ryeford.Template{Account: "bank", Name: "calls", Model: "lira", Change: "c1"}
 	first, err := store.Publish(t.Context(), change)
 	assert.NilError(t, err)
--- a/internal/faketable/faketable.go
+++ b/internal/memtable/memtable.go
@@ -1,5 +1,5 @@
-// Package faketable is a platform table in memory, for tests.
-package faketable
+// Package memtable is a platform table in memory, for tests.
+package memtable
 
 import (
 	"context"
