--- a/internal/memtable/memtable.go
+++ b/internal/memtable/memtable.go
@@ -1,10 +1,15 @@
-// Package memtable is a platform table in memory, for tests.
+// Package memtable is the platform's transactional table in memory: rows with
+// versions, and writes that are conditional on them. The stand-in of the platform
+// serves one over HTTP; tests of the packages that use a table take one in its
+// place, and decide which calls fail or lose their answer. It owns its rows and
+// does no I/O.
 package memtable
 
 import (
 	"context"
 	"io"
-	"sort"
+	"maps"
+	"slices"
 	"strings"
 	"sync"
 
@@ -13,10 +18,15 @@
 
 // A Table is a ryeford.Table in memory.
 type Table struct {
-	mu      sync.Mutex
-	rows    map[string]ryeford.Row
-	version int64
-	fate    func(write bool) Fate
+	mu       sync.Mutex
+	contents Contents
+	fate     func(write bool) Fate
+}
+
+// Contents are what a Table holds at one moment.
+type Contents struct {
+	Rows    map[string]ryeford.Row `json:"rows"`    // by their keys
+	Version int64                  `json:"version"` // of the last write
 }
 
 // A Fate is what becomes of a call.
@@ -35,7 +45,22 @@
 	if fate == nil {
 		fate = func(bool) Fate { return Succeeds }
 	}
-	return &Table{rows: make(map[string]ryeford.Row), fate: fate}
+	return &Table{contents: Contents{Rows: make(map[string]ryeford.Row)}, fate: fate}
+}
+
+// Contents returns a copy of what the table holds.
+func (t *Table) Contents() Contents {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return Contents{Rows: maps.Clone(t.contents.Rows), Version: t.contents.Version}
+}
+
+// SetContents replaces what the table holds, with what an earlier Table held.
+func (t *Table) SetContents(contents Contents) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.contents = Contents{Rows: make(map[string]ryeford.Row), Version: contents.Version}
+	maps.Copy(t.contents.Rows, contents.Rows)
 }
 
 // Get implements ryeford.Table.
@@ -47,7 +72,7 @@
 	}
 	rows := make([]ryeford.Row, len(keys))
 	for i, key := range keys {
-		rows[i] = t.rows[key]
+		rows[i] = t.contents.Rows[key]
 		rows[i].Key = key
 	}
 	return rows, nil
@@ -61,12 +86,12 @@
 		return nil, &ryeford.UnavailableError{Service: "table", Err: io.EOF}
 	}
 	var rows []ryeford.Row
-	for key, row := range t.rows {
+	for key, row := range t.contents.Rows {
 		if strings.HasPrefix(key, prefix) {
 			rows = append(rows, row)
 		}
 	}
-	sort.Slice(rows, func(i, j int) bool { return rows[i].Key < rows[j].Key })
+	slices.SortFunc(rows, func(a, b ryeford.Row) int { return strings.Compare(a.Key, b.Key) })
 	return rows, nil
 }
 
@@ -80,7 +105,7 @@
 	}
 	var conflicts []string
 	for _, w := range writes {
-		if w.IfVersion != ryeford.AnyVersion && t.rows[w.Key].Version != w.IfVersion {
+		if w.IfVersion != ryeford.AnyVersion && t.contents.Rows[w.Key].Version != w.IfVersion {
 			conflicts = append(conflicts, w.Key)
 		}
 	}
@@ -93,17 +118,17 @@
 	case len(conflicts) > 0:
 		return 0, &ryeford.ConflictError{Keys: conflicts}
 	}
-	return t.version, nil
+	return t.contents.Version, nil
 }
 
 // apply makes writes whose conditions hold.
 func (t *Table) apply(writes []ryeford.Write) {
-	t.version++
+	t.contents.Version++
 	for _, w := range writes {
 		if w.Delete {
-			delete(t.rows, w.Key)
+			delete(t.contents.Rows, w.Key)
 			continue
 		}
-		t.rows[w.Key] = ryeford.Row{Key: w.Key, Value: w.Value, Version: t.version}
+		t.contents.Rows[w.Key] = ryeford.Row{Key: w.Key, Value: w.Value, Version: t.contents.Version}
 	}
 }
--- a/standin/answers.go
+++ b/standin/answers.go
@@ -9,8 +9,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// DefaultTokens is how many tokens an answer has that no one bounds.
-const DefaultTokens = 16
+// defaultTokens is how many tokens an answer has if its request does not say.
+const defaultTokens = 16
 
 // Answer returns the answer that every engine stand-in gives to the messages
 // of a chat. It names the chat and the messages, so that a caller can tell
--- /dev/null
+++ b/standin/enginecache.go
@@ -0,0 +1,56 @@
+package standin
+
+import (
+	"net/url"
+	"strconv"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"github.com/ryeford/ryeford"
+)
+
+// cacheEvents answers with the cache events after a sequence number.
+func (e *engineServer) cacheEvents(ctx *fasthttp.RequestCtx) {
+	after, err := strconv.ParseInt(string(ctx.QueryArgs().Peek("after")), 10, 64)
+	if err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	events := make([]ryeford.CacheEvent, 0)
+	delay := time.Duration(e.fault.EventDelayMS) * time.Millisecond
+	for _, noted := range e.cache.events[min(int(after), len(e.cache.events)):] {
+		event := noted.event
+		if time.Since(noted.at) < delay {
+			break
+		}
+		if e.fault.EventGap > 0 && event.Sequence%int64(e.fault.EventGap) == 0 {
+			continue
+		}
+		events = append(events, event)
+	}
+	writeJSON(ctx, events)
+}
+
+// cacheContent exports or imports a chat's KV cache.
+func (e *engineServer) cacheContent(ctx *fasthttp.RequestCtx, escaped string) {
+	name, err := url.PathUnescape(escaped)
+	if err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if ctx.IsPut() {
+		e.cache.store(ryeford.ChatID(name), string(ctx.PostBody()))
+		return
+	}
+	text, ok := e.cache.text(ryeford.ChatID(name))
+	if !ok {
+		ctx.Error("not cached", fasthttp.StatusNotFound)
+		return
+	}
+	ctx.SetBodyString(text)
+}
--- /dev/null
+++ b/standin/enginerun.go
@@ -0,0 +1,117 @@
+package standin
+
+import (
+	"context"
+	"time"
+
+	"github.com/ryeford/ryeford"
+)
+
+// generate runs a request in the batch.
+func (e *engineServer) generate(r *run) {
+	defer e.noteEnd(r)
+	e.notePeak()
+	err := e.slots.acquire(r.ctx, r.request.Priority)
+	if err != nil {
+		r.append(errorEvent(r, "cancelled"), true)
+		return
+	}
+	defer e.slots.release()
+	fault := e.faultOf(r)
+	sleep(r.ctx, time.Duration(fault.DelayMS)*time.Millisecond)
+	prompt := promptText(r.request.Messages)
+	usage := e.prefill(r, prompt)
+	e.decode(r, prompt, &fault, usage)
+}
+
+// notePeak counts how many runs run and wait, the calling one included.
+func (e *engineServer) notePeak() {
+	running, waiting := e.slots.counts()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.counts.Peak = max(e.counts.Peak, running+waiting+1)
+}
+
+// noteEnd records when a run ended.
+func (e *engineServer) noteEnd(r *run) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.counts.Runs[e.records[r.attempt]].End = time.Now()
+}
+
+// faultOf returns the fault that affects a run.
+func (e *engineServer) faultOf(r *run) EngineFault {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if !r.affected {
+		return EngineFault{}
+	}
+	return e.fault
+}
+
+// prefill takes the prompt in; its cached tokens take no time.
+func (e *engineServer) prefill(r *run, prompt string) *ryeford.Usage {
+	e.mu.Lock()
+	cached := e.cache.cached(r.chat, prompt)
+	e.counts.Runs[e.records[r.attempt]].Cached = cached
+	e.mu.Unlock()
+	usage := &ryeford.Usage{PromptTokens: countTokens(prompt), CachedTokens: cached}
+	steps := (usage.PromptTokens - cached + prefillPerStep - 1) / prefillPerStep
+	sleep(r.ctx, time.Duration(steps)*e.step)
+	return usage
+}
+
+// decode makes the answer, a token a step, and ends it as the fault says.
+func (e *engineServer) decode(r *run, prompt string, fault *EngineFault, usage *ryeford.Usage) {
+	tokens := r.request.MaxTokens
+	if tokens == 0 {
+		tokens = defaultTokens
+	}
+	tag := answerTag(r.chat, r.request.Messages)
+	text := r.request.Prefix
+	for i := countTokens(text); i < tokens; i++ {
+		sleep(r.ctx, e.step)
+		if endsEarly(r, i, fault, usage) {
+			return
+		}
+		token := answerToken(tag, i)
+		text += token
+		usage.CompletionTokens++
+		r.append(tokenEvent(r, token), false)
+	}
+	e.mu.Lock()
+	e.cache.store(r.chat, prompt+"assistant\n"+text+"\n")
+	e.mu.Unlock()
+	r.append(finishEvent(r, ryeford.FinishStop, usage), true)
+}
+
+// endsEarly ends a run that is cancelled, or that its fault ends before the i-th
+// token, and reports whether it did.
+func endsEarly(r *run, i int, fault *EngineFault, usage *ryeford.Usage) bool {
+	switch {
+	case r.ctx.Err() != nil:
+		r.append(errorEvent(r, "cancelled"), true)
+	case fault.StallAfter > 0 && i >= fault.StallAfter:
+		<-r.ctx.Done()
+	case fault.ErrorAfter > 0 && i >= fault.ErrorAfter:
+		r.append(errorEvent(r, "inference backend unavailable"), true)
+	case fault.Finish != "" && i >= fault.FinishAfter:
+		r.append(finishEvent(r, fault.Finish, usage), true)
+	default:
+		return false
+	}
+	return true
+}
+
+// sleep waits for d or until the run is cancelled.
+func sleep(ctx context.Context, d time.Duration) {
+	if d <= 0 {
+		return
+	}
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
--- /dev/null
+++ b/standin/http.go
@@ -0,0 +1,92 @@
+package standin
+
+import (
+	"context"
+	"encoding/json"
+	"net"
+
+	"github.com/valyala/fasthttp"
+
+	"github.com/ryeford/ryeford/settings"
+)
+
+// The paths by which tests reach into a stand-in.
+const (
+	// PathFault takes what is wrong with the stand-in from now on: its fault as JSON.
+	PathFault = "/fault"
+	// PathRuns answers with what the stand-in has counted, as JSON.
+	PathRuns = "/runs"
+)
+
+// maxRequestBody bounds a request's body, in bytes. It has room for the largest
+// object that the fleet writes, a plan; not measured.
+const maxRequestBody = 64 << 20
+
+// A handler is a stand-in that is reached over HTTP.
+type handler interface {
+	// serve serves a request of the protocol that is played.
+	serve(ctx *fasthttp.RequestCtx)
+	// setFault takes the fault in a request's body.
+	setFault(ctx *fasthttp.RequestCtx)
+	// writeRuns answers with what was counted.
+	writeRuns(ctx *fasthttp.RequestCtx)
+}
+
+// listenAndServe serves a stand-in until ctx ends. Connections that are open then
+// end with the process.
+func listenAndServe(ctx context.Context, address settings.Address, h handler) error {
+	listener, err := net.Listen("tcp", address.String())
+	if err != nil {
+		return &Error{Op: "listen", Err: err}
+	}
+	server := &fasthttp.Server{
+		Handler:               func(ctx *fasthttp.RequestCtx) { dispatch(ctx, h) },
+		NoDefaultServerHeader: true,
+		MaxRequestBodySize:    maxRequestBody,
+	}
+	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
+	defer stop()
+	err = server.Serve(listener)
+	if ctx.Err() != nil {
+		return nil
+	}
+	return &Error{Op: "serve", Err: err}
+}
+
+// dispatch passes a request to the method of h that serves its path.
+func dispatch(ctx *fasthttp.RequestCtx, h handler) {
+	switch string(ctx.Path()) {
+	case PathFault:
+		h.setFault(ctx)
+	case PathRuns:
+		h.writeRuns(ctx)
+	default:
+		h.serve(ctx)
+	}
+}
+
+// readJSON decodes the request's body, or answers 400.
+func readJSON(ctx *fasthttp.RequestCtx, into any) bool {
+	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return false
+	}
+	return true
+}
+
+// writeJSON answers with JSON.
+func writeJSON(ctx *fasthttp.RequestCtx, v any) {
+	body, err := json.Marshal(v)
+	if err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
+		return
+	}
+	ctx.SetContentType("application/json")
+	ctx.SetBody(body)
+}
+
+// cutConnection closes the caller's connection without an answer.
+func cutConnection(ctx *fasthttp.RequestCtx) {
+	ctx.HijackSetNoResponse(true)
+	ctx.Hijack(func(c net.Conn) { _ = c.Close() })
+}
--- a/standin/link.go
+++ b/standin/link.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"math/rand/v2"
 	"net"
 	"net/netip"
@@ -13,19 +14,23 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
+// maxDatagram is the greatest size of a UDP datagram, in bytes, rounded up.
 const maxDatagram = 64 << 10
 
 // A LinkFault is what is wrong with a link.
 type LinkFault struct {
-	Cut     bool    `json:"cut"`
-	DelayMS int     `json:"delay_ms"`
-	Lose    float64 `json:"lose"`   // part of the datagrams
-	Repeat  float64 `json:"repeat"` // part of the datagrams
+	Cut     bool    `json:"cut"`      // both ways
+	DelayMS int     `json:"delay_ms"` // each way, in milliseconds
+	Lose    float64 `json:"lose"`     // part of the datagrams, 0 to 1
+	Repeat  float64 `json:"repeat"`   // part of the datagrams, 0 to 1
 	// CutBack cuts the way back to the caller only.
 	CutBack bool `json:"cut_back"`
 }
 
-// A link relays UDP between callers and one address.
+// A link plays the network between routers and one agent: it relays UDP datagrams to
+// one address and back, and loses, repeats, delays or cuts them. Delays of unequal
+// length, which would change the order of datagrams, and a limit of bandwidth are not
+// played.
 type link struct {
 	socket *net.UDPConn
 	to     netip.AddrPort
@@ -48,10 +53,16 @@
 	}, nil
 }
 
-// serve implements handler.
-func (l *link) serve(ctx *fasthttp.RequestCtx) {
+// serve implements handler. A link relays UDP and has nothing to serve over HTTP.
+func (l *link) serve(*fasthttp.RequestCtx) {}
+
+// writeRuns implements handler. A link counts nothing.
+func (l *link) writeRuns(*fasthttp.RequestCtx) {}
+
+// setFault implements handler. It replaces the whole fault.
+func (l *link) setFault(ctx *fasthttp.RequestCtx) {
 	var fault LinkFault
-	if string(ctx.Path()) != PathFault || !readJSON(ctx, &fault) {
+	if !readJSON(ctx, &fault) {
 		return
 	}
 	l.mu.Lock()
@@ -70,11 +81,11 @@
 			return nil
 		}
 		if err != nil {
-			continue
+			continue // an error of one datagram, as when a caller's socket has gone
 		}
 		out, err := l.upstream(caller)
 		if err != nil {
-			continue
+			continue // the datagram is lost, as on a network
 		}
 		data := append([]byte(nil), buf[:n]...)
 		l.pass(false, func() { _, _ = out.Write(data) })
@@ -103,10 +114,10 @@
 	for {
 		n, err := out.Read(buf)
 		if err != nil {
-			if isClosed(err) {
+			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the far end is down for now
+			continue // refused: nothing listens at the far end for now
 		}
 		data := append([]byte(nil), buf[:n]...)
 		l.pass(true, func() { _, _ = l.socket.WriteToUDPAddrPort(data, caller) })
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -1,21 +1,17 @@
 package standin
 
 import (
-	"encoding/json"
-	"fmt"
-	"net/url"
-	"os"
-	"slices"
 	"strings"
 	"sync"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
+	"github.com/go-kit/log"
 	"github.com/valyala/fasthttp"
 	"golang.org/x/time/rate"
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/tableservice"
+	"github.com/ryeford/ryeford/internal/memtable"
 	"github.com/ryeford/ryeford/settings"
 )
 
@@ -23,11 +19,11 @@
 type PlatformFault struct {
 	// Down refuses all calls of the table and the object store.
 	Down bool `json:"down"`
-	// Slow delays them by so many milliseconds.
+	// SlowMS delays them, in milliseconds.
 	SlowMS int `json:"slow_ms"`
 	// LoseAnswers drops the answers of so many writes after they took effect.
 	LoseAnswers int `json:"lose_answers"`
-	// DownAfterKey goes down right behind a write of the row with this key.
+	// DownAfterKey sets Down right after a write of the row with this key.
 	DownAfterKey string `json:"down_after_key"`
 	// FreezeList makes the named VMs read the list of VMs as it is now.
 	FreezeList []ryeford.VMID `json:"freeze_list"`
@@ -35,49 +31,48 @@
 	ListDown bool `json:"list_down"`
 }
 
-// PlatformCounts counts what the platform served.
+// PlatformCounts counts the calls that the platform served or refused.
 type PlatformCounts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
-	Lists   int64 `json:"lists"`
+	Lists   int64 `json:"lists"` // of the list of VMs, reads and changes
 	Refused int64 `json:"refused"`
 }
 
-// A platformState is what outlives a restart of the stand-in.
-type platformState struct {
-	Rows    map[string]ryeford.Row      `json:"rows"`
-	Version int64                       `json:"version"`
-	Objects map[string][]byte           `json:"objects"`
-	VMs     map[ryeford.VMID]ryeford.VM `json:"vms"`
-}
-
-// A platformServer stands in for the platform.
+// A platformServer plays the platform's services: the transactional table and the
+// object store, each call within a rate, and the list of VMs.
+//
+// It does not play the cloud: VMs come and go by settings and by PutVM alone, and
+// objects and rows never expire. All that it holds is lost with its process,
+// unless a state file is set.
 type platformServer struct {
-	file   string
+	logger log.Logger
+	file   string // of the state; empty keeps none
 	reads  *rate.Limiter
 	writes *rate.Limiter
+	table  *memtable.Table
 
-	mu     sync.Mutex
-	state  platformState
-	fault  PlatformFault
-	frozen []ryeford.VM
-	counts PlatformCounts
+	mu      sync.Mutex
+	objects map[string][]byte
+	vms     map[ryeford.VMID]ryeford.VM
+	fault   PlatformFault
+	frozen  []ryeford.VM // the list of VMs as the last fault was set
+	counts  PlatformCounts
 }
 
 // newPlatform returns a platformServer, with the state of its last life.
-func newPlatform(s *settings.StandinPlatform) (*platformServer, error) {
+func newPlatform(s *settings.StandinPlatform, logger log.Logger) (*platformServer, error) {
 	p := &platformServer{
-		file:   s.State,
-		reads:  newLimiter(s.ReadsPerSecond),
-		writes: newLimiter(s.WritesPerSecond),
-		state: platformState{
-			Rows:    make(map[string]ryeford.Row),
-			Objects: make(map[string][]byte),
-			VMs:     make(map[ryeford.VMID]ryeford.VM),
-		},
+		logger:  logger,
+		file:    s.State,
+		reads:   newLimiter(s.ReadsPerSecond),
+		writes:  newLimiter(s.WritesPerSecond),
+		table:   memtable.New(nil),
+		objects: make(map[string][]byte),
+		vms:     make(map[ryeford.VMID]ryeford.VM),
 	}
 	for _, vm := range s.VMs {
-		p.state.VMs[vm.ID] = ryeford.VM{
+		p.vms[vm.ID] = ryeford.VM{
 			ID:            vm.ID,
 			Role:          vm.Role,
 			Region:        vm.Region,
@@ -86,18 +81,8 @@
 			State:         ryeford.VMLive,
 		}
 	}
-	if p.file == "" {
-		return p, nil
-	}
-	content, err := os.ReadFile(p.file)
-	if os.IsNotExist(err) {
-		return p, nil
-	}
-	if err == nil {
-		err = json.Unmarshal(content, &p.state)
-	}
-	if err != nil {
-		return nil, &Error{Op: "read state", Err: err}
+	if err := p.load(); err != nil {
+		return nil, err
 	}
 	return p, nil
 }
@@ -110,16 +95,26 @@
 	return rate.NewLimiter(rate.Limit(perSecond), perSecond)
 }
 
+// setFault implements handler. It changes the named fields of the fault.
+func (p *platformServer) setFault(ctx *fasthttp.RequestCtx) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if readJSON(ctx, &p.fault) {
+		p.frozen = p.listVMs()
+	}
+}
+
+// writeRuns implements handler.
+func (p *platformServer) writeRuns(ctx *fasthttp.RequestCtx) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	writeJSON(ctx, &p.counts)
+}
+
 // serve implements handler.
 func (p *platformServer) serve(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
-	case path == PathFault:
-		p.setFault(ctx)
-	case path == PathRuns:
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		writeJSON(ctx, &p.counts)
 	case path == tableservice.PathVMs:
 		p.serveVMs(ctx)
 	case !p.available():
@@ -149,7 +144,17 @@
 	return !fault.Down
 }
 
-// allow takes one call of a limiter, or answers 503.
+// allowRead admits a reading call, or answers 503.
+func (p *platformServer) allowRead(ctx *fasthttp.RequestCtx) bool {
+	return p.allow(ctx, p.reads, &p.counts.Reads)
+}
+
+// allowWrite admits a writing call, or answers 503.
+func (p *platformServer) allowWrite(ctx *fasthttp.RequestCtx) bool {
+	return p.allow(ctx, p.writes, &p.counts.Writes)
+}
+
+// allow admits one call by a limiter and counts it, or answers 503.
 func (p *platformServer) allow(ctx *fasthttp.RequestCtx, limiter *rate.Limiter, count *int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,87 +167,6 @@
 	return true
 }
 
-// setFault changes the named fields of the fault.
-func (p *platformServer) setFault(ctx *fasthttp.RequestCtx) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if readJSON(ctx, &p.fault) {
-		p.frozen = p.vms()
-	}
-}
-
-// get answers a read of rows.
-func (p *platformServer) get(ctx *fasthttp.RequestCtx) {
-	var request tableservice.GetRequest
-	if !p.allow(ctx, p.reads, &p.counts.Reads) || !readJSON(ctx, &request) {
-		return
-	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	answer := tableservice.RowsAnswer{Rows: make([]ryeford.Row, 0, len(request.Keys))}
-	for _, key := range request.Keys {
-		row, ok := p.state.Rows[key]
-		if !ok {
-			row = ryeford.Row{Key: key}
-		}
-		answer.Rows = append(answer.Rows, row)
-	}
-	writeJSON(ctx, &answer)
-}
-
-// list answers a read by prefix.
-func (p *platformServer) list(ctx *fasthttp.RequestCtx) {
-	var request tableservice.ListRequest
-	if !p.allow(ctx, p.reads, &p.counts.Reads) || !readJSON(ctx, &request) {
-		return
-	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	var answer tableservice.RowsAnswer
-	for key, row := range p.state.Rows {
-		if strings.HasPrefix(key, request.Prefix) {
-			answer.Rows = append(answer.Rows, row)
-		}
-	}
-	slices.SortFunc(answer.Rows, func(a, b ryeford.Row) int { return strings.Compare(a.Key, b.Key) })
-	writeJSON(ctx, &answer)
-}
-
-// transact makes all writes of a request, or none.
-func (p *platformServer) transact(ctx *fasthttp.RequestCtx) {
-	var request tableservice.TransactRequest
-	if !p.allow(ctx, p.writes, &p.counts.Writes) || !readJSON(ctx, &request) {
-		return
-	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	var answer tableservice.TransactAnswer
-	for _, w := range request.Writes {
-		if w.IfVersion != ryeford.AnyVersion && p.state.Rows[w.Key].Version != w.IfVersion {
-			answer.Conflicts = append(answer.Conflicts, w.Key)
-		}
-	}
-	if len(answer.Conflicts) == 0 {
-		answer.Version = p.apply(request.Writes)
-	}
-	p.answerWrite(ctx, &answer)
-}
-
-// apply makes writes whose conditions hold.
-func (p *platformServer) apply(writes []ryeford.Write) int64 {
-	p.state.Version++
-	for _, w := range writes {
-		p.fault.Down = p.fault.Down || w.Key == p.fault.DownAfterKey
-		if w.Delete {
-			delete(p.state.Rows, w.Key)
-			continue
-		}
-		p.state.Rows[w.Key] = ryeford.Row{Key: w.Key, Value: w.Value, Version: p.state.Version}
-	}
-	p.save()
-	return p.state.Version
-}
-
 // answerWrite answers a write, unless its answer is to be lost.
 func (p *platformServer) answerWrite(ctx *fasthttp.RequestCtx, answer any) {
 	if p.fault.LoseAnswers > 0 {
@@ -252,97 +176,3 @@
 	}
 	writeJSON(ctx, answer)
 }
-
-// object serves the object store.
-func (p *platformServer) object(ctx *fasthttp.RequestCtx, escaped string) {
-	name, err := url.PathUnescape(escaped)
-	if err != nil {
-		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
-		return
-	}
-	if ctx.IsPut() {
-		if !p.allow(ctx, p.writes, &p.counts.Writes) {
-			return
-		}
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.state.Objects[name] = slices.Clone(ctx.PostBody())
-		p.save()
-		p.answerWrite(ctx, struct{}{})
-		return
-	}
-	if !p.allow(ctx, p.reads, &p.counts.Reads) {
-		return
-	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	content, ok := p.state.Objects[name]
-	if !ok {
-		ctx.Error("no such object", fasthttp.StatusNotFound)
-		return
-	}
-	ctx.SetBody(content)
-}
-
-// serveVMs serves the list of VMs.
-func (p *platformServer) serveVMs(ctx *fasthttp.RequestCtx) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.counts.Lists++
-	if p.fault.ListDown {
-		ctx.Error("unavailable", fasthttp.StatusServiceUnavailable)
-		return
-	}
-	if !ctx.IsPost() {
-		reader := ryeford.VMID(ctx.Request.Header.Peek(tableservice.HeaderVM))
-		vms := p.vms()
-		if slices.Contains(p.fault.FreezeList, reader) {
-			vms = p.frozen
-		}
-		writeTagged(ctx, vms)
-		return
-	}
-	var vm ryeford.VM
-	if !readJSON(ctx, &vm) {
-		return
-	}
-	p.state.VMs[vm.ID] = vm
-	p.save()
-	writeJSON(ctx, struct{}{})
-}
-
-// writeTagged answers with JSON and its tag, or says that the reader has it.
-func writeTagged(ctx *fasthttp.RequestCtx, v any) {
-	writeJSON(ctx, v)
-	tag := fmt.Sprintf(`"%016x"`, xxhash.Sum64(ctx.Response.Body()))
-	ctx.Response.Header.Set("ETag", tag)
-	if string(ctx.Request.Header.Peek("If-None-Match")) == tag {
-		ctx.Response.ResetBody()
-		ctx.SetStatusCode(fasthttp.StatusNotModified)
-	}
-}
-
-// vms returns the list of VMs in the order of their ids.
-func (p *platformServer) vms() []ryeford.VM {
-	vms := make([]ryeford.VM, 0, len(p.state.VMs))
-	for _, vm := range p.state.VMs {
-		vms = append(vms, vm)
-	}
-	slices.SortFunc(vms, func(a, b ryeford.VM) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	return vms
-}
-
-// save writes the state to its file, if there is one.
-func (p *platformServer) save() {
-	if p.file == "" {
-		return
-	}
-	content, err := json.Marshal(&p.state)
-	if err != nil {
-		return
-	}
-	next := p.file + ".next"
-	if os.WriteFile(next, content, 0o600) == nil {
-		_ = os.Rename(next, p.file)
-	}
-}
--- /dev/null
+++ b/standin/platformobjects.go
@@ -0,0 +1,50 @@
+package standin
+
+import (
+	"net/url"
+	"slices"
+
+	"github.com/valyala/fasthttp"
+)
+
+// object serves the object store: a write or a read of the object whose escaped
+// name ends the path.
+func (p *platformServer) object(ctx *fasthttp.RequestCtx, escaped string) {
+	name, err := url.PathUnescape(escaped)
+	if err != nil {
+		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
+		return
+	}
+	if ctx.IsPut() {
+		p.putObject(ctx, name)
+		return
+	}
+	p.getObject(ctx, name)
+}
+
+// putObject writes an object.
+func (p *platformServer) putObject(ctx *fasthttp.RequestCtx, name string) {
+	if !p.allowWrite(ctx) {
+		return
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.objects[name] = slices.Clone(ctx.PostBody())
+	p.save()
+	p.answerWrite(ctx, struct{}{})
+}
+
+// getObject answers with an object.
+func (p *platformServer) getObject(ctx *fasthttp.RequestCtx, name string) {
+	if !p.allowRead(ctx) {
+		return
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	content, ok := p.objects[name]
+	if !ok {
+		ctx.Error("no such object", fasthttp.StatusNotFound)
+		return
+	}
+	ctx.SetBody(content)
+}
--- a/standin/promptcache.go
+++ b/standin/promptcache.go
@@ -8,7 +8,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A promptCache keeps the prompts of the chats that were served last.
+// A promptCache plays an engine's KV cache: it keeps the prompts of the chats that were
+// served last, as text, and the events of what was stored and evicted.
 type promptCache struct {
 	limit  int
 	order  *list.List // of cacheEntry, the most recent first
@@ -22,6 +23,7 @@
 	at    time.Time
 }
 
+// A cacheEntry is the prompt of one chat.
 type cacheEntry struct {
 	chat ryeford.ChatID
 	text string
@@ -74,7 +76,7 @@
 	}
 }
 
-// event notes a cache event.
+// event adds a cache event.
 func (c *promptCache) event(chat ryeford.ChatID, evicted bool) {
 	event := ryeford.CacheEvent{
 		Sequence: int64(len(c.events) + 1),
--- a/standin/run.go
+++ b/standin/run.go
@@ -8,7 +8,8 @@
 	"github.com/ryeford/ryeford/agentfleet/engine"
 )
 
-// A run is one attempt that an engine stand-in was given.
+// A run is one attempt that an engine was given, with all events of its answer, so that
+// the answer can be read from any event on.
 type run struct {
 	attempt  ryeford.AttemptID
 	chat     ryeford.ChatID
--- a/standin/service.go
+++ b/standin/service.go
@@ -15,29 +15,20 @@
 	// DieAfterRun runs so many calls and cuts the connection in place of an
 	// answer.
 	DieAfterRun int `json:"die_after_run"`
-	DelayMS     int `json:"delay_ms"`
+	// DelayMS delays each answer, in milliseconds.
+	DelayMS int `json:"delay_ms"`
 }
 
-// A RunRecord is one run, as the stand-in saw it.
-type RunRecord struct {
-	Attempt string    `json:"attempt"`
-	Chat    string    `json:"chat,omitempty"`
-	Path    string    `json:"path,omitempty"`
-	Body    string    `json:"body,omitempty"`
-	At      time.Time `json:"at"`
-	Cached  int       `json:"cached,omitempty"`
-	// End is when the run ended; it is zero while the run goes on.
-	End time.Time `json:"end,omitzero"`
-}
-
-// A ServiceAnswer is what the service answers.
+// A ServiceAnswer is the JSON that a service answers with: the call, and its number.
 type ServiceAnswer struct {
 	Path string `json:"path"`
 	Body string `json:"body"`
 	Run  int    `json:"run"`
 }
 
-// A service stands in for a plain service.
+// A service plays a plain service that is called over HTTP through an agent: it answers
+// each call, whatever its path, with the call itself, and records it. It does not look
+// at methods or headers (but for the attempt's id), and keeps nothing over a restart.
 type service struct {
 	delay time.Duration
 
@@ -51,24 +42,22 @@
 	return &service{delay: s.Delay}
 }
 
-// serve implements handler.
-func (s *service) serve(ctx *fasthttp.RequestCtx) {
-	switch string(ctx.Path()) {
-	case PathFault:
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		readJSON(ctx, &s.fault)
-	case PathRuns:
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		writeJSON(ctx, s.runs)
-	default:
-		s.call(ctx)
-	}
+// setFault implements handler. It changes the named fields of the fault.
+func (s *service) setFault(ctx *fasthttp.RequestCtx) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	readJSON(ctx, &s.fault)
 }
 
-// call runs one call.
-func (s *service) call(ctx *fasthttp.RequestCtx) {
+// writeRuns implements handler.
+func (s *service) writeRuns(ctx *fasthttp.RequestCtx) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	writeJSON(ctx, s.runs)
+}
+
+// serve implements handler. It runs one call.
+func (s *service) serve(ctx *fasthttp.RequestCtx) {
 	record := RunRecord{
 		Attempt: string(ctx.Request.Header.Peek(engine.HeaderAttempt)),
 		Path:    string(ctx.RequestURI()),
--- a/standin/slots.go
+++ b/standin/slots.go
@@ -15,9 +15,10 @@
 	waiting []*waiter
 }
 
+// A waiter is a request that waits for a slot.
 type waiter struct {
 	priority int
-	ready    chan struct{}
+	ready    chan struct{} // closed once the slot is its own
 }
 
 // acquire waits for a slot.
@@ -58,7 +59,7 @@
 	s.handOver()
 }
 
-// handOver passes a slot to the first waiter, if there is one.
+// handOver passes a slot to the first waiter, or frees it if there is none.
 func (s *slots) handOver() {
 	if len(s.waiting) == 0 {
 		s.free++
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -1,51 +1,48 @@
-// Package standin holds small stand-ins of the systems around the fleet: the
-// platform, model engines, plain services and links. They exist for tests, for
-// measurements and for `ryeford dev`; each has knobs for the faults that the
-// real thing shows.
+// Package standin plays the systems around the fleet with agents, for tests, for
+// measurements and for `ryeford dev`. Each stand-in has faults that a test sets
+// while it runs, by PathFault, and most count what they were asked, by PathRuns.
+//
+//   - platform: the table, the object store and the list of VMs, by the protocol of
+//     agentfleet/tableservice.
+//   - engine: a model engine, by the protocol of agentfleet/engine.
+//   - service: a plain HTTP service.
+//   - link: a network path that loses, repeats, delays and cuts UDP datagrams.
+//
+// The stand-in of the users' platform, which the gateway runs on, is
+// standin/emulator with rowstore and appserver; Run starts it as well.
+//
+// The package owns the state of what it plays, in memory, and a file for that of
+// the platform. It relies on the types of the protocols that it plays.
 package standin
 
 import (
 	"context"
-	"encoding/json"
-	"net"
 	"os"
 
 	"github.com/go-kit/log"
-	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/errgroup"
 
 	"github.com/ryeford/ryeford/settings"
 	"github.com/ryeford/ryeford/standin/emulator"
 )
 
-// The paths by which tests reach into a stand-in.
-const (
-	PathFault = "/fault"
-	PathRuns  = "/runs"
-)
-
-// A handler is a stand-in that speaks HTTP.
-type handler interface {
-	serve(ctx *fasthttp.RequestCtx)
-}
-
 // Run runs all stand-ins of the settings until ctx ends.
 func Run(ctx context.Context, s *settings.Standin, logger log.Logger) error {
 	group, ctx := errgroup.WithContext(ctx)
 	if s.Platform != nil {
-		p, err := newPlatform(s.Platform)
+		p, err := newPlatform(s.Platform, logger)
 		if err != nil {
 			return err
 		}
-		group.Go(func() error { return serve(ctx, s.Platform.Address, p) })
+		group.Go(func() error { return listenAndServe(ctx, s.Platform.Address, p) })
 	}
 	for i := range s.Engines {
 		e := newEngine(&s.Engines[i])
-		group.Go(func() error { return serve(ctx, s.Engines[i].Address, e) })
+		group.Go(func() error { return listenAndServe(ctx, s.Engines[i].Address, e) })
 	}
 	for i := range s.Services {
 		service := newService(&s.Services[i])
-		group.Go(func() error { return serve(ctx, s.Services[i].Address, service) })
+		group.Go(func() error { return listenAndServe(ctx, s.Services[i].Address, service) })
 	}
 	for i := range s.Links {
 		link, err := newLink(&s.Links[i])
@@ -53,7 +50,7 @@
 			return err
 		}
 		group.Go(func() error { return link.run(ctx) })
-		group.Go(func() error { return serve(ctx, s.Links[i].Admin, link) })
+		group.Go(func() error { return listenAndServe(ctx, s.Links[i].Admin, link) })
 	}
 	if s.Emulator != nil {
 		e, err := newEmulator(s.Emulator)
@@ -78,27 +75,6 @@
 	return emulator.New(s, configuration), nil
 }
 
-// serve runs an HTTP server until ctx ends.
-func serve(ctx context.Context, address settings.Address, h handler) error {
-	listener, err := net.Listen("tcp", address.String())
-	if err != nil {
-		return &Error{Op: "listen", Err: err}
-	}
-	server := &fasthttp.Server{
-		Handler:               h.serve,
-		NoDefaultServerHeader: true,
-		MaxRequestBodySize:    64 << 20,
-		StreamRequestBody:     false,
-	}
-	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
-	defer stop()
-	err = server.Serve(listener)
-	if ctx.Err() != nil {
-		return nil
-	}
-	return &Error{Op: "serve", Err: err}
-}
-
 // An Error is a failure of a stand-in.
 type Error struct {
 	Op  string
@@ -110,29 +86,3 @@
 
 // Unwrap returns the cause of e.
 func (e *Error) Unwrap() error { return e.Err }
-
-// readJSON decodes the request's body, or answers 400.
-func readJSON(ctx *fasthttp.RequestCtx, into any) bool {
-	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
-		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
-		return false
-	}
-	return true
-}
-
-// writeJSON answers with JSON.
-func writeJSON(ctx *fasthttp.RequestCtx, v any) {
-	body, err := json.Marshal(v)
-	if err != nil {
-		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
-		return
-	}
-	ctx.SetContentType("application/json")
-	ctx.SetBody(body)
-}
-
-// cutConnection closes the caller's connection without an answer.
-func cutConnection(ctx *fasthttp.RequestCtx) {
-	ctx.HijackSetNoResponse(true)
-	ctx.Hijack(func(c net.Conn) { _ = c.Close() })
-}
