--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -51,7 +51,7 @@
 	held, sharedTokens := x.held(now)
 	candidates := make([]choice.Candidate, 0, len(entries))
 	for i, entry := range entries {
-		told, known := g.gossip.table.Others(now, entry.ID)
+		told, known := g.gossip.table.Requests(now, entry.ID)
 		hash, load := g.loads.estimate(now, entry.ID, told, known)
 		candidates = append(candidates, choice.Candidate{
 			ID:      entry.ID,
--- a/gateway/choose_bench_test.go
+++ b/gateway/choose_bench_test.go
@@ -48,7 +48,7 @@
 		for j := range min(loadsEach, endpoints) {
 			message.Loads = append(message.Loads, peers.Load{Endpoint: update.Present[(i*31+j*17)%endpoints].ID, Requests: 1 + j%3})
 		}
-		g.gossip.table.Hear(now.Add(time.Hour), message) // fresh for as long as the benchmark runs
+		g.gossip.table.Receive(now.Add(time.Hour), message) // fresh for as long as the benchmark runs
 	}
 	q := &request{
 		meta:    &ryeford.RequestMeta{ID: "r", Prefix: []ryeford.PromptPart{{ID: 1, Tokens: 2500}, {ID: 2, Tokens: 6000}, {ID: 3, Tokens: 500}}},
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -14,74 +14,42 @@
 	"github.com/ryeford/ryeford/internal/telemetry"
 )
 
-// leaseMargin is taken off the time after which a key that was taken away
-// must not work any more: for the way to the endpoint.
-const leaseMargin = 500 * time.Millisecond
-
-const (
-	// turnTime is how long one router reads the configuration for all before it is
-	// the next one's turn, by the clock of the configuration's source.
-	turnTime = 4 * time.Second
-	// firstPart and secondPart are the parts of a refresh's time after which the
-	// router whose turn it is reads, and the one behind it.
-	firstPart  = 0.5
-	secondPart = 0.75
-	// readPause is the least time between two reads of a router.
-	readPause = 60 * time.Millisecond
-)
-
-// refreshAge returns the age of a confirmation at which a router reads the
-// configuration again: sooner where it is its turn to read for the others.
-func refreshAge(refresh time.Duration, rank, heard int) time.Duration {
-	switch {
-	case heard == 0:
-		return refresh
-	case rank == 0:
-		return time.Duration(firstPart * float64(refresh))
-	case rank == 1:
-		return time.Duration(secondPart * float64(refresh))
-	}
-	return refresh
-}
-
 // A configuration is the operators' configuration as this router knows it: the
 // catalog in force, the lease that bounds how long it may be relied on, and the
-// loop that reads it anew.
+// loop that reads it anew. It is safe for concurrent use.
 type configuration struct {
 	configurationOptions
 	inForce catalog.Current
 	lease   *freshness.SharedLease
-	newer   chan struct{} // a peer has a newer configuration
-	outages *outageLog
-	log     log.Logger
-	metrics *telemetry.Set
+	newer   chan struct{} // holds one entry if a peer has a newer configuration
+	outage  watch.Outage  // only run uses it
 }
 
-// configurationOptions are what a configuration is made of.
+// configurationOptions are what a configuration relies on.
 type configurationOptions struct {
-	Source ryeford.ConfigurationSource
-	// Term is how long a confirmed configuration may be relied on.
-	Term time.Duration
-	// Refresh is the age at which a router without peers reads it again.
-	Refresh time.Duration
-	// Peers says whose turn it is to read.
-	Peers *peers.Table
-	// Revision is the newest of the store, on any of its tables.
-	Revision *revision
-	// OnUpdate is called after each read that was relied on.
-	OnUpdate func()
+	source ryeford.ConfigurationSource
+	// term is how long a confirmed configuration may be relied on.
+	term time.Duration
+	// refresh is the age at which a router without peers reads it again.
+	refresh time.Duration
+	// peers says whose shift it is to read.
+	peers *peers.Table
+	// revision is the newest of the store, on any of its tables.
+	revision *revision
+	// onUpdate is called after each answer while a configuration is in force.
+	onUpdate func()
+	log      log.Logger
+	metrics  *telemetry.Set
 }
 
-// newConfiguration returns a configuration that is not known yet.
-func newConfiguration(options configurationOptions, logger log.Logger, metrics *telemetry.Set) *configuration {
+// newConfiguration returns a configuration that was not read yet.
+func newConfiguration(options configurationOptions) *configuration {
 	c := &configuration{
 		configurationOptions: options,
-		lease:                freshness.NewSharedLease(options.Term),
+		lease:                freshness.NewSharedLease(options.term),
 		newer:                make(chan struct{}, 1),
-		log:                  logger,
-		metrics:              metrics,
 	}
-	c.outages = &outageLog{log: logger, metrics: metrics, leaseLeft: c.leaseLeft}
+	c.outage = newOutage("configuration", c.leaseLeft, options.log, options.metrics)
 	return c
 }
 
@@ -89,11 +57,14 @@
 func (c *configuration) current() *catalog.Catalog { return c.inForce.Get() }
 
 // version returns the version of the configuration in force, or zero.
-func (c *configuration) version() int64 {
-	if current := c.current(); current != nil {
-		return current.Version()
+func (c *configuration) version() int64 { return versionOf(c.current()) }
+
+// versionOf returns the version of a catalog, or zero if there is none.
+func versionOf(current *catalog.Catalog) int64 {
+	if current == nil {
+		return 0
 	}
-	return 0
+	return current.Version()
 }
 
 // reliable reports whether the configuration in force may be relied on.
@@ -104,64 +75,42 @@
 	return c.lease.Left(time.Now()).Round(time.Millisecond)
 }
 
-// untilRefresh returns how long the router need not read the configuration.
-func (c *configuration) untilRefresh(now time.Time) time.Duration {
-	age, known := c.lease.Age(now)
-	if !known || c.current() == nil {
-		return 0
-	}
-	confirmed, _ := c.lease.Confirmed()
-	rank, heard := c.Peers.Rank(now, uint64(confirmed/turnTime))
-	return refreshAge(c.Refresh, rank, heard) - age
-}
+// confirmed returns the newest confirmation, by the source's steady clock, and
+// false if there is none.
+func (c *configuration) confirmed() (time.Duration, bool) { return c.lease.Confirmed() }
 
-// run reads the configuration whenever the lease grows old, or a
-// peer tells of a newer one, until ctx ends. Routers that hear each other share
-// what one of them has read.
+// run reads the configuration, whenever it is this router's time to, until ctx
+// ends.
 //
-// It reads it whole each time: a feed of changes may be deaf for a while, and
-// says nothing then.
+// It reads it whole each time: a feed of changes may be deaf for a while, and would
+// be silent then.
 func (c *configuration) run(ctx context.Context) error {
-	var lostAt time.Time
 	for ctx.Err() == nil {
-		if wait := c.untilRefresh(time.Now()); wait > 0 && !c.awaitNewer(ctx, wait) {
-			continue // it may have been renewed meanwhile
+		if wait := c.untilRead(time.Now()); wait > 0 && !c.awaitNewer(ctx, wait) {
+			continue // a peer may have renewed the lease meanwhile
 		}
-		known := c.Revision.get()
-		sent := time.Now()
-		update, err := c.Source.Configuration(ctx)
+		answered := c.read(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
-		if err != nil {
-			if lostAt.IsZero() {
-				lostAt = sent
-				c.outages.lost("configuration", err)
-			}
-			watch.Pause(ctx, storePauseMost)
-			continue
-		}
-		if !lostAt.IsZero() {
-			c.outages.regained("configuration", time.Since(lostAt))
-			lostAt = time.Time{}
-		}
-		c.applyConfiguration(&update, known, sent, time.Now())
-		watch.Pause(ctx, c.afterRead())
+		watch.Pause(ctx, freshness.PauseAfterRead(answered, c.current() != nil))
 	}
 	return nil
 }
 
-// afterRead returns the least time until the next read. Before the operators'
-// first configuration there is no hurry.
-func (c *configuration) afterRead() time.Duration {
-	if c.current() == nil {
-		return storePauseMost
+// untilRead returns how long this router need not read the configuration.
+func (c *configuration) untilRead(now time.Time) time.Duration {
+	age, known := c.lease.Age(now)
+	if !known || c.current() == nil {
+		return 0
 	}
-	return readPause
+	confirmed, _ := c.lease.Confirmed()
+	rank, alive := c.peers.Rank(now, freshness.Shift(confirmed))
+	return freshness.ReadAge(c.refresh, rank, alive) - age
 }
 
-// awaitNewer waits, at most so long, until a peer tells of a newer configuration,
-// and reports whether one did.
+// awaitNewer waits, at most for wait, until a peer has a newer configuration, and
+// reports whether one does.
 func (c *configuration) awaitNewer(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -174,24 +123,32 @@
 	return false
 }
 
-// noteNewer notes that a peer has a newer configuration than this router.
-func (c *configuration) noteNewer() {
-	select {
-	case c.newer <- struct{}{}:
-	default: // noted already
+// read reads the configuration once and reports whether it was answered.
+func (c *configuration) read(ctx context.Context) bool {
+	known := c.revision.get()
+	sent := time.Now()
+	update, err := c.source.Configuration(ctx)
+	if ctx.Err() != nil {
+		return false // the gateway stops: not an outage
 	}
+	if err != nil {
+		c.outage.Failed(sent, err)
+		return false
+	}
+	c.outage.Answered()
+	c.apply(&update, known, sent, time.Now())
+	return true
 }
 
-// applyConfiguration brings a configuration in force, unless it is already, and
-// renews the lease. An answer behind the revision that was known when the question
-// was sent is no confirmation.
-func (c *configuration) applyConfiguration(update *ryeford.ConfigurationUpdate, known int64, sent, answered time.Time) {
-	if update.Revision < known {
+// apply brings a configuration in force, unless it is already, and renews the
+// lease. known is the newest revision that was known when the read was sent.
+func (c *configuration) apply(update *ryeford.ConfigurationUpdate, known int64, sent, answered time.Time) {
+	if !freshness.Confirms(update.Revision, known) {
 		c.metrics.Count("ryeford_stale_answers_total", "")
 		_ = c.log.Log("decision", "configuration", "revision", update.Revision, "known", known, "applied", false, "why", "stale answer")
 		return
 	}
-	c.Revision.raise(update.Revision)
+	c.revision.raise(update.Revision)
 	if update.Configuration != nil && update.Configuration.Version != c.version() {
 		next := catalog.New(update.Configuration)
 		applied := c.inForce.Put(next)
@@ -200,6 +157,26 @@
 	}
 	if c.current() != nil {
 		c.lease.RenewRead(sent, answered, update.Clock)
-		c.OnUpdate()
+		c.onUpdate()
+	}
+}
+
+// confirmedByPeer takes a peer's confirmation that a version was the newest when
+// the source's steady clock showed at.
+func (c *configuration) confirmedByPeer(now time.Time, version int64, at time.Duration) {
+	current := c.current()
+	switch freshness.AfterPeer(current != nil, versionOf(current), version) {
+	case freshness.PeerIsNewer:
+		c.readSoon()
+	case freshness.PeerRenews:
+		c.lease.RenewFromPeer(now, at)
+	}
+}
+
+// readSoon lets run read the configuration at once.
+func (c *configuration) readSoon() {
+	select {
+	case c.newer <- struct{}{}:
+	default: // it is to already
 	}
 }
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"strings"
 	"time"
 
 	"github.com/go-kit/log"
@@ -15,11 +16,16 @@
 )
 
 const (
-	// sweepEvery is how often resting connections and doubtful endpoints are
-	// looked through.
-	sweepEvery     = 500 * time.Millisecond
-	storePause     = 60 * time.Millisecond
-	storePauseMost = 400 * time.Millisecond
+	// minFeedPause is the longest pause after a first failure of the list's source;
+	// it doubles with each failure in a row up to maxFeedPause. Not measured.
+	minFeedPause = 60 * time.Millisecond
+	// maxFeedPause bounds the pause after a failure. 0.5 s noticed the return of a
+	// source late (commit d07ba95); 0.4 s in place of 0.25 s came with the runs of
+	// commit eea61c1.
+	maxFeedPause = 400 * time.Millisecond
+	// sweepInterval is how often idle connections and endpoints that are kept for a
+	// time only are looked through. Not measured.
+	sweepInterval = 500 * time.Millisecond
 )
 
 // An endpointList keeps the roster as the platform's list of endpoints says, and
@@ -35,14 +41,16 @@
 	detector     *outlier.Detector
 	loads        *loads
 	holders      *holders.Map
-	outages      *outageLog
+	outage       watch.Outage
 	onUpdate     func() // called after each update
 	log          log.Logger
 
-	regained bool // the next list is the first since it was out of reach; only run uses it
+	// afterOutage says that the next answer is the first since an outage of the
+	// source. Only run uses it.
+	afterOutage bool
 }
 
-// run keeps the list of endpoints until ctx ends.
+// run follows the list of endpoints until ctx ends.
 func (l *endpointList) run(ctx context.Context) error {
 	source := watch.Source[ryeford.EndpointUpdate]{
 		Read: func(ctx context.Context) (ryeford.EndpointUpdate, int64, error) {
@@ -54,42 +62,37 @@
 			return update, update.Revision, err
 		},
 	}
-	options := watch.Options{
-		Wait:      func() time.Duration { return l.wait },
-		Settle:    l.settle,
-		Pause:     storePause,
-		PauseMost: storePauseMost,
-	}
-	return watch.Run(ctx, source, options, watch.Handler[ryeford.EndpointUpdate]{
-		Apply: func(update ryeford.EndpointUpdate, revision int64, _ time.Time) bool {
-			l.applyEndpoints(&update, revision)
-			return len(update.Present)+len(update.Removed) > 0
-		},
-		Lost: func(err error) { l.outages.lost("endpoints", err) },
+	options := watch.Options{Wait: l.wait, Settle: l.settle, MinPause: minFeedPause, MaxPause: maxFeedPause}
+	watch.Run(ctx, source, options, watch.Handler[ryeford.EndpointUpdate]{
+		Apply: l.apply,
+		Lost:  l.outage.Lost,
 		Regained: func(after time.Duration) {
-			l.regained = true
-			l.outages.regained("endpoints", after)
+			l.afterOutage = true
+			l.outage.Regained(after)
 		},
 	})
+	return nil
 }
 
-// applyEndpoints takes what the list says. What the first answer drops after
-// the list was out of reach may live: the list drops endpoints that could not
-// reach it either. What later answers drop is gone.
-func (l *endpointList) applyEndpoints(update *ryeford.EndpointUpdate, revision int64) {
+// apply takes an answer of the list and reports whether it told of any change.
+//
+// An endpoint that the first answer after an outage lacks may be alive: the list
+// drops endpoints that could not reach it either. One that a later answer lacks is
+// gone.
+func (l *endpointList) apply(update ryeford.EndpointUpdate, revision int64) bool {
 	l.revision.raise(update.Revision)
-	troubled := l.regained
-	l.regained = false
-	change := l.roster.Apply(time.Now(), update, troubled)
+	afterOutage := l.afterOutage
+	l.afterOutage = false
+	change := l.roster.Apply(time.Now(), &update, afterOutage)
 	l.onUpdate()
-	if change.Empty() {
-		return
-	}
-	_ = l.log.Log("decision", "endpoints", "revision", revision, "whole", update.Snapshot, "troubled", troubled,
-		"added", join(change.Added), "draining", join(change.Drained), "dropped", join(change.Dropped), "doubted", join(change.Doubted), "departed", join(change.Departed), "known", l.roster.Len())
-	for _, id := range change.Dropped {
-		l.forget(id)
+	if !change.Empty() {
+		_ = l.log.Log("decision", "endpoints", "revision", revision, "whole", update.Snapshot, "troubled", afterOutage,
+			"added", join(change.Added), "draining", join(change.Drained), "dropped", join(change.Dropped), "doubted", join(change.Doubted), "departed", join(change.Departed), "known", l.roster.Len())
+		for _, id := range change.Dropped {
+			l.forget(id)
+		}
 	}
+	return len(update.Present)+len(update.Removed) > 0
 }
 
 // forget drops all that is known of an endpoint.
@@ -100,9 +103,10 @@
 	l.holders.Forget(id)
 }
 
-// sweep looks through what expires until ctx ends.
+// sweep closes connections that were idle for too long, and forgets endpoints that
+// were kept for a time only, until ctx ends.
 func (l *endpointList) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -118,14 +122,11 @@
 	}
 }
 
-// join returns endpoint IDs as one text.
+// join returns endpoint IDs as one text, for the log.
 func join(ids []ryeford.EndpointID) string {
-	text := ""
+	texts := make([]string, len(ids))
 	for i, id := range ids {
-		if i > 0 {
-			text += ","
-		}
-		text += string(id)
+		texts[i] = string(id)
 	}
-	return text
+	return strings.Join(texts, ",")
 }
--- a/gateway/freshness/lease.go
+++ b/gateway/freshness/lease.go
@@ -1,5 +1,9 @@
-// Package freshness tells for how long what a process knows may be relied on. It
-// does no I/O and reads no time of day: all times are of the steady clock.
+// Package freshness decides for how long what a process knows of a source may be
+// relied on, and when, and by which process, the source is read again.
+//
+// It owns a Lease; it relies on a steady clock that goes on while the process or
+// the machine is paused, and on the steady clock that the source tells with each
+// answer. It does no I/O and reads no time of day.
 package freshness
 
 import (
@@ -7,9 +11,28 @@
 	"time"
 )
 
-// A Lease says until when a confirmed state may be relied on. A read of the
-// state renews it, counted from before the read was sent, so that a process that
-// was cut off, paused or frozen stops by itself.
+// When the configuration may be relied on.
+//
+// Rule: until the time after which a revoked key must not work, less leaseMargin,
+// has passed since a read was sent that confirmed the configuration in force; the
+// read may be this router's own or a peer's.
+//
+// Why: the time counts from before the read was sent since the source may have
+// answered at any moment after that. A process that was cut off, paused or frozen
+// finds its lease ended by itself, whatever it missed. A feed that is silent renews
+// nothing: it may be deaf (commit 01ef1b5).
+
+// leaseMargin is left between the end of a lease and the time after which a revoked
+// key must not work: for the way of a request to the endpoint, after the check.
+// Not measured.
+const leaseMargin = 500 * time.Millisecond
+
+// Term returns how long a confirmed configuration may be relied on if a revoked key
+// must not work any more after the time revoke.
+func Term(revoke time.Duration) time.Duration { return revoke - leaseMargin }
+
+// A Lease says until when a confirmed state may be relied on. It is safe for
+// concurrent use.
 type Lease struct {
 	term    time.Duration
 	started time.Time
@@ -23,8 +46,8 @@
 	return l
 }
 
-// Renew notes a confirmed read that was sent at a time. An older read than the
-// last one changes nothing.
+// Renew renews the lease by a confirmed read that was sent at a time. An older read
+// than the last one changes nothing.
 func (l *Lease) Renew(sent time.Time) {
 	until := int64(sent.Sub(l.started) + l.term)
 	for {
@@ -40,7 +63,8 @@
 	return int64(now.Sub(l.started)) < l.until.Load()
 }
 
-// Age returns how long ago the state was confirmed, and false where it never was.
+// Age returns how long ago the read was sent that confirmed the state last. It
+// reports false if the state was never confirmed.
 func (l *Lease) Age(now time.Time) (time.Duration, bool) {
 	until := l.until.Load()
 	if until < 0 {
--- /dev/null
+++ b/gateway/freshness/refresh_test.go
@@ -0,0 +1,69 @@
+package freshness
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// TestRefreshAge checks that of routers that are alive for each other one reads
+// first, and that none without peers waits for another.
+func TestRefreshAge(t *testing.T) {
+	const refresh = time.Second
+	assert.Equal(t, ReadAge(refresh, 0, 0), refresh)
+	assert.Equal(t, ReadAge(refresh, 0, 5), refresh/2)
+	assert.Assert(t, ReadAge(refresh, 1, 5) > ReadAge(refresh, 0, 5))
+	for rank := 2; rank < 6; rank++ {
+		assert.Equal(t, ReadAge(refresh, rank, 5), refresh)
+	}
+}
+
+// TestReadAge checks the age at which each router of a shift reads.
+func TestReadAge(t *testing.T) {
+	const refresh = time.Second
+	for _, test := range []struct {
+		name        string
+		rank, peers int
+		want        time.Duration
+	}{
+		{"without peers", 0, 0, refresh},
+		{"the first of two", 0, 1, 500 * time.Millisecond},
+		{"the second of two", 1, 1, 750 * time.Millisecond},
+		{"the third of three", 2, 2, refresh},
+		{"the last of a fleet", 389, 389, refresh},
+	} {
+		assert.Equal(t, ReadAge(refresh, test.rank, test.peers), test.want, test.name)
+	}
+}
+
+// TestShift checks that a shift lasts four seconds of the source's clock.
+func TestShift(t *testing.T) {
+	for confirmed, want := range map[time.Duration]uint64{
+		0: 0, 4*time.Second - 1: 0, 4 * time.Second: 1, time.Hour: 900,
+	} {
+		assert.Equal(t, Shift(confirmed), want, "%s", confirmed)
+	}
+}
+
+// TestPauseAfterRead checks that a router reads in a row only if the last read was
+// answered with a configuration.
+func TestPauseAfterRead(t *testing.T) {
+	for _, test := range []struct {
+		answered, configured bool
+		want                 time.Duration
+	}{
+		{true, true, 60 * time.Millisecond},
+		{true, false, 400 * time.Millisecond},
+		{false, true, 400 * time.Millisecond},
+		{false, false, 400 * time.Millisecond},
+	} {
+		assert.Equal(t, PauseAfterRead(test.answered, test.configured), test.want)
+	}
+}
+
+// TestTerm checks that a lease ends before a revoked key must not work any more.
+func TestTerm(t *testing.T) {
+	assert.Equal(t, Term(5*time.Second), 4500*time.Millisecond)
+	assert.Assert(t, !NewLease(Term(400*time.Millisecond)).Valid(time.Now()))
+}
--- a/gateway/freshness/sharedlease_test.go
+++ b/gateway/freshness/sharedlease_test.go
@@ -27,21 +27,21 @@
 	assert.Equal(t, confirmed, 51900*time.Millisecond)
 
 	now := start.Add(3 * time.Second) // the message is late
-	assert.Assert(t, other.RenewTold(now, confirmed))
+	assert.Assert(t, other.RenewFromPeer(now, confirmed))
 	age, _ := other.Age(now)
 	assert.Assert(t, age >= time.Second, "%s: not younger than the read", age)
 	assert.Assert(t, age < 1200*time.Millisecond, "%s", age)
 	passedOn, _ := other.Confirmed()
 	assert.Equal(t, passedOn, confirmed)
-	assert.Assert(t, !other.RenewTold(now, confirmed), "no news")
-	assert.Assert(t, !other.RenewTold(now, confirmed-time.Millisecond), "older")
+	assert.Assert(t, !other.RenewFromPeer(now, confirmed), "no news")
+	assert.Assert(t, !other.RenewFromPeer(now, confirmed-time.Millisecond), "older")
 }
 
 // TestSharedBeforeOwnRead checks that a process that has never asked the source
 // itself, and so can't tell the age of anything, believes nobody.
 func TestSharedBeforeOwnRead(t *testing.T) {
 	l := NewSharedLease(term)
-	assert.Assert(t, !l.RenewTold(start, time.Second))
+	assert.Assert(t, !l.RenewFromPeer(start, time.Second))
 	assert.Assert(t, !l.Valid(time.Now()))
 }
 
@@ -50,8 +50,8 @@
 func TestSharedFuture(t *testing.T) {
 	l := NewSharedLease(term)
 	l.RenewRead(start, start, 50*time.Second)
-	assert.Assert(t, !l.RenewTold(start.Add(time.Second), 52*time.Second))
-	assert.Assert(t, l.RenewTold(start.Add(time.Second), 51*time.Second))
+	assert.Assert(t, !l.RenewFromPeer(start.Add(time.Second), 52*time.Second))
+	assert.Assert(t, l.RenewFromPeer(start.Add(time.Second), 51*time.Second))
 }
 
 // TestSharedFrozen checks that a process that was frozen with a message at its
@@ -60,7 +60,7 @@
 	l := NewSharedLease(term)
 	l.RenewRead(start, start, 50*time.Second)
 	now := start.Add(20 * time.Second)
-	l.RenewTold(now, 51*time.Second)
+	l.RenewFromPeer(now, 51*time.Second)
 	age, _ := l.Age(now)
 	assert.Assert(t, age >= 19*time.Second)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,6 +24,7 @@
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/gateway/endpoint"
+	"github.com/ryeford/ryeford/gateway/freshness"
 	"github.com/ryeford/ryeford/gateway/holders"
 	"github.com/ryeford/ryeford/gateway/outlier"
 	"github.com/ryeford/ryeford/gateway/peers"
@@ -118,15 +119,17 @@
 func (g *Gateway) addParts() {
 	s := g.settings
 	revision := &revision{}
-	table := peers.New(s.Peers.AddrPort, peerLimits)
+	table := peers.New(s.Peers.AddrPort, peers.DefaultLimits())
 	g.configuration = newConfiguration(configurationOptions{
-		Source:   g.platform.Configurations,
-		Term:     s.Bounds.Revoke - leaseMargin,
-		Refresh:  s.RefreshConfiguration(),
-		Peers:    table,
-		Revision: revision,
-		OnUpdate: g.noteLearned,
-	}, g.log, g.metrics)
+		source:   g.platform.Configurations,
+		term:     freshness.Term(s.Bounds.Revoke),
+		refresh:  s.RefreshConfiguration(),
+		peers:    table,
+		revision: revision,
+		onUpdate: g.noteLearned,
+		log:      g.log,
+		metrics:  g.metrics,
+	})
 	g.endpoints = &endpointList{
 		source:   g.platform.Endpoints,
 		wait:     s.WaitForEndpoints(),
@@ -137,7 +140,7 @@
 		detector: g.detector,
 		loads:    g.loads,
 		holders:  g.holders,
-		outages:  g.configuration.outages,
+		outage:   newOutage("endpoints", g.configuration.leaseLeft, g.log, g.metrics),
 		onUpdate: g.noteLearned,
 		log:      g.log,
 	}
@@ -191,7 +194,7 @@
 		return err
 	}
 	_ = g.log.Log("msg", "started", "failure_domain", g.settings.FailureDomain,
-		"callers", g.settings.Callers, "lease", g.settings.Bounds.Revoke-leaseMargin)
+		"callers", g.settings.Callers, "lease", freshness.Term(g.settings.Bounds.Revoke))
 	group, work := errgroup.WithContext(work)
 	group.Go(func() error { return g.configuration.run(work) })
 	group.Go(func() error { return g.endpoints.run(work) })
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -18,40 +18,15 @@
 	"github.com/ryeford/ryeford/internal/telemetry"
 )
 
-const (
-	// gossipEvery is how often peers are told.
-	gossipEvery = 150 * time.Millisecond
-	// gossipPeers is how many are told each time: a router's traffic does not
-	// grow with the fleet.
-	gossipPeers = 8
-	// gossipMembers is how many members a message names.
-	gossipMembers = 12
-	// gossipBytes is how much is sent to peers in a second. As much comes from
-	// them, on average: together what letter 1 allows a node.
-	gossipBytes = 5000
-	// membersEvery is after how many messages one names members.
-	membersEvery = 8
-	// datagramHead is what the headers of a datagram take.
-	datagramHead = 28
-	// gossipPrompts is how many prompts a message tells; what is beyond that is
-	// not told.
-	gossipPrompts = 24
-	maxMessage    = 16 << 10
-	// rejoinEvery is how often a router that hears nobody looks the others up.
-	rejoinEvery = 5 * time.Second
-	// registerEvery is how often a router's own entry is written anew.
-	registerEvery = 10 * time.Minute
-)
-
-// peerLimits bound what is kept of the peers.
-var peerLimits = peers.Limits{Fresh: time.Second, Forget: 3 * time.Second, Members: 1024}
-
-// A gossip is the exchange of messages with the other routers of the fleet.
+// A gossip sends this router's state to its peers over UDP, and merges theirs.
+// What is sent when, and what a message counts for, package peers says.
+//
+// A datagram that is lost is not repeated: the next one replaces it.
 type gossip struct {
 	self    netip.AddrPort // invalid: there is no gossip
 	vm      ryeford.VMID
 	routers ryeford.RouterList
-	started int64 // nanoseconds since 1970
+	started int64 // of this process, in nanoseconds since 1970
 	table   *peers.Table
 
 	configuration *configuration
@@ -62,10 +37,22 @@
 	metrics       *telemetry.Set
 
 	mu      sync.Mutex
-	prompts []peers.Prompt // to be told
+	prompts []peers.Prompt // to be sent with the next message
 }
 
-// addPrompt notes a prompt that the peers are to be told of.
+// The reasons for which ryeford_gossip_dropped_total counts a datagram. It counts
+// and nothing logs them: their number is bounded by the fleet's traffic only.
+const (
+	droppedFormat = "format" // a message that can't be decoded
+	droppedRead   = "read"   // the socket failed to receive
+	droppedEncode = "encode" // this router's message can't be encoded
+	droppedSend   = "send"   // the socket failed to send
+)
+
+// drop counts a datagram that was dropped.
+func (p *gossip) drop(reason string) { p.metrics.Count("ryeford_gossip_dropped_total", reason) }
+
+// addPrompt adds a prompt to the next message.
 func (p *gossip) addPrompt(endpoint ryeford.EndpointID, parts []ryeford.PromptPart) {
 	prompt := peers.Prompt{Endpoint: endpoint}
 	for _, part := range parts {
@@ -73,12 +60,22 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.prompts) < gossipPrompts {
+	if len(p.prompts) < peers.MaxPrompts {
 		p.prompts = append(p.prompts, prompt)
 	}
 }
 
-// run talks with the peers until ctx ends.
+// takePrompts returns the prompts of the next message and forgets them.
+func (p *gossip) takePrompts() []peers.Prompt {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	prompts := p.prompts
+	p.prompts = nil
+	return prompts
+}
+
+// run exchanges messages with the peers until ctx ends. A failure is a
+// *ListenError.
 func (p *gossip) run(ctx context.Context) error {
 	if !p.self.IsValid() {
 		return nil
@@ -88,24 +85,24 @@
 		return &ListenError{Address: p.self, Err: err}
 	}
 	group, ctx := errgroup.WithContext(ctx)
+	// Closing ends the read that receive waits in; its error changes nothing then.
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	group.Go(func() error { return p.listen(ctx, conn) })
-	group.Go(func() error { return p.tell(ctx, conn) })
+	group.Go(func() error { return p.receive(ctx, conn) })
+	group.Go(func() error { return p.send(ctx, conn) })
 	group.Go(func() error { return p.lookUp(ctx) })
 	return group.Wait()
 }
 
-// lookUp enters the router into the platform's list of routers, and reads that
-// list at the start and while nobody is heard.
+// lookUp registers this router in the platform's list of routers, and adds the
+// others to the table of peers, whenever that is due.
 func (p *gossip) lookUp(ctx context.Context) error {
 	var registered time.Time
-	ticker := time.NewTicker(rejoinEvery)
+	ticker := time.NewTicker(peers.LookupInterval)
 	defer ticker.Stop()
 	for {
 		now := time.Now()
-		due := registered.IsZero() || now.Sub(registered) > registerEvery
-		if due || p.table.Alive(now) == 0 {
+		if peers.LookupDue(now, registered, p.table.Alive(now)) {
 			addresses, err := p.routers.Register(ctx, p.vm, p.self)
 			_ = p.log.Log("decision", "look_up_peers", "found", len(addresses), "err", err)
 			if err == nil {
@@ -121,32 +118,37 @@
 	}
 }
 
-// listen takes the peers' messages.
-func (p *gossip) listen(ctx context.Context, conn *net.UDPConn) error {
-	buffer := make([]byte, maxMessage)
+// receive merges the peers' messages until ctx ends.
+func (p *gossip) receive(ctx context.Context, conn *net.UDPConn) error {
+	buffer := make([]byte, peers.MaxMessage)
 	for {
 		n, _, err := conn.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			continue // an earlier datagram found a port closed
+			// The socket reports an earlier datagram that found no receiver, or the
+			// like. Gossip must not end by that, nor must the process.
+			p.drop(droppedRead)
+			continue
 		}
 		var message peers.Message
 		if err := cbor.Unmarshal(buffer[:n], &message); err != nil {
-			p.metrics.Count("ryeford_gossip_dropped_total", "format")
+			p.drop(droppedFormat)
 			continue
 		}
-		p.hear(time.Now(), &message)
+		p.merge(time.Now(), &message)
 	}
 }
 
-// hear takes one message.
-func (p *gossip) hear(now time.Time, message *peers.Message) {
-	if !p.table.Hear(now, message) {
+// merge merges one message, unless it is older than what is known.
+func (p *gossip) merge(now time.Time, message *peers.Message) {
+	if !p.table.Receive(now, message) {
 		return
 	}
-	p.renew(now, message)
+	if message.Confirmed {
+		p.configuration.confirmedByPeer(now, message.Version, message.ConfirmedAt)
+	}
 	for _, prompt := range message.Prompts {
 		if !p.roster.Knows(prompt.Endpoint) {
 			continue
@@ -159,40 +161,21 @@
 	}
 }
 
-// renew renews the lease on the configuration by what a peer tells: that the
-// version which this router has was the newest at a time.
-func (p *gossip) renew(now time.Time, message *peers.Message) {
-	if !message.Confirmed {
-		return
-	}
-	current := p.configuration.current()
-	switch {
-	case current == nil || current.Version() < message.Version:
-		p.configuration.noteNewer()
-	case current.Version() == message.Version:
-		p.configuration.lease.RenewTold(now, message.ConfirmedAt)
-	}
-}
-
-// tell tells the peers from time to time.
-func (p *gossip) tell(ctx context.Context, conn *net.UDPConn) error {
-	ticker := time.NewTicker(gossipEvery)
+// send sends a message every peers.Interval until ctx ends.
+func (p *gossip) send(ctx context.Context, conn *net.UDPConn) error {
+	ticker := time.NewTicker(peers.Interval)
 	defer ticker.Stop()
 	known, size := 0, 0
-	budget := peers.NewBudget(time.Now(), gossipBytes)
+	budget := peers.NewBudget(time.Now(), peers.BytesPerSecond)
 	for sequence := uint64(1); ; sequence++ {
 		now := time.Now()
 		if alive := p.table.Alive(now); alive != known {
 			_ = p.log.Log("decision", "peers", "alive", alive, "before", known)
 			known = alive
 		}
-		targets := p.table.Targets(now, budget.Sends(now, size, gossipPeers))
-		if content, err := cbor.Marshal(p.message(now, sequence, targets)); err == nil && len(targets) > 0 {
-			size = len(content) + datagramHead
-			for _, target := range targets {
-				budget.Spend(size)
-				_, _ = conn.WriteToUDPAddrPort(content, target)
-			}
+		targets := p.table.Targets(now, budget.Sends(now, size, peers.Fanout))
+		if len(targets) > 0 {
+			size = p.sendTo(conn, targets, p.message(now, sequence), budget, size)
 		}
 		select {
 		case <-ctx.Done():
@@ -202,31 +185,44 @@
 	}
 }
 
-// message returns what some peers are told now.
-func (p *gossip) message(now time.Time, sequence uint64, targets []netip.AddrPort) *peers.Message {
-	var prompts []peers.Prompt
-	if len(targets) > 0 {
-		p.mu.Lock()
-		prompts, p.prompts = p.prompts, nil
-		p.mu.Unlock()
+// sendTo sends a message to some peers and returns the size of its datagrams, or
+// last if there are none.
+func (p *gossip) sendTo(conn *net.UDPConn, targets []netip.AddrPort, message *peers.Message, budget *peers.Budget, last int) int {
+	content, err := cbor.Marshal(message)
+	if err != nil {
+		p.drop(droppedEncode)
+		return last
+	}
+	size := peers.DatagramSize(len(content))
+	for _, target := range targets {
+		budget.Spend(size)
+		if _, err := conn.WriteToUDPAddrPort(content, target); err != nil {
+			p.drop(droppedSend)
+		}
 	}
+	return size
+}
+
+// message returns the message of a sequence number, with all prompts that were not
+// sent yet.
+func (p *gossip) message(now time.Time, sequence uint64) *peers.Message {
+	// The confirmation is read before the version: a version that comes in force in
+	// between was not yet the newest then, which is harmless, while an older one no
+	// longer was.
+	confirmedAt, confirmed := p.configuration.confirmed()
 	var members []netip.AddrPort
-	if sequence%membersEvery == 1 {
-		members = p.table.Members(now, gossipMembers)
+	if n := peers.MembersToName(sequence); n > 0 {
+		members = p.table.Members(now, n)
 	}
-	// Before the version: a version that comes in force between the two was not yet
-	// the newest then, which is harmless, while an older one no longer was.
-	confirmedAt, confirmed := p.configuration.lease.Confirmed()
-	version := p.configuration.version()
 	return &peers.Message{
-		Version:     version,
 		ConfirmedAt: confirmedAt,
 		Confirmed:   confirmed,
+		Version:     p.configuration.version(),
 		Sender:      p.self,
 		Started:     p.started,
 		Sequence:    sequence,
 		Members:     members,
 		Loads:       p.loads.own(),
-		Prompts:     prompts,
+		Prompts:     p.takePrompts(),
 	}
 }
--- /dev/null
+++ b/gateway/peers/count.go
@@ -0,0 +1,69 @@
+package peers
+
+import "time"
+
+// Which peers count, and for how much.
+//
+// Rule: a peer is alive for PeerTTL after its last message, and its loads count for
+// LoadTTL. Peers that are alive but whose loads no longer count are taken to have
+// as many requests at an endpoint as the others have on average.
+//
+// Why: in a large fleet the budget of bytes lets a router send to only a few peers
+// a second, so that some loads are always too old to be added up. Leaving those
+// peers out would underestimate every endpoint alike and let it be overrun.
+//
+// Of a peer's messages only the newest counts: a datagram may be duplicated,
+// overtaken by a later one, or come from before the peer was started anew.
+
+const (
+	// peerTTL is how long a peer counts as alive after its last message: twenty
+	// rounds of gossip. Not measured.
+	peerTTL = 3 * time.Second
+	// loadTTL is how long the loads in a peer's message count. 0.7 s before a
+	// message was bounded by a budget; set with it by the run of commit 44f0361.
+	loadTTL = time.Second
+	// maxPeers bounds the memory for peers, at more than twice the 390 routers of
+	// docs/CAPACITY.md. Not measured.
+	maxPeers = 1024
+)
+
+// Limits bound a Table.
+type Limits struct {
+	// LoadTTL is how long the loads in a peer's message count.
+	LoadTTL time.Duration
+	// PeerTTL is how long a peer is kept after it was last heard of.
+	PeerTTL time.Duration
+	// MaxPeers is how many peers are kept at most.
+	MaxPeers int
+}
+
+// DefaultLimits returns the Limits of a gateway.
+func DefaultLimits() Limits {
+	return Limits{LoadTTL: loadTTL, PeerTTL: peerTTL, MaxPeers: maxPeers}
+}
+
+// alive reports whether a peer counts as alive whose last message is so old.
+func (l *Limits) alive(age time.Duration) bool { return age <= l.PeerTTL }
+
+// loadsCount reports whether the loads of a message count that is so old.
+func (l *Limits) loadsCount(age time.Duration) bool { return age <= l.LoadTTL }
+
+// extrapolate estimates how many requests all peers that are alive have at an
+// endpoint, from the sum over those whose loads count, of which there must be one.
+func extrapolate(sum, counted, alive int) float64 {
+	return float64(sum) * float64(alive) / float64(counted)
+}
+
+// A version orders the messages of one sender.
+type version struct {
+	started  int64  // of the sender's process, in nanoseconds since 1970
+	sequence uint64 // within that process
+}
+
+// after reports whether a message of version v was sent after one of version w.
+func (v version) after(w version) bool {
+	if v.started != w.started {
+		return v.started > w.started
+	}
+	return v.sequence > w.sequence
+}
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -1,7 +1,9 @@
-// Package peers is what the routers of a fleet tell each other, and what one
-// makes of it: who the others are, how many requests each has at each endpoint,
-// and which prompts were sent where. All of it is soft state: a router that hears
-// nobody works on with what it knows by itself. It does no I/O.
+// Package peers is the gossip between the routers of a fleet: what a message says,
+// what a router concludes from the messages it receives, and what it sends to whom.
+//
+// It owns the table of peers. All of it is soft state, rebuilt from messages within
+// seconds: a router without peers works on with what it knows by itself. The package
+// does no I/O; the times that it is given are of the steady clock.
 package peers
 
 import (
@@ -11,24 +13,28 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Message is what a router tells its peers from time to time.
+// A Message is what a router sends its peers every Interval.
 type Message struct {
 	Sender netip.AddrPort `cbor:"1,keyasint"`
-	// Started tells the lives of a sender apart: nanoseconds since 1970.
+	// Started tells the processes of one sender apart: nanoseconds since 1970.
 	Started int64 `cbor:"2,keyasint"`
-	// Sequence numbers the messages of one life.
+	// Sequence numbers the messages of one process, from 1.
 	Sequence uint64 `cbor:"3,keyasint"`
-	// Members are routers that the sender has heard of lately.
+	// Members are peers that were alive for the sender. Most messages name none.
 	Members []netip.AddrPort `cbor:"4,keyasint"`
-	// Loads are the sender's requests under way, where there are any.
+	// Loads are the sender's requests under way, at the endpoints that have any.
 	Loads []Load `cbor:"5,keyasint"`
-	// Version is the configuration that the sender has. ConfirmedAt is what the
-	// steady clock of its source showed when it was last known to be the newest;
-	// Confirmed is false where it never was. (8 to 10 were used before.)
-	Version     int64         `cbor:"7,keyasint"`
+	// Version is that of the configuration in force at the sender, or zero.
+	//
+	// Keys 8 to 10 belonged to fields that were removed. They must not be used for
+	// other fields: routers of an older release would misread them.
+	Version int64 `cbor:"7,keyasint"`
+	// ConfirmedAt is what the steady clock of the configuration's source showed when
+	// Version was last known to be the newest.
 	ConfirmedAt time.Duration `cbor:"11,keyasint"`
-	Confirmed   bool          `cbor:"12,keyasint"`
-	// Prompts were sent since the last message.
+	// Confirmed is false if the sender has no confirmation: ConfirmedAt is not set.
+	Confirmed bool `cbor:"12,keyasint"`
+	// Prompts were sent to endpoints since the last message.
 	Prompts []Prompt `cbor:"6,keyasint"`
 }
 
--- /dev/null
+++ b/gateway/peers/schedule.go
@@ -0,0 +1,61 @@
+package peers
+
+import "time"
+
+// What gossip sends, to how many, and within which budget.
+//
+// Rule: every Interval a router sends one message, the same to all, to at most
+// Fanout peers drawn at random, or to fewer if more would exceed its budget of
+// bytes a second. Every eighth message names peers that are alive.
+//
+// Why: a router's traffic must not grow with the fleet. A message that is lost or
+// not sent is replaced by the next, which tells all loads anew; only prompts that
+// were sent since the last message are lost with it, and cost a cached prefix that
+// another router does not know of.
+
+const (
+	// Interval is the time between two messages. Set by: the runs of commit 617d320
+	// (with Fanout); no other value was measured.
+	Interval = 150 * time.Millisecond
+	// Fanout is how many peers a message is sent to at most. Set with Interval.
+	Fanout = 8
+	// BytesPerSecond bounds outgoing gossip; the incoming rate is the same on
+	// average. Set by: the bound of 10 KB/s of control traffic a node in the first
+	// letter, both ways; docs/design.md has the runs with it.
+	BytesPerSecond = 5000
+	// MaxPrompts is how many prompts a message tells; more are dropped. Not measured.
+	MaxPrompts = 24
+	// MaxMessage is the largest message that is read, in bytes. Not measured.
+	MaxMessage = 16 << 10
+
+	// membersInterval is after how many messages one names peers. Set with
+	// BytesPerSecond by the sweep of commit 44f0361.
+	membersInterval = 8
+	// maxMembers is how many peers a message names. Not measured.
+	maxMembers = 12
+	// datagramHeader is what the IPv4 and UDP headers of a datagram take, in bytes.
+	datagramHeader = 28
+
+	// LookupInterval is how often a router looks at whether it must look up its
+	// peers. Not measured.
+	LookupInterval = 5 * time.Second
+	// registerInterval is the age at which a router's own entry in the platform's
+	// list of routers is written anew. Not measured.
+	registerInterval = 10 * time.Minute
+)
+
+// MembersToName returns how many peers the message of a sequence number names.
+// The first message of a process is one that does.
+func MembersToName(sequence uint64) int {
+	if sequence%membersInterval == 1 {
+		return maxMembers
+	}
+	return 0
+}
+
+// LookupDue reports whether a router registers itself with the platform and looks
+// up its peers there: if it never has, if its entry has grown old, or while no peer
+// is alive. registered is when it last did, or zero.
+func LookupDue(now, registered time.Time, alive int) bool {
+	return registered.IsZero() || now.Sub(registered) > registerInterval || alive == 0
+}
--- a/gateway/peers/sums_test.go
+++ b/gateway/peers/sums_test.go
@@ -13,24 +13,24 @@
 // TestSums checks that the sums which are kept from message to message are those
 // that counting all peers anew would give.
 func TestSums(t *testing.T) {
-	type told struct {
+	type received struct {
 		at    time.Time
 		loads []Load
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		table := New(self, Limits{Fresh: 500 * time.Millisecond, Forget: 2 * time.Second, Members: 8})
-		model := make(map[byte]told)
+		table := New(self, Limits{LoadTTL: 500 * time.Millisecond, PeerTTL: 2 * time.Second, MaxPeers: 8})
+		model := make(map[byte]received)
 		now := start
 		for sequence := range uint64(rapid.IntRange(1, 40).Draw(t, "steps")) {
-			now = now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "pause")) * sweepEvery)
+			now = now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "pause")) * sweepInterval)
 			from := byte(rapid.IntRange(1, 6).Draw(t, "from"))
-			if rapid.Bool().Draw(t, "hears") {
+			if rapid.Bool().Draw(t, "receives") {
 				m := message(from, 1, sequence+1, rapid.IntRange(1, 9).Draw(t, "requests"))
 				if rapid.Bool().Draw(t, "another") {
 					m.Loads = append(m.Loads, Load{Endpoint: "f", Requests: 2})
 				}
-				assert.Assert(t, table.Hear(now, m))
-				model[from] = told{at: now, loads: m.Loads}
+				assert.Assert(t, table.Receive(now, m))
+				model[from] = received{at: now, loads: m.Loads}
 			}
 			for _, endpoint := range []ryeford.EndpointID{"e", "f"} {
 				sum, fresh, alive := 0, 0, 0
@@ -47,7 +47,7 @@
 						}
 					}
 				}
-				got, known := table.Others(now, endpoint)
+				got, known := table.Requests(now, endpoint)
 				assert.Equal(t, known, fresh > 0)
 				if fresh > 0 {
 					assert.Equal(t, got, float64(sum)*float64(alive)/float64(fresh))
--- a/gateway/peers/table.go
+++ b/gateway/peers/table.go
@@ -10,45 +10,36 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// Limits bound a Table.
-type Limits struct {
-	// Fresh is how long what a peer told of its load counts.
-	Fresh time.Duration
-	// Forget is how long a peer that says nothing is kept.
-	Forget time.Duration
-	// Members is how many peers are kept at most.
-	Members int
-}
-
-// A Table is what a router knows of its peers.
+// A Table is what a router knows of its peers. It is safe for concurrent use.
 type Table struct {
 	limits Limits
 	self   netip.AddrPort
 
 	mu      sync.Mutex
 	members map[netip.AddrPort]*member
-	// sums are the loads of the members that are counted, by endpoint; counted and
-	// heard are how many members are counted and were heard lately.
+	// sums are the loads of the members whose loads count, by endpoint. They are
+	// kept from message to message so that an estimate costs the same however many
+	// peers there are.
 	sums    map[ryeford.EndpointID]int
-	counted int
-	heard   int
+	counted int // members whose loads are in sums
+	alive   int // members that were alive at the last sweep
 	swept   time.Time
 }
 
-// sweepEvery is how often it is looked whose loads have grown old: the sums are
-// kept so that an estimate costs the same however many peers there are.
-const sweepEvery = 20 * time.Millisecond
+// sweepInterval is how often loads that have grown too old are taken out of the
+// sums. Set by: BenchmarkChoose, commit fdf239c.
+const sweepInterval = 20 * time.Millisecond
 
+// A member is one peer.
 type member struct {
-	told     time.Time // when it, or another peer, last told of it
-	heard    time.Time // zero where only others told of it
-	started  int64
-	sequence uint64
-	loads    []Load
-	counted  bool // loads are in the sums
+	lastSeen    time.Time // when it, or another peer on its behalf, was last heard of
+	lastMessage time.Time // zero if only other peers have named it
+	version     version   // of its last message
+	loads       []Load    // of its last message
+	counted     bool      // loads are in the sums
 }
 
-// New returns a Table of a router that knows nobody yet.
+// New returns an empty Table of the router at address self.
 func New(self netip.AddrPort, limits Limits) *Table {
 	return &Table{
 		limits:  limits,
@@ -58,18 +49,19 @@
 	}
 }
 
-// Hear takes a message, and reports whether it is news: neither old nor from an
-// earlier life of its sender.
-func (t *Table) Hear(now time.Time, message *Message) bool {
+// Receive merges a message and reports whether it was newer than what is known of
+// its sender.
+func (t *Table) Receive(now time.Time, message *Message) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(now)
 	m := t.member(now, message.Sender)
-	if m == nil || message.Started < m.started || (message.Started == m.started && message.Sequence <= m.sequence) {
+	v := version{started: message.Started, sequence: message.Sequence}
+	if m == nil || !v.after(m.version) {
 		return false
 	}
-	m.heard, m.told = now, now
-	m.started, m.sequence = message.Started, message.Sequence
+	m.lastMessage, m.lastSeen = now, now
+	m.version = v
 	t.uncount(m)
 	m.loads = message.Loads
 	t.count(m)
@@ -80,6 +72,76 @@
 	return true
 }
 
+// Add adds peers that may be stale or down.
+func (t *Table) Add(now time.Time, addresses []netip.AddrPort) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, address := range addresses {
+		t.member(now, address)
+	}
+}
+
+// Requests estimates how many requests the peers together have under way at an
+// endpoint. It reports false if no peer's loads count.
+func (t *Table) Requests(now time.Time, endpoint ryeford.EndpointID) (requests float64, known bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.sweep(now)
+	if t.counted == 0 {
+		return 0, false
+	}
+	return extrapolate(t.sums[endpoint], t.counted, t.alive), true
+}
+
+// Alive returns how many peers are alive.
+func (t *Table) Alive(now time.Time) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.aliveMembers(now))
+}
+
+// Targets returns at most k peers to send to, drawn at random. Peers that have
+// only been named by others are among them: they get to know this router so.
+func (t *Table) Targets(now time.Time, k int) []netip.AddrPort {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
+	targets := make([]netip.AddrPort, 0, len(t.members))
+	for address := range t.members {
+		targets = append(targets, address)
+	}
+	return draw(targets, k)
+}
+
+// Members returns at most k peers that are alive, drawn at random, to be named to
+// other peers.
+func (t *Table) Members(now time.Time, k int) []netip.AddrPort {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return draw(t.aliveMembers(now), k)
+}
+
+// Rank returns the place of this router, from 0, among itself and the peers that
+// are alive, in an order that all routers agree on and that differs from shift to
+// shift. It also returns how many peers are alive.
+func (t *Table) Rank(now time.Time, shift uint64) (rank, alive int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	own := shiftScore(t.self, shift)
+	addresses := t.aliveMembers(now)
+	for _, address := range addresses {
+		if shiftScore(address, shift) > own {
+			rank++
+		}
+	}
+	return rank, len(addresses)
+}
+
+// shiftScore returns the score by which routers are ordered in a shift.
+func shiftScore(address netip.AddrPort, shift uint64) uint64 {
+	return route.Mix(route.KeyHash(shift), route.NameHash(address.String()))
+}
+
 // count adds a member's loads to the sums.
 func (t *Table) count(m *member) {
 	for _, load := range m.loads {
@@ -89,7 +151,7 @@
 	t.counted++
 }
 
-// uncount takes a member's loads out of the sums, where they are in.
+// uncount takes a member's loads out of the sums, if they are in.
 func (t *Table) uncount(m *member) {
 	if !m.counted {
 		return
@@ -103,128 +165,57 @@
 	t.counted--
 }
 
-// sweep forgets the peers that were not heard for too long, and no longer counts
-// loads that have grown old.
+// sweep brings the sums and the number of live peers up to date.
 func (t *Table) sweep(now time.Time) {
-	if age := now.Sub(t.swept); age >= 0 && age < sweepEvery {
+	if age := now.Sub(t.swept); age >= 0 && age < sweepInterval {
 		return
 	}
 	t.swept = now
 	t.expire(now)
-	t.heard = 0
+	t.alive = 0
 	for _, m := range t.members {
-		age := now.Sub(m.heard)
-		if age <= t.limits.Forget {
-			t.heard++
+		age := now.Sub(m.lastMessage)
+		if t.limits.alive(age) {
+			t.alive++
 		}
-		if age > t.limits.Fresh {
+		if !t.limits.loadsCount(age) {
 			t.uncount(m)
 		}
 	}
 }
 
-// Add takes the addresses of peers that may be stale or down.
-func (t *Table) Add(now time.Time, addresses []netip.AddrPort) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, address := range addresses {
-		t.member(now, address)
-	}
-}
-
-// member returns the entry of a peer, made where there is room, or nil.
+// member returns the entry of a peer, made if there is room, or nil.
 func (t *Table) member(now time.Time, address netip.AddrPort) *member {
 	m := t.members[address]
-	if m == nil && len(t.members) < t.limits.Members && address.IsValid() && address != t.self {
-		m = &member{told: now}
+	if m == nil && len(t.members) < t.limits.MaxPeers && address.IsValid() && address != t.self {
+		m = &member{lastSeen: now}
 		t.members[address] = m
 	}
 	return m
 }
 
-// expire forgets the peers that were not heard for too long.
+// expire forgets the peers that were last heard of too long ago.
 func (t *Table) expire(now time.Time) {
 	for address, m := range t.members {
-		if now.Sub(m.told) > t.limits.Forget {
+		if !t.limits.alive(now.Sub(m.lastSeen)) {
 			t.uncount(m)
 			delete(t.members, address)
 		}
 	}
 }
 
-// Others estimates how many requests the peers have at an endpoint, from those
-// that told lately: the others are taken to have as many. It reports whether any
-// peer told lately.
-func (t *Table) Others(now time.Time, endpoint ryeford.EndpointID) (requests float64, known bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.sweep(now)
-	if t.counted == 0 {
-		return 0, false
-	}
-	return float64(t.sums[endpoint]) * float64(t.heard) / float64(t.counted), true
-}
-
-// Alive returns how many peers were heard lately.
-func (t *Table) Alive(now time.Time) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return len(t.alive(now))
-}
-
-// alive returns the peers that were heard lately.
-func (t *Table) alive(now time.Time) []netip.AddrPort {
+// aliveMembers returns the peers that are alive.
+func (t *Table) aliveMembers(now time.Time) []netip.AddrPort {
 	var alive []netip.AddrPort
 	for address, m := range t.members {
-		if now.Sub(m.heard) <= t.limits.Forget {
+		if t.limits.alive(now.Sub(m.lastMessage)) {
 			alive = append(alive, address)
 		}
 	}
 	return alive
 }
 
-// Targets returns at most k peers to tell, drawn at random.
-func (t *Table) Targets(now time.Time, k int) []netip.AddrPort {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.expire(now)
-	targets := make([]netip.AddrPort, 0, len(t.members))
-	for address := range t.members {
-		targets = append(targets, address)
-	}
-	return draw(targets, k)
-}
-
-// Rank returns the place of this router among those that were heard lately, in an
-// order that all routers find alike for the same turn: 0 is the first. It also
-// returns how many were heard.
-func (t *Table) Rank(now time.Time, turn uint64) (rank, heard int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	own := turnScore(t.self, turn)
-	alive := t.alive(now)
-	for _, address := range alive {
-		if turnScore(address, turn) > own {
-			rank++
-		}
-	}
-	return rank, len(alive)
-}
-
-// turnScore returns by what routers are ordered in a turn.
-func turnScore(address netip.AddrPort, turn uint64) uint64 {
-	return route.Mix(route.KeyHash(turn), route.NameHash(address.String()))
-}
-
-// Members returns at most k peers that were heard lately, to be told to others,
-// drawn at random.
-func (t *Table) Members(now time.Time, k int) []netip.AddrPort {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return draw(t.alive(now), k)
-}
-
-// draw returns k of some addresses at random.
+// draw returns at most k of some addresses, drawn at random.
 func draw(addresses []netip.AddrPort, k int) []netip.AddrPort {
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	return addresses[:min(k, len(addresses))]
--- a/gateway/peers/table_test.go
+++ b/gateway/peers/table_test.go
@@ -13,7 +13,7 @@
 
 var (
 	start  = time.Unix(1000, 0)
-	limits = Limits{Fresh: 500 * time.Millisecond, Forget: 3 * time.Second, Members: 4}
+	limits = Limits{LoadTTL: 500 * time.Millisecond, PeerTTL: 3 * time.Second, MaxPeers: 4}
 	self   = address(0)
 )
 
@@ -26,7 +26,7 @@
 }
 
 func others(t *Table, now time.Time) float64 {
-	n, _ := t.Others(now, "e")
+	n, _ := t.Requests(now, "e")
 	return n
 }
 
@@ -34,22 +34,22 @@
 // life counts, and that what is old does not.
 func TestLoads(t *testing.T) {
 	table := New(self, limits)
-	_, known := table.Others(start, "e")
+	_, known := table.Requests(start, "e")
 	assert.Assert(t, !known)
-	assert.Assert(t, table.Hear(start, message(1, 1, 5, 3)))
-	assert.Assert(t, table.Hear(start, message(2, 1, 1, 4)))
+	assert.Assert(t, table.Receive(start, message(1, 1, 5, 3)))
+	assert.Assert(t, table.Receive(start, message(2, 1, 1, 4)))
 	assert.Equal(t, others(table, start), 7.0)
-	assert.Assert(t, !table.Hear(start, message(1, 1, 4, 9)), "overtaken")
-	assert.Assert(t, !table.Hear(start, message(1, 1, 5, 9)), "doubled")
-	assert.Assert(t, !table.Hear(start, message(0, 1, 1, 9)), "its own")
-	assert.Assert(t, table.Hear(start, message(1, 2, 1, 1)), "a new life")
-	assert.Assert(t, !table.Hear(start, message(1, 1, 6, 9)), "an earlier life")
+	assert.Assert(t, !table.Receive(start, message(1, 1, 4, 9)), "overtaken")
+	assert.Assert(t, !table.Receive(start, message(1, 1, 5, 9)), "doubled")
+	assert.Assert(t, !table.Receive(start, message(0, 1, 1, 9)), "its own")
+	assert.Assert(t, table.Receive(start, message(1, 2, 1, 1)), "a new process")
+	assert.Assert(t, !table.Receive(start, message(1, 1, 6, 9)), "an earlier process")
 	assert.Equal(t, others(table, start), 5.0)
-	later := start.Add(limits.Fresh + 1)
-	assert.Assert(t, table.Hear(later, message(2, 1, 2, 4)))
-	assert.Equal(t, others(table, later), 8.0, "of two peers the one that told has 4")
+	later := start.Add(limits.LoadTTL + 1)
+	assert.Assert(t, table.Receive(later, message(2, 1, 2, 4)))
+	assert.Equal(t, others(table, later), 8.0, "one of two live peers has 4, and its loads alone count")
 	assert.Equal(t, table.Alive(later), 2)
-	assert.Equal(t, table.Alive(start.Add(limits.Forget+1)), 1)
+	assert.Equal(t, table.Alive(start.Add(limits.PeerTTL+1)), 1)
 }
 
 // TestMembers checks that peers are learned from others, that those who never say
@@ -59,47 +59,47 @@
 	assert.Equal(t, len(table.Targets(start, 8)), 0)
 	table.Add(start, []netip.AddrPort{address(1), self, {}})
 	assert.DeepEqual(t, table.Targets(start, 8), []netip.AddrPort{address(1)}, cmpopts.EquateComparable(netip.AddrPort{}))
-	assert.Equal(t, len(table.Members(start, 8)), 0, "nobody was heard yet")
-	told := message(1, 1, 1, 0)
-	told.Members = []netip.AddrPort{address(2), address(3), address(4), address(5), address(6)}
-	table.Hear(start, told)
-	assert.Equal(t, len(table.Targets(start, 8)), limits.Members)
+	assert.Equal(t, len(table.Members(start, 8)), 0, "no message was received yet")
+	m := message(1, 1, 1, 0)
+	m.Members = []netip.AddrPort{address(2), address(3), address(4), address(5), address(6)}
+	table.Receive(start, m)
+	assert.Equal(t, len(table.Targets(start, 8)), limits.MaxPeers)
 	assert.Equal(t, len(table.Targets(start, 2)), 2)
 	assert.DeepEqual(t, table.Members(start, 8), []netip.AddrPort{address(1)}, cmpopts.EquateComparable(netip.AddrPort{}))
-	assert.Equal(t, len(table.Targets(start.Add(limits.Forget+1), 8)), 0)
+	assert.Equal(t, len(table.Targets(start.Add(limits.PeerTTL+1), 8)), 0)
 }
 
 // TestUnknownEndpoint checks that nothing is made up.
 func TestUnknownEndpoint(t *testing.T) {
 	table := New(self, limits)
-	table.Hear(start, message(1, 1, 1, 3))
-	n, known := table.Others(start, ryeford.EndpointID("other"))
+	table.Receive(start, message(1, 1, 1, 3))
+	n, known := table.Requests(start, ryeford.EndpointID("other"))
 	assert.Equal(t, n, 0.0)
 	assert.Assert(t, known)
 }
 
-// TestRank checks that routers which hear each other agree on whose turn it is,
-// that turns change, and that one who hears nobody is the first.
+// TestRank checks that routers which are alive for each other agree on their order,
+// that it changes from shift to shift, and that a router without peers is the first.
 func TestRank(t *testing.T) {
 	const routers = 4
 	tables := make([]*Table, routers)
 	for i := range tables {
-		tables[i] = New(address(byte(i+1)), Limits{Fresh: time.Second, Forget: 3 * time.Second, Members: 16})
-		rank, heard := tables[i].Rank(start, 7)
+		tables[i] = New(address(byte(i+1)), Limits{LoadTTL: time.Second, PeerTTL: 3 * time.Second, MaxPeers: 16})
+		rank, alive := tables[i].Rank(start, 7)
 		assert.Equal(t, rank, 0)
-		assert.Equal(t, heard, 0)
+		assert.Equal(t, alive, 0)
 		for j := range routers {
 			if j != i {
-				tables[i].Hear(start, message(byte(j+1), 1, 1, 0))
+				tables[i].Receive(start, message(byte(j+1), 1, 1, 0))
 			}
 		}
 	}
 	firsts := make(map[int]bool)
-	for turn := range uint64(32) {
+	for shift := range uint64(32) {
 		var seen [routers]bool
 		for i, table := range tables {
-			rank, heard := table.Rank(start, turn)
-			assert.Equal(t, heard, routers-1)
+			rank, alive := table.Rank(start, shift)
+			assert.Equal(t, alive, routers-1)
 			assert.Assert(t, !seen[rank], "two routers of one rank")
 			seen[rank] = true
 			if rank == 0 {
@@ -107,5 +107,5 @@
 			}
 		}
 	}
-	assert.Equal(t, len(firsts), routers, "each is the first in some turn")
+	assert.Equal(t, len(firsts), routers, "each is the first in some shift")
 }
--- /dev/null
+++ b/gateway/watch/next.go
@@ -0,0 +1,107 @@
+package watch
+
+import (
+	"errors"
+	"math/rand/v2"
+	"time"
+
+	"github.com/ryeford/ryeford"
+)
+
+// What follows which answer of a source.
+//
+// Rule, by the verdict on the answer:
+//
+//	current      apply it, then ask for changes after its revision; pause for
+//	             Settle first if it told of a change
+//	stale        ignore it: it is older than what is known and confirms nothing;
+//	             ask again after MinPause
+//	historyLost  read the whole at once
+//	failed       ask the same again after a pause that doubles with each failure
+//	             in a row, and let the source hold no question until it answers:
+//	             that it is back is to be noticed at once
+
+// A verdict is what an answer of a source is worth.
+type verdict int
+
+const (
+	current     verdict = iota // as new as what is known, or newer
+	stale                      // older than what is known
+	historyLost                // the source can't tell changes since a revision any more
+	failed                     // the source did not answer
+)
+
+// judge returns the verdict on an answer: its revision, or its error, given the
+// newest revision that is known. The returned revision is the one to go on from.
+func judge(known, answered int64, err error) (verdict, int64) {
+	var lost *ryeford.HistoryLostError
+	switch {
+	case errors.As(err, &lost):
+		return historyLost, min(known, lost.Revision)
+	case err != nil:
+		return failed, known
+	case answered < known:
+		return stale, known
+	}
+	return current, answered
+}
+
+// A question is what a source is asked.
+type question struct {
+	whole    bool  // read the whole; else, ask for changes since revision
+	revision int64 // the newest that is known
+	failures int   // in a row, before this question
+}
+
+// wait returns how long the source may hold the question.
+func (q question) wait(options *Options) time.Duration {
+	if q.failures > 0 {
+		return 0
+	}
+	return options.Wait
+}
+
+// after returns the question that follows q and the verdict on its answer.
+func (q question) after(v verdict, revision int64) question {
+	next := question{whole: q.whole, revision: revision}
+	switch v {
+	case current:
+		next.whole = false
+	case historyLost:
+		next.whole = true
+		next.failures = q.failures
+	case failed:
+		next.failures = q.failures + 1
+	}
+	return next
+}
+
+// pause returns the pause between an answer and the question q that follows.
+func (q question) pause(v verdict, changed bool, options *Options) time.Duration {
+	switch {
+	case v == current && changed:
+		return options.Settle
+	case v == stale:
+		return options.MinPause
+	case v == failed:
+		return jitter(backoff(q.failures, options))
+	}
+	return 0
+}
+
+// backoff returns the longest pause after some failures in a row: MinPause, doubled
+// with each failure after the first, up to MaxPause.
+func backoff(failures int, options *Options) time.Duration {
+	const maxDoublings = 16 // keeps the shift from overflowing
+	doublings := failures - 1
+	if doublings >= maxDoublings {
+		return options.MaxPause
+	}
+	return min(options.MaxPause, options.MinPause<<doublings)
+}
+
+// jitter returns a time drawn between a half and the whole of d, so that routers
+// that lost a source together do not come back to it at once.
+func jitter(d time.Duration) time.Duration {
+	return d/2 + time.Duration(rand.Int64N(int64(d/2)+1))
+}
--- /dev/null
+++ b/gateway/watch/next_test.go
@@ -0,0 +1,58 @@
+package watch
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+)
+
+// TestNext checks what follows each kind of answer, for a watch that knows revision
+// 7 and has failed twice.
+func TestNext(t *testing.T) {
+	options := &Options{Wait: time.Second, Settle: 300 * time.Millisecond, MinPause: 10 * time.Millisecond, MaxPause: 100 * time.Millisecond}
+	asked := question{revision: 7, failures: 2}
+	for _, test := range []struct {
+		name     string
+		answered int64
+		err      error
+		changed  bool
+		verdict  verdict
+		next     question
+		wait     time.Duration
+		maxPause time.Duration
+	}{
+		{"a change", 9, nil, true, current, question{revision: 9}, time.Second, 300 * time.Millisecond},
+		{"no change", 7, nil, false, current, question{revision: 7}, time.Second, 0},
+		{"stale", 6, nil, false, stale, question{revision: 7}, time.Second, 10 * time.Millisecond},
+		{"history lost", 0, fmt.Errorf("wrapped: %w", &ryeford.HistoryLostError{Revision: 5}), false, historyLost, question{whole: true, revision: 5, failures: 2}, 0, 0},
+		{"history lost at a later revision", 0, &ryeford.HistoryLostError{Revision: 8}, false, historyLost, question{whole: true, revision: 7, failures: 2}, 0, 0},
+		{"failed", 0, errors.New("out"), false, failed, question{revision: 7, failures: 3}, 0, 40 * time.Millisecond},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			v, revision := judge(asked.revision, test.answered, test.err)
+			assert.Equal(t, v, test.verdict)
+			next := asked.after(v, revision)
+			assert.Equal(t, next, test.next)
+			assert.Equal(t, next.wait(options), test.wait)
+			pause := next.pause(v, test.changed, options)
+			assert.Assert(t, pause <= test.maxPause && pause >= test.maxPause/2, "%s", pause)
+		})
+	}
+}
+
+// TestBackoff checks that the pause doubles up to its maximum, however many
+// failures there were.
+func TestBackoff(t *testing.T) {
+	options := &Options{MinPause: 10 * time.Millisecond, MaxPause: 100 * time.Millisecond}
+	for failures, want := range map[int]time.Duration{
+		1: 10 * time.Millisecond, 2: 20 * time.Millisecond, 4: 80 * time.Millisecond,
+		5: 100 * time.Millisecond, 16: 100 * time.Millisecond, 17: 100 * time.Millisecond, 1000: 100 * time.Millisecond,
+	} {
+		assert.Equal(t, backoff(failures, options), want, "%d failures", failures)
+	}
+}
--- a/gateway/watch/watch.go
+++ b/gateway/watch/watch.go
@@ -1,41 +1,42 @@
 // Package watch follows a source that can be read whole and then asked, with a
-// wait, for what has changed since. It decides what to ask next, and when, from
-// what the last answer was.
+// wait, for what has changed since.
+//
+// It owns the newest revision that the source has answered. What is asked next, and
+// when, depends on the last answer (next.go); the package relies on the source to
+// return once the wait is over.
 package watch
 
 import (
 	"context"
-	"errors"
-	"math/rand/v2"
 	"time"
-
-	"github.com/ryeford/ryeford"
 )
 
 // A Source is what is followed. Both functions return the newest revision.
 type Source[U any] struct {
-	Read  func(ctx context.Context) (U, int64, error)
+	// Read returns the whole.
+	Read func(ctx context.Context) (U, int64, error)
+	// Since returns the changes after a revision, as soon as there are any or once
+	// wait is over.
 	Since func(ctx context.Context, revision int64, wait time.Duration) (U, int64, error)
 }
 
 // Options are how a source is followed.
 type Options struct {
-	// Wait is how long a question for changes is held where there are none.
-	Wait func() time.Duration
+	// Wait is how long a question for changes is held while there are none.
+	Wait time.Duration
 	// Settle is the pause after an answer that told of a change, so that changes in
 	// a row come in one answer.
 	Settle time.Duration
-	// Pause is the least pause after a failure; it doubles up to PauseMost.
-	Pause     time.Duration
-	PauseMost time.Duration
+	// MinPause is the longest pause after a first failure; it doubles with each
+	// failure in a row up to MaxPause.
+	MinPause time.Duration
+	MaxPause time.Duration
 }
 
-// A Handler is told what a watch learns.
+// A Handler is called with what a watch finds, from one goroutine.
 type Handler[U any] struct {
-	// Apply takes an answer. sent is when its question was sent, of the steady
-	// clock: the answer is not older than that. It reports whether the answer told
-	// of any change.
-	Apply func(update U, revision int64, sent time.Time) bool
+	// Apply takes an answer and reports whether it told of any change.
+	Apply func(update U, revision int64) bool
 	// Lost is called at the first failure after an answer, Regained at the first
 	// answer after failures.
 	Lost     func(err error)
@@ -43,73 +44,68 @@
 }
 
 // Run follows a source until ctx ends.
-func Run[U any](ctx context.Context, source Source[U], options Options, handler Handler[U]) error {
-	var revision int64
-	whole := true
-	failures := 0
-	var lostAt time.Time
+func Run[U any](ctx context.Context, source Source[U], options Options, handler Handler[U]) {
+	next := question{whole: true}
+	outage := Outage{Lost: handler.Lost, Regained: handler.Regained}
 	for ctx.Err() == nil {
 		sent := time.Now()
-		wait := options.Wait()
-		if failures > 0 {
-			wait = 0 // a source that is back is to be noticed at once
-		}
-		update, newest, err := ask(ctx, source, whole, revision, wait)
+		update, answered, err := ask(ctx, source, next, &options)
 		if ctx.Err() != nil {
-			return nil
+			return
+		}
+		v, revision := judge(next.revision, answered, err)
+		changed := false
+		switch v {
+		case current:
+			outage.Answered()
+			changed = handler.Apply(update, revision)
+		case stale:
+			outage.Answered()
+		case failed:
+			outage.Failed(sent, err)
 		}
-		var historyLost *ryeford.HistoryLostError
-		switch {
-		case err == nil:
-			if !lostAt.IsZero() {
-				handler.Regained(time.Since(lostAt))
-				lostAt = time.Time{}
-			}
-			failures = 0
-			if newest < revision {
-				// A stale answer is no confirmation.
-				Pause(ctx, options.Pause)
-				continue
-			}
-			changed := handler.Apply(update, newest, sent)
-			revision, whole = newest, false
-			if changed {
-				Pause(ctx, options.Settle)
-			}
-		case errors.As(err, &historyLost):
-			whole = true
-			revision = min(revision, historyLost.Revision)
-		default:
-			if lostAt.IsZero() {
-				lostAt = sent
-				handler.Lost(err)
-			}
-			failures++
-			Pause(ctx, backoff(failures, options))
+		next = next.after(v, revision)
+		if pause := next.pause(v, changed, &options); pause > 0 {
+			Pause(ctx, pause)
 		}
 	}
-	return nil
 }
 
-// ask asks the one question or the other.
-func ask[U any](ctx context.Context, source Source[U], whole bool, revision int64, wait time.Duration) (U, int64, error) {
-	if whole {
+// ask asks a source a question.
+func ask[U any](ctx context.Context, source Source[U], q question, options *Options) (U, int64, error) {
+	if q.whole {
 		return source.Read(ctx)
 	}
-	return source.Since(ctx, revision, wait)
+	return source.Since(ctx, q.revision, q.wait(options))
+}
+
+// An Outage follows whether a source answers. The zero Outage is of one that does.
+type Outage struct {
+	// Lost is called at the first failure after an answer, Regained at the first
+	// answer after failures, with the time since the first of these was sent.
+	Lost     func(err error)
+	Regained func(after time.Duration)
+
+	since time.Time // zero unless the source is lost
+}
+
+// Failed notes that the source did not answer a question that was sent at a time.
+func (o *Outage) Failed(sent time.Time, err error) {
+	if o.since.IsZero() {
+		o.since = sent
+		o.Lost(err)
+	}
 }
 
-// backoff returns the pause after some failures in a row: between a half and the
-// whole of a step that doubles.
-func backoff(failures int, options Options) time.Duration {
-	step := options.PauseMost
-	if shift := failures - 1; shift < 16 {
-		step = min(step, options.Pause<<shift)
+// Answered notes that the source has answered.
+func (o *Outage) Answered() {
+	if !o.since.IsZero() {
+		o.Regained(time.Since(o.since))
+		o.since = time.Time{}
 	}
-	return step/2 + time.Duration(rand.Int64N(int64(step/2)+1))
 }
 
-// Pause waits, or until ctx ends.
+// Pause waits for d, or until ctx ends.
 func Pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/gateway/watch/watch_test.go
+++ b/gateway/watch/watch_test.go
@@ -15,7 +15,7 @@
 // A script answers a watch's questions one after the other and then ends it.
 type script struct {
 	steps  []step
-	asked  []question
+	asked  []asked
 	at     []time.Time
 	cancel context.CancelFunc
 }
@@ -26,24 +26,25 @@
 	takes    time.Duration
 }
 
-type question struct {
+// An asked is one question as the source got it.
+type asked struct {
 	whole bool
 	since int64
 	wait  time.Duration
 }
 
 // TestSettle checks that changes in a row are asked for together: a watch waits
-// after one that was told, and not after an answer that told of none.
+// after an answer that told of one, and not after an answer that told of none.
 func TestSettle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		s, applied, _, _, _ := playSteps(step{revision: 1}, step{revision: 2}, step{revision: 2}, step{revision: 5})
+		s, applied, _, _ := playSteps(step{revision: 1}, step{revision: 2}, step{revision: 2}, step{revision: 5})
 		assert.DeepEqual(t, applied, []int64{1, 2, 2, 5})
 		assert.DeepEqual(t, s.times(began), []time.Duration{0, 0, settle, settle, 2 * settle})
 	})
 }
 
-func (s *script) next(q question) (string, int64, error) {
+func (s *script) next(q asked) (string, int64, error) {
 	s.asked = append(s.asked, q)
 	s.at = append(s.at, time.Now())
 	if len(s.asked) > len(s.steps) {
@@ -67,58 +68,54 @@
 // settle is the pause after a change in these tests.
 const settle = 300 * time.Millisecond
 
-// play plays a script and returns the revisions that were applied and the age of
-// each when it was.
-func play(t *testing.T, steps ...step) (s *script, applied []int64, ages []time.Duration, lost, regained int) {
-	synctest.Test(t, func(*testing.T) { s, applied, ages, lost, regained = playSteps(steps...) })
-	return s, applied, ages, lost, regained
+// play plays a script and returns the revisions that were applied.
+func play(t *testing.T, steps ...step) (s *script, applied []int64, lost, regained int) {
+	synctest.Test(t, func(*testing.T) { s, applied, lost, regained = playSteps(steps...) })
+	return s, applied, lost, regained
 }
 
 // playSteps plays a script within a bubble of time.
-func playSteps(steps ...step) (s *script, applied []int64, ages []time.Duration, lost, regained int) {
+func playSteps(steps ...step) (s *script, applied []int64, lost, regained int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s = &script{steps: steps, cancel: cancel}
 	source := Source[string]{
-		Read: func(context.Context) (string, int64, error) { return s.next(question{whole: true}) },
+		Read: func(context.Context) (string, int64, error) { return s.next(asked{whole: true}) },
 		Since: func(_ context.Context, since int64, wait time.Duration) (string, int64, error) {
-			return s.next(question{since: since, wait: wait})
+			return s.next(asked{since: since, wait: wait})
 		},
 	}
-	_ = Run(ctx, source, Options{Wait: func() time.Duration { return time.Second }, Pause: 10 * time.Millisecond, PauseMost: 100 * time.Millisecond, Settle: settle}, Handler[string]{
-		Apply: func(_ string, revision int64, sent time.Time) bool {
+	Run(ctx, source, Options{Wait: time.Second, MinPause: 10 * time.Millisecond, MaxPause: 100 * time.Millisecond, Settle: settle}, Handler[string]{
+		Apply: func(_ string, revision int64) bool {
 			applied = append(applied, revision)
-			ages = append(ages, time.Since(sent))
 			return len(applied) > 1 && applied[len(applied)-2] < revision
 		},
 		Lost:     func(error) { lost++ },
 		Regained: func(time.Duration) { regained++ },
 	})
-	return s, applied, ages, lost, regained
+	return s, applied, lost, regained
 }
 
-// TestFollow checks that a watch reads the whole once and then the changes, and
-// that the age of an answer counts from its question.
+// TestFollow checks that a watch reads the whole once and then the changes.
 func TestFollow(t *testing.T) {
-	s, applied, ages, _, _ := play(t, step{revision: 3, takes: time.Millisecond}, step{revision: 3, takes: time.Second}, step{revision: 7})
+	s, applied, _, _ := play(t, step{revision: 3, takes: time.Millisecond}, step{revision: 3, takes: time.Second}, step{revision: 7})
 	assert.DeepEqual(t, applied, []int64{3, 3, 7})
-	assert.DeepEqual(t, ages, []time.Duration{time.Millisecond, time.Second, 0})
-	assert.Equal(t, s.asked[0], question{whole: true})
-	assert.Equal(t, s.asked[1], question{since: 3, wait: time.Second})
-	assert.Equal(t, s.asked[3], question{since: 7, wait: time.Second})
+	assert.Equal(t, s.asked[0], asked{whole: true})
+	assert.Equal(t, s.asked[1], asked{since: 3, wait: time.Second})
+	assert.Equal(t, s.asked[3], asked{since: 7, wait: time.Second})
 }
 
 // TestStale checks that an answer older than what is known is neither applied nor
 // taken for a confirmation.
 func TestStale(t *testing.T) {
-	_, applied, _, _, _ := play(t, step{revision: 9}, step{revision: 4}, step{revision: 9})
+	_, applied, _, _ := play(t, step{revision: 9}, step{revision: 4}, step{revision: 9})
 	assert.DeepEqual(t, applied, []int64{9, 9})
 }
 
 // TestHistoryLost checks that the whole is read again once changes can't be told.
 func TestHistoryLost(t *testing.T) {
-	s, applied, _, lost, _ := play(t, step{revision: 9}, step{err: &ryeford.HistoryLostError{Revision: 9}}, step{revision: 12})
+	s, applied, lost, _ := play(t, step{revision: 9}, step{err: &ryeford.HistoryLostError{Revision: 9}}, step{revision: 12})
 	assert.DeepEqual(t, applied, []int64{9, 12})
-	assert.Equal(t, s.asked[2], question{whole: true})
+	assert.Equal(t, s.asked[2], asked{whole: true})
 	assert.Equal(t, lost, 0)
 }
 
@@ -126,13 +123,13 @@
 // its return is noticed at once, and that it is lost and regained once.
 func TestOutage(t *testing.T) {
 	out := step{err: errors.New("out")}
-	s, applied, _, lost, regained := play(t, step{revision: 2}, out, out, out, step{revision: 2})
+	s, applied, lost, regained := play(t, step{revision: 2}, out, out, out, step{revision: 2})
 	assert.DeepEqual(t, applied, []int64{2, 2})
 	assert.Equal(t, lost, 1)
 	assert.Equal(t, regained, 1)
 	assert.Equal(t, s.asked[1].wait, time.Second)
-	for _, asked := range s.asked[2:5] {
-		assert.Equal(t, asked, question{since: 2})
+	for _, q := range s.asked[2:5] {
+		assert.Equal(t, q, asked{since: 2})
 	}
 	assert.Equal(t, s.asked[5].wait, time.Second)
 }
