--- a/gateway/callerconn.go
+++ b/gateway/callerconn.go
@@ -2,30 +2,33 @@
 
 import (
 	"io"
-	stdlog "log"
 	"net"
-	"strings"
 	"time"
-
-	"github.com/go-kit/log"
 )
 
+// How long a caller's connection may be idle, and how long a caller may take to send
+// a request's header, are limits of the operators' configuration, which change while
+// the server runs. net/http takes both timeouts once, at the server's start. So it is
+// given two placeholders, and a callerConn puts the limits in force in their place
+// whenever net/http sets a read deadline.
+
 const (
-	// idleMark and headerMark are the timeouts that net/http is given. A
-	// callerConn puts the operators' own, which change, in their places.
-	idleMark   = 24 * time.Hour
-	headerMark = 72 * time.Hour
-	// markMargin tells a deadline that stands for a mark from all others.
-	markMargin = time.Hour
-	// defaultIdle and defaultHeader hold until a configuration is known.
+	// idlePlaceholder and headerPlaceholder are the timeouts that net/http is given:
+	// far from each other and from any deadline that is set otherwise.
+	idlePlaceholder   = 24 * time.Hour
+	headerPlaceholder = 72 * time.Hour
+	// placeholderMargin is how much less than a placeholder may be left when the
+	// deadline arrives here.
+	placeholderMargin = time.Hour
+	// defaultIdle and defaultHeader are the limits until the operators set others.
+	// Not measured.
 	defaultIdle   = 15 * time.Second
 	defaultHeader = 10 * time.Second
 )
 
-// callerTimeouts are how long callers' connections may wait; they may change
-// while the server runs.
+// callerTimeouts are the limits in force on callers' connections.
 type callerTimeouts interface {
-	// idleTimeout returns how long a caller's connection may rest.
+	// idleTimeout returns how long a caller's connection may be idle.
 	idleTimeout() time.Duration
 	// headerTimeout returns how long a caller may take to send a request's header.
 	headerTimeout() time.Duration
@@ -33,22 +36,21 @@
 
 // idleTimeout implements callerTimeouts.
 func (c *configuration) idleTimeout() time.Duration {
-	if now := c.current(); now != nil && now.Limits().IdleTimeout > 0 {
-		return now.Limits().IdleTimeout
+	if current := c.current(); current != nil && current.Limits().IdleTimeout > 0 {
+		return current.Limits().IdleTimeout
 	}
 	return defaultIdle
 }
 
 // headerTimeout implements callerTimeouts.
 func (c *configuration) headerTimeout() time.Duration {
-	if now := c.current(); now != nil && now.Limits().HeaderTimeout > 0 {
-		return now.Limits().HeaderTimeout
+	if current := c.current(); current != nil && current.Limits().HeaderTimeout > 0 {
+		return current.Limits().HeaderTimeout
 	}
 	return defaultHeader
 }
 
-// A callerListener accepts connections whose timeouts may change while the server
-// runs.
+// A callerListener accepts callers' connections.
 type callerListener struct {
 	net.Listener
 	timeouts callerTimeouts
@@ -60,46 +62,31 @@
 	if err != nil {
 		return nil, err
 	}
-	return &callerConn{Conn: conn, listener: l}, nil
+	return &callerConn{Conn: conn, timeouts: l.timeouts}, nil
 }
 
-// A callerConn is a connection of a callerListener.
+// A callerConn is a caller's connection.
 type callerConn struct {
 	net.Conn
-	listener *callerListener
+	timeouts callerTimeouts
 }
 
 // SetReadDeadline implements net.Conn.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	switch left := time.Until(t); {
 	case t.IsZero():
-	case left > headerMark-markMargin:
-		t = time.Now().Add(c.listener.timeouts.headerTimeout())
-	case left > idleMark-markMargin:
-		t = time.Now().Add(c.listener.timeouts.idleTimeout())
+	case left > headerPlaceholder-placeholderMargin:
+		t = time.Now().Add(c.timeouts.headerTimeout())
+	case left > idlePlaceholder-placeholderMargin:
+		t = time.Now().Add(c.timeouts.idleTimeout())
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// ReadFrom passes on to the connection, which may copy without a buffer.
+// ReadFrom implements io.ReaderFrom: the connection may copy without a buffer.
 func (c *callerConn) ReadFrom(r io.Reader) (int64, error) {
 	if readerFrom, ok := c.Conn.(io.ReaderFrom); ok {
 		return readerFrom.ReadFrom(r)
 	}
 	return io.Copy(struct{ io.Writer }{c.Conn}, r)
 }
-
-// newServerLog returns the log of net/http's server.
-func newServerLog(logger log.Logger) *stdlog.Logger {
-	return stdlog.New(&serverLogWriter{log: logger}, "", 0)
-}
-
-type serverLogWriter struct {
-	log log.Logger
-}
-
-// Write implements io.Writer.
-func (w *serverLogWriter) Write(line []byte) (int, error) {
-	_ = w.log.Log("msg", "http server", "text", strings.TrimSpace(string(line)))
-	return len(line), nil
-}
--- a/gateway/catalog/catalog.go
+++ b/gateway/catalog/catalog.go
@@ -1,5 +1,8 @@
-// Package catalog answers questions on the operators' configuration: which route
-// a request is on, and which client account a key belongs to. It does no I/O.
+// Package catalog looks up, in the operators' configuration, the route of a request
+// and the client account of a key.
+//
+// It owns the configuration in force and relies on its callers to change none that
+// they have handed over. It does no I/O.
 package catalog
 
 import (
@@ -8,14 +11,15 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Catalog is an index of one configuration. It never changes.
+// A Catalog is an index of one configuration. It never changes, and may be used by
+// several goroutines at once.
 type Catalog struct {
 	configuration *ryeford.Configuration
 	routes        map[string]map[string]*ryeford.RouteRule // by host and prefix
 	accounts      map[string]*ryeford.AccountRule          // by key
 }
 
-// New returns the Catalog of a configuration, which must not change any more.
+// New returns the Catalog of a configuration, which must not be changed afterwards.
 func New(configuration *ryeford.Configuration) *Catalog {
 	c := &Catalog{
 		configuration: configuration,
@@ -45,7 +49,8 @@
 // Limits returns the bounds on what callers send.
 func (c *Catalog) Limits() *ryeford.RequestLimits { return &c.configuration.Limits }
 
-// Keyed reports whether requests carry keys.
+// Keyed reports whether requests carry keys. With no accounts at all they need none;
+// with an empty list of them no key is valid.
 func (c *Catalog) Keyed() bool { return c.configuration.Accounts != nil }
 
 // Account returns the client account that a key belongs to, or nil.
--- a/gateway/revision.go
+++ b/gateway/revision.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// A revision is the newest revision that the store has told, on any of its
-// tables: they share one counter.
+// A revision is the newest revision that the store has answered with, on any of its
+// tables: they share one counter. It is safe for concurrent use.
 type revision struct {
 	newest atomic.Int64
 }
@@ -11,11 +11,12 @@
 // get returns the newest revision.
 func (r *revision) get() int64 { return r.newest.Load() }
 
-// raise takes a revision that the store has told.
-func (r *revision) raise(told int64) {
+// raise takes the revision of an answer. An older one than the newest changes
+// nothing.
+func (r *revision) raise(answered int64) {
 	for {
-		now := r.newest.Load()
-		if told <= now || r.newest.CompareAndSwap(now, told) {
+		newest := r.newest.Load()
+		if answered <= newest || r.newest.CompareAndSwap(newest, answered) {
 			return
 		}
 	}
--- a/gateway/rounding.go
+++ b/gateway/rounding.go
@@ -6,12 +6,14 @@
 )
 
 const (
-	shownTime = 10 * time.Microsecond
-	shownLoad = 100 // parts of a request
+	// logTimeStep is to what times are rounded in the log.
+	logTimeStep = 10 * time.Microsecond
+	// logLoadSteps is into how many steps a request of load is divided in the log.
+	logLoadSteps = 100
 )
 
 // roundTime returns a duration as it is logged.
-func roundTime(d time.Duration) time.Duration { return d.Round(shownTime) }
+func roundTime(d time.Duration) time.Duration { return d.Round(logTimeStep) }
 
 // roundLoad returns a load as it is logged.
-func roundLoad(load float64) float64 { return math.Round(load*shownLoad) / shownLoad }
+func roundLoad(load float64) float64 { return math.Round(load*logLoadSteps) / logLoadSteps }
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -3,9 +3,11 @@
 import (
 	"context"
 	"errors"
+	stdlog "log"
 	"net"
 	"net/http"
 	"net/netip"
+	"strings"
 
 	"github.com/go-kit/log"
 )
@@ -13,41 +15,35 @@
 // maxHeaderBytes is how large a request's header may be. Not measured.
 const maxHeaderBytes = 64 << 10
 
-// A server is one HTTP server of the gateway.
+// A server is one HTTP server of the gateway. It speaks HTTP/1.1 only, as callers do.
 type server struct {
 	http     *http.Server
 	listener net.Listener
 }
 
-// newServer returns a server that is bound to its address. Requests inherit base.
-// A failure is a *ListenError.
+// newServer returns a server that is bound to its address. Requests inherit the
+// context base. A failure is a *ListenError.
 func newServer(base context.Context, address netip.AddrPort, handler http.Handler, timeouts callerTimeouts, logger log.Logger) (*server, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
 		return nil, &ListenError{Address: address, Err: err}
 	}
+	protocols := new(http.Protocols)
+	protocols.SetHTTP1(true)
 	return &server{
 		listener: &callerListener{Listener: listener, timeouts: timeouts},
 		http: &http.Server{
 			Handler:           handler,
-			ReadHeaderTimeout: headerMark,
-			IdleTimeout:       idleMark,
+			ReadHeaderTimeout: headerPlaceholder,
+			IdleTimeout:       idlePlaceholder,
 			MaxHeaderBytes:    maxHeaderBytes,
-			ErrorLog:          newServerLog(logger),
+			ErrorLog:          stdlog.New(&serverLogWriter{log: logger}, "", 0),
 			BaseContext:       func(net.Listener) context.Context { return base },
-			// HTTP/1.1 only, as callers speak it.
-			Protocols: http1(),
+			Protocols:         protocols,
 		},
 	}, nil
 }
 
-// http1 returns the set of protocols that are served.
-func http1() *http.Protocols {
-	protocols := new(http.Protocols)
-	protocols.SetHTTP1(true)
-	return protocols
-}
-
 // serve serves until the server is closed.
 func (s *server) serve() error {
 	err := s.http.Serve(s.listener)
@@ -57,11 +53,11 @@
 	return err
 }
 
-// close ends a server at once. Its error is one of closing the listener, after
-// which no connection comes either way.
+// close ends a server at once. Its error is the listener's, which takes no more
+// connections either way.
 func (s *server) close() { _ = s.http.Close() }
 
-// A ListenError says that a server could not be bound to its address.
+// A ListenError says that the gateway could not listen on an address.
 type ListenError struct {
 	Address netip.AddrPort
 	Err     error
@@ -72,3 +68,14 @@
 
 // Unwrap returns the cause of e.
 func (e *ListenError) Unwrap() error { return e.Err }
+
+// A serverLogWriter writes what net/http's server logs to the gateway's log.
+type serverLogWriter struct {
+	log log.Logger
+}
+
+// Write implements io.Writer.
+func (w *serverLogWriter) Write(line []byte) (int, error) {
+	_ = w.log.Log("msg", "http server", "text", strings.TrimSpace(string(line)))
+	return len(line), nil
+}
