--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -9,18 +9,13 @@
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/gateway/endpoint"
 	"github.com/ryeford/ryeford/gateway/giveup"
+	"github.com/ryeford/ryeford/gateway/outlier"
 	"github.com/ryeford/ryeford/gateway/roster"
 )
 
 const (
 	// maxUnsent bounds the tries that never reached an endpoint.
 	maxUnsent = 4
-	// misdirectedEject is how long an endpoint is left out whose address answers
-	// for another.
-	misdirectedEject = 5 * time.Second
-	// unreachableEject is how long an endpoint is left out that takes no
-	// connection.
-	unreachableEject = 1500 * time.Millisecond
 	// patience is the multiple of a route's goal after which a request that may
 	// be repeated is sent to another endpoint, while there is no answer.
 	patience = 1.5
@@ -134,7 +129,7 @@
 	}
 	g.loads.begin(to.ID)
 	defer g.loads.end(to.ID)
-	number := g.detector.Sent(time.Now(), to.ID)
+	number := g.detector.Start(time.Now(), to.ID)
 	answer, err := g.pool.Send(attempt, &to.Endpoint, &endpoint.Request{
 		ID:      q.meta.ID,
 		Method:  x.http.Method,
@@ -144,7 +139,7 @@
 		Body:    q.body,
 		HasBody: q.hasBody,
 	}, func() error { return x.checkSend(to) })
-	g.detector.Heard(time.Now(), to.ID, number, err == nil)
+	g.detector.End(time.Now(), to.ID, number, err == nil)
 	if err != nil {
 		return x.noteFailure(ctx, attempt, to, err)
 	}
@@ -199,7 +194,7 @@
 	case errors.As(err, &unsent):
 		result = outcomeUnsent
 		if ctx.Err() == nil {
-			g.detector.Eject(time.Now(), to.ID, unreachableEject)
+			g.detector.Eject(time.Now(), to.ID, outlier.UnreachableEjection)
 		}
 	default:
 		x.sent++
@@ -241,7 +236,7 @@
 	if answer.Meta.NotRun {
 		_, _ = answer.ReadAll(maxWhole)
 		if answer.Status == http.StatusMisdirectedRequest {
-			g.detector.Eject(time.Now(), to.ID, misdirectedEject)
+			g.detector.Eject(time.Now(), to.ID, outlier.MisdirectedEjection)
 		} else {
 			g.detector.Failed(time.Now(), to.ID)
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -101,7 +101,7 @@
 		metrics:   metrics,
 		learned:   newLearned(s.Routing.StartPatience),
 		roster:    roster.New(roster.Lingers{Doubtful: doubtLinger, Departed: departLinger}),
-		detector:  outlier.New(outlierLimits),
+		detector:  outlier.New(outlier.DefaultLimits()),
 		pool:      endpoint.New(platform.Protocol, endpoint.DefaultOptions()),
 		loads:     newLoads(),
 		holders:   holders.New(holderLimits),
@@ -169,17 +169,6 @@
 // holderLimits bound what is remembered of who holds which prompts.
 var holderLimits = holders.Limits{Parts: 4096, PerPart: 4, Forget: time.Minute}
 
-// outlierLimits say when an endpoint counts as failing.
-var outlierLimits = outlier.Limits{
-	Failures:   3,
-	Share:      0.35,
-	MinAnswers: 8,
-	HalfLife:   4 * time.Second,
-	Eject:      1500 * time.Millisecond,
-	EjectMost:  6 * time.Second,
-	Silence:    time.Second,
-}
-
 // Run serves until stop ends, and then until what is in flight has ended.
 func (g *Gateway) Run(stop context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(stop))
--- /dev/null
+++ b/gateway/outlier/limits.go
@@ -0,0 +1,124 @@
+package outlier
+
+import "time"
+
+// The limits by which the gateway ejects endpoints. No run of their own set any
+// of them: they date from the first version of the gateway (7d4c5e4), whose
+// scores and hunts they were part of.
+const (
+	// consecutiveFailures is how many failures in a row eject an endpoint. Three
+	// keep one broken connection, and its repeat, from ejecting it.
+	consecutiveFailures = 3
+	// failureShare, from 0 to 1, is the share of failures among the recent
+	// responses that ejects an endpoint whose failures are not in a row.
+	failureShare = 0.35
+	// minResponses is how many recent responses, with their decayed weights, that
+	// share needs to mean anything.
+	minResponses = 8
+	// halfLife is the time after which a response weighs half.
+	halfLife = 4 * time.Second
+	// baseEjection is how long the first ejection lasts; each further one lasts
+	// twice as long, up to maxEjection.
+	baseEjection = 1500 * time.Millisecond
+	maxEjection  = 6 * time.Second
+	// maxSilence is how long an endpoint that has a request may send no first byte
+	// of any response.
+	maxSilence = time.Second
+	// maxDoublings is the number of ejections after which the term no longer
+	// doubles; it keeps the shift within a Duration.
+	maxDoublings = 8
+	// negligible is the decayed weight of responses below which a record counts as
+	// empty.
+	negligible = 0.01
+)
+
+// Ejections that one event causes by itself, whatever the record says. Not
+// measured, from 7d4c5e4 too.
+const (
+	// UnreachableEjection is how long an endpoint that accepts no connection is
+	// ejected: it may just be starting again.
+	UnreachableEjection = 1500 * time.Millisecond
+	// MisdirectedEjection is how long an endpoint is ejected whose address answers
+	// for another one: the list has to catch up.
+	MisdirectedEjection = 5 * time.Second
+)
+
+// Limits say when an endpoint is ejected and for how long.
+type Limits struct {
+	// ConsecutiveFailures is how many failures in a row eject an endpoint.
+	ConsecutiveFailures int
+	// FailureShare is the share of failures that ejects an endpoint, once its
+	// recent responses weigh MinResponses.
+	FailureShare float64
+	MinResponses float64
+	// HalfLife is the time after which a response weighs half.
+	HalfLife time.Duration
+	// BaseEjection is how long the first ejection lasts; it doubles up to
+	// MaxEjection.
+	BaseEjection time.Duration
+	MaxEjection  time.Duration
+	// MaxSilence is how long an endpoint that has a request may send nothing.
+	MaxSilence time.Duration
+}
+
+// DefaultLimits returns the limits of the gateway.
+func DefaultLimits() Limits {
+	return Limits{
+		ConsecutiveFailures: consecutiveFailures,
+		FailureShare:        failureShare,
+		MinResponses:        minResponses,
+		HalfLife:            halfLife,
+		BaseEjection:        baseEjection,
+		MaxEjection:         maxEjection,
+		MaxSilence:          maxSilence,
+	}
+}
+
+// ejects reports whether an endpoint with this record, which has just failed, is
+// ejected: for its failures in a row, or for the share of them.
+func (l *Limits) ejects(r *record) bool {
+	if r.consecutive >= l.ConsecutiveFailures {
+		return true
+	}
+	return r.responses >= l.MinResponses && r.failures/r.responses >= l.FailureShare
+}
+
+// term returns how long an ejection lasts that follows so many others.
+func (l *Limits) term(earlier int) time.Duration {
+	if earlier >= maxDoublings {
+		return l.MaxEjection
+	}
+	return min(l.MaxEjection, l.BaseEjection<<earlier)
+}
+
+// silent reports whether an endpoint has left a request unanswered for too long
+// and has begun no other response meanwhile. A zero lastResponse means that it
+// has never begun one.
+func (l *Limits) silent(now, sent, lastResponse time.Time) bool {
+	return now.Sub(sent) > l.MaxSilence && now.Sub(lastResponse) > l.MaxSilence
+}
+
+// A record is what the recent responses of one endpoint amount to.
+type record struct {
+	consecutive int     // failures since the last success
+	responses   float64 // with decayed weights, failures included
+	failures    float64 // with decayed weights
+	decayed     time.Time
+}
+
+// decay halves the weight of responses for each half-life that has passed.
+func (r *record) decay(now time.Time, halfLife time.Duration) {
+	if r.decayed.IsZero() {
+		r.decayed = now
+		return
+	}
+	for now.Sub(r.decayed) >= halfLife {
+		r.responses /= 2
+		r.failures /= 2
+		r.decayed = r.decayed.Add(halfLife)
+		if r.responses < negligible {
+			r.decayed = now
+			return
+		}
+	}
+}
--- /dev/null
+++ b/gateway/outlier/limits_test.go
@@ -0,0 +1,68 @@
+package outlier
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// TestEjects states which records eject an endpoint under the gateway's limits.
+func TestEjects(t *testing.T) {
+	limits := DefaultLimits()
+	for _, test := range []struct {
+		name   string
+		record record
+		ejects bool
+	}{
+		{"first failure", record{consecutive: 1, responses: 1, failures: 1}, false},
+		{"second failure in a row", record{consecutive: 2, responses: 2, failures: 2}, false},
+		{"third failure in a row", record{consecutive: 3, responses: 3, failures: 3}, true},
+		{"third failure in a row among many successes", record{consecutive: 3, responses: 1000, failures: 3}, true},
+		{"a third of many responses", record{consecutive: 1, responses: 12, failures: 4}, false},
+		{"35% of many responses", record{consecutive: 1, responses: 20, failures: 7}, true},
+		{"half of too few responses", record{consecutive: 1, responses: 7.9, failures: 4}, false},
+		{"half of enough responses", record{consecutive: 1, responses: 8, failures: 4}, true},
+	} {
+		assert.Equal(t, limits.ejects(&test.record), test.ejects, test.name)
+	}
+}
+
+// TestTerm states how long successive ejections last.
+func TestTerm(t *testing.T) {
+	limits := DefaultLimits()
+	for _, test := range []struct {
+		earlier int
+		term    time.Duration
+	}{
+		{0, 1500 * time.Millisecond},
+		{1, 3 * time.Second},
+		{2, 6 * time.Second},
+		{3, 6 * time.Second},
+		{1 << 40, 6 * time.Second},
+	} {
+		assert.Equal(t, limits.term(test.earlier), test.term)
+	}
+}
+
+// TestSilent states when an endpoint that was sent a request counts as silent.
+func TestSilent(t *testing.T) {
+	limits := DefaultLimits()
+	now := time.Unix(1000, 0)
+	for _, test := range []struct {
+		name               string
+		sent, lastResponse time.Duration // ago; zero lastResponse: never
+		silent             bool
+	}{
+		{"sent a second ago", time.Second, 0, false},
+		{"sent more than a second ago", time.Second + 1, 0, true},
+		{"answered another request just now", time.Minute, time.Second, false},
+		{"answered another request long ago", time.Minute, time.Minute, true},
+	} {
+		var last time.Time
+		if test.lastResponse != 0 {
+			last = now.Add(-test.lastResponse)
+		}
+		assert.Equal(t, limits.silent(now, now.Add(-test.sent), last), test.silent, test.name)
+	}
+}
--- a/gateway/outlier/outlier.go
+++ b/gateway/outlier/outlier.go
@@ -1,5 +1,11 @@
-// Package outlier finds endpoints that fail though they are on the list, from
-// the answers that they give. It does no I/O.
+// Package outlier ejects endpoints that are on the list but fail: an endpoint is
+// left out for a time after several failures in a row, after a large share of
+// failures, after one event that proves it unusable, and while it leaves a
+// request without the first byte of a response.
+//
+// It owns the record of each endpoint's responses, as this router alone has seen
+// them; routers do not share it. It relies on nothing but the caller's clock and
+// does no I/O. The rule and its constants are in limits.go.
 package outlier
 
 import (
@@ -9,24 +15,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// Limits say when an endpoint counts as failing.
-type Limits struct {
-	// Failures in a row eject an endpoint.
-	Failures int
-	// Share of failed answers ejects it too, once there are MinAnswers.
-	Share      float64
-	MinAnswers float64
-	// HalfLife is the time after which an old answer counts half.
-	HalfLife time.Duration
-	// Eject is how long an endpoint is left out the first time; it doubles up to
-	// EjectMost.
-	Eject     time.Duration
-	EjectMost time.Duration
-	// Silence is how long an endpoint may have a request and say nothing at all.
-	Silence time.Duration
-}
-
-// A Detector judges endpoints.
+// A Detector decides which endpoints are ejected.
 type Detector struct {
 	limits Limits
 
@@ -35,18 +24,15 @@
 }
 
 type state struct {
-	inRow     int
-	answers   float64
-	failures  float64
-	updated   time.Time
-	ejections int
-	until     time.Time
-	heard     time.Time
-	waiting   map[uint64]time.Time // when each unanswered request was sent
-	nextTry   uint64
+	record
+	ejections    int // in succession; each makes the next longer
+	until        time.Time
+	lastResponse time.Time            // when it last began a response
+	waiting      map[uint64]time.Time // when each request was sent that has no response yet
+	lastAttempt  uint64
 }
 
-// New returns a Detector.
+// New returns a Detector without endpoints.
 func New(limits Limits) *Detector {
 	return &Detector{limits: limits, states: make(map[ryeford.EndpointID]*state)}
 }
@@ -61,68 +47,62 @@
 	return s
 }
 
-// Sent notes that an endpoint has a request; the number names it for Heard.
-func (d *Detector) Sent(now time.Time, id ryeford.EndpointID) uint64 {
+// Start notes that an attempt is sent to an endpoint, and returns the attempt's
+// number for End.
+func (d *Detector) Start(now time.Time, id ryeford.EndpointID) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.get(id)
-	s.nextTry++
-	s.waiting[s.nextTry] = now
-	return s.nextTry
+	s.lastAttempt++
+	s.waiting[s.lastAttempt] = now
+	return s.lastAttempt
 }
 
-// Heard notes that an endpoint has begun to answer a request, or that it is no
-// longer waited for.
-func (d *Detector) Heard(now time.Time, id ryeford.EndpointID, number uint64, answered bool) {
+// End notes that an attempt no longer waits for a response; responded says that
+// one has begun.
+func (d *Detector) End(now time.Time, id ryeford.EndpointID, attempt uint64, responded bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.get(id)
-	delete(s.waiting, number)
-	if answered {
-		s.heard = now
+	delete(s.waiting, attempt)
+	if responded {
+		s.lastResponse = now
 	}
 }
 
-// Succeeded notes a good answer.
+// Succeeded records a response that is no failure. An endpoint that has done
+// without an ejection for the longest term starts again with the shortest.
 func (d *Detector) Succeeded(now time.Time, id ryeford.EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.get(id)
 	s.decay(now, d.limits.HalfLife)
-	s.answers++
-	s.inRow = 0
-	if s.ejections > 0 && now.After(s.until.Add(d.limits.EjectMost)) {
+	s.responses++
+	s.consecutive = 0
+	if s.ejections > 0 && now.After(s.until.Add(d.limits.MaxEjection)) {
 		s.ejections = 0
 	}
 }
 
-// Failed notes a failure, and reports whether the endpoint is now left out.
-func (d *Detector) Failed(now time.Time, id ryeford.EndpointID) bool {
+// Failed records a failure, and ejects the endpoint if the limits say so. Failures
+// of an endpoint that is ejected already do not extend its term.
+func (d *Detector) Failed(now time.Time, id ryeford.EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.get(id)
 	s.decay(now, d.limits.HalfLife)
-	s.answers++
+	s.responses++
 	s.failures++
-	s.inRow++
-	if now.Before(s.until) {
-		return true
-	}
-	many := s.answers >= d.limits.MinAnswers && s.failures/s.answers >= d.limits.Share
-	if s.inRow < d.limits.Failures && !many {
-		return false
-	}
-	eject := d.limits.EjectMost
-	if s.ejections < 8 {
-		eject = min(eject, d.limits.Eject<<s.ejections)
+	s.consecutive++
+	if now.Before(s.until) || !d.limits.ejects(&s.record) {
+		return
 	}
+	s.until = now.Add(d.limits.term(s.ejections))
 	s.ejections++
-	s.until = now.Add(eject)
-	s.inRow, s.answers, s.failures = 0, 0, 0
-	return true
+	s.consecutive, s.responses, s.failures = 0, 0, 0
 }
 
-// Eject leaves an endpoint out for a time.
+// Eject ejects an endpoint for at least a term, whatever its record.
 func (d *Detector) Eject(now time.Time, id ryeford.EndpointID, term time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -132,25 +112,7 @@
 	}
 }
 
-// decay lets old answers count less.
-func (s *state) decay(now time.Time, halfLife time.Duration) {
-	if s.updated.IsZero() {
-		s.updated = now
-		return
-	}
-	for now.Sub(s.updated) >= halfLife {
-		s.answers /= 2
-		s.failures /= 2
-		s.updated = s.updated.Add(halfLife)
-		if s.answers < 0.01 {
-			s.updated = now
-			return
-		}
-	}
-}
-
-// Healthy reports whether an endpoint may be chosen: it is not left out, and not
-// silent on what it was sent.
+// Healthy reports whether an endpoint is neither ejected nor silent.
 func (d *Detector) Healthy(now time.Time, id ryeford.EndpointID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -162,14 +124,14 @@
 		return false
 	}
 	for _, sent := range s.waiting {
-		if now.Sub(sent) > d.limits.Silence && now.Sub(s.heard) > d.limits.Silence {
+		if d.limits.silent(now, sent, s.lastResponse) {
 			return false
 		}
 	}
 	return true
 }
 
-// Forget drops what is known of an endpoint that is gone.
+// Forget drops the record of an endpoint that is gone.
 func (d *Detector) Forget(id ryeford.EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/gateway/outlier/outlier_test.go
+++ b/gateway/outlier/outlier_test.go
@@ -8,8 +8,8 @@
 )
 
 var limits = Limits{
-	Failures: 3, Share: 0.35, MinAnswers: 8, HalfLife: 4 * time.Second,
-	Eject: time.Second, EjectMost: 4 * time.Second, Silence: time.Second,
+	ConsecutiveFailures: 3, FailureShare: 0.35, MinResponses: 8, HalfLife: 4 * time.Second,
+	BaseEjection: time.Second, MaxEjection: 4 * time.Second, MaxSilence: time.Second,
 }
 
 // TestFailuresInRow checks that an endpoint that fails again and again is left
@@ -18,7 +18,7 @@
 	d := New(limits)
 	now := time.Unix(1000, 0)
 	for _, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
-		for range limits.Failures {
+		for range limits.ConsecutiveFailures {
 			assert.Assert(t, d.Healthy(now, "a"))
 			d.Failed(now, "a")
 		}
@@ -56,10 +56,10 @@
 func TestSilence(t *testing.T) {
 	d := New(limits)
 	now := time.Unix(1000, 0)
-	number := d.Sent(now, "a")
+	number := d.Start(now, "a")
 	assert.Assert(t, d.Healthy(now.Add(time.Second), "a"))
 	now = now.Add(time.Second + 1)
 	assert.Assert(t, !d.Healthy(now, "a"))
-	d.Heard(now, "a", number, true)
+	d.End(now, "a", number, true)
 	assert.Assert(t, d.Healthy(now, "a"))
 }
