--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -110,7 +110,7 @@
 		entry := g.roster.Entry(id)
 		return entry != nil && entry.Service == q.service && id != target.ID && g.detector.Healthy(now, id)
 	})
-	moved := chosen.Reason != choice.ReasonHome || chosen.HolderFirst || !target.Since.IsZero()
+	moved := chosen.Reason != choice.ReasonHome || chosen.HolderFirst || !target.FirstSeen.IsZero()
 	if chosen.Holder >= 0 && depth < len(shared) && (moved || depth == 0) {
 		return entries[chosen.Holder]
 	}
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -87,7 +87,7 @@
 	l.onUpdate()
 	if !change.Empty() {
 		_ = l.log.Log("decision", "endpoints", "revision", revision, "whole", update.Snapshot, "troubled", afterOutage,
-			"added", join(change.Added), "draining", join(change.Drained), "dropped", join(change.Dropped), "doubted", join(change.Doubted), "departed", join(change.Departed), "known", l.roster.Len())
+			"added", join(change.Added), "draining", join(change.Drained), "dropped", join(change.Dropped), "doubted", join(change.Suspected), "departed", join(change.Departed), "known", l.roster.Len())
 		for _, id := range change.Dropped {
 			l.forget(id)
 		}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -163,7 +163,7 @@
 // passed that makes the request unlawful by now.
 func (x *exchange) checkSend(to *roster.Entry) error {
 	g, q := x.gateway, x.request
-	if !g.roster.Takes(to.ID) {
+	if !g.roster.Accepts(to.ID) {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonLeaving}
 	}
 	if !q.keyed() {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -35,14 +35,6 @@
 )
 
 const (
-	// doubtLinger is how long an endpoint stays that the list dropped while the
-	// list was in trouble: longer than endpoints take to write their entries
-	// anew, shorter than the time in which a router counts as out of touch.
-	doubtLinger = 2 * time.Second
-	// departLinger is how long an endpoint that left without a word stays a source
-	// of prompts: it serves on for as long as one that said so, and its address is
-	// given to no other within that time.
-	departLinger = 1800 * time.Millisecond
 	// reserveShare keeps a part of the common bound on repeats unused, since
 	// routers count over slightly different spans.
 	reserveShare = 0.9
@@ -100,7 +92,7 @@
 		log:       logger,
 		metrics:   metrics,
 		learned:   newLearned(s.Routing.StartPatience),
-		roster:    roster.New(roster.Lingers{Doubtful: doubtLinger, Departed: departLinger}),
+		roster:    roster.New(roster.DefaultTTLs()),
 		detector:  outlier.New(outlier.DefaultLimits()),
 		pool:      endpoint.New(platform.Protocol, endpoint.DefaultOptions()),
 		loads:     newLoads(),
--- a/gateway/roster/roster.go
+++ b/gateway/roster/roster.go
@@ -1,5 +1,10 @@
-// Package roster holds the list of endpoints as a router believes it to be. It
-// does no I/O.
+// Package roster is the list of endpoints as one router believes it to be: what
+// the platform's list says, and for a short time what the list has dropped.
+//
+// It owns each endpoint's status. It relies on the caller for the updates, in any
+// order (an update older than the last one is ignored), and for calling Expire.
+// It does no I/O. The rule for dropped endpoints and its constants are in
+// status.go.
 package roster
 
 import (
@@ -13,64 +18,50 @@
 
 // An Entry is one endpoint of a Roster.
 type Entry struct {
+	// Endpoint is what the list last said of it, its own State included.
 	ryeford.Endpoint
-	// Since is when the router first saw the endpoint, or zero where it was on
-	// the first list.
-	Since time.Time
-	// Doubtful endpoints were dropped from the list while the list itself was in
-	// trouble: they may live.
-	Doubtful bool
-	// Departed endpoints were dropped from the list without a word before: they
-	// take no requests, but are likely to live a little longer, and to hold prompts
-	// that others can fetch.
-	Departed bool
-	// until is when a doubtful or departed endpoint is forgotten.
-	until time.Time
-}
-
-// lingers reports whether the endpoint is off the list, and only kept for a time.
-func (e *Entry) lingers() bool { return e.Doubtful || e.Departed }
-
-// Lingers are how long endpoints stay that were dropped from the list.
-type Lingers struct {
-	// Doubtful holds for those dropped in times of trouble, Departed for those
-	// dropped without having said that they leave.
-	Doubtful, Departed time.Duration
+	// Status is what the router believes of it.
+	Status Status
+	// FirstSeen is when the router first saw the endpoint on the list. It is zero
+	// if the first list had it: such an endpoint may have served for long.
+	FirstSeen time.Time
+	// expires is when an endpoint that is off the list is forgotten.
+	expires time.Time
 }
 
 // A Roster is the list of endpoints.
 type Roster struct {
-	lingers Lingers
+	ttls TTLs
 
 	mu       sync.RWMutex
 	entries  map[ryeford.EndpointID]*Entry
-	services map[string][]*Entry // sorted by ID; ready and doubtful ones
-	draining map[string][]*Entry
+	serving  map[string][]*Entry // by service, sorted by ID: those that accept requests
+	draining map[string][]*Entry // by service, sorted by ID: the others
 	known    bool
 	revision int64
 }
 
 // New returns an empty Roster.
-func New(lingers Lingers) *Roster {
+func New(ttls TTLs) *Roster {
 	return &Roster{
-		lingers: lingers,
+		ttls:    ttls,
 		entries: make(map[ryeford.EndpointID]*Entry),
 	}
 }
 
-// A Change tells what an update did.
+// A Change is what an update did, as the IDs whose status has changed.
 type Change struct {
-	Added, Drained, Dropped, Doubted, Departed []ryeford.EndpointID
+	Added, Drained, Dropped, Suspected, Departed []ryeford.EndpointID
 }
 
 // Empty reports whether nothing has changed.
 func (c *Change) Empty() bool {
-	return len(c.Added)+len(c.Drained)+len(c.Dropped)+len(c.Doubted)+len(c.Departed) == 0
+	return len(c.Added)+len(c.Drained)+len(c.Dropped)+len(c.Suspected)+len(c.Departed) == 0
 }
 
-// Apply takes an update. troubled says that it is the first since the list was
-// out of reach: what it drops then may live.
-func (r *Roster) Apply(now time.Time, update *ryeford.EndpointUpdate, troubled bool) Change {
+// Apply applies an update, unless it is older than the last one. afterOutage says
+// that it is the first since the store was out of reach.
+func (r *Roster) Apply(now time.Time, update *ryeford.EndpointUpdate, afterOutage bool) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var change Change
@@ -84,12 +75,12 @@
 		r.put(now, endpoint, &change)
 	}
 	for _, id := range update.Removed {
-		r.drop(now, id, troubled, &change)
+		r.drop(now, id, afterOutage, &change)
 	}
 	if update.Snapshot {
 		for id, entry := range r.entries {
-			if !present[id] && !entry.lingers() {
-				r.drop(now, id, troubled, &change)
+			if !present[id] && !entry.Status.expires() {
+				r.drop(now, id, afterOutage, &change)
 			}
 		}
 	}
@@ -98,58 +89,56 @@
 	return change
 }
 
-// put takes what the list says of an endpoint.
+// put enters an endpoint that the list names.
 func (r *Roster) put(now time.Time, endpoint ryeford.Endpoint, change *Change) {
 	old := r.entries[endpoint.ID]
-	entry := &Entry{Endpoint: endpoint}
+	entry := &Entry{Endpoint: endpoint, Status: listedStatus(endpoint.State)}
 	switch {
 	case old != nil:
-		entry.Since = old.Since
+		entry.FirstSeen = old.FirstSeen
 	case r.known:
-		entry.Since = now
+		entry.FirstSeen = now
 	}
 	if old == nil {
 		change.Added = append(change.Added, endpoint.ID)
 	}
-	if endpoint.State == ryeford.EndpointDraining && (old == nil || old.State != ryeford.EndpointDraining) {
+	if entry.Status == StatusDraining && (old == nil || old.Status.accepts()) {
 		change.Drained = append(change.Drained, endpoint.ID)
 	}
 	r.entries[endpoint.ID] = entry
 }
 
-// drop takes an endpoint off the list.
-func (r *Roster) drop(now time.Time, id ryeford.EndpointID, troubled bool, change *Change) {
+// drop gives an endpoint that the list names no longer its new status.
+func (r *Roster) drop(now time.Time, id ryeford.EndpointID, afterOutage bool, change *Change) {
 	entry := r.entries[id]
 	if entry == nil {
 		return
 	}
-	kept := *entry
-	switch {
-	case entry.State == ryeford.EndpointDraining || (entry.Doubtful && !troubled):
+	status := droppedStatus(entry.Status, afterOutage)
+	switch status {
+	case StatusSuspect:
+		change.Suspected = append(change.Suspected, id)
+	case StatusDeparted:
+		change.Departed = append(change.Departed, id)
+	default:
 		delete(r.entries, id)
 		change.Dropped = append(change.Dropped, id)
 		return
-	case troubled:
-		kept.Doubtful = true
-		kept.until = now.Add(r.lingers.Doubtful)
-		change.Doubted = append(change.Doubted, id)
-	default:
-		kept.Departed = true
-		kept.State = ryeford.EndpointDraining
-		kept.until = now.Add(r.lingers.Departed)
-		change.Departed = append(change.Departed, id)
 	}
+	kept := *entry // callers may hold the old one
+	kept.Status = status
+	kept.expires = now.Add(r.ttls.ttl(status))
 	r.entries[id] = &kept
 }
 
-// Expire forgets the endpoints that have been kept for long enough, and returns
-// them.
+// Expire forgets the endpoints that have been off the list for their time, and
+// returns them.
 func (r *Roster) Expire(now time.Time) []ryeford.EndpointID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var expired []ryeford.EndpointID
 	for id, entry := range r.entries {
-		if entry.lingers() && now.After(entry.until) {
+		if entry.Status.expires() && now.After(entry.expires) {
 			delete(r.entries, id)
 			expired = append(expired, id)
 		}
@@ -160,65 +149,68 @@
 	return expired
 }
 
-// index builds the lists by service anew.
+// index builds the lists by service anew; lists that were handed out stay as they
+// are.
 func (r *Roster) index() {
-	r.services = make(map[string][]*Entry)
+	r.serving = make(map[string][]*Entry)
 	r.draining = make(map[string][]*Entry)
 	for _, entry := range r.entries {
-		if entry.State == ryeford.EndpointDraining {
-			r.draining[entry.Service] = append(r.draining[entry.Service], entry)
-			continue
+		lists := r.draining
+		if entry.Status.accepts() {
+			lists = r.serving
 		}
-		r.services[entry.Service] = append(r.services[entry.Service], entry)
+		lists[entry.Service] = append(lists[entry.Service], entry)
 	}
-	for _, lists := range []map[string][]*Entry{r.services, r.draining} {
+	for _, lists := range []map[string][]*Entry{r.serving, r.draining} {
 		for _, entries := range lists {
 			slices.SortFunc(entries, func(a, b *Entry) int { return cmp.Compare(a.ID, b.ID) })
 		}
 	}
 }
 
-// Known reports whether the list has been read.
+// Known reports whether a list has been read.
 func (r *Roster) Known() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.known
 }
 
-// Serving returns the endpoints of a service that take new requests. The caller
-// must not change them.
+// Serving returns the endpoints of a service that accept requests. The caller must
+// not change them.
 func (r *Roster) Serving(service string) []*Entry {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.services[service]
+	return r.serving[service]
 }
 
-// Draining returns the endpoints of a service that are leaving, or have departed.
+// Draining returns the draining and departed endpoints of a service. The caller
+// must not change them.
 func (r *Roster) Draining(service string) []*Entry {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.draining[service]
 }
 
-// Entry returns an endpoint of the list, or nil. The caller must not change it.
+// Entry returns an endpoint, or nil if it is not known. The caller must not change
+// it.
 func (r *Roster) Entry(id ryeford.EndpointID) *Entry {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.entries[id]
 }
 
-// Knows reports whether an endpoint is on the list.
+// Knows reports whether an endpoint is known, whatever its status.
 func (r *Roster) Knows(id ryeford.EndpointID) bool { return r.Entry(id) != nil }
 
-// Takes reports whether an endpoint still takes new requests.
-func (r *Roster) Takes(id ryeford.EndpointID) bool {
+// Accepts reports whether an endpoint accepts new requests.
+func (r *Roster) Accepts(id ryeford.EndpointID) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	entry := r.entries[id]
-	return entry != nil && entry.State == ryeford.EndpointReady
+	return entry != nil && entry.Status.accepts()
 }
 
-// Len returns the number of endpoints on the list.
+// Len returns the number of known endpoints, whatever their status.
 func (r *Roster) Len() int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/gateway/roster/roster_test.go
+++ b/gateway/roster/roster_test.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	start   = time.Unix(1000, 0)
-	lingers = Lingers{Doubtful: time.Second, Departed: 2 * time.Second}
+	start = time.Unix(1000, 0)
+	ttls  = TTLs{Suspect: time.Second, Departed: 2 * time.Second}
 )
 
 func ready(id string) ryeford.Endpoint {
@@ -34,16 +34,16 @@
 
 // TestChanges plays the life of endpoints.
 func TestChanges(t *testing.T) {
-	r := New(lingers)
+	r := New(ttls)
 	assert.Assert(t, !r.Known())
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("b"), ready("a")}}, false)
 	assert.Equal(t, serving(r), "ab")
 	r.Apply(start, &ryeford.EndpointUpdate{Revision: 2, Present: []ryeford.Endpoint{draining("a"), ready("c")}}, false)
 	assert.Equal(t, serving(r), "bc")
 	assert.Equal(t, len(r.Draining("s")), 1)
-	assert.Assert(t, !r.Takes("a") && r.Takes("c") && !r.Takes("d"))
-	assert.Assert(t, r.Serving("s")[0].Since.IsZero())
-	assert.Equal(t, r.Serving("s")[1].Since, start)
+	assert.Assert(t, !r.Accepts("a") && r.Accepts("c") && !r.Accepts("d"))
+	assert.Assert(t, r.Serving("s")[0].FirstSeen.IsZero())
+	assert.Equal(t, r.Serving("s")[1].FirstSeen, start)
 	r.Apply(start, &ryeford.EndpointUpdate{Revision: 3, Removed: []ryeford.EndpointID{"a", "b"}}, false)
 	assert.Equal(t, serving(r), "c")
 	// An answer that was held up changes nothing.
@@ -54,7 +54,7 @@
 // TestDoubt checks that what the first list after an outage lacks stays a while,
 // and that what leaves is not doubted.
 func TestDoubt(t *testing.T) {
-	r := New(lingers)
+	r := New(ttls)
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), draining("d")}}, false)
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 5}, true)
 	assert.Equal(t, serving(r), "ab")
@@ -67,17 +67,17 @@
 	assert.Equal(t, serving(r), "b")
 }
 
-// TestDeparted checks that an endpoint which leaves the list without a word takes
+// TestDeparted checks that an endpoint which leaves the list without having drained takes
 // nothing at once, stays a source of prompts for a time, and is then forgotten;
 // one that had said that it leaves goes with its entry.
 func TestDeparted(t *testing.T) {
-	r := New(lingers)
+	r := New(ttls)
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), draining("d")}}, false)
 	change := r.Apply(start, &ryeford.EndpointUpdate{Revision: 2, Removed: []ryeford.EndpointID{"a", "d"}}, false)
 	assert.DeepEqual(t, change.Departed, []ryeford.EndpointID{"a"})
 	assert.DeepEqual(t, change.Dropped, []ryeford.EndpointID{"d"})
 	assert.Equal(t, serving(r), "b")
-	assert.Assert(t, !r.Takes("a"))
+	assert.Assert(t, !r.Accepts("a"))
 	assert.Equal(t, len(r.Draining("s")), 1)
 	assert.Assert(t, r.Knows("a") && !r.Knows("d"))
 	// A whole list that lacks it too changes nothing.
