--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -9,8 +9,8 @@
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/gateway/endpoint"
-	"github.com/ryeford/ryeford/gateway/holders"
 	"github.com/ryeford/ryeford/gateway/outlier"
+	"github.com/ryeford/ryeford/gateway/prefixcache"
 	"github.com/ryeford/ryeford/gateway/roster"
 	"github.com/ryeford/ryeford/gateway/watch"
 )
@@ -40,7 +40,7 @@
 	pool         *endpoint.Pool
 	detector     *outlier.Detector
 	loads        *loads
-	holders      *holders.Map
+	prefixes     *prefixcache.Map
 	outage       watch.Outage
 	onUpdate     func() // called after each update
 	log          log.Logger
@@ -100,7 +100,7 @@
 	l.pool.CloseIdle(id)
 	l.detector.Forget(id)
 	l.loads.forget(id)
-	l.holders.Forget(id)
+	l.prefixes.Forget(id)
 }
 
 // sweep closes connections that were idle for too long, and forgets endpoints that
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -247,7 +247,7 @@
 	x.maybeRan = true
 	if q := x.request; q.shared && answer.Status < http.StatusMultipleChoices {
 		shared := q.sharedParts()
-		g.holders.Add(time.Now(), to.ID, shared)
+		g.prefixes.Add(time.Now(), to.ID, shared)
 		g.gossip.addPrompt(to.ID, shared)
 	}
 	result, err := x.relay.pass(attempt, answer)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -25,9 +25,9 @@
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/gateway/endpoint"
 	"github.com/ryeford/ryeford/gateway/freshness"
-	"github.com/ryeford/ryeford/gateway/holders"
 	"github.com/ryeford/ryeford/gateway/outlier"
 	"github.com/ryeford/ryeford/gateway/peers"
+	"github.com/ryeford/ryeford/gateway/prefixcache"
 	"github.com/ryeford/ryeford/gateway/roster"
 	"github.com/ryeford/ryeford/internal/telemetry"
 	"github.com/ryeford/ryeford/retry"
@@ -72,7 +72,7 @@
 	detector *outlier.Detector
 	pool     *endpoint.Pool
 	loads    *loads
-	holders  *holders.Map
+	prefixes *prefixcache.Map
 	learned  *learned
 
 	windowMu sync.Mutex
@@ -96,7 +96,7 @@
 		detector:  outlier.New(outlier.DefaultLimits()),
 		pool:      endpoint.New(platform.Protocol, endpoint.DefaultOptions()),
 		loads:     newLoads(),
-		holders:   holders.New(holderLimits),
+		prefixes:  prefixcache.New(holderLimits),
 		drain:     newDrain(s.Bounds.Grace, logger),
 		durations: newDurations(),
 		bodies:    semaphore.NewWeighted(int64(s.Memory) * bodyShare),
@@ -131,7 +131,7 @@
 		pool:     g.pool,
 		detector: g.detector,
 		loads:    g.loads,
-		holders:  g.holders,
+		prefixes: g.prefixes,
 		outage:   newOutage("endpoints", g.configuration.leaseLeft, g.log, g.metrics),
 		onUpdate: g.noteLearned,
 		log:      g.log,
@@ -144,7 +144,7 @@
 		table:         table,
 		configuration: g.configuration,
 		roster:        g.roster,
-		holders:       g.holders,
+		prefixes:      g.prefixes,
 		loads:         g.loads,
 		log:           g.log,
 		metrics:       g.metrics,
@@ -159,7 +159,7 @@
 }
 
 // holderLimits bound what is remembered of who holds which prompts.
-var holderLimits = holders.Limits{Parts: 4096, PerPart: 4, Forget: time.Minute}
+var holderLimits = prefixcache.Limits{Parts: 4096, PerPart: 4, Forget: time.Minute}
 
 // Run serves until stop ends, and then until what is in flight has ended.
 func (g *Gateway) Run(stop context.Context) error {
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/gateway/holders"
 	"github.com/ryeford/ryeford/gateway/peers"
+	"github.com/ryeford/ryeford/gateway/prefixcache"
 	"github.com/ryeford/ryeford/gateway/roster"
 	"github.com/ryeford/ryeford/internal/telemetry"
 )
@@ -31,7 +31,7 @@
 
 	configuration *configuration
 	roster        *roster.Roster
-	holders       *holders.Map
+	prefixes      *prefixcache.Map
 	loads         *loads
 	log           log.Logger
 	metrics       *telemetry.Set
@@ -157,7 +157,7 @@
 		for _, id := range prompt.Parts {
 			parts = append(parts, ryeford.PromptPart{ID: id})
 		}
-		p.holders.Add(now, prompt.Endpoint, parts)
+		p.prefixes.Add(now, prompt.Endpoint, parts)
 	}
 }
 
--- a/gateway/holders/holders.go
+++ b/gateway/prefixcache/index.go
@@ -1,6 +1,6 @@
-// Package holders remembers which endpoints were sent which parts of prompts,
+// Package prefixcache remembers which endpoints were sent which parts of prompts,
 // and so are believed to hold them. It does no I/O.
-package holders
+package prefixcache
 
 import (
 	"sync"
--- a/gateway/holders/holders_test.go
+++ b/gateway/prefixcache/index_test.go
@@ -1,4 +1,4 @@
-package holders
+package prefixcache
 
 import (
 	"testing"
