--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -95,7 +95,7 @@
 	for i := range shared {
 		sharedTokens += shared[i].Tokens
 	}
-	return x.gateway.prefixes.Held(now, shared), sharedTokens
+	return x.gateway.prefixes.HeldTokens(now, shared), sharedTokens
 }
 
 // source returns the endpoint from which the chosen one is to take what it lacks
@@ -106,7 +106,7 @@
 	g, q := x.gateway, x.request
 	shared := q.sharedParts()
 	target := entries[chosen.Index]
-	best, depth := g.prefixes.Best(now, shared, func(id ryeford.EndpointID) bool {
+	best, depth := g.prefixes.Longest(now, shared, func(id ryeford.EndpointID) bool {
 		entry := g.roster.Entry(id)
 		return entry != nil && entry.Service == q.service && id != target.ID && g.detector.Healthy(now, id)
 	})
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -40,7 +40,7 @@
 	pool         *endpoint.Pool
 	detector     *outlier.Detector
 	loads        *loads
-	prefixes     *prefixcache.Map
+	prefixes     *prefixcache.Index
 	outage       watch.Outage
 	onUpdate     func() // called after each update
 	log          log.Logger
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -72,7 +72,7 @@
 	detector *outlier.Detector
 	pool     *endpoint.Pool
 	loads    *loads
-	prefixes *prefixcache.Map
+	prefixes *prefixcache.Index
 	learned  *learned
 
 	windowMu sync.Mutex
@@ -96,7 +96,7 @@
 		detector:  outlier.New(outlier.DefaultLimits()),
 		pool:      endpoint.New(platform.Protocol, endpoint.DefaultOptions()),
 		loads:     newLoads(),
-		prefixes:  prefixcache.New(holderLimits),
+		prefixes:  prefixcache.New(prefixcache.DefaultLimits()),
 		drain:     newDrain(s.Bounds.Grace, logger),
 		durations: newDurations(),
 		bodies:    semaphore.NewWeighted(int64(s.Memory) * bodyShare),
@@ -158,9 +158,6 @@
 	}
 }
 
-// holderLimits bound what is remembered of who holds which prompts.
-var holderLimits = prefixcache.Limits{Parts: 4096, PerPart: 4, Forget: time.Minute}
-
 // Run serves until stop ends, and then until what is in flight has ended.
 func (g *Gateway) Run(stop context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(stop))
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -31,7 +31,7 @@
 
 	configuration *configuration
 	roster        *roster.Roster
-	prefixes      *prefixcache.Map
+	prefixes      *prefixcache.Index
 	loads         *loads
 	log           log.Logger
 	metrics       *telemetry.Set
--- a/gateway/prefixcache/index.go
+++ b/gateway/prefixcache/index.go
@@ -1,5 +1,11 @@
-// Package prefixcache remembers which endpoints were sent which parts of prompts,
-// and so are believed to hold them. It does no I/O.
+// Package prefixcache is an index of which endpoints are likely to have which
+// parts of prompts in their prefix caches: an endpoint that was sent a part has
+// read it, and keeps it unless it needs the memory.
+//
+// It owns what this router and its peers have sent where. It relies on the caller
+// to forget endpoints that are gone, and never learns what an endpoint evicts: what
+// it returns is a belief, and a wrong one costs a fetch that finds nothing. It does
+// no I/O.
 package prefixcache
 
 import (
@@ -9,50 +15,68 @@
 	"github.com/ryeford/ryeford"
 )
 
-// Limits bound a Map.
+// The limits of the gateway's index. Not measured: they date from 2a0751d, whose
+// panels measured the index as a whole (docs/design.md, "who is known to hold the
+// parts is the source").
+const (
+	// maxParts is how many parts of prompts are indexed. It bounds memory.
+	maxParts = 4096
+	// maxHolders is how many endpoints are kept for each part, the latest first.
+	maxHolders = 4
+	// holderTTL is the time after which an endpoint is no longer believed to hold
+	// what it was sent.
+	holderTTL = time.Minute
+)
+
+// Limits bound an Index.
 type Limits struct {
-	// Parts is how many parts are remembered.
+	// Parts is how many parts are indexed.
 	Parts int
-	// PerPart is how many endpoints are remembered for each.
-	PerPart int
-	// Forget is the time after which an endpoint that was sent a part is no
-	// longer believed to hold it.
-	Forget time.Duration
+	// Holders is how many endpoints are kept for each part.
+	Holders int
+	// TTL is the time after which an endpoint that was sent a part is no longer
+	// believed to hold it.
+	TTL time.Duration
 }
 
-// A Map remembers who holds which part of a prompt: the part with all that
-// stands before it.
-type Map struct {
+// DefaultLimits returns the limits of the gateway.
+func DefaultLimits() Limits {
+	return Limits{Parts: maxParts, Holders: maxHolders, TTL: holderTTL}
+}
+
+// An Index maps each part of a prompt to the endpoints that are likely to have it
+// cached. A part's ID stands for the part with all that precedes it.
+type Index struct {
 	limits Limits
 
 	mu    sync.Mutex
-	parts map[uint64][]holder
+	parts map[uint64][]holder // the latest first
 }
 
 type holder struct {
 	id ryeford.EndpointID
-	at time.Time
+	at time.Time // when it was last sent the part
 }
 
-// New returns an empty Map.
-func New(limits Limits) *Map {
-	return &Map{limits: limits, parts: make(map[uint64][]holder)}
+// New returns an empty Index.
+func New(limits Limits) *Index {
+	return &Index{limits: limits, parts: make(map[uint64][]holder)}
 }
 
-// Add notes that an endpoint has read the parts, in their order.
-func (m *Map) Add(now time.Time, id ryeford.EndpointID, parts []ryeford.PromptPart) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// Add notes that an endpoint has read the parts.
+func (x *Index) Add(now time.Time, id ryeford.EndpointID, parts []ryeford.PromptPart) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	for i := range parts {
-		m.add(now, id, parts[i].ID)
+		x.add(now, id, parts[i].ID)
 	}
 }
 
-// add puts an endpoint first among a part's holders.
-func (m *Map) add(now time.Time, id ryeford.EndpointID, part uint64) {
-	list := m.parts[part]
-	if list == nil && len(m.parts) >= m.limits.Parts {
-		m.dropOldest(now)
+// add puts an endpoint first among a part's holders; the last one makes room.
+func (x *Index) add(now time.Time, id ryeford.EndpointID, part uint64) {
+	list := x.parts[part]
+	if list == nil && len(x.parts) >= x.limits.Parts {
+		x.makeRoom(now)
 	}
 	at := len(list)
 	for i := range list {
@@ -61,41 +85,45 @@
 			break
 		}
 	}
-	if at == len(list) && len(list) < m.limits.PerPart {
+	if at == len(list) && len(list) < x.limits.Holders {
 		list = append(list, holder{})
 	}
 	at = min(at, len(list)-1)
 	copy(list[1:at+1], list[:at])
 	list[0] = holder{id: id, at: now}
-	m.parts[part] = list
+	x.parts[part] = list
 }
 
-// dropOldest forgets what is too old, or else any one part.
-func (m *Map) dropOldest(now time.Time) {
+// makeRoom drops the parts whose holders have all expired, or else any one part.
+func (x *Index) makeRoom(now time.Time) {
 	dropped := false
-	for part, list := range m.parts {
-		if now.Sub(list[0].at) > m.limits.Forget {
-			delete(m.parts, part)
+	for part, list := range x.parts {
+		if !x.holds(now, list[0]) {
+			delete(x.parts, part)
 			dropped = true
 		}
 	}
 	if dropped {
 		return
 	}
-	for part := range m.parts {
-		delete(m.parts, part)
+	for part := range x.parts {
+		delete(x.parts, part)
 		return
 	}
 }
 
-// Best returns the endpoint that is believed to hold the most of the parts, and
-// how many of them. Those for which allowed is false are passed over.
-func (m *Map) Best(now time.Time, parts []ryeford.PromptPart, allowed func(ryeford.EndpointID) bool) (ryeford.EndpointID, int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// holds reports whether an endpoint is still believed to hold what it was sent.
+func (x *Index) holds(now time.Time, h holder) bool { return now.Sub(h.at) <= x.limits.TTL }
+
+// Longest returns the endpoint that is likely to hold the longest beginning of a
+// prompt, and of how many parts: the latest one for which allowed returns true. It
+// returns "" and 0 if there is none. allowed must not call the Index.
+func (x *Index) Longest(now time.Time, parts []ryeford.PromptPart, allowed func(ryeford.EndpointID) bool) (ryeford.EndpointID, int) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	for i := len(parts) - 1; i >= 0; i-- {
-		for _, h := range m.parts[parts[i].ID] {
-			if now.Sub(h.at) <= m.limits.Forget && allowed(h.id) {
+		for _, h := range x.parts[parts[i].ID] {
+			if x.holds(now, h) && allowed(h.id) {
 				return h.id, i + 1
 			}
 		}
@@ -103,16 +131,17 @@
 	return "", 0
 }
 
-// Held returns how many tokens of the parts each endpoint is believed to hold.
-func (m *Map) Held(now time.Time, parts []ryeford.PromptPart) map[ryeford.EndpointID]int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// HeldTokens returns, for each endpoint that is likely to hold any beginning of a
+// prompt, how many tokens the longest one has.
+func (x *Index) HeldTokens(now time.Time, parts []ryeford.PromptPart) map[ryeford.EndpointID]int {
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	held := make(map[ryeford.EndpointID]int)
 	tokens := 0
 	for i := range parts {
 		tokens += parts[i].Tokens
-		for _, h := range m.parts[parts[i].ID] {
-			if now.Sub(h.at) <= m.limits.Forget {
+		for _, h := range x.parts[parts[i].ID] {
+			if x.holds(now, h) {
 				held[h.id] = tokens
 			}
 		}
@@ -121,10 +150,10 @@
 }
 
 // Forget drops an endpoint that is gone.
-func (m *Map) Forget(id ryeford.EndpointID) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for part, list := range m.parts {
+func (x *Index) Forget(id ryeford.EndpointID) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	for part, list := range x.parts {
 		kept := list[:0]
 		for _, h := range list {
 			if h.id != id {
@@ -132,9 +161,9 @@
 			}
 		}
 		if len(kept) == 0 {
-			delete(m.parts, part)
+			delete(x.parts, part)
 			continue
 		}
-		m.parts[part] = kept
+		x.parts[part] = kept
 	}
 }
--- a/gateway/prefixcache/index_test.go
+++ b/gateway/prefixcache/index_test.go
@@ -11,7 +11,7 @@
 
 var (
 	start  = time.Unix(1000, 0)
-	limits = Limits{Parts: 4, PerPart: 2, Forget: time.Minute}
+	limits = Limits{Parts: 4, Holders: 2, TTL: time.Minute}
 )
 
 func parts(ids ...uint64) []ryeford.PromptPart {
@@ -22,8 +22,8 @@
 	return result
 }
 
-func best(m *Map, now time.Time, prompt []ryeford.PromptPart, without ...ryeford.EndpointID) (ryeford.EndpointID, int) {
-	return m.Best(now, prompt, func(id ryeford.EndpointID) bool {
+func best(m *Index, now time.Time, prompt []ryeford.PromptPart, without ...ryeford.EndpointID) (ryeford.EndpointID, int) {
+	return m.Longest(now, prompt, func(id ryeford.EndpointID) bool {
 		for _, other := range without {
 			if id == other {
 				return false
@@ -64,7 +64,7 @@
 func TestForgetting(t *testing.T) {
 	m := New(limits)
 	m.Add(start, "a", parts(1))
-	_, depth := best(m, start.Add(limits.Forget+1), parts(1))
+	_, depth := best(m, start.Add(limits.TTL+1), parts(1))
 	assert.Equal(t, depth, 0)
 	m.Add(start, "b", parts(1))
 	m.Add(start, "c", parts(1)) // pushes out a, the oldest
@@ -86,9 +86,9 @@
 	prompt := []ryeford.PromptPart{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 20}}
 	m.Add(start, "a", prompt[:1])
 	m.Add(start, "b", prompt)
-	held := m.Held(start, prompt)
+	held := m.HeldTokens(start, prompt)
 	assert.Equal(t, held["a"], 100)
 	assert.Equal(t, held["b"], 120)
 	assert.Equal(t, held["c"], 0)
-	assert.Equal(t, len(m.Held(start.Add(limits.Forget+1), prompt)), 0, "forgotten")
+	assert.Equal(t, len(m.HeldTokens(start.Add(limits.TTL+1), prompt)), 0, "forgotten")
 }
