--- /dev/null
+++ b/gateway/choice/affinity.go
@@ -0,0 +1,80 @@
+package choice
+
+import "github.com/ryeford/ryeford/route"
+
+// Both were set by the panels of docs/design.md ("the first counts as if it held the
+// prompt, 300 and 300"; 4fd8662): 150 and 300 left more skew, and with the first
+// endpoint's own missing tokens counted, 300 and 300, 1000 and 600, and 300 and 0
+// read and moved more.
+const (
+	// requestTokens is how many tokens that an endpoint lacks weigh as much as one
+	// request of load.
+	requestTokens = 300
+	// minGain, in tokens, keeps requests from moving for a small difference.
+	minGain = 300
+)
+
+// ByAffinity chooses by the hash of the prompt's last shared part, so that requests
+// with like prompts meet on one endpoint: the first endpoint in rendezvous order
+// that is not full, or the second one if the difference of their loads outweighs
+// what the second lacks of the prompt. If all are full, it is the least loaded one.
+//
+// Rendezvous hashing needs no agreement: every router that knows the same endpoints
+// finds the same order, and an endpoint that joins or leaves moves only the prompts
+// that it gains or loses.
+func ByAffinity(candidates []Candidate, key uint64, limits Limits) Choice {
+	result := newChoice(candidates, &limits)
+	open := func(c *Candidate) bool { return c.usable() && c.Load <= result.Cap }
+	home := best(candidates, key, -1, (*Candidate).usable)
+	first := best(candidates, key, -1, open)
+	second := best(candidates, key, first, open)
+	switch {
+	case first < 0:
+		result.Index, result.Reason = leastLoaded(candidates, 0, &limits)
+	case second >= 0 && lighter(&candidates[second], &candidates[first], &limits):
+		result.Index, result.Reason = second, ReasonLighter
+	case first == home:
+		result.Index, result.Reason = first, ReasonHome
+	default:
+		result.Index, result.Reason = first, ReasonSpill
+	}
+	result.setAlternate(candidates, key)
+	return result
+}
+
+// lighter reports whether the second endpoint by affinity is taken in place of the
+// first: the requests that it has less, as tokens, exceed what it lacks of the
+// prompt by MinGain. The first counts as if it held the prompt, since other routers
+// send requests with that prompt there too.
+func lighter(second, first *Candidate, limits *Limits) bool {
+	gain := limits.RequestTokens*(first.Load-second.Load) - float64(second.MissingTokens)
+	return gain > limits.MinGain
+}
+
+// setAlternate finds the best other candidate by affinity, draining ones included.
+func (r *Choice) setAlternate(candidates []Candidate, key uint64) {
+	r.Alternate = best(candidates, key, r.Index, func(c *Candidate) bool { return !c.Unhealthy })
+	if r.Alternate >= 0 && r.Index >= 0 {
+		r.AlternateFirst = score(candidates, key, r.Alternate) > score(candidates, key, r.Index)
+	}
+}
+
+// best returns the first candidate in rendezvous order, apart from one, for which
+// allowed returns true, or -1.
+func best(candidates []Candidate, key uint64, except int, allowed func(*Candidate) bool) int {
+	found, highest := -1, uint64(0)
+	for i := range candidates {
+		if i == except || !allowed(&candidates[i]) {
+			continue
+		}
+		if s := score(candidates, key, i); found < 0 || s > highest {
+			found, highest = i, s
+		}
+	}
+	return found
+}
+
+// score returns the rendezvous score of a candidate: the highest is first.
+func score(candidates []Candidate, key uint64, i int) uint64 {
+	return route.Mix(key, candidates[i].Hash)
+}
--- a/gateway/choice/choice.go
+++ b/gateway/choice/choice.go
@@ -1,39 +1,42 @@
-// Package choice chooses the endpoint for one request. It does no I/O and keeps
-// no state: the same inputs give the same choice.
+// Package choice decides which endpoint a request is sent to, and from which other
+// endpoint that one may fetch the cached part of the prompt.
+//
+// A request whose prompt shares a part with others goes by affinity (affinity.go),
+// any other by load (load.go). Loads are bounded (bound.go). The source of a cached
+// prefix is in source.go. All of it is pure: no state, no clock, no I/O; the same
+// inputs give the same choice on every router.
 package choice
 
-import (
-	"slices"
+import "github.com/ryeford/ryeford"
 
-	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/route"
-)
-
-// A Candidate is an endpoint that a request may be sent to.
+// A Candidate is an endpoint of the request's service as the router sees it now.
 type Candidate struct {
 	ID     ryeford.EndpointID
-	Domain string
+	Domain string // failure domain
 	// Hash is the uniform hash of the ID.
 	Hash uint64
-	// Load is the estimate of its requests, running and waiting.
+	// Load is the estimated number of its requests, running and waiting.
 	Load float64
 	// Slots is how many requests it runs at once.
 	Slots int
-	// Tried says that the request was sent there before.
+	// Tried says that an attempt of this request was sent there already.
 	Tried bool
-	// Failing says that it is on the list but does not answer well.
-	Failing bool
-	// Leaving endpoints take no requests, but hold prompts.
-	Leaving bool
-	// Missing is how many tokens of the prompt's shared parts it is not known to
-	// hold.
-	Missing int
+	// Unhealthy says that it is ejected or silent.
+	Unhealthy bool
+	// Draining endpoints accept no requests, but may still hold prompts.
+	Draining bool
+	// MissingTokens is how many tokens of the prompt's shared parts it is not known
+	// to hold.
+	MissingTokens int
 }
 
-// Limits bound a choice.
+// usable reports whether a candidate is to be considered first.
+func (c *Candidate) usable() bool { return !c.Draining && !c.Tried && !c.Unhealthy }
+
+// Limits are the parameters of a choice.
 type Limits struct {
-	// CapFactor and CapOffset: an endpoint is full at CapFactor x the mean load
-	// + CapOffset.
+	// CapFactor and CapOffset: an endpoint is full above CapFactor times the mean
+	// load plus CapOffset requests.
 	CapFactor float64
 	CapOffset float64
 	// Domain is the failure domain of the router.
@@ -41,162 +44,55 @@
 	// DomainPenalty is how many requests of load another failure domain costs.
 	DomainPenalty float64
 	// RequestTokens is how many missing tokens weigh as much as one request of
-	// load, and MinGain by how many tokens the second of a prompt's order must be
-	// cheaper than the first to be taken in its place.
+	// load.
 	RequestTokens float64
-	MinGain       float64
+	// MinGain is how many tokens the second endpoint by affinity has to gain over
+	// the first.
+	MinGain float64
 }
 
-// A Reason says why an endpoint was chosen.
+// DefaultLimits returns the limits of a gateway in a failure domain, with the cap
+// factor of its settings.
+func DefaultLimits(capFactor float64, domain string) Limits {
+	return Limits{
+		CapFactor:     capFactor,
+		CapOffset:     capOffset,
+		Domain:        domain,
+		DomainPenalty: domainPenalty,
+		RequestTokens: requestTokens,
+		MinGain:       minGain,
+	}
+}
+
+// A Reason is why an endpoint was chosen, as it is logged.
 type Reason string
 
 // The reasons.
 const (
-	ReasonHome    Reason = "home"    // the first of the prompt's order
-	ReasonSpill   Reason = "spill"   // the first of the prompt's order that is not full
-	ReasonLighter Reason = "lighter" // the next of the prompt's order, which is less loaded
-	ReasonLeast   Reason = "least"   // the least loaded
-	ReasonLast    Reason = "last"    // only failing ones are left
-	ReasonNobody  Reason = "nobody"  // none is left
+	ReasonHome        Reason = "home"    // the first by affinity
+	ReasonSpill       Reason = "spill"   // the first by affinity that is not full
+	ReasonLighter     Reason = "lighter" // the second by affinity, which is less loaded
+	ReasonLeastLoaded Reason = "least"   // the least loaded
+	ReasonLastResort  Reason = "last"    // the least loaded, and only unhealthy ones are left
+	ReasonNone        Reason = "nobody"  // no candidate may be sent the request
 )
 
-// A Choice is what was chosen.
+// A Choice is what was chosen, and what it was based on.
 type Choice struct {
 	Index  int // of the candidates, or -1
 	Reason Reason
-	// Holder is the index of another candidate that is likely to hold the
-	// prompt, or -1.
-	Holder int
-	// HolderFirst says that the holder stands before the chosen one in the
-	// prompt's order.
-	HolderFirst bool
-	Mean        float64
-	Cap         float64
-}
-
-// Affine chooses by the hash of the prompt's shared part: the first endpoint of
-// its rendezvous order that is not full, or the next one where the difference of
-// their loads outweighs what that one lacks of the prompt. Every router finds the
-// same order.
-func Affine(candidates []Candidate, key uint64, limits Limits) Choice {
-	result := Choice{Index: -1, Holder: -1, Reason: ReasonNobody}
-	result.Mean, result.Cap = bounds(candidates, limits)
-	first := best(candidates, key, -1, usable)
-	open := func(c *Candidate) bool { return usable(c) && c.Load <= result.Cap }
-	result.Index = best(candidates, key, -1, open)
-	next := best(candidates, key, result.Index, open)
-	switch {
-	case result.Index < 0:
-		result.takeLeast(candidates, limits)
-	case result.Index == first:
-		result.Reason = ReasonHome
-	default:
-		result.Reason = ReasonSpill
-	}
-	if next >= 0 && lighter(&candidates[next], &candidates[result.Index], limits) {
-		result.Index, result.Reason = next, ReasonLighter
-	}
-	// Who is likely to hold the prompt: the best other, the leaving ones included.
-	result.Holder = best(candidates, key, result.Index, func(c *Candidate) bool { return !c.Failing })
-	if result.Holder >= 0 && result.Index >= 0 {
-		result.HolderFirst = score(candidates, key, result.Holder) > score(candidates, key, result.Index)
-	}
-	return result
-}
-
-// lighter reports whether the next of a prompt's order is to be taken in place of
-// the first. The first counts as if it held the prompt: where it does not yet,
-// other routers send the prompt's requests there too.
-func lighter(next, first *Candidate, limits Limits) bool {
-	gain := limits.RequestTokens*(first.Load-next.Load) - float64(next.Missing)
-	return gain > limits.MinGain
-}
-
-// usable reports whether a candidate may take the request without need.
-func usable(c *Candidate) bool { return !c.Leaving && !c.Tried && !c.Failing }
-
-// best returns the first of a prompt's order for which allowed is true, or -1.
-// The candidate without is passed over.
-func best(candidates []Candidate, key uint64, without int, allowed func(*Candidate) bool) int {
-	found, highest := -1, uint64(0)
-	for i := range candidates {
-		if i == without || !allowed(&candidates[i]) {
-			continue
-		}
-		if s := score(candidates, key, i); found < 0 || s > highest {
-			found, highest = i, s
-		}
-	}
-	return found
-}
-
-// score returns the rank of a candidate in a prompt's order: the highest is first.
-func score(candidates []Candidate, key uint64, i int) uint64 {
-	return route.Mix(key, candidates[i].Hash)
-}
-
-// Least chooses the least loaded endpoint, those of the router's own failure
-// domain first. turn moves the choice between equals.
-func Least(candidates []Candidate, limits Limits, turn int) Choice {
-	result := Choice{Index: -1, Holder: -1, Reason: ReasonNobody}
-	result.Mean, result.Cap = bounds(candidates, limits)
-	if len(candidates) > 0 {
-		turn %= len(candidates)
-		rotated := slices.Concat(candidates[turn:], candidates[:turn])
-		result.takeLeast(rotated, limits)
-		if result.Index >= 0 {
-			result.Index = (result.Index + turn) % len(candidates)
-		}
-	}
-	return result
+	// Alternate is the index of the best other candidate by affinity, or -1: it is
+	// likely to hold the prompt. It may be draining.
+	Alternate int
+	// AlternateFirst says that the alternate precedes the chosen one by affinity.
+	AlternateFirst bool
+	// Mean is the mean load, and Cap the load above which an endpoint is full.
+	Mean float64
+	Cap  float64
 }
 
-// takeLeast chooses the least loaded endpoint; a failing one only where there is
-// no other.
-func (r *Choice) takeLeast(candidates []Candidate, limits Limits) {
-	best := 0.0
-	for _, failing := range []bool{false, true} {
-		for i := range candidates {
-			c := &candidates[i]
-			if c.Leaving || c.Tried || c.Failing != failing {
-				continue
-			}
-			cost := relativeLoad(c)
-			if c.Domain != limits.Domain {
-				cost += limits.DomainPenalty
-			}
-			if r.Index < 0 || cost < best {
-				r.Index, best = i, cost
-			}
-		}
-		if r.Index >= 0 {
-			r.Reason = ReasonLeast
-			if failing {
-				r.Reason = ReasonLast
-			}
-			return
-		}
-	}
-}
-
-// relativeLoad returns the load of an endpoint; what exceeds its slots waits, and
-// counts double.
-func relativeLoad(c *Candidate) float64 {
-	return c.Load + max(0, c.Load-float64(c.Slots))
-}
-
-// bounds returns the mean load and the load at which an endpoint is full.
-func bounds(candidates []Candidate, limits Limits) (mean, full float64) {
-	sum, n := 0.0, 0
-	for i := range candidates {
-		if candidates[i].Leaving {
-			continue
-		}
-		sum += candidates[i].Load
-		n++
-	}
-	if n > 0 {
-		mean = sum / float64(n)
-	}
-	return mean, limits.CapFactor*mean + limits.CapOffset
+// newChoice returns a Choice of none.
+func newChoice(candidates []Candidate, limits *Limits) Choice {
+	mean := meanLoad(candidates)
+	return Choice{Index: -1, Alternate: -1, Reason: ReasonNone, Mean: mean, Cap: limits.full(mean)}
 }
--- a/gateway/choice/choice_test.go
+++ b/gateway/choice/choice_test.go
@@ -18,35 +18,35 @@
 	for i := range rapid.IntRange(0, 20).Draw(t, "candidates") {
 		id := fmt.Sprintf("e%d", i)
 		candidates = append(candidates, Candidate{
-			ID:      ryeford.EndpointID(id),
-			Domain:  rapid.SampledFrom([]string{"a", "b"}).Draw(t, "domain"),
-			Hash:    route.NameHash(id),
-			Load:    float64(rapid.IntRange(0, 30).Draw(t, "load")),
-			Slots:   8,
-			Tried:   rapid.Bool().Draw(t, "tried"),
-			Failing: rapid.Bool().Draw(t, "failing"),
-			Leaving: rapid.Bool().Draw(t, "leaving"),
-			Missing: rapid.IntRange(0, 9000).Draw(t, "missing"),
+			ID:            ryeford.EndpointID(id),
+			Domain:        rapid.SampledFrom([]string{"a", "b"}).Draw(t, "domain"),
+			Hash:          route.NameHash(id),
+			Load:          float64(rapid.IntRange(0, 30).Draw(t, "load")),
+			Slots:         8,
+			Tried:         rapid.Bool().Draw(t, "tried"),
+			Unhealthy:     rapid.Bool().Draw(t, "failing"),
+			Draining:      rapid.Bool().Draw(t, "leaving"),
+			MissingTokens: rapid.IntRange(0, 9000).Draw(t, "missing"),
 		})
 	}
 	return candidates
 }
 
-// TestChoice checks what holds of every choice: it is none that leaves or was
+// TestChoice checks what holds of every choice: it is none that drains or was
 // tried, none that fails while another does not, and none above the bound while
 // another is below it.
 func TestChoice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := drawCandidates(t)
 		for _, chosen := range []Choice{
-			Affine(candidates, rapid.Uint64().Draw(t, "key"), limits),
-			Least(candidates, limits, rapid.IntRange(0, 100).Draw(t, "turn")),
+			ByAffinity(candidates, rapid.Uint64().Draw(t, "key"), limits),
+			ByLoad(candidates, limits, rapid.IntRange(0, 100).Draw(t, "turn")),
 		} {
 			usable, sound := 0, 0
 			for i := range candidates {
-				if c := &candidates[i]; !c.Leaving && !c.Tried {
+				if c := &candidates[i]; !c.Draining && !c.Tried {
 					usable++
-					if !c.Failing {
+					if !c.Unhealthy {
 						sound++
 					}
 				}
@@ -56,9 +56,9 @@
 				continue
 			}
 			c := &candidates[chosen.Index]
-			assert.Assert(t, !c.Leaving && !c.Tried)
-			assert.Assert(t, !c.Failing || sound == 0)
-			assert.Assert(t, chosen.Holder != chosen.Index)
+			assert.Assert(t, !c.Draining && !c.Tried)
+			assert.Assert(t, !c.Unhealthy || sound == 0)
+			assert.Assert(t, chosen.Alternate != chosen.Index)
 			if chosen.Reason == ReasonHome || chosen.Reason == ReasonSpill {
 				assert.Assert(t, c.Load <= chosen.Cap)
 			}
@@ -78,15 +78,15 @@
 	moved := 0
 	const keys = 2000
 	for key := range uint64(keys) {
-		before := Affine(candidates, route.KeyHash(key), limits)
-		after := Affine(more, route.KeyHash(key), limits)
+		before := ByAffinity(candidates, route.KeyHash(key), limits)
+		after := ByAffinity(more, route.KeyHash(key), limits)
 		if before.Index == after.Index {
 			continue
 		}
 		moved++
 		assert.Equal(t, after.Index, 12)
 		// Who had it before is known as the holder.
-		assert.Equal(t, after.Holder, before.Index)
+		assert.Equal(t, after.Alternate, before.Index)
 	}
 	assert.Assert(t, moved > keys/13/2 && moved < keys/13*2, "%d moved", moved)
 }
@@ -100,7 +100,7 @@
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		Affine(candidates, route.KeyHash(uint64(i)), limits)
+		ByAffinity(candidates, route.KeyHash(uint64(i)), limits)
 	}
 }
 
@@ -114,8 +114,8 @@
 		candidates[i].Hash = route.NameHash(string(candidates[i].ID))
 		candidates[i].Load = 8
 	}
-	first := best(candidates, key, -1, usable)
-	next := best(candidates, key, first, usable)
+	first := best(candidates, key, -1, (*Candidate).usable)
+	next := best(candidates, key, first, (*Candidate).usable)
 	for _, test := range []struct {
 		load                  float64 // of the next; the first has 8
 		missing, firstMissing int
@@ -130,15 +130,15 @@
 		{load: 8, missing: 8000, lighter: false},
 	} {
 		for i := range candidates {
-			candidates[i].Missing = 0
+			candidates[i].MissingTokens = 0
 		}
-		candidates[first].Missing = test.firstMissing
-		candidates[next].Missing, candidates[next].Load = test.missing, test.load
-		chosen := Affine(candidates, key, limits)
+		candidates[first].MissingTokens = test.firstMissing
+		candidates[next].MissingTokens, candidates[next].Load = test.missing, test.load
+		chosen := ByAffinity(candidates, key, limits)
 		if test.lighter {
 			assert.Equal(t, chosen.Index, next, "%+v", test)
 			assert.Equal(t, chosen.Reason, ReasonLighter)
-			assert.Equal(t, chosen.Holder, first, "the first holds it")
+			assert.Equal(t, chosen.Alternate, first, "the first holds it")
 		} else {
 			assert.Equal(t, chosen.Index, first, "%+v", test)
 			assert.Equal(t, chosen.Reason, ReasonHome)
--- /dev/null
+++ b/gateway/choice/rules_test.go
@@ -0,0 +1,150 @@
+package choice
+
+import (
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/route"
+)
+
+// testKey is a key for which the rendezvous order of three endpoints is known.
+const testKey = 12345
+
+// inOrder returns candidates named first, second and third by their place in the
+// order of testKey, with those loads.
+func inOrder(t *testing.T, loads [3]float64) []Candidate {
+	t.Helper()
+	candidates := []Candidate{{ID: "a"}, {ID: "b"}, {ID: "c"}}
+	for i := range candidates {
+		candidates[i].Hash = route.NameHash(string(candidates[i].ID))
+	}
+	ordered := make([]Candidate, 0, len(candidates))
+	for _, name := range []ryeford.EndpointID{"first", "second", "third"} {
+		i := best(candidates, testKey, -1, (*Candidate).usable)
+		candidate := candidates[i]
+		candidates[i].Tried = true // passed over from here on
+		candidate.ID, candidate.Load, candidate.Slots = name, loads[len(ordered)], 8
+		ordered = append(ordered, candidate)
+	}
+	return ordered
+}
+
+// TestByAffinity states which of three endpoints in rendezvous order a prompt goes
+// to. With a cap factor of 2, an endpoint is full above twice the mean plus 2.
+func TestByAffinity(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		loads  [3]float64
+		change func(c []Candidate)
+		want   ryeford.EndpointID
+		reason Reason
+		other  ryeford.EndpointID // the alternate
+	}{
+		{"all idle", [3]float64{0, 0, 0}, nil, "first", ReasonHome, "second"},
+		{"the second has one request less", [3]float64{1, 0, 0}, nil, "first", ReasonHome, "second"},
+		{"the second has two requests less and the prompt", [3]float64{2, 0, 2}, nil, "second", ReasonLighter, "first"},
+		{"the second has two requests less and lacks much", [3]float64{2, 0, 2},
+			func(c []Candidate) { c[1].MissingTokens = 5000 }, "first", ReasonHome, "second"},
+		{"the third is much lighter", [3]float64{4, 4, 0}, nil, "first", ReasonHome, "second"},
+		{"the first is full", [3]float64{11, 1, 1},
+			func(c []Candidate) { c[1].MissingTokens = 5000 }, "second", ReasonSpill, "first"},
+		{"the first is tried", [3]float64{0, 0, 0},
+			func(c []Candidate) { c[0].Tried = true }, "second", ReasonHome, "first"},
+		{"the first is unhealthy", [3]float64{0, 0, 0},
+			func(c []Candidate) { c[0].Unhealthy = true }, "second", ReasonHome, "third"},
+		{"the first drains", [3]float64{0, 0, 0},
+			func(c []Candidate) { c[0].Draining = true }, "second", ReasonHome, "first"},
+		{"only an unhealthy one is left", [3]float64{0, 0, 0},
+			func(c []Candidate) { c[0].Tried, c[1].Draining, c[2].Unhealthy = true, true, true }, "third", ReasonLastResort, "first"},
+		{"none is left", [3]float64{0, 0, 0},
+			func(c []Candidate) { c[0].Tried, c[1].Tried, c[2].Draining = true, true, true }, "", ReasonNone, "first"},
+	} {
+		candidates := inOrder(t, test.loads)
+		if test.change != nil {
+			test.change(candidates)
+		}
+		chosen := ByAffinity(candidates, testKey, DefaultLimits(2, "a"))
+		assert.Equal(t, idOf(candidates, chosen.Index), test.want, test.name)
+		assert.Equal(t, chosen.Reason, test.reason, test.name)
+		assert.Equal(t, idOf(candidates, chosen.Alternate), test.other, test.name)
+		assert.Equal(t, chosen.AlternateFirst, chosen.Index >= 0 && chosen.Alternate < chosen.Index, test.name)
+	}
+}
+
+// idOf returns the ID of a candidate, or "" for -1.
+func idOf(candidates []Candidate, i int) ryeford.EndpointID {
+	if i < 0 {
+		return ""
+	}
+	return candidates[i].ID
+}
+
+// TestByLoad states which of some endpoints a request without a shared prompt goes
+// to. The router is in failure domain a.
+func TestByLoad(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		candidates []Candidate
+		start      int
+		want       ryeford.EndpointID
+		reason     Reason
+	}{
+		{"the least loaded", []Candidate{{ID: "x", Domain: "a", Load: 2, Slots: 8}, {ID: "y", Domain: "a", Load: 1, Slots: 8}}, 0, "y", ReasonLeastLoaded},
+		{"the own domain between equals", []Candidate{{ID: "x", Domain: "b", Slots: 8}, {ID: "y", Domain: "a", Slots: 8}}, 0, "y", ReasonLeastLoaded},
+		{"another domain that has one request less", []Candidate{{ID: "x", Domain: "b", Slots: 8}, {ID: "y", Domain: "a", Load: 1, Slots: 8}}, 0, "x", ReasonLeastLoaded},
+		{"requests that wait count twice", []Candidate{{ID: "x", Domain: "a", Load: 5, Slots: 2}, {ID: "y", Domain: "a", Load: 7, Slots: 8}}, 0, "y", ReasonLeastLoaded},
+		{"equals by turns: the first", []Candidate{{ID: "x", Domain: "a", Slots: 8}, {ID: "y", Domain: "a", Slots: 8}}, 2, "x", ReasonLeastLoaded},
+		{"equals by turns: the second", []Candidate{{ID: "x", Domain: "a", Slots: 8}, {ID: "y", Domain: "a", Slots: 8}}, 3, "y", ReasonLeastLoaded},
+		{"a loaded one before an unhealthy one", []Candidate{{ID: "x", Domain: "a", Load: 50}, {ID: "y", Domain: "a", Unhealthy: true}}, 0, "x", ReasonLeastLoaded},
+		{"an unhealthy one before none", []Candidate{{ID: "x", Domain: "a", Tried: true}, {ID: "y", Domain: "a", Unhealthy: true}}, 0, "y", ReasonLastResort},
+		{"none", []Candidate{{ID: "x", Domain: "a", Tried: true}, {ID: "y", Domain: "a", Draining: true}}, 0, "", ReasonNone},
+		{"no candidates", nil, 0, "", ReasonNone},
+	} {
+		chosen := ByLoad(test.candidates, DefaultLimits(2, "a"), test.start)
+		assert.Equal(t, idOf(test.candidates, chosen.Index), test.want, test.name)
+		assert.Equal(t, chosen.Reason, test.reason, test.name)
+	}
+}
+
+// TestBound states the load above which an endpoint is full, by the others' loads.
+func TestBound(t *testing.T) {
+	for _, test := range []struct {
+		candidates []Candidate
+		mean, full float64
+	}{
+		{nil, 0, 2},
+		{[]Candidate{{Load: 0}, {Load: 0}}, 0, 2},
+		{[]Candidate{{Load: 4}, {Load: 2}}, 3, 8},
+		{[]Candidate{{Load: 4}, {Load: 2}, {Load: 90, Draining: true}}, 3, 8},
+		{[]Candidate{{Load: 4, Unhealthy: true}, {Load: 2, Tried: true}}, 3, 8},
+	} {
+		chosen := ByLoad(test.candidates, DefaultLimits(2, "a"), 0)
+		assert.Equal(t, chosen.Mean, test.mean)
+		assert.Equal(t, chosen.Cap, test.full)
+	}
+}
+
+// TestSourceOf states from where the chosen endpoint may fetch what it lacks of a
+// prompt of two shared parts.
+func TestSourceOf(t *testing.T) {
+	home := Choice{Reason: ReasonHome, Alternate: 1}
+	for _, test := range []struct {
+		name    string
+		chosen  Choice
+		indexed int
+		joined  bool
+		want    Source
+	}{
+		{"all is indexed", Choice{Reason: ReasonSpill, Alternate: 1}, 2, true, SourceIndexed},
+		{"nothing is indexed", home, 0, false, SourceAlternate},
+		{"nothing is indexed and there is no other", Choice{Reason: ReasonHome, Alternate: -1}, 0, false, SourceIndexed},
+		{"a beginning is indexed, sent home", home, 1, false, SourceIndexed},
+		{"a beginning is indexed, home has joined lately", home, 1, true, SourceAlternate},
+		{"a beginning is indexed, home drains", Choice{Reason: ReasonHome, Alternate: 1, AlternateFirst: true}, 1, false, SourceAlternate},
+		{"a beginning is indexed, not sent home", Choice{Reason: ReasonSpill, Alternate: 1}, 1, false, SourceAlternate},
+	} {
+		assert.Equal(t, SourceOf(&test.chosen, test.indexed, 2, test.joined), test.want, test.name)
+	}
+}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -10,19 +10,6 @@
 	"github.com/ryeford/ryeford/gateway/roster"
 )
 
-const (
-	// capOffset is added to the multiple of the mean load at which an endpoint
-	// is full. The users allow 3; a router sees the others' requests late.
-	capOffset = 2.0
-	// domainPenalty is how many requests of load an endpoint in another failure
-	// domain costs, for plain services.
-	domainPenalty = 0.6
-	// requestTokens and minGain weigh loads against missing tokens (docs/design.md
-	// has the values that were tried).
-	requestTokens = 300
-	minGain       = 300
-)
-
 // choose chooses the endpoint of the next try, or nil.
 func (x *exchange) choose() (to, holder *roster.Entry) {
 	g, q := x.gateway, x.request
@@ -54,15 +41,15 @@
 		told, known := g.gossip.table.Requests(now, entry.ID)
 		hash, load := g.loads.estimate(now, entry.ID, told, known)
 		candidates = append(candidates, choice.Candidate{
-			ID:      entry.ID,
-			Domain:  entry.FailureDomain,
-			Hash:    hash,
-			Load:    load,
-			Slots:   entry.Slots,
-			Tried:   x.tried[entry.ID],
-			Failing: !g.detector.Healthy(now, entry.ID),
-			Leaving: i >= serving,
-			Missing: sharedTokens - held[entry.ID],
+			ID:            entry.ID,
+			Domain:        entry.FailureDomain,
+			Hash:          hash,
+			Load:          load,
+			Slots:         entry.Slots,
+			Tried:         x.tried[entry.ID],
+			Unhealthy:     !g.detector.Healthy(now, entry.ID),
+			Draining:      i >= serving,
+			MissingTokens: sharedTokens - held[entry.ID],
 		})
 	}
 	return candidates
@@ -71,18 +58,11 @@
 // pick chooses one of the candidates.
 func (x *exchange) pick(candidates []choice.Candidate) choice.Choice {
 	g, q := x.gateway, x.request
-	limits := choice.Limits{
-		CapFactor:     g.settings.Bounds.CapFactor,
-		CapOffset:     capOffset,
-		Domain:        g.settings.FailureDomain,
-		DomainPenalty: domainPenalty,
-		RequestTokens: requestTokens,
-		MinGain:       minGain,
-	}
+	limits := choice.DefaultLimits(g.settings.Bounds.CapFactor, g.settings.FailureDomain)
 	if q.shared {
-		return choice.Affine(candidates, q.affinity, limits)
+		return choice.ByAffinity(candidates, q.affinity, limits)
 	}
-	return choice.Least(candidates, limits, int(g.turn.Add(1)%(1<<30)))
+	return choice.ByLoad(candidates, limits, int(g.turn.Add(1)%(1<<30)))
 }
 
 // held returns how many tokens of the prompt's shared parts each endpoint is
@@ -110,9 +90,9 @@
 		entry := g.roster.Entry(id)
 		return entry != nil && entry.Service == q.service && id != target.ID && g.detector.Healthy(now, id)
 	})
-	moved := chosen.Reason != choice.ReasonHome || chosen.HolderFirst || !target.FirstSeen.IsZero()
-	if chosen.Holder >= 0 && depth < len(shared) && (moved || depth == 0) {
-		return entries[chosen.Holder]
+	moved := chosen.Reason != choice.ReasonHome || chosen.AlternateFirst || !target.FirstSeen.IsZero()
+	if chosen.Alternate >= 0 && depth < len(shared) && (moved || depth == 0) {
+		return entries[chosen.Alternate]
 	}
 	return g.roster.Entry(best)
 }
