--- /dev/null
+++ b/gateway/configuration_test.go
@@ -0,0 +1,155 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"net/netip"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/go-kit/log"
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/gateway/peers"
+	"github.com/ryeford/ryeford/internal/telemetry"
+)
+
+// A configurationStandIn is a source of configurations whose steady clock is that of
+// the test.
+type configurationStandIn struct {
+	began    time.Time
+	version  int64 // zero: there is none yet
+	revision int64
+	err      error
+	reads    []time.Duration // when it was read, since began
+}
+
+// Configuration implements ryeford.ConfigurationSource.
+func (s *configurationStandIn) Configuration(context.Context) (ryeford.ConfigurationUpdate, error) {
+	s.reads = append(s.reads, time.Since(s.began))
+	update := ryeford.ConfigurationUpdate{Revision: s.revision, Clock: time.Since(s.began)}
+	if s.version > 0 {
+		update.Configuration = &ryeford.Configuration{Version: s.version}
+	}
+	return update, s.err
+}
+
+// A configurationFixture is a configuration on its own.
+type configurationFixture struct {
+	*configuration
+	source  *configurationStandIn
+	updates int
+}
+
+// newConfigurationFixture returns a configuration with a lease of four seconds that
+// is read every second. Its source has version 1.
+func newConfigurationFixture() *configurationFixture {
+	f := &configurationFixture{source: &configurationStandIn{began: time.Now(), version: 1, revision: 5}}
+	f.configuration = newConfiguration(configurationOptions{
+		source:   f.source,
+		term:     4 * time.Second,
+		refresh:  time.Second,
+		peers:    peers.New(netip.AddrPort{}, peers.DefaultLimits()),
+		revision: &revision{},
+		onUpdate: func() { f.updates++ },
+		log:      log.NewNopLogger(),
+		metrics:  telemetry.NewSet(),
+	})
+	return f
+}
+
+// counts reports whether the metrics hold a line.
+func (f *configurationFixture) counts(line string) bool {
+	return strings.Contains(string(f.metrics.Write()), line+"\n")
+}
+
+// runFor runs the configuration for a time.
+func (f *configurationFixture) runFor(t *testing.T, d time.Duration) {
+	ctx, cancel := context.WithTimeout(t.Context(), d)
+	defer cancel()
+	assert.NilError(t, f.run(ctx))
+}
+
+// TestConfigurationReads checks how often a router without peers reads, before and
+// after there is a configuration.
+func TestConfigurationReads(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newConfigurationFixture()
+		f.source.version = 0
+		f.runFor(t, 900*time.Millisecond)
+		assert.DeepEqual(t, f.source.reads, []time.Duration{0, 400 * time.Millisecond, 800 * time.Millisecond})
+		assert.Assert(t, f.current() == nil)
+		assert.Equal(t, f.version(), int64(0))
+		assert.Equal(t, f.updates, 0)
+		assert.Assert(t, !f.reliable(time.Now()), "nothing is known that could be relied on")
+
+		f.source.version, f.source.reads = 1, nil
+		f.runFor(t, 2500*time.Millisecond)
+		assert.DeepEqual(t, f.source.reads, []time.Duration{900 * time.Millisecond, 1900 * time.Millisecond, 2900 * time.Millisecond})
+		assert.Equal(t, f.version(), int64(1))
+		assert.Equal(t, f.updates, 3)
+		assert.Assert(t, f.reliable(time.Now()))
+	})
+}
+
+// TestConfigurationOutage checks that a configuration may be relied on until four
+// seconds after its last confirmed read was sent, and that an outage counts once.
+func TestConfigurationOutage(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newConfigurationFixture()
+		f.runFor(t, 100*time.Millisecond)
+		f.source.err = errors.New("out")
+		f.runFor(t, 3800*time.Millisecond)
+		assert.Assert(t, f.reliable(time.Now()))
+		assert.Equal(t, f.leaseLeft(), 100*time.Millisecond)
+		f.runFor(t, 100*time.Millisecond)
+		assert.Assert(t, !f.reliable(time.Now()))
+		assert.Equal(t, f.version(), int64(1), "it stays in force, unreliable as it is")
+		assert.Assert(t, f.counts(`ryeford_dependency_lost_total{reason="configuration"} 1`))
+		f.source.err = nil
+		f.runFor(t, 500*time.Millisecond)
+		assert.Assert(t, f.reliable(time.Now()))
+	})
+}
+
+// TestConfigurationStaleRead checks that a read that is older than what is known of
+// any table neither renews the lease nor brings anything in force.
+func TestConfigurationStaleRead(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newConfigurationFixture()
+		f.revision.raise(6)
+		f.runFor(t, 10*time.Millisecond)
+		assert.Assert(t, f.current() == nil)
+		assert.Assert(t, !f.reliable(time.Now()))
+		assert.Equal(t, f.updates, 0)
+		assert.Assert(t, f.counts("ryeford_stale_answers_total 1"))
+	})
+}
+
+// TestConfigurationOfPeer checks what a peer's confirmation does: of the same version
+// it renews the lease, of a newer one it lets the router read at once, of an older
+// one it does nothing.
+func TestConfigurationOfPeer(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newConfigurationFixture()
+		f.runFor(t, 10*time.Millisecond)
+		time.Sleep(2 * time.Second)
+		f.confirmedByPeer(time.Now(), 0, 2*time.Second)
+		assert.Equal(t, f.leaseLeft(), 1990*time.Millisecond, "an older version")
+		f.confirmedByPeer(time.Now(), 1, 2*time.Second)
+		assert.Equal(t, f.leaseLeft(), 3990*time.Millisecond, "the same version, confirmed 10 ms ago")
+		confirmed, _ := f.confirmed()
+		assert.Equal(t, confirmed, 2*time.Second, "it is passed on")
+		reads := len(f.source.reads)
+		f.confirmedByPeer(time.Now(), 2, 2*time.Second)
+		f.confirmedByPeer(time.Now(), 2, 2*time.Second)
+		assert.Equal(t, f.leaseLeft(), 3990*time.Millisecond, "a newer version confirms nothing here")
+		f.source.version = 2
+		f.runFor(t, 100*time.Millisecond)
+		assert.Equal(t, len(f.source.reads), reads+1, "it is read at once, and once")
+		assert.Equal(t, f.version(), int64(2))
+	})
+}
