--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -38,7 +38,7 @@
 		d := newDrain(8*time.Second, log.NewNopLogger())
 		began := time.Now()
 		d.awaitQuiet(began.Add(5 * time.Second))
-		assert.Equal(t, time.Since(began), time.Duration(0), "nobody has ever connected")
+		assert.Equal(t, time.Since(began), time.Duration(0), "no caller has ever connected")
 
 		d.noteConnection(nil, http.StateNew)
 		time.AfterFunc(400*time.Millisecond, func() { d.noteConnection(nil, http.StateActive) })
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -111,7 +111,7 @@
 	return f
 }
 
-// awaitStopped asks for readiness, as the balancer would, until the gateway has
+// awaitStopped probes readiness, as the balancer would, until the gateway has
 // stopped.
 func (f *fixture) awaitStopped() {
 	for {
@@ -196,7 +196,7 @@
 	status int
 	header http.Header
 	body   string
-	close  bool  // the connection ends behind the answer
+	close  bool  // the connection ends after the response
 	err    error // the body broke off
 }
 
@@ -232,7 +232,7 @@
 	return reply{id: id, status: response.StatusCode, header: response.Header, body: string(body), close: response.Close, err: err}
 }
 
-// call sends a request with a key that is known.
+// call sends a request with a valid key.
 func (f *fixture) call(method, path string) reply {
 	f.t.Helper()
 	return f.do(f.request(method, path, "key-1", ""))
--- a/gateway/freshness/sharedlease_test.go
+++ b/gateway/freshness/sharedlease_test.go
@@ -9,7 +9,7 @@
 
 const term = 4 * time.Second
 
-// start lies behind the start of each lease in these tests.
+// start is later than the start of each lease in these tests.
 var start = time.Now().Add(time.Hour)
 
 // TestSharedRead checks that a read of one process renews another's lease by no
@@ -37,8 +37,8 @@
 	assert.Assert(t, !other.RenewFromPeer(now, confirmed-time.Millisecond), "older")
 }
 
-// TestSharedBeforeOwnRead checks that a process that has never asked the source
-// itself, and so can't tell the age of anything, believes nobody.
+// TestSharedBeforeOwnRead checks that a process that has never read the source
+// itself, and so can't tell the age of anything, takes no peer's confirmation.
 func TestSharedBeforeOwnRead(t *testing.T) {
 	l := NewSharedLease(term)
 	assert.Assert(t, !l.RenewFromPeer(start, time.Second))
@@ -54,8 +54,8 @@
 	assert.Assert(t, l.RenewFromPeer(start.Add(time.Second), 51*time.Second))
 }
 
-// TestSharedFrozen checks that a process that was frozen with a message at its
-// door takes it as old as it is.
+// TestSharedFrozen checks that a process that was frozen with a message in its
+// socket takes it for as old as it is.
 func TestSharedFrozen(t *testing.T) {
 	l := NewSharedLease(term)
 	l.RenewRead(start, start, 50*time.Second)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -145,7 +145,7 @@
 }
 
 // TestLastEndpointAgain checks that a request that may be repeated goes to the
-// same endpoint again where that one answered with a failure and there is no
+// same endpoint again if that one answered with a failure and there is no
 // other; one that was refused does not.
 func TestLastEndpointAgain(t *testing.T) {
 	f := newFixture(t, baseConfig(), nil)
@@ -169,8 +169,8 @@
 	assert.Equal(t, only.Runs(got.id), 0)
 }
 
-// TestForeignAnswers checks that answers too many, before or behind the one that
-// is due, reach nobody.
+// TestForeignAnswers checks that responses in excess, before or after the one that
+// is due, reach no caller.
 func TestForeignAnswers(t *testing.T) {
 	for _, fault := range []appserver.Fault{appserver.FaultExtra, appserver.FaultForeign, appserver.FaultUnframed} {
 		t.Run(string(fault), func(t *testing.T) {
@@ -255,7 +255,7 @@
 
 // TestStaleConfiguration checks that a gateway that the store does not answer
 // stops serving keys by itself, whatever is wrong with the store, and that a key
-// that was taken away meanwhile stays away.
+// that was revoked meanwhile stays revoked.
 func TestStaleConfiguration(t *testing.T) {
 	for name, fault := range map[string]rowstore.Fault{
 		"silent": {Silent: true}, "busy": {Status: 503}, "many": {Status: 429}, "slow": {Slow: time.Second},
@@ -293,8 +293,8 @@
 	f.eventually(func() bool { return f.call("GET", "/safe/a").status == 401 })
 }
 
-// TestStaleReads checks that a store whose reads are behind what it told before
-// confirms nothing: a key that is taken away meanwhile stops.
+// TestStaleReads checks that reads of the store that are older than what it has
+// answered before confirm nothing: a key that is revoked meanwhile stops to work.
 func TestStaleReads(t *testing.T) {
 	f := startedFixture(t, func(s *settings.Gateway) { s.Bounds.Revoke = 1200 * time.Millisecond })
 	f.store.SetFault(rowstore.Fault{StaleReads: true})
@@ -319,7 +319,7 @@
 }
 
 // TestLeavingServer checks that a server that is leaving, or gone, gets no new
-// requests, and that its address serves nobody once another server has it.
+// requests, and that its address serves no request for it once another server has it.
 func TestLeavingServer(t *testing.T) {
 	f := startedFixture(t, nil)
 	f.enter("plain", "p1", "127.0.0.1:1", "draining")
@@ -344,8 +344,8 @@
 	assert.Equal(t, f.runs(got.id), 0)
 }
 
-// TestStop checks that a gateway that is told to stop turns unready at once, goes
-// on serving open connections, and ends no answer that is under way.
+// TestStop checks that a gateway that is ordered to stop turns unready at once, goes
+// on serving open connections, and breaks off no response.
 func TestStop(t *testing.T) {
 	f := startedFixture(t, nil)
 	for _, id := range []string{"m1", "m2", "m3"} {
@@ -368,7 +368,7 @@
 	assert.Equal(t, first+string(rest), events(5))
 }
 
-// TestStrangers checks that what is no proper request is refused and runs
+// TestStrangers checks that what is no well-formed request is refused and runs
 // nowhere.
 func TestStrangers(t *testing.T) {
 	f := startedFixture(t, nil)
@@ -404,7 +404,7 @@
 	}
 }
 
-// TestStopWhileNeeded checks that a gateway that is told to stop goes on taking
+// TestStopWhileNeeded checks that a gateway that is ordered to stop goes on taking
 // new connections for as long as they come, and refuses what it could not finish.
 func TestStopWhileNeeded(t *testing.T) {
 	f := startedFixture(t, func(s *settings.Gateway) { s.Bounds.Grace = 4 * time.Second })
@@ -413,8 +413,8 @@
 	f.awaitReady(false)
 	f.awaitReady(false)
 	served := 0
-	// Two polls have been refused; a gateway that took no more would have closed
-	// its listener half a second later.
+	// Two probes have failed; a gateway that took no more connections would have
+	// closed its listener half a second later.
 	for since := time.Now(); time.Since(since) < 1500*time.Millisecond; time.Sleep(20 * time.Millisecond) {
 		if got := f.call("GET", "/safe/a"); got.err == nil && got.status == 200 {
 			served++
@@ -458,10 +458,10 @@
 }
 
 // TestSlowSenders checks that a caller that does not finish a header, or lets a
-// connection rest for too long, is cut off at the operators' times, and that a
+// connection idle for too long, is cut off at the operators' times, and that a
 // later configuration changes them.
 func TestSlowSenders(t *testing.T) {
-	// below the times that hold where the operators set none
+	// below the times that hold if the operators set none
 	const limit = 8 * time.Second
 	for name, test := range map[string]struct{ limit, sends string }{
 		"header": {"headerTimeoutMs", "GET /safe/a HTTP/1.1\r\nHost: host"},
--- a/gateway/peers/table_test.go
+++ b/gateway/peers/table_test.go
@@ -31,7 +31,7 @@
 }
 
 // TestLoads checks that loads add up, that only the newest message of the newest
-// life counts, and that what is old does not.
+// process counts, and that old loads do not.
 func TestLoads(t *testing.T) {
 	table := New(self, limits)
 	_, known := table.Requests(start, "e")
@@ -52,8 +52,8 @@
 	assert.Equal(t, table.Alive(start.Add(limits.PeerTTL+1)), 1)
 }
 
-// TestMembers checks that peers are learned from others, that those who never say
-// anything are forgotten, and that their number is bounded.
+// TestMembers checks that peers are learned from others, that those which never send
+// a message are forgotten, and that their number is bounded.
 func TestMembers(t *testing.T) {
 	table := New(self, limits)
 	assert.Equal(t, len(table.Targets(start, 8)), 0)
@@ -69,7 +69,7 @@
 	assert.Equal(t, len(table.Targets(start.Add(limits.PeerTTL+1), 8)), 0)
 }
 
-// TestUnknownEndpoint checks that nothing is made up.
+// TestUnknownEndpoint checks that an endpoint without loads has none.
 func TestUnknownEndpoint(t *testing.T) {
 	table := New(self, limits)
 	table.Receive(start, message(1, 1, 1, 3))
