--- a/agentfleet/engine/engine.go
+++ b/agentfleet/engine/engine.go
@@ -130,13 +130,6 @@
 	return c.callJSON(ctx, http.MethodDelete, attemptPath(attempt), nil, nil)
 }
 
-// Load implements ryeford.Engine.
-func (c *Client) Load(ctx context.Context) (ryeford.EngineLoad, error) {
-	var load ryeford.EngineLoad
-	err := c.callJSON(ctx, http.MethodGet, PathLoad, nil, &load)
-	return load, err
-}
-
 // CacheEvents implements ryeford.Engine.
 func (c *Client) CacheEvents(ctx context.Context, after int64) ([]ryeford.CacheEvent, error) {
 	var events []ryeford.CacheEvent
--- a/engine.go
+++ b/engine.go
@@ -40,8 +40,6 @@
 	Resume(ctx context.Context, attempt AttemptID, offset int64) (ChunkReader, error)
 	// Cancel stops an attempt.
 	Cancel(ctx context.Context, attempt AttemptID) error
-	// Load returns the last reported load.
-	Load(ctx context.Context) (EngineLoad, error)
 	// CacheEvents returns the events after a sequence number.
 	CacheEvents(ctx context.Context, after int64) ([]CacheEvent, error)
 	// ExportCache returns a chat's KV cache, or a *NotFoundError.
