--- a/agentfleet/engine/errors.go
+++ b/agentfleet/engine/errors.go
@@ -1,9 +1,7 @@
 package engine
 
 import (
-	"errors"
 	"fmt"
-	"net"
 	"net/http"
 
 	"github.com/ryeford/ryeford"
@@ -27,18 +25,13 @@
 // Unwrap returns the cause of e.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotRun reports whether err proves that a request did not run: it was never
-// sent, or the engine itself refused it.
-func NotRun(err error) bool {
-	var netErr *net.OpError
-	if errors.As(err, &netErr) && netErr.Op == "dial" {
-		return true
+// statusError returns the error that a status of an engine means.
+func statusError(op string, status int) error {
+	switch status {
+	case http.StatusNotFound:
+		return &ryeford.NotFoundError{Kind: "engine resource", Name: op}
+	case http.StatusPreconditionFailed:
+		return &ryeford.FenceError{}
 	}
-	var notFound *ryeford.NotFoundError
-	if errors.As(err, &notFound) {
-		return true
-	}
-	var engineErr *Error
-	return errors.As(err, &engineErr) &&
-		(engineErr.Status == http.StatusServiceUnavailable || engineErr.Status == http.StatusTooManyRequests)
+	return &Error{Op: op, Status: status}
 }
--- /dev/null
+++ b/agentfleet/engine/protocol.go
@@ -0,0 +1,78 @@
+package engine
+
+import (
+	"net/url"
+	"strconv"
+	"strings"
+
+	"github.com/ryeford/ryeford"
+)
+
+// The paths and headers of an engine.
+const (
+	PathCompletions = "/v1/chat/completions"
+	PathLoad        = "/load"
+	PathEvents      = "/cache_events"
+	PathCache       = "/cache/"
+	PathServing     = "/serving"
+	HeaderAttempt   = "X-Request-Id"
+	HeaderChat      = "X-Chat-Id"
+	HeaderLastEvent = "Last-Event-ID"
+)
+
+// A CompletionRequest is the body of a completion.
+type CompletionRequest struct {
+	Model     string            `json:"model"`
+	Messages  []ryeford.Message `json:"messages"`
+	Stream    bool              `json:"stream"`
+	MaxTokens int               `json:"max_tokens,omitempty"`
+	Priority  int               `json:"priority"`
+	// Prefix is text of the answer to go on behind.
+	Prefix string `json:"prefix,omitempty"`
+}
+
+// A CompletionChunk is the data of one event of a streamed answer.
+type CompletionChunk struct {
+	ID      string           `json:"id"`
+	Object  string           `json:"object,omitempty"`
+	Choices []Choice         `json:"choices,omitempty"`
+	Usage   *ryeford.Usage   `json:"usage,omitempty"`
+	Error   *CompletionError `json:"error,omitempty"`
+}
+
+// A Choice is a piece of a streamed answer.
+type Choice struct {
+	Index        int                  `json:"index"`
+	Delta        Delta                `json:"delta"`
+	FinishReason ryeford.FinishReason `json:"finish_reason,omitempty"`
+}
+
+// A Delta is the text that a chunk adds.
+type Delta struct {
+	Content string `json:"content,omitempty"`
+}
+
+// A CompletionError is an engine's error within a stream.
+type CompletionError struct {
+	Type    string `json:"type"`
+	Message string `json:"message"`
+}
+
+// EventID returns the event id of a chunk.
+func EventID(attempt ryeford.AttemptID, offset int64) string {
+	return string(attempt) + ":" + strconv.FormatInt(offset, 10)
+}
+
+// ParseEventID returns what an event id names.
+func ParseEventID(id string) (ryeford.AttemptID, int64, error) {
+	attempt, text, ok := strings.Cut(id, ":")
+	offset, err := strconv.ParseInt(text, 10, 64)
+	if !ok || err != nil || attempt == "" {
+		return "", 0, &ryeford.InputError{Field: "event id", Problem: "want ATTEMPT:OFFSET"}
+	}
+	return ryeford.AttemptID(attempt), offset, nil
+}
+
+func attemptPath(attempt ryeford.AttemptID) string {
+	return PathCompletions + "/" + url.PathEscape(string(attempt))
+}
