--- a/agentfleet/engine/client.go
+++ b/agentfleet/engine/client.go
@@ -1,5 +1,10 @@
-// Package engine reaches model engines over HTTP: OpenAI's chat completions
-// with server-sent events, and the engines' own control calls.
+// Package engine reaches the model engines and services of a VM over HTTP: OpenAI's
+// chat completions with server-sent events, the engines' own control calls, and the
+// plain calls of services.
+//
+// It owns the protocol (protocol.go, which the stand-in shares), the connections,
+// and the rule of what an error proves (NotRun). It relies on an engine to number
+// the chunks of a run and to keep a run for Resume.
 //
 // It uses net/http and not fasthttp, since a stream has to end at the moment
 // its context does, and since calls that may not be repeated need a transport
@@ -21,24 +26,26 @@
 )
 
 const (
+	// controlTimeout bounds a call that is not a completion. Not measured.
 	controlTimeout = 3 * time.Second
+	// maxControlBody bounds the body of its response, in bytes. A longer one is cut
+	// off: JSON is then malformed, and a KV cache is too large for a message of
+	// package wire anyway. Not measured.
 	maxControlBody = 64 << 20
-	doneMarker     = "[DONE]"
 )
 
-// A Client is a ryeford.Engine.
+// A Client is a ryeford.Engine. Its errors are *Error, *ryeford.NotFoundError and
+// *ryeford.FenceError.
 type Client struct {
-	base string
-	// http uses a new connection for each completion, control keeps its own for
-	// the short calls.
-	http    *http.Client
-	control *http.Client
+	base    string       // the engine's URL without a path
+	http    *http.Client // for streams: a new connection for each
+	control *http.Client // for the short calls: keeps its connections
 }
 
 // New returns a Client of the engine at an address.
 func New(address netip.AddrPort) *Client {
-	// Connections are not reused for completions: a transport repeats a request
-	// of its own accord only after a reused connection broke.
+	// Connections are not reused for completions: http.Transport repeats a request
+	// by itself, but only after a reused connection broke.
 	transport := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	return &Client{
 		base:    "http://" + address.String(),
@@ -109,13 +116,13 @@
 	return c.callJSON(ctx, http.MethodPost, PathServing, &order, nil)
 }
 
-// stream opens a streamed answer.
+// stream opens a streamed answer. It lasts until ctx ends or the reader is closed.
 func (c *Client) stream(ctx context.Context, method, path string, header http.Header, body []byte) (ryeford.ChunkReader, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, &Error{Op: path, Err: err}
 	}
-	request.GetBody = nil
+	request.GetBody = nil // so that no transport can send it again
 	request.Header = header
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -128,7 +135,7 @@
 	return newEventReader(response.Body), nil
 }
 
-// callJSON makes a short call with JSON bodies.
+// callJSON makes a short call with JSON bodies; request and answer may be nil.
 func (c *Client) callJSON(ctx context.Context, method, path string, request, answer any) error {
 	var body []byte
 	if request != nil {
@@ -147,7 +154,7 @@
 	return nil
 }
 
-// call makes a short call.
+// call makes a short call and returns the body of the response.
 func (c *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
--- a/agentfleet/engine/errors.go
+++ b/agentfleet/engine/errors.go
@@ -7,11 +7,11 @@
 	"github.com/ryeford/ryeford"
 )
 
-// An Error is a failure to talk to an engine or a service.
+// An Error is a failed call of an engine or a service.
 type Error struct {
-	Op     string
-	Status int // the HTTP status, where there was an answer
-	Err    error
+	Op     string // what failed; the path of a call
+	Status int    // the HTTP status, if there was a response
+	Err    error  // nil if the status is the failure
 }
 
 // Error returns the text of e.
@@ -25,7 +25,7 @@
 // Unwrap returns the cause of e.
 func (e *Error) Unwrap() error { return e.Err }
 
-// statusError returns the error that a status of an engine means.
+// statusError returns the error that an engine's status stands for.
 func statusError(op string, status int) error {
 	switch status {
 	case http.StatusNotFound:
--- a/agentfleet/engine/eventreader.go
+++ b/agentfleet/engine/eventreader.go
@@ -9,7 +9,12 @@
 	"github.com/ryeford/ryeford"
 )
 
-const maxEventSize = 1 << 20
+const (
+	// firstEventBuffer and maxEventSize bound one line of a stream, in bytes. Not
+	// measured.
+	firstEventBuffer = 4096
+	maxEventSize     = 1 << 20
+)
 
 // An eventReader is a ryeford.ChunkReader of server-sent events.
 type eventReader struct {
@@ -20,14 +25,15 @@
 // newEventReader returns an eventReader of a response body.
 func newEventReader(body io.ReadCloser) *eventReader {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(make([]byte, 0, 4096), maxEventSize)
+	scanner.Buffer(make([]byte, 0, firstEventBuffer), maxEventSize)
 	return &eventReader{body: body, scanner: scanner}
 }
 
 // Close implements ryeford.ChunkReader.
 func (r *eventReader) Close() error { return r.body.Close() }
 
-// Next implements ryeford.ChunkReader.
+// Next implements ryeford.ChunkReader. Only doneMarker ends a stream with io.EOF: a
+// stream that just stops is broken.
 func (r *eventReader) Next() (ryeford.Chunk, error) {
 	var id string
 	for r.scanner.Scan() {
--- /dev/null
+++ b/agentfleet/engine/notrun_test.go
@@ -0,0 +1,41 @@
+package engine
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+)
+
+func TestNotRun(t *testing.T) {
+	transport := func(op string, err error) error {
+		return &Error{Op: PathCompletions, Err: &url.Error{Op: "Post", Err: &net.OpError{Op: op, Err: err}}}
+	}
+	for _, test := range []struct {
+		rule string
+		err  error
+		want bool
+	}{
+		{"the connection was not made", transport("dial", io.EOF), true},
+		{"it broke while the request was written", transport("write", io.EOF), false},
+		{"or before the response came", transport("read", io.EOF), false},
+		{"the engine is full", statusError(PathCompletions, http.StatusServiceUnavailable), true},
+		{"or has too many requests", statusError(PathCompletions, http.StatusTooManyRequests), true},
+		{"it does not know the model", statusError(PathCompletions, http.StatusNotFound), true},
+		{"it failed", statusError(PathCompletions, http.StatusInternalServerError), false},
+		{"it refused an order", statusError(PathServing, http.StatusPreconditionFailed), false},
+		{"the stream broke", &Error{Op: "read stream", Err: io.ErrUnexpectedEOF}, false},
+		{"the context ended", &Error{Op: PathCompletions, Err: context.Canceled}, false},
+		{"an input error says nothing", &ryeford.InputError{}, false},
+	} {
+		t.Run(test.rule, func(t *testing.T) {
+			assert.Equal(t, NotRun(test.err), test.want)
+		})
+	}
+}
--- a/agentfleet/engine/protocol.go
+++ b/agentfleet/engine/protocol.go
@@ -9,6 +9,9 @@
 )
 
 // The paths and headers of an engine.
+//
+// HeaderAttempt carries the attempt, HeaderChat the name under which the engine
+// caches the chat, HeaderLastEvent the last event that a resumed stream has.
 const (
 	PathCompletions = "/v1/chat/completions"
 	PathLoad        = "/load"
@@ -27,7 +30,7 @@
 	Stream    bool              `json:"stream"`
 	MaxTokens int               `json:"max_tokens,omitempty"`
 	Priority  int               `json:"priority"`
-	// Prefix is text of the answer to go on behind.
+	// Prefix is the beginning of the answer, which the engine continues.
 	Prefix string `json:"prefix,omitempty"`
 }
 
@@ -58,12 +61,16 @@
 	Message string `json:"message"`
 }
 
-// EventID returns the event id of a chunk.
+// doneMarker is the data of the event that ends a stream.
+const doneMarker = "[DONE]"
+
+// EventID returns the event id of a chunk: ATTEMPT:OFFSET.
 func EventID(attempt ryeford.AttemptID, offset int64) string {
 	return string(attempt) + ":" + strconv.FormatInt(offset, 10)
 }
 
-// ParseEventID returns what an event id names.
+// ParseEventID returns the attempt and the offset that an event id names, or an
+// *ryeford.InputError.
 func ParseEventID(id string) (ryeford.AttemptID, int64, error) {
 	attempt, text, ok := strings.Cut(id, ":")
 	offset, err := strconv.ParseInt(text, 10, 64)
--- a/agentfleet/engine/service.go
+++ b/agentfleet/engine/service.go
@@ -11,15 +11,14 @@
 	"github.com/ryeford/ryeford"
 )
 
+// serviceChunkSize is the most bytes of a body in one chunk. Not measured.
 const serviceChunkSize = 16 << 10
 
-// A ServiceClient is a ryeford.Service.
+// A ServiceClient is a ryeford.Service. Its errors are *Error.
 type ServiceClient struct {
-	base string
-	// repeatable reuses connections and may repeat a call on a new one; once
-	// uses a new connection for each call and never repeats one.
-	repeatable *http.Client
-	once       *http.Client
+	base       string       // the service's URL without a path
+	repeatable *http.Client // reuses connections, and may repeat a call on a new one
+	once       *http.Client // a new connection for each call; never repeats one
 }
 
 // NewService returns a ServiceClient of the service at an address.
@@ -57,7 +56,7 @@
 type bodyReader struct {
 	attempt  ryeford.AttemptID
 	response *http.Response
-	offset   int64
+	offset   int64 // of the next chunk
 	ended    bool
 }
 
@@ -88,8 +87,8 @@
 // Close implements ryeford.ChunkReader.
 func (r *bodyReader) Close() error { return r.response.Body.Close() }
 
-// bodyComplete reports whether a short read was the body's proper end:
-// io.ReadFull gives the same error for both, a read behind it does not.
+// bodyComplete reports whether a short read was the body's proper end: io.ReadFull
+// returns the same error for a body that broke off, a further read does not.
 func (r *bodyReader) bodyComplete() bool {
 	_, err := r.response.Body.Read(make([]byte, 1))
 	return errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
