--- /dev/null
+++ b/agentfleet/transport/conn.go
@@ -0,0 +1,93 @@
+package transport
+
+import (
+	"context"
+
+	"github.com/quic-go/quic-go"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/wire"
+)
+
+// A Conn is a connection to a peer whose certificate names its VM.
+type Conn struct {
+	quic *quic.Conn
+	peer ryeford.VMID
+}
+
+// newConn returns a Conn of an established QUIC connection.
+func newConn(c *quic.Conn) *Conn {
+	conn := &Conn{quic: c}
+	if certs := c.ConnectionState().TLS.PeerCertificates; len(certs) > 0 {
+		conn.peer = ryeford.VMID(certs[0].Subject.CommonName)
+	}
+	return conn
+}
+
+// Peer returns the VM that the peer's certificate names.
+func (c *Conn) Peer() ryeford.VMID { return c.peer }
+
+// Done is closed once the connection is lost or closed.
+func (c *Conn) Done() <-chan struct{} { return c.quic.Context().Done() }
+
+// Open opens a stream to the peer.
+func (c *Conn) Open(ctx context.Context) (*Stream, error) {
+	s, err := c.quic.OpenStreamSync(ctx)
+	if err != nil {
+		return nil, &Error{Op: "open stream", Err: err}
+	}
+	return &Stream{quic: s}, nil
+}
+
+// Accept returns the next stream that the peer opens.
+func (c *Conn) Accept(ctx context.Context) (*Stream, error) {
+	s, err := c.quic.AcceptStream(ctx)
+	if err != nil {
+		return nil, &Error{Op: "accept stream", Err: err}
+	}
+	return &Stream{quic: s}, nil
+}
+
+// Ask sends one message on a new stream of c and returns the answer.
+func (c *Conn) Ask(ctx context.Context, m *wire.Message) (*wire.Message, error) {
+	s, err := c.Open(ctx)
+	if err != nil {
+		return nil, err
+	}
+	defer s.Close()
+	if deadline, ok := ctx.Deadline(); ok {
+		s.SetReadDeadline(deadline)
+	}
+	if err := s.Send(m); err != nil {
+		return nil, err
+	}
+	return s.Receive()
+}
+
+// SendDatagram sends a datagram. It may be lost.
+func (c *Conn) SendDatagram(data []byte) error {
+	if err := c.quic.SendDatagram(data); err != nil {
+		return &Error{Op: "send datagram", Err: err}
+	}
+	return nil
+}
+
+// ReceiveDatagram returns the next datagram.
+func (c *Conn) ReceiveDatagram(ctx context.Context) ([]byte, error) {
+	data, err := c.quic.ReceiveDatagram(ctx)
+	if err != nil {
+		return nil, &Error{Op: "receive datagram", Err: err}
+	}
+	return data, nil
+}
+
+// Stats returns the bytes that the connection sent and received.
+func (c *Conn) Stats() (sent, received uint64) {
+	stats := c.quic.ConnectionStats()
+	return stats.BytesSent, stats.BytesReceived
+}
+
+// Close closes the connection and says why.
+func (c *Conn) Close(why string) {
+	_ = c.quic.CloseWithError(0, why)
+}
