--- a/agentfleet/transport/conn.go
+++ b/agentfleet/transport/conn.go
@@ -9,7 +9,8 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// A Conn is a connection to a peer whose certificate names its VM.
+// A Conn is a connection to a peer whose certificate names its VM. Its methods may be
+// called concurrently.
 type Conn struct {
 	quic *quic.Conn
 	peer ryeford.VMID
@@ -48,7 +49,8 @@
 	return &Stream{quic: s}, nil
 }
 
-// Ask sends one message on a new stream of c and returns the answer.
+// Ask sends one message on a new stream of c and returns the answer. It waits until
+// the deadline of ctx; to cancel ctx does not end the wait for the answer.
 func (c *Conn) Ask(ctx context.Context, m *wire.Message) (*wire.Message, error) {
 	s, err := c.Open(ctx)
 	if err != nil {
@@ -64,7 +66,7 @@
 	return s.Receive()
 }
 
-// SendDatagram sends a datagram. It may be lost.
+// SendDatagram sends a datagram, which may be lost on the way.
 func (c *Conn) SendDatagram(data []byte) error {
 	if err := c.quic.SendDatagram(data); err != nil {
 		return &Error{Op: "send datagram", Err: err}
@@ -81,13 +83,8 @@
 	return data, nil
 }
 
-// Stats returns the bytes that the connection sent and received.
-func (c *Conn) Stats() (sent, received uint64) {
-	stats := c.quic.ConnectionStats()
-	return stats.BytesSent, stats.BytesReceived
-}
-
-// Close closes the connection and says why.
+// Close closes the connection and sends the peer the reason. An error would say that
+// the connection was closed before.
 func (c *Conn) Close(why string) {
 	_ = c.quic.CloseWithError(0, why)
 }
--- a/agentfleet/transport/control.go
+++ b/agentfleet/transport/control.go
@@ -6,22 +6,27 @@
 	"golang.org/x/time/rate"
 )
 
-// A Control bounds and counts the control traffic that a process sends.
+// controlBurst is for how many seconds of its rate a process may send control traffic
+// at once. Not measured.
+const controlBurst = 4
+
+// A Control bounds and counts the control traffic that a process sends: gossip. Its
+// methods may be called concurrently.
 type Control struct {
 	limiter *rate.Limiter
 	count   func(bytes int)
 }
 
-// NewControl returns a Control of so many bytes a second. It reports the bytes
-// that are sent to count.
+// NewControl returns a Control of so many bytes a second. It calls count with the
+// bytes that may be sent, each time.
 func NewControl(bytesPerSecond int, count func(bytes int)) *Control {
 	return &Control{
-		limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), 4*bytesPerSecond),
+		limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), controlBurst*bytesPerSecond),
 		count:   count,
 	}
 }
 
-// Allow takes bytes of the budget, or reports that it is spent.
+// Allow takes bytes from the budget, or reports false if too few are left.
 func (c *Control) Allow(bytes int) bool {
 	if !c.limiter.AllowN(time.Now(), bytes) {
 		return false
--- a/agentfleet/transport/dialer.go
+++ b/agentfleet/transport/dialer.go
@@ -29,7 +29,8 @@
 	}, nil
 }
 
-// Dial connects to an address.
+// Dial connects to an address. The caller compares Conn.Peer with the VM that it
+// expects there.
 func (d *Dialer) Dial(ctx context.Context, address netip.AddrPort) (*Conn, error) {
 	c, err := d.transport.Dial(ctx, net.UDPAddrFromAddrPort(address), d.tls, d.options.quicConfig())
 	if err != nil {
@@ -38,7 +39,7 @@
 	return newConn(c), nil
 }
 
-// Close closes the socket and all connections.
+// Close closes the socket and all connections. It returns the first error.
 func (d *Dialer) Close() error {
 	err := d.transport.Close()
 	if closeErr := d.transport.Conn.Close(); err == nil {
--- a/agentfleet/transport/errors.go
+++ b/agentfleet/transport/errors.go
@@ -7,8 +7,8 @@
 
 // An Error is a failure of the transport.
 type Error struct {
-	Op      string
-	Address netip.AddrPort
+	Op      string         // what failed
+	Address netip.AddrPort // of the peer or the socket; invalid if it is not known
 	Err     error
 }
 
--- a/agentfleet/transport/identity.go
+++ b/agentfleet/transport/identity.go
@@ -4,23 +4,28 @@
 	"crypto/ecdsa"
 	"crypto/elliptic"
 	"crypto/rand"
-	"crypto/tls"
 	"crypto/x509"
 	"crypto/x509/pkix"
 	"encoding/pem"
 	"math/big"
-	"os"
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/settings"
 )
 
 const (
-	serverName       = "ryeford"
-	authorityYears   = 10
-	certificateDays  = 365
+	// serverName is the DNS name in all certificates: a peer is identified by its
+	// common name.
+	serverName = "ryeford"
+
+	// How long certificates are valid. Not measured.
+	authorityYears  = 10
+	certificateDays = 365
+	// clockSkewAllowed is how far a VM's clock may be behind that of the process that
+	// makes a certificate. Not measured.
 	clockSkewAllowed = time.Hour
+	// serialBits is the length of a random serial number.
+	serialBits = 120
 )
 
 // An Authority signs the certificates of VMs.
@@ -71,7 +76,7 @@
 	if err != nil {
 		return KeyPair{}, &Error{Op: "issue certificate", Err: err}
 	}
-	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
+	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return KeyPair{}, &Error{Op: "issue certificate", Err: err}
 	}
@@ -98,48 +103,6 @@
 	}, nil
 }
 
-// LoadTLSConfig returns the TLS settings of the process whose files settings name.
-// A file that can't be read is a *settings.Error.
-func LoadTLSConfig(files *settings.TLS) (*tls.Config, error) {
-	var contents [3][]byte
-	for i, name := range []string{files.Authority, files.Certificate, files.Key} {
-		content, err := os.ReadFile(name)
-		if err != nil {
-			return nil, &settings.Error{File: name, Err: err}
-		}
-		contents[i] = content
-	}
-	return TLSConfig(contents[0], KeyPair{Certificate: contents[1], Key: contents[2]})
-}
-
-// TLSConfig returns the TLS settings of a process: it shows its certificate and
-// accepts peers only with one of the same authority.
-func TLSConfig(authority []byte, pair KeyPair) (*tls.Config, error) {
-	cert, err := tls.X509KeyPair(pair.Certificate, pair.Key)
-	if err != nil {
-		return nil, &Error{Op: "read certificate", Err: err}
-	}
-	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(authority) {
-		return nil, &Error{Op: "read authority", Err: errNoCertificate{}}
-	}
-	return &tls.Config{
-		Certificates: []tls.Certificate{cert},
-		RootCAs:      pool,
-		ClientCAs:    pool,
-		ClientAuth:   tls.RequireAndVerifyClientCert,
-		ServerName:   serverName,
-		NextProtos:   []string{protocol},
-		MinVersion:   tls.VersionTLS13,
-	}, nil
-}
-
-// An errNoCertificate says that a PEM file holds no certificate.
-type errNoCertificate struct{}
-
-// Error returns the text of the error.
-func (errNoCertificate) Error() string { return "no certificate in the file" }
-
 func encodeCertificate(der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
 }
--- a/agentfleet/transport/listener.go
+++ b/agentfleet/transport/listener.go
@@ -9,12 +9,12 @@
 	"github.com/quic-go/quic-go"
 )
 
-// A Listener accepts connections.
+// A Listener accepts connections on a UDP socket of its own.
 type Listener struct {
 	quic *quic.Listener
 }
 
-// Listen returns a Listener on a UDP address.
+// Listen returns a Listener on a UDP address; port 0 is any free one.
 func Listen(address netip.AddrPort, tlsConfig *tls.Config, options Options) (*Listener, error) {
 	l, err := quic.ListenAddr(address.String(), tlsConfig, options.quicConfig())
 	if err != nil {
--- a/agentfleet/transport/options.go
+++ b/agentfleet/transport/options.go
@@ -8,11 +8,24 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
+// protocol is the name of the protocol in the TLS handshake.
+const protocol = "ryeford/1"
+
+// The bounds of a connection. None is measured.
+const (
+	handshakeTimeout = 3 * time.Second
+	maxStreams       = 1 << 16   // that a peer may have open at once
+	streamWindow     = 64 << 10  // bytes of a stream in flight, at first
+	connectionWindow = 256 << 10 // bytes of all streams in flight, at first
+	maxWindow        = 8 << 20   // bytes up to which both may grow
+)
+
 // Options are the settings of connections.
 type Options struct {
-	// IdleTimeout is after how long without a sign of life a peer is lost.
+	// IdleTimeout is after how long without a packet a connection is lost.
 	IdleTimeout time.Duration
-	// KeepAlive is how often an idle connection is probed.
+	// KeepAlive is how often an idle connection is probed. What that costs:
+	// docs/CAPACITY.md, S10 and S11.
 	KeepAlive time.Duration
 }
 
@@ -38,12 +51,3 @@
 		DisablePathMTUDiscovery: true,
 	}
 }
-
-const (
-	protocol         = "ryeford/1"
-	maxStreams       = 1 << 16
-	handshakeTimeout = 3 * time.Second
-	streamWindow     = 64 << 10
-	connectionWindow = 256 << 10
-	maxWindow        = 8 << 20
-)
--- a/agentfleet/transport/stream.go
+++ b/agentfleet/transport/stream.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"context"
 	"time"
 
 	"github.com/quic-go/quic-go"
@@ -9,12 +8,12 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// Stream error codes.
-const (
-	codeClosed quic.StreamErrorCode = 1
-)
+// codeClosed is the error code with which a stream's reading side is given up. It is
+// the only one: a peer need not know more.
+const codeClosed quic.StreamErrorCode = 1
 
-// A Stream carries messages both ways.
+// A Stream carries messages both ways. One goroutine may send while another one
+// receives.
 type Stream struct {
 	quic *quic.Stream
 }
@@ -27,7 +26,8 @@
 	return nil
 }
 
-// Receive returns the next message.
+// Receive returns the next message. Its error wraps io.EOF if the peer has ended its
+// sending side, and those of wire.ReadMessage.
 func (s *Stream) Receive() (*wire.Message, error) {
 	m, err := wire.ReadMessage(s.quic)
 	if err != nil {
@@ -36,16 +36,15 @@
 	return m, nil
 }
 
-// SetReadDeadline bounds how long Receive waits.
+// SetReadDeadline bounds how long Receive waits. It can't fail: quic-go always
+// returns nil.
 func (s *Stream) SetReadDeadline(t time.Time) { _ = s.quic.SetReadDeadline(t) }
 
-// Context ends when the stream's sending side does.
-func (s *Stream) Context() context.Context { return s.quic.Context() }
-
-// CloseSend ends the sending side, after what was sent.
+// CloseSend ends the sending side, after what was sent. An error would say that the
+// side was cancelled or the connection lost, which ends it as well.
 func (s *Stream) CloseSend() { _ = s.quic.Close() }
 
-// Close gives up both sides.
+// Close ends the sending side as CloseSend does, and gives the receiving side up.
 func (s *Stream) Close() {
 	s.quic.CancelRead(codeClosed)
 	_ = s.quic.Close()
--- a/agentfleet/transport/transport_test.go
+++ b/agentfleet/transport/transport_test.go
@@ -71,7 +71,7 @@
 }
 
 // TestStrangers checks that only peers of the same authority get a message
-// through, and that a peer knows whom it talks to.
+// through, and that a peer has the name in its certificate.
 func TestStrangers(t *testing.T) {
 	ours, err := NewAuthority()
 	assert.NilError(t, err)
@@ -157,9 +157,9 @@
 
 func total(conns []*Conn) (sent, received uint64) {
 	for _, c := range conns {
-		s, r := c.Stats()
-		sent += s
-		received += r
+		stats := c.quic.ConnectionStats()
+		sent += stats.BytesSent
+		received += stats.BytesReceived
 	}
 	return sent, received
 }
