--- /dev/null
+++ b/agentfleet/agent/admit_test.go
@@ -0,0 +1,64 @@
+package agent
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/admission"
+	"github.com/ryeford/ryeford/agentfleet/wire"
+)
+
+// TestAdmitOrder gives a dispatch one reason after the other to be refused, the last
+// in the order first, and checks that the first in the order is what it is refused
+// for.
+func TestAdmitOrder(t *testing.T) {
+	now := time.Now()
+	pool := ryeford.Pool{Model: "lira"}
+	b := newBackend("endpoint-1.1", admission.Limits{PoolFactor: 1.25, Floor: 1, Capacity: 64, ShareFrom: 0.8}, 10)
+	b.engine = &fakeEngine{}
+	b.setServing(true, []ryeford.Pool{pool})
+	a := &Agent{
+		incarnation: "life-2",
+		backends:    map[ryeford.EngineID]*backend{b.id: b},
+		attempts:    newAttempts(time.Minute, time.Second),
+	}
+	d := &wire.Dispatch{
+		Attempt: "a1", Account: "bank", Chat: "c1", Engine: b.id, Incarnation: a.incarnation,
+		Share: 1, MayRedirect: true, Completion: &ryeford.Completion{Pool: pool},
+		Expires: now.Add(time.Minute), Forget: now.Add(time.Hour),
+	}
+	other := *d
+	other.Attempt, other.Chat = "a0", "c0"
+	admitted, _ := b.admit(now, &other)
+	assert.Assert(t, admitted.Admitted)
+
+	for _, test := range []struct {
+		rule  string
+		cause func()
+		want  ryeford.Reason
+	}{
+		{"the engine is at its bound", func() {}, ryeford.ReasonOverload},
+		{"it has not loaded the model", func() { b.setServing(true, nil) }, ryeford.ReasonNotServing},
+		{"the dispatch came too late", func() { d.Expires = now.Add(-time.Minute) }, ryeford.ReasonExpired},
+		{"the attempt was given up", func() { a.attempts.tombstones[d.Attempt] = now.Add(time.Hour) }, ryeford.ReasonTombstone},
+		{"or was admitted before", func() { a.attempts.admitted[d.Attempt] = now.Add(time.Hour) }, ryeford.ReasonDuplicate},
+		{"another engine holds the prefix", func() { b.noteOverflow(now, &wire.Overflow{Chat: d.ChatKey(), Engine: "endpoint-2.1"}) }, ryeford.ReasonRedirect},
+		{"the engine is not of this VM", func() { d.Engine = "endpoint-9.1" }, ryeford.ReasonNotServing},
+		{"the VM is leaving", func() { a.leaving.Store(true) }, ryeford.ReasonLeaving},
+		{"the agent restarted", func() { d.Incarnation = "life-1" }, ryeford.ReasonIncarnation},
+	} {
+		t.Run(test.rule, func(t *testing.T) {
+			test.cause()
+			r, refused := a.admit(d)
+			assert.Assert(t, r == nil)
+			assert.Equal(t, refused.Reason, test.want)
+			assert.Equal(t, refused.Attempt, d.Attempt)
+			assert.Equal(t, refused.Incarnation, a.incarnation)
+			// Only an attempt that ran, or may have, is unknown.
+			assert.Equal(t, refused.Unknown, test.want == ryeford.ReasonDuplicate)
+		})
+	}
+}
--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -15,7 +15,6 @@
 import (
 	"context"
 	"crypto/tls"
-	"net/netip"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -94,9 +93,6 @@
 	return a, nil
 }
 
-// Address returns the address that the agent listens on.
-func (a *Agent) Address() netip.AddrPort { return a.listener.Address() }
-
 // Run serves until the agent has drained. The end of ctx makes it leave.
 func (a *Agent) Run(ctx context.Context) error {
 	stopLeave := context.AfterFunc(ctx, func() { a.Leave("signal") })
@@ -114,7 +110,7 @@
 		defer cancel()
 		return a.drain(work)
 	})
-	_ = a.log.Log("msg", "ready", "role", "agent", "address", a.Address(), "incarnation", a.incarnation)
+	_ = a.log.Log("msg", "ready", "role", "agent", "address", a.listener.Address(), "incarnation", a.incarnation)
 	err := group.Wait()
 	_ = a.listener.Close() // the process ends, and no one is left to act on it
 	_ = a.log.Log("msg", "stopped", "role", "agent")
--- /dev/null
+++ b/agentfleet/agent/run_test.go
@@ -0,0 +1,59 @@
+package agent
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford/agentfleet/wire"
+)
+
+// TestRunWithoutReader checks which runs are cancelled once their last reader is
+// gone, and when.
+func TestRunWithoutReader(t *testing.T) {
+	const grace = 15 * time.Second
+	for _, test := range []struct {
+		rule       string
+		repeatable bool
+		readers    int           // before one of them goes
+		away       time.Duration // without a reader
+		cancelled  bool
+	}{
+		{"a repeatable run is cancelled after the grace period", true, 1, grace, true},
+		{"not before", true, 1, grace - 1, false},
+		{"not while another reader is there", true, 2, 0, false},
+		{"one that is not repeatable goes on", false, 1, time.Hour, false},
+	} {
+		t.Run(test.rule, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				r := newRun(&wire.Dispatch{Repeatable: test.repeatable}, nil, false)
+				defer r.cancel()
+				for range test.readers {
+					r.attach()
+				}
+				r.detach(grace)
+				time.Sleep(test.away)
+				synctest.Wait()
+				assert.Equal(t, r.ctx.Err() != nil, test.cancelled)
+
+				// A reader that comes in time ends the grace period.
+				r.attach()
+				time.Sleep(2 * grace)
+				synctest.Wait()
+				assert.Equal(t, r.ctx.Err() != nil, test.cancelled)
+			})
+		})
+	}
+}
+
+// TestCancelByCaller checks that only a repeatable run is cancelled with its caller.
+func TestCancelByCaller(t *testing.T) {
+	for _, repeatable := range []bool{true, false} {
+		r := newRun(&wire.Dispatch{Repeatable: repeatable}, nil, false)
+		r.cancelIfRepeatable()
+		assert.Equal(t, r.ctx.Err() != nil, repeatable)
+		r.cancel()
+	}
+}
