--- /dev/null
+++ b/caller/answer.go
@@ -0,0 +1,88 @@
+package caller
+
+import (
+	"bytes"
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/router"
+)
+
+// An Answer is what a router has sent, whole or in part.
+type Answer struct {
+	Request   string               `json:"request"`
+	Engine    string               `json:"engine"`
+	Text      string               `json:"text"`
+	Finish    ryeford.FinishReason `json:"finish,omitempty"`
+	Complete  bool                 `json:"complete"`
+	Usage     ryeford.Usage        `json:"usage"`
+	LastEvent string               `json:"last_event,omitempty"`
+	Tries     int                  `json:"tries"`
+	Failure   *Failure             `json:"failure,omitempty"`
+
+	// FirstToken is the time from the request to the first text, Between the times
+	// from each text to the next.
+	FirstToken time.Duration   `json:"first_token_ns"`
+	Between    []time.Duration `json:"-"`
+}
+
+// NotRun reports whether the router says that the request has not run.
+func (a *Answer) NotRun() bool { return a.Failure != nil && a.Failure.Ran == RunNot }
+
+// newAnswer returns the Answer that a response's headers begin.
+func newAnswer(response *http.Response) *Answer {
+	tries, _ := strconv.Atoi(response.Header.Get(router.HeaderTries))
+	return &Answer{
+		Request: response.Header.Get(router.HeaderRequest),
+		Engine:  response.Header.Get(router.HeaderEngine),
+		Tries:   tries,
+	}
+}
+
+// The values of a Failure's Ran.
+const (
+	RunNot     = "not_run" // the request provably did not run
+	RunUnknown = "unknown" // it may have run
+)
+
+// A Failure is why an answer is not complete, as the router says in JSON.
+type Failure struct {
+	Status     int    `json:"status,omitempty"`
+	Code       string `json:"code"`
+	Message    string `json:"message"`
+	Ran        string `json:"ran"`
+	RetryAfter int64  `json:"retry_after_ms,omitempty"`
+}
+
+// Error returns the text of f.
+func (f *Failure) Error() string { return f.Code + " (" + f.Ran + "): " + f.Message }
+
+// isFailure reports whether a response is the router's own failure.
+func isFailure(response *http.Response, content []byte) bool {
+	return response.StatusCode >= 400 && bytes.HasPrefix(content, []byte(`{"error":{`))
+}
+
+// newFailure returns the Failure of a response that is none of success.
+func newFailure(status int, content []byte) *Failure {
+	failure := DecodeFailure(content)
+	if failure == nil {
+		failure = &Failure{Code: "http", Message: http.StatusText(status), Ran: RunUnknown}
+	}
+	failure.Status = status
+	return failure
+}
+
+// DecodeFailure returns the Failure of a router's JSON body, or nil if there is
+// none in it, as in an answer that something between caller and router has made.
+func DecodeFailure(content []byte) *Failure {
+	var body struct {
+		Error Failure `json:"error"`
+	}
+	if json.Unmarshal(content, &body) != nil || body.Error.Code == "" {
+		return nil
+	}
+	return &body.Error
+}
--- /dev/null
+++ b/caller/turn.go
@@ -0,0 +1,64 @@
+package caller
+
+import (
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/router"
+)
+
+// A Turn is one request of a caller: the next turn of a chat, or, without its
+// chat's fields, a call of a plain service. What is left out, the router decides.
+type Turn struct {
+	Key           string // of the client account
+	Chat          ryeford.ChatID
+	Model         string // or the name of a template
+	Messages      []ryeford.Message
+	MaxTokens     int
+	NotRepeatable bool   // the request must not run more than once
+	Idempotency   string // the key under which it runs once, however often it is sent
+	Deadline      time.Duration
+	Priority      string // 0 (lowest) to 9
+}
+
+// A completionBody is the JSON body of a request for a streamed completion.
+type completionBody struct {
+	MaxTokens int               `json:"max_tokens"`
+	Messages  []ryeford.Message `json:"messages"`
+	Model     string            `json:"model"`
+	Stream    bool              `json:"stream"`
+}
+
+// body returns the JSON body of the turn.
+func (t *Turn) body() ([]byte, error) {
+	return json.Marshal(&completionBody{
+		MaxTokens: t.MaxTokens,
+		Messages:  t.Messages,
+		Model:     t.Model,
+		Stream:    true,
+	})
+}
+
+// setHeaders sets the headers of a turn.
+func (t *Turn) setHeaders(header http.Header) {
+	header.Set("Authorization", "Bearer "+t.Key)
+	header.Set("Content-Type", "application/json")
+	optional := map[string]string{
+		router.HeaderChat:     string(t.Chat),
+		router.HeaderKey:      t.Idempotency,
+		router.HeaderPriority: t.Priority,
+	}
+	if t.NotRepeatable {
+		optional[router.HeaderRepeatable] = "false"
+	}
+	if t.Deadline > 0 {
+		optional[router.HeaderDeadline] = t.Deadline.String()
+	}
+	for name, value := range optional {
+		if value != "" {
+			header.Set(name, value)
+		}
+	}
+}
--- a/operator/client.go
+++ b/operator/client.go
@@ -1,4 +1,8 @@
 // Package operator is a client of the routers' interface for operators.
+//
+// It owns the calls and their errors; it retries nothing. It relies on package
+// router for the paths and the forms of the interface, and on package caller for
+// the form of a failure, which is the same for callers.
 package operator
 
 import (
@@ -13,11 +17,15 @@
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/router"
+	"github.com/ryeford/ryeford/caller"
 )
 
 const (
+	// callTimeout is how long a router may take to answer: longer than a publish
+	// takes whose writes are repeated while the table is busy. Not measured.
 	callTimeout = 15 * time.Second
-	maxAnswer   = 64 << 20
+	// maxAnswer is the largest answer, in bytes. Not measured.
+	maxAnswer = 64 << 20
 )
 
 // A Client calls one router.
@@ -61,14 +69,14 @@
 	return templates, err
 }
 
-// StopVM begins a planned stop.
+// StopVM begins a planned stop of a VM.
 func (c *Client) StopVM(ctx context.Context, vm ryeford.VMID) (*ryeford.VM, error) {
 	stopped := &ryeford.VM{}
 	err := c.call(ctx, http.MethodPost, router.PathVMs+string(vm)+"/stop", nil, stopped)
 	return stopped, err
 }
 
-// Status returns what the router knows.
+// Status returns the router's own state and the agents that it reaches.
 func (c *Client) Status(ctx context.Context) (*router.Status, error) {
 	s := &router.Status{}
 	err := c.call(ctx, http.MethodGet, router.PathStatus, nil, s)
@@ -83,20 +91,20 @@
 }
 
 // call makes one call.
-func (c *Client) call(ctx context.Context, method, path string, question, answer any) error {
+func (c *Client) call(ctx context.Context, method, path string, request, answer any) error {
 	var body []byte
-	if question != nil {
+	if request != nil {
 		var err error
-		if body, err = json.Marshal(question); err != nil {
+		if body, err = json.Marshal(request); err != nil {
 			return &Error{Address: c.address, Err: err}
 		}
 	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.address.String()+path, bytes.NewReader(body))
+	call, err := http.NewRequestWithContext(ctx, method, "http://"+c.address.String()+path, bytes.NewReader(body))
 	if err != nil {
 		return &Error{Address: c.address, Err: err}
 	}
-	request.Header.Set("Authorization", "Bearer "+c.key)
-	response, err := c.http.Do(request)
+	call.Header.Set("Authorization", "Bearer "+c.key)
+	response, err := c.http.Do(call)
 	if err != nil {
 		return &Error{Address: c.address, Err: err}
 	}
@@ -117,10 +125,10 @@
 // An Error is a call that failed.
 type Error struct {
 	Address netip.AddrPort
-	Status  int    // zero where there was no answer
-	Code    string // of the answer
+	Status  int    // of the answer, or zero if there was none
+	Code    string // what is wrong, as docs/interfaces.md lists it
 	Message string
-	Ran     string
+	Ran     string // caller.RunNot, caller.RunUnknown, or empty if the answer doesn't say
 	Err     error
 }
 
@@ -137,15 +145,9 @@
 
 // newStatusError returns the Error of an answer.
 func newStatusError(address netip.AddrPort, status int, content []byte) *Error {
-	var body struct {
-		Error struct {
-			Code    string `json:"code"`
-			Message string `json:"message"`
-			Ran     string `json:"ran"`
-		} `json:"error"`
-	}
-	if err := json.Unmarshal(content, &body); err != nil {
+	failure := caller.DecodeFailure(content)
+	if failure == nil {
 		return &Error{Address: address, Status: status, Code: "internal", Message: http.StatusText(status)}
 	}
-	return &Error{Address: address, Status: status, Code: body.Error.Code, Message: body.Error.Message, Ran: body.Error.Ran}
+	return &Error{Address: address, Status: status, Code: failure.Code, Message: failure.Message, Ran: failure.Ran}
 }
