--- a/replay/balancer.go
+++ b/replay/balancer.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
+// Readiness probes, about as often as a load balancer sends them. Not measured.
 const (
 	probeInterval = 100 * time.Millisecond
 	probeTimeout  = time.Second
 )
 
-// A balancer sends callers to the routers that say they are ready, in turn, as
-// the platform's balancer does.
+// A balancer names, round robin, the routers whose readiness probe succeeds, as
+// the load balancer before a fleet does.
 type balancer struct {
 	routers []netip.AddrPort
 	next    atomic.Int64
@@ -43,7 +44,8 @@
 	return b
 }
 
-// probe asks each router whether it is ready.
+// probe sends each router a readiness probe. One that fails is the finding itself:
+// the router isn't ready.
 func (b *balancer) probe(ctx context.Context) {
 	client := &http.Client{Timeout: probeTimeout}
 	var ready []netip.AddrPort
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -1,12 +1,18 @@
-// Package replay plays a recorded trace against a running fleet and reports
-// what came of it.
+// Package replay plays a recorded trace against a running fleet with agents and
+// reports how its turns ended.
+//
+// It owns the player (this file and turn.go), the order of routers that a load
+// balancer would give (balancer.go), the report (report.go) and its comparison with
+// what the engines say that they ran (runs.go). It relies on package trace for the
+// entries, on packages caller and operator for the calls, and on package standin
+// for the answers that its engines give: against real engines every answer counts
+// as wrong.
 package replay
 
 import (
 	"context"
 	"fmt"
 	"net/netip"
-	"strings"
 	"sync"
 	"time"
 
@@ -21,18 +27,19 @@
 type Options struct {
 	Routers   []netip.AddrPort // for callers
 	Operators []*operator.Client
-	Keys      map[ryeford.AccountID]string
+	Keys      map[ryeford.AccountID]string // of the client accounts
 	// SetFault sets a fault of a named stand-in.
 	SetFault func(ctx context.Context, target string, fault []byte) error
 	// Speed is how many seconds of the trace pass in one second.
 	Speed float64
-	// Retries is how often a refused turn comes again, when it was told to.
-	Retries  int
+	// Retries is how often a turn is sent again that failed and may be repeated.
+	Retries int
+	// Deadline is how long each turn may take; zero leaves it to the router.
 	Deadline time.Duration
-	// Runs returns what the engines ran, where it is set. The report then tells
-	// whether what was refused ran, and how the load was spread.
+	// Runs, if it is set, returns what each engine has run. The report then says
+	// whether refused turns have run, and how the load was spread.
 	Runs func(ctx context.Context) ([][]standin.RunRecord, error)
-	// Progress is called each second, where it is set.
+	// Progress, if it is set, is called each second.
 	Progress func(done, total int)
 }
 
@@ -44,14 +51,7 @@
 	balance *balancer
 
 	mu    sync.Mutex
-	chats map[string]*chat
-}
-
-// A chat is the state of one chat; its turns are played one after the other.
-type chat struct {
-	mu       sync.Mutex
-	messages []ryeford.Message
-	answered int
+	chats map[ryeford.ChatID]*chat // by chatKey
 }
 
 // Run plays a trace to its end.
@@ -60,7 +60,7 @@
 		options: o,
 		client:  caller.New(),
 		report:  newReport(entries),
-		chats:   make(map[string]*chat),
+		chats:   make(map[ryeford.ChatID]*chat),
 	}
 	balanceCtx, stopBalancer := context.WithCancel(ctx)
 	defer stopBalancer()
@@ -68,41 +68,48 @@
 	stopProgress := p.showProgress()
 	defer stopProgress()
 	began := time.Now()
-	var wait sync.WaitGroup
-	defer wait.Wait()
+	if err := p.playAll(ctx, entries, began); err != nil {
+		return nil, err
+	}
+	p.report.Took = time.Since(began)
+	if o.Runs == nil {
+		return p.report, nil
+	}
+	runs, err := o.Runs(ctx)
+	if err != nil {
+		return nil, err
+	}
+	p.report.addRuns(runs)
+	return p.report, nil
+}
+
+// playAll plays each entry at its time and returns once all turns have ended.
+func (p *player) playAll(ctx context.Context, entries []trace.Entry, began time.Time) error {
+	var turns sync.WaitGroup
+	defer turns.Wait()
 	for i := range entries {
 		e := &entries[i]
 		if e.Kind == trace.KindOutcome {
 			continue
 		}
-		due := began.Add(time.Duration(float64(e.AtMS) / o.Speed * float64(time.Millisecond)))
+		due := began.Add(time.Duration(float64(e.AtMS) / p.options.Speed * float64(time.Millisecond)))
 		select {
 		case <-time.After(time.Until(due)):
 		case <-ctx.Done():
-			return nil, ctx.Err()
+			return ctx.Err()
 		}
-		if e.Kind != trace.KindTurn {
-			if err := p.act(ctx, e); err != nil {
-				return nil, err
-			}
+		if e.Kind == trace.KindTurn {
+			turns.Go(func() { p.play(ctx, e) })
 			continue
 		}
-		wait.Go(func() { p.play(ctx, e) })
-	}
-	wait.Wait()
-	p.report.Took = time.Since(began)
-	if o.Runs == nil {
-		return p.report, nil
-	}
-	runs, err := o.Runs(ctx)
-	if err != nil {
-		return nil, err
+		if err := p.act(ctx, e); err != nil {
+			return err
+		}
 	}
-	p.report.noteRuns(runs)
-	return p.report, nil
+	return nil
 }
 
-// showProgress calls Progress each second until the function it returns is
+// showProgress calls Progress each second, until the function that it returns is
 // called.
 func (p *player) showProgress() func() {
 	if p.options.Progress == nil {
@@ -138,7 +145,7 @@
 // Unwrap returns the cause of e.
 func (e *ActionError) Unwrap() error { return e.Err }
 
-// act plays an entry that is no turn.
+// act plays an entry that isn't a turn: a fault, a publish, a planned stop.
 func (p *player) act(ctx context.Context, e *trace.Entry) error {
 	var err error
 	switch {
@@ -156,116 +163,3 @@
 	}
 	return nil
 }
-
-// play plays one turn and notes what came of it.
-func (p *player) play(ctx context.Context, e *trace.Entry) {
-	c := p.chat(e)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	messages := append(c.messages, ryeford.Message{Role: "user", Content: prompt(e, len(c.messages))})
-	t := &caller.Turn{
-		Key:           p.options.Keys[e.Account],
-		Chat:          e.Chat,
-		Model:         e.Model,
-		Messages:      messages,
-		MaxTokens:     e.AnswerTokens,
-		NotRepeatable: e.NotRepeatable,
-		Idempotency:   e.Idempotency,
-		Deadline:      p.options.Deadline,
-	}
-	if e.Priority != nil {
-		t.Priority = fmt.Sprint(*e.Priority)
-	}
-	answer := p.ask(ctx, t)
-	engineChat := ryeford.ChatID(string(e.Account) + "/" + string(e.Chat))
-	right := answer.Text == standin.Answer(engineChat, messages, max(e.AnswerTokens, 1))
-	p.report.note(e.Account, answer, right, c.answered > 0)
-	p.report.noteChat(string(engineChat), e.NotRepeatable, answer)
-	if answer.Complete {
-		c.messages = append(messages, ryeford.Message{Role: "assistant", Content: answer.Text})
-		c.answered++
-	}
-}
-
-// ask sends a turn until it is answered, or its retries are spent.
-func (p *player) ask(ctx context.Context, t *caller.Turn) *caller.Answer {
-	var answer *caller.Answer
-	for try := 0; try <= p.options.Retries; try++ {
-		var err error
-		answer, err = p.client.Complete(ctx, p.balance.router(), t)
-		if answer == nil {
-			answer = &caller.Answer{}
-		}
-		if err != nil && answer.LastEvent != "" {
-			answer = p.resume(ctx, t, answer)
-		}
-		if answer.Complete || ctx.Err() != nil {
-			return answer
-		}
-		p.report.noteTry(answer)
-		if !p.mayAskAgain(t, answer) {
-			return answer
-		}
-		wait := 50 * time.Millisecond
-		if answer.Failure != nil && answer.Failure.RetryAfter > 0 {
-			wait = time.Duration(answer.Failure.RetryAfter) * time.Millisecond
-		}
-		select {
-		case <-time.After(wait):
-		case <-ctx.Done():
-			return answer
-		}
-	}
-	return answer
-}
-
-// mayAskAgain reports whether a turn may be sent again: it did not run, or it
-// may run twice, or its key keeps it from running twice.
-func (p *player) mayAskAgain(t *caller.Turn, answer *caller.Answer) bool {
-	notRun := answer.Failure != nil && answer.Failure.Ran == "not_run"
-	return notRun || !t.NotRepeatable || t.Idempotency != ""
-}
-
-// resume reads the rest of an answer through other routers.
-func (p *player) resume(ctx context.Context, t *caller.Turn, part *caller.Answer) *caller.Answer {
-	for range 2 * len(p.options.Routers) {
-		rest, err := p.client.Resume(ctx, p.balance.router(), t.Key, part.LastEvent)
-		if rest == nil || (err != nil && rest.LastEvent == "") {
-			continue
-		}
-		rest.Text = part.Text + rest.Text
-		rest.FirstToken = part.FirstToken
-		rest.Between = append(part.Between, rest.Between...)
-		p.report.noteResumed()
-		if err == nil {
-			return rest
-		}
-		part = rest
-	}
-	return part
-}
-
-// chat returns the state of an entry's chat.
-func (p *player) chat(e *trace.Entry) *chat {
-	key := string(e.Account) + "/" + string(e.Chat)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	c, ok := p.chats[key]
-	if !ok {
-		c = &chat{}
-		p.chats[key] = c
-	}
-	return c
-}
-
-// prompt returns the text of a turn: the account's own words first, where the
-// chat begins.
-func prompt(e *trace.Entry, turn int) string {
-	var b strings.Builder
-	if turn == 0 {
-		b.WriteString(strings.Repeat(string(e.Account)+" ", e.SharedTokens))
-	}
-	word := fmt.Sprintf("%s-%d-%d ", e.Chat, turn, e.AtMS)
-	b.WriteString(strings.Repeat(word, max(1, e.PromptTokens)))
-	return b.String()
-}
--- a/replay/report.go
+++ b/replay/report.go
@@ -15,39 +15,55 @@
 	"github.com/ryeford/ryeford/trace"
 )
 
-const maxMicros = int64(10 * time.Minute / time.Microsecond)
+// The histograms hold times in microseconds up to maxMicros, longer than any turn
+// takes, with significantDigits digits.
+const (
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
+)
 
-// A Report is what came of a trace.
+// A Report is how the turns of a trace ended.
 type Report struct {
-	Turns      int
+	Turns      int // of the trace
 	Answered   int // whole and right
 	Wrong      int // complete, but not the answer to the request
-	Incomplete int // broke off, or ended otherwise
-	Refused    int // turns that did not run in the end
-	Unknown    int // turns of which the caller can't know
+	Incomplete int // broke off without a failure
+	Refused    int // failed, and provably not run
+	Unknown    int // failed, and may have run
 	Returning  int // answered turns of chats that were answered before
 	Reused     int // of those, with their earlier prompt cached
-	Resumed    int
-	AskedAgain int     // asks that were not answered whole
-	Tries      int     // at engines
-	RanRefused int     // runs of chats whose callers were told "not run" only
-	DoubleRuns int     // runs of not repeatable turns beyond one for each
-	Skew       float64 // at any time
-	AdmitSkew  float64 // as an engine took a run
-	// AdmitSkewP99 is what 99 in 100 runs were taken at or below.
-	AdmitSkewP99 float64
-	Peak         int // the highest load of any engine
-	Took         time.Duration
+	Resumed    int // parts of answers that were read on through another router
+	AskedAgain int // attempts of callers that were not answered whole
+	Tries      int // attempts of routers at engines, of answered turns
+	RanRefused int // runs of chats whose every turn was refused
+	DoubleRuns int // runs of turns that must not be repeated, beyond one each
+
+	// Skew is the busiest engine's load over the mean, the highest at any time;
+	// AdmitSkew that of the engine that a run begins at, the highest, and
+	// AdmitSkewP99 its 99th percentile. They count above skewFloor only.
+	Skew, AdmitSkew, AdmitSkewP99 float64
+	Peak                          int // the highest load of any engine, in requests
+	Took                          time.Duration
 
 	mu       sync.Mutex
-	chats    map[string]*chatOutcome
+	chats    map[ryeford.ChatID]*chatOutcome // by chatKey
 	accounts map[ryeford.AccountID]*accountOutcome
 	refusals map[string]int // by code, each time
 	first    *hdrhistogram.Histogram
 	between  *hdrhistogram.Histogram
 }
 
-// An accountOutcome is what came of an account's turns.
+// newHistogram returns a histogram of times in microseconds.
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxMicros, significantDigits)
+}
+
+// record adds a time to a histogram. One above maxMicros is left out.
+func record(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(d.Microseconds())
+}
+
+// An accountOutcome is how an account's turns ended.
 type accountOutcome struct {
 	turns    int
 	answered int
@@ -57,11 +73,11 @@
 // newReport returns the empty Report of a trace.
 func newReport(entries []trace.Entry) *Report {
 	r := &Report{
-		chats:    make(map[string]*chatOutcome),
+		chats:    make(map[ryeford.ChatID]*chatOutcome),
 		accounts: make(map[ryeford.AccountID]*accountOutcome),
 		refusals: make(map[string]int),
-		first:    hdrhistogram.New(1, maxMicros, 3),
-		between:  hdrhistogram.New(1, maxMicros, 3),
+		first:    newHistogram(),
+		between:  newHistogram(),
 	}
 	for i := range entries {
 		if entries[i].Kind == trace.KindTurn {
@@ -71,47 +87,37 @@
 	return r
 }
 
-// account returns what came of an account's turns so far.
-func (r *Report) account(id ryeford.AccountID) *accountOutcome {
-	a, ok := r.accounts[id]
-	if !ok {
-		a = &accountOutcome{first: hdrhistogram.New(1, maxMicros, 3)}
-		r.accounts[id] = a
-	}
-	return a
-}
-
-// note notes how a turn ended.
-func (r *Report) note(id ryeford.AccountID, answer *caller.Answer, right, returning bool) {
+// addTurn adds how a turn ended.
+func (r *Report) addTurn(id ryeford.AccountID, answer *caller.Answer, right, returning bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	account := r.account(id)
+	account := getOrAdd(r.accounts, id, func() *accountOutcome { return &accountOutcome{first: newHistogram()} })
 	account.turns++
 	if answer.Complete && right {
 		account.answered++
-		_ = account.first.RecordValue(answer.FirstToken.Microseconds())
+		record(account.first, answer.FirstToken)
 	}
 	switch {
 	case answer.Complete && right:
 		r.Answered++
-		r.noteAnswered(answer, returning)
+		r.addAnswered(answer, returning)
 	case answer.Complete:
 		r.Wrong++
 	case answer.Failure == nil:
 		r.Incomplete++
-	case answer.Failure.Ran == "not_run":
+	case answer.NotRun():
 		r.Refused++
 	default:
 		r.Unknown++
 	}
 }
 
-// noteAnswered notes the times and the reuse of an answer.
-func (r *Report) noteAnswered(answer *caller.Answer, returning bool) {
+// addAnswered adds the times and the reuse of a right answer.
+func (r *Report) addAnswered(answer *caller.Answer, returning bool) {
 	r.Tries += max(1, answer.Tries)
-	_ = r.first.RecordValue(answer.FirstToken.Microseconds())
+	record(r.first, answer.FirstToken)
 	for _, gap := range answer.Between {
-		_ = r.between.RecordValue(gap.Microseconds())
+		record(r.between, gap)
 	}
 	if returning {
 		r.Returning++
@@ -121,8 +127,8 @@
 	}
 }
 
-// noteTry notes a try that was not answered whole.
-func (r *Report) noteTry(answer *caller.Answer) {
+// addFailedAttempt adds an attempt of a caller that was not answered whole.
+func (r *Report) addFailedAttempt(answer *caller.Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	code := "broken_off"
@@ -133,8 +139,8 @@
 	r.AskedAgain++
 }
 
-// noteResumed notes an answer that went on through another router.
-func (r *Report) noteResumed() {
+// addResumed adds an answer that went on through another router.
+func (r *Report) addResumed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Resumed++
@@ -147,7 +153,7 @@
 	return r.Answered + r.Wrong + r.Incomplete + r.Refused + r.Unknown
 }
 
-// Metrics returns what outcomes may be stated of.
+// Metrics returns the metrics that outcomes may name.
 func (r *Report) Metrics() map[string]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -180,6 +186,7 @@
 	return m
 }
 
+// ratio returns part / whole, or zero if there is no whole.
 func ratio(part, whole int) float64 {
 	if whole == 0 {
 		return 0
--- a/replay/runs.go
+++ b/replay/runs.go
@@ -4,47 +4,45 @@
 	"slices"
 	"time"
 
+	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/caller"
 	"github.com/ryeford/ryeford/standin"
 )
 
-// skewFloor is the mean load from which the skew counts: below it, one request
-// more or less is a large part of the mean.
+// skewFloor is the mean load, in requests, from which the skew counts: below it,
+// one request more or less is a large part of the mean. It equals the default of the
+// agents' floor, up to which they take requests however low the mean. Not measured.
 const skewFloor = 4
 
-// A chatOutcome is what the caller of a chat was told.
+// A chatOutcome counts the turns of a chat.
 type chatOutcome struct {
 	turns         int
-	notRun        int // told that it did not run, and nothing else
-	notRepeatable int
+	notRun        int // whose last answer says that they have not run
+	notRepeatable int // that must not run more than once
 }
 
-// noteChat notes what the caller of a chat was told in the end.
-func (r *Report) noteChat(chat string, notRepeatable bool, answer *caller.Answer) {
+// addChat adds how a turn of a chat ended.
+func (r *Report) addChat(chat ryeford.ChatID, notRepeatable bool, answer *caller.Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o, ok := r.chats[chat]
-	if !ok {
-		o = &chatOutcome{}
-		r.chats[chat] = o
-	}
+	o := getOrAdd(r.chats, chat, func() *chatOutcome { return &chatOutcome{} })
 	o.turns++
 	if notRepeatable {
 		o.notRepeatable++
 	}
-	if answer.Failure != nil && answer.Failure.Ran == "not_run" {
+	if answer.NotRun() {
 		o.notRun++
 	}
 }
 
-// noteRuns compares what the engines ran with what callers were told.
-func (r *Report) noteRuns(engines [][]standin.RunRecord) {
+// addRuns compares what the engines ran with what callers were answered.
+func (r *Report) addRuns(engines [][]standin.RunRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ran := make(map[string]int)
+	ran := make(map[ryeford.ChatID]int)
 	for _, runs := range engines {
 		for i := range runs {
-			ran[runs[i].Chat]++
+			ran[ryeford.ChatID(runs[i].Chat)]++
 		}
 	}
 	for chat, o := range r.chats {
@@ -55,19 +53,19 @@
 			r.DoubleRuns += ran[chat] - o.turns
 		}
 	}
-	r.noteLoads(engines)
+	r.addLoads(engines)
 }
 
 // A change is the begin or the end of a run at an engine.
 type change struct {
 	at     time.Time
-	engine int
-	by     int
+	engine int // its index
+	by     int // 1 or -1
 }
 
-// noteLoads notes the highest of an engine's load over the mean, while the mean
-// is above the floor: at any time, and as the engine took a run.
-func (r *Report) noteLoads(engines [][]standin.RunRecord) {
+// addLoads adds the loads of the engines, and their skews while the mean is at or
+// above the floor.
+func (r *Report) addLoads(engines [][]standin.RunRecord) {
 	var changes []change
 	for engine, runs := range engines {
 		for i := range runs {
--- /dev/null
+++ b/replay/turn.go
@@ -0,0 +1,152 @@
+package replay
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/caller"
+	"github.com/ryeford/ryeford/standin"
+	"github.com/ryeford/ryeford/trace"
+)
+
+const (
+	// retryPause is the pause before a turn is sent again whose failure gives no
+	// Retry-After. Not measured.
+	retryPause = 50 * time.Millisecond
+	// resumesPerRouter times the routers is how often a broken answer is resumed:
+	// a router may be lost, and the next one too. Not measured.
+	resumesPerRouter = 2
+)
+
+// A chat is the state of one chat; its turns are played one after the other.
+type chat struct {
+	mu       sync.Mutex
+	messages []ryeford.Message
+	answered int
+}
+
+// play plays one turn, after the chat's earlier ones, and reports how it ended.
+func (p *player) play(ctx context.Context, e *trace.Entry) {
+	c := p.chat(e)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	messages := append(c.messages, ryeford.Message{Role: "user", Content: prompt(e, len(c.messages))})
+	t := &caller.Turn{
+		Key:           p.options.Keys[e.Account],
+		Chat:          e.Chat,
+		Model:         e.Model,
+		Messages:      messages,
+		MaxTokens:     e.AnswerTokens,
+		NotRepeatable: e.NotRepeatable,
+		Idempotency:   e.Idempotency,
+		Deadline:      p.options.Deadline,
+	}
+	if e.Priority != nil {
+		t.Priority = fmt.Sprint(*e.Priority)
+	}
+	answer := p.ask(ctx, t)
+	key := chatKey(e)
+	right := answer.Text == standin.Answer(key, messages, max(e.AnswerTokens, 1))
+	p.report.addTurn(e.Account, answer, right, c.answered > 0)
+	p.report.addChat(key, e.NotRepeatable, answer)
+	if answer.Complete {
+		c.messages = append(messages, ryeford.Message{Role: "assistant", Content: answer.Text})
+		c.answered++
+	}
+}
+
+// ask sends a turn until it is answered, must not be sent again, or its retries
+// are spent.
+func (p *player) ask(ctx context.Context, t *caller.Turn) *caller.Answer {
+	var answer *caller.Answer
+	for range p.options.Retries + 1 {
+		var err error
+		answer, err = p.client.Complete(ctx, p.balance.router(), t)
+		if answer == nil {
+			answer = &caller.Answer{}
+		}
+		if err != nil && answer.LastEvent != "" {
+			answer = p.resume(ctx, t, answer)
+		}
+		if answer.Complete || ctx.Err() != nil {
+			return answer
+		}
+		p.report.addFailedAttempt(answer)
+		if !mayAskAgain(t, answer) {
+			return answer
+		}
+		wait := retryPause
+		if answer.Failure != nil && answer.Failure.RetryAfter > 0 {
+			wait = time.Duration(answer.Failure.RetryAfter) * time.Millisecond
+		}
+		select {
+		case <-time.After(wait):
+		case <-ctx.Done():
+			return answer
+		}
+	}
+	return answer
+}
+
+// mayAskAgain reports whether a turn may be sent again: it did not run, or it
+// may run twice, or its key keeps it from running twice.
+func mayAskAgain(t *caller.Turn, answer *caller.Answer) bool {
+	return answer.NotRun() || !t.NotRepeatable || t.Idempotency != ""
+}
+
+// resume reads the rest of an answer through other routers.
+func (p *player) resume(ctx context.Context, t *caller.Turn, part *caller.Answer) *caller.Answer {
+	for range resumesPerRouter * len(p.options.Routers) {
+		rest, err := p.client.Resume(ctx, p.balance.router(), t.Key, part.LastEvent)
+		if rest == nil || (err != nil && rest.LastEvent == "") {
+			continue
+		}
+		rest.Text = part.Text + rest.Text
+		rest.FirstToken = part.FirstToken
+		rest.Between = append(part.Between, rest.Between...)
+		p.report.addResumed()
+		if err == nil {
+			return rest
+		}
+		part = rest
+	}
+	return part
+}
+
+// chat returns the state of an entry's chat.
+func (p *player) chat(e *trace.Entry) *chat {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return getOrAdd(p.chats, chatKey(e), func() *chat { return &chat{} })
+}
+
+// chatKey returns the name that an engine has for an entry's chat.
+func chatKey(e *trace.Entry) ryeford.ChatID {
+	return ryeford.ChatID(string(e.Account) + "/" + string(e.Chat))
+}
+
+// getOrAdd returns the value of a key, which it adds if there is none.
+func getOrAdd[K comparable, V any](values map[K]*V, key K, add func() *V) *V {
+	value, ok := values[key]
+	if !ok {
+		value = add()
+		values[key] = value
+	}
+	return value
+}
+
+// prompt returns the text of a turn. A chat's first one begins with the words that
+// all chats of the account share.
+func prompt(e *trace.Entry, turn int) string {
+	var b strings.Builder
+	if turn == 0 {
+		b.WriteString(strings.Repeat(string(e.Account)+" ", e.SharedTokens))
+	}
+	word := fmt.Sprintf("%s-%d-%d ", e.Chat, turn, e.AtMS)
+	b.WriteString(strings.Repeat(word, max(1, e.PromptTokens)))
+	return b.String()
+}
