--- a/internal/cmd/callcmd.go
+++ b/internal/cmd/callcmd.go
@@ -17,20 +17,20 @@
 	return &cli.Command{
 		Name:      "call",
 		Usage:     "send one chat turn, or one call of a service, and print the answer",
-		ArgsUsage: "MESSAGE... (user and assistant in turn, the last from the user)",
+		ArgsUsage: "MESSAGE... (the user's and the assistant's alternately, the last one the user's)",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "callers", Usage: "the router's `IP:PORT` for callers", Value: "127.0.0.1:8080", Sources: cli.EnvVars("RYEFORD_CALLERS")},
-			&cli.StringFlag{Name: "key", Usage: "the client account's `KEY`", Sources: cli.EnvVars("RYEFORD_KEY")},
-			&cli.StringFlag{Name: "chat", Usage: "the chat's `ID`"},
-			&cli.StringFlag{Name: "model", Usage: "the `MODEL`, or the template's name"},
-			&cli.StringFlag{Name: "service", Usage: "call `NAME/PATH` of a plain service; MESSAGE is the body"},
-			&cli.StringFlag{Name: "resume", Usage: "read on behind the event `ID` instead"},
-			&cli.StringFlag{Name: "idempotency-key", Usage: "the `KEY` of a request that may be sent again"},
-			&cli.BoolFlag{Name: "not-repeatable", Usage: "the request runs at most once"},
-			&cli.IntFlag{Name: "max-tokens", Usage: "the most `TOKENS` of the answer"},
-			&cli.DurationFlag{Name: "deadline", Usage: "how long to wait at most"},
-			&cli.StringFlag{Name: "priority", Usage: "0 (lowest) to 9"},
-			&cli.BoolFlag{Name: "events", Usage: "print the id of each event in place of the text"},
+			&cli.StringFlag{Name: "callers", Usage: "the router's address for callers, `IP:PORT`", Value: "127.0.0.1:8080", Sources: cli.EnvVars("RYEFORD_CALLERS")},
+			&cli.StringFlag{Name: "key", Usage: "a `KEY` of the client account", Sources: cli.EnvVars("RYEFORD_KEY")},
+			&cli.StringFlag{Name: "chat", Usage: "the `ID` of the chat; its turns go to the same engine if possible"},
+			&cli.StringFlag{Name: "model", Usage: "the `MODEL`, or the name of a template of the account"},
+			&cli.StringFlag{Name: "service", Usage: "call a plain service at `NAME/PATH`, with MESSAGE as the body"},
+			&cli.StringFlag{Name: "resume", Usage: "read the rest of a streamed answer, after the event `ID`"},
+			&cli.StringFlag{Name: "idempotency-key", Usage: "a `KEY` under which the request runs once, however often it is sent"},
+			&cli.BoolFlag{Name: "not-repeatable", Usage: "the request must not run more than once, so a lost attempt is not repeated"},
+			&cli.IntFlag{Name: "max-tokens", Usage: "the greatest length of the answer, in `TOKENS`"},
+			&cli.DurationFlag{Name: "deadline", Usage: "the longest `TIME` that the request may take, such as 2s; 0 leaves it to the router"},
+			&cli.StringFlag{Name: "priority", Usage: "the request's `PRIORITY`, 0 (lowest) to 9; never above the template's"},
+			&cli.BoolFlag{Name: "events", Usage: "print the ID of each event in place of the text"},
 			jsonFlag(),
 		},
 		Action: call,
@@ -39,9 +39,9 @@
 
 // call sends one request.
 func call(ctx context.Context, c *cli.Command) error {
-	address, err := netip.ParseAddrPort(c.String("callers"))
+	address, err := addressFlag(c, "callers")
 	if err != nil {
-		return &UsageError{Problem: "--callers: want IP:PORT"}
+		return err
 	}
 	client := caller.New()
 	switch {
@@ -101,7 +101,7 @@
 	case answer.Failure != nil:
 		return answer.Failure
 	case !answer.Complete:
-		return &caller.Failure{Code: "incomplete", Message: "the answer broke off", Ran: "unknown"}
+		return &caller.Failure{Code: "incomplete", Message: "the answer broke off", Ran: caller.RunUnknown}
 	}
 	return nil
 }
--- a/internal/cmd/certcmd.go
+++ b/internal/cmd/certcmd.go
@@ -15,10 +15,10 @@
 func newCertCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "cert",
-		Usage:     "make an authority and a certificate for each VM, for a trial",
+		Usage:     "make an authority and a certificate for each VM, for trials",
 		ArgsUsage: "VM...",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "dir", Usage: "the `DIR` to write to", Value: "."},
+			&cli.StringFlag{Name: "dir", Usage: "the `DIR` for authority.pem, VM.pem and VM.key", Value: "."},
 		},
 		Action: makeCerts,
 	}
--- a/internal/cmd/checkcmd.go
+++ b/internal/cmd/checkcmd.go
@@ -13,7 +13,7 @@
 func newCheckCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "check",
-		Usage:     "check a settings file without running anything",
+		Usage:     "check a settings file, or a template, without running anything",
 		ArgsUsage: "router|gateway|agent|standin|template FILE",
 		Action:    checkSettings,
 	}
--- a/internal/cmd/devcmd.go
+++ b/internal/cmd/devcmd.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"crypto/tls"
 	"fmt"
 	"net"
 	"net/netip"
@@ -38,12 +39,12 @@
 func newDevCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "dev",
-		Usage: "run a whole small fleet, with stand-ins for all outside systems, in one process",
+		Usage: "run a small fleet in one process, with stand-ins for all outside systems",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "callers", Usage: "the `IP:PORT` for callers", Value: "127.0.0.1:8080"},
-			&cli.StringFlag{Name: "operators", Usage: "the `IP:PORT` for operators", Value: "127.0.0.1:8081"},
-			&cli.BoolFlag{Name: "platform", Usage: "run a gateway with an emulator of the users' platform instead"},
-			&cli.BoolFlag{Name: "verbose", Usage: "print the processes' logs"},
+			&cli.StringFlag{Name: "callers", Usage: "the router's address for callers, `IP:PORT`", Value: "127.0.0.1:8080"},
+			&cli.StringFlag{Name: "operators", Usage: "the router's address for operators, `IP:PORT`", Value: "127.0.0.1:8081"},
+			&cli.BoolFlag{Name: "platform", Usage: "run a gateway and an emulator of the users' platform, not the fleet with agents"},
+			&cli.BoolFlag{Name: "verbose", Usage: "print the log to standard error"},
 		},
 		Action: runDev,
 	}
@@ -57,18 +58,18 @@
 	logger  log.Logger
 }
 
-// runDev runs a dev fleet until it is told to stop.
+// runDev runs a dev fleet until ctx ends.
 func runDev(ctx context.Context, c *cli.Command) error {
-	callers, err := netip.ParseAddrPort(c.String("callers"))
+	callers, err := addressFlag(c, "callers")
 	if err != nil {
-		return &UsageError{Problem: "--callers: want IP:PORT"}
+		return err
 	}
 	if c.Bool("platform") {
 		return runDevPlatform(ctx, c, callers)
 	}
-	operators, err := netip.ParseAddrPort(c.String("operators"))
+	operators, err := addressFlag(c, "operators")
 	if err != nil {
-		return &UsageError{Problem: "--operators: want IP:PORT"}
+		return err
 	}
 	fleet, err := newDevFleet(callers, operators)
 	if err != nil {
@@ -144,11 +145,7 @@
 	group.Go(func() error { return standin.Run(ctx, f.standin, f.logger) })
 	client := tableservice.New(f.router.Platform.AddrPort, tableservice.WithVM(f.router.VM))
 	for _, s := range f.agents {
-		pair, err := authority.Issue(s.VM)
-		if err != nil {
-			return err
-		}
-		tlsConfig, err := transport.TLSConfig(authority.Certificate(), pair)
+		tlsConfig, err := issueTLS(authority, s.VM)
 		if err != nil {
 			return err
 		}
@@ -161,11 +158,7 @@
 	if err := publishDemo(ctx, client); err != nil {
 		return err
 	}
-	pair, err := authority.Issue(f.router.VM)
-	if err != nil {
-		return err
-	}
-	tlsConfig, err := transport.TLSConfig(authority.Certificate(), pair)
+	tlsConfig, err := issueTLS(authority, f.router.VM)
 	if err != nil {
 		return err
 	}
@@ -177,6 +170,15 @@
 	return nil
 }
 
+// issueTLS returns the TLS settings of a VM, with a new certificate.
+func issueTLS(authority *transport.Authority, vm ryeford.VMID) (*tls.Config, error) {
+	pair, err := authority.Issue(vm)
+	if err != nil {
+		return nil, err
+	}
+	return transport.TLSConfig(authority.Certificate(), pair)
+}
+
 // publishDemo publishes the demo account's template, once the platform answers.
 func publishDemo(ctx context.Context, table ryeford.Table) error {
 	t := ryeford.Template{
--- a/internal/cmd/devplatform.go
+++ b/internal/cmd/devplatform.go
@@ -17,8 +17,8 @@
 	"github.com/ryeford/ryeford/standin/emulator"
 )
 
-// runDevPlatform runs a gateway with an emulator of the users' platform until it
-// is told to stop.
+// runDevPlatform runs a gateway with an emulator of the users' platform until
+// ctx ends.
 func runDevPlatform(ctx context.Context, c *cli.Command, callers netip.AddrPort) error {
 	ports := &portPicker{}
 	emulated := &settings.Emulator{Store: ports.pick(), Admin: ports.pick()}
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -16,11 +16,11 @@
 func newExplainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "print the decisions on a request, of all routers named and their agents, or from logs",
+		Usage:     "print the decisions on a request, from routers and their agents or from gateways' logs",
 		ArgsUsage: "REQUEST",
 		Flags: operatorFlags(jsonFlag(), &cli.StringSliceFlag{
 			Name:  "log",
-			Usage: "read the gateways' logs from `FILE`, or - for standard input, and ask nobody",
+			Usage: "read a gateway's log from `FILE` (- is standard input) and call no router; repeat it for more logs",
 		}),
 		Action: explain,
 	}
--- /dev/null
+++ b/internal/cmd/operators.go
@@ -0,0 +1,79 @@
+package cmd
+
+import (
+	"errors"
+	"net/netip"
+
+	"github.com/urfave/cli/v3"
+
+	"github.com/ryeford/ryeford/operator"
+)
+
+// operatorFlags returns the flags that name routers and the operators' key, and
+// more.
+func operatorFlags(more ...cli.Flag) []cli.Flag {
+	return append([]cli.Flag{
+		&cli.StringSliceFlag{
+			Name:    "operators",
+			Usage:   "a router's address for operators, `IP:PORT`; repeat it for more routers",
+			Sources: cli.EnvVars("RYEFORD_OPERATORS"),
+			Value:   []string{"127.0.0.1:8081"},
+		},
+		&cli.StringFlag{
+			Name:    "operator-key",
+			Usage:   "the routers' `KEY` for operators (operator_key in their settings)",
+			Sources: cli.EnvVars("RYEFORD_OPERATOR_KEY"),
+		},
+	}, more...)
+}
+
+// operatorClients returns a client of each router that the flags name.
+func operatorClients(c *cli.Command) ([]*operator.Client, error) {
+	addresses, err := addressesFlag(c, "operators")
+	if err != nil {
+		return nil, err
+	}
+	var clients []*operator.Client
+	for _, address := range addresses {
+		clients = append(clients, operator.New(address, c.String("operator-key")))
+	}
+	return clients, nil
+}
+
+// firstOperator calls do with one router after the other until one answers.
+func firstOperator(c *cli.Command, do func(*operator.Client) error) error {
+	clients, err := operatorClients(c)
+	if err != nil {
+		return err
+	}
+	for _, client := range clients {
+		err = do(client)
+		var operatorErr *operator.Error
+		if err == nil || !errors.As(err, &operatorErr) || operatorErr.Status != 0 {
+			return err
+		}
+	}
+	return err
+}
+
+// addressesFlag returns the addresses that a repeated flag names.
+func addressesFlag(c *cli.Command, name string) ([]netip.AddrPort, error) {
+	var addresses []netip.AddrPort
+	for _, text := range c.StringSlice(name) {
+		address, err := netip.ParseAddrPort(text)
+		if err != nil {
+			return nil, &UsageError{Problem: "--" + name + ": want IP:PORT, not " + text}
+		}
+		addresses = append(addresses, address)
+	}
+	return addresses, nil
+}
+
+// addressFlag returns the address that a flag names.
+func addressFlag(c *cli.Command, name string) (netip.AddrPort, error) {
+	address, err := netip.ParseAddrPort(c.String(name))
+	if err != nil {
+		return netip.AddrPort{}, &UsageError{Problem: "--" + name + ": want IP:PORT"}
+	}
+	return address, nil
+}
--- a/internal/cmd/replaycmd.go
+++ b/internal/cmd/replaycmd.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
-	"net/netip"
 	"os"
 	"strconv"
 	"strings"
@@ -19,14 +18,6 @@
 	"github.com/ryeford/ryeford/trace"
 )
 
-// A MissedError says which stated outcomes a replay missed.
-type MissedError struct {
-	Missed []string
-}
-
-// Error returns the text of e.
-func (e *MissedError) Error() string { return "missed: " + strings.Join(e.Missed, "; ") }
-
 // newReplayCommand returns the command that plays a trace.
 func newReplayCommand() *cli.Command {
 	return &cli.Command{
@@ -34,15 +25,15 @@
 		Usage:     "play a trace against a running fleet and check its stated outcomes",
 		ArgsUsage: "FILE",
 		Flags: operatorFlags(
-			&cli.StringSliceFlag{Name: "against", Usage: "the routers' `IP:PORT` for callers", Required: true},
-			&cli.StringSliceFlag{Name: "account", Usage: "`ACCOUNT=KEY` of an account; PREFIX alone gives the others PREFIX followed by their name"},
-			&cli.StringSliceFlag{Name: "target", Usage: "`NAME=IP:PORT` of a stand-in that the trace sets faults of"},
-			&cli.StringSliceFlag{Name: "engines", Usage: "`IP:PORT` of engine stand-ins whose runs are compared with the answers"},
-			&cli.StringSliceFlag{Name: "expect", Usage: "one more outcome: `METRIC<=N` or METRIC>=N"},
-			&cli.FloatFlag{Name: "speed", Value: 1, Usage: "seconds of the trace in one second"},
-			&cli.IntFlag{Name: "retries", Value: 0, Usage: "how often a refused turn comes again, when it was told to"},
-			&cli.DurationFlag{Name: "deadline", Usage: "of each turn"},
-			&cli.BoolFlag{Name: "quiet", Usage: "show no progress"},
+			&cli.StringSliceFlag{Name: "against", Usage: "a router's address for callers, `IP:PORT`; repeat it for more routers", Required: true},
+			&cli.StringSliceFlag{Name: "account", Usage: "the key of a client account, `ACCOUNT=KEY`; PREFIX alone is for all others, whose keys are PREFIX and their name"},
+			&cli.StringSliceFlag{Name: "target", Usage: "the address of a stand-in whose faults the trace sets, `NAME=IP:PORT`"},
+			&cli.StringSliceFlag{Name: "engines", Usage: "an engine stand-in whose runs are compared with the answers, `IP:PORT`; repeat it for more"},
+			&cli.StringSliceFlag{Name: "expect", Usage: "an outcome to check beside the trace's own, `METRIC<=N` or METRIC>=N"},
+			&cli.FloatFlag{Name: "speed", Value: 1, Usage: "how many seconds of the trace are played in one second"},
+			&cli.IntFlag{Name: "retries", Value: 0, Usage: "how often a turn that failed, and may be repeated, is sent again"},
+			&cli.DurationFlag{Name: "deadline", Usage: "the longest `TIME` that each turn may take; 0 leaves it to the router"},
+			&cli.BoolFlag{Name: "quiet", Usage: "print no progress"},
 		),
 		Action: replayTrace,
 	}
@@ -125,14 +116,10 @@
 	if o.Speed <= 0 {
 		return nil, &UsageError{Problem: "--speed: must be above 0"}
 	}
-	for _, text := range c.StringSlice("against") {
-		address, err := netip.ParseAddrPort(text)
-		if err != nil {
-			return nil, &UsageError{Problem: "--against: want IP:PORT, not " + text}
-		}
-		o.Routers = append(o.Routers, address)
-	}
 	var err error
+	if o.Routers, err = addressesFlag(c, "against"); err != nil {
+		return nil, err
+	}
 	if o.Operators, err = operatorClients(c); err != nil {
 		return nil, err
 	}
@@ -143,26 +130,32 @@
 		}
 	}
 	o.Keys = accountKeys(c.StringSlice("account"), entries)
+	o.SetFault = faultSetter(c.StringSlice("target"))
+	if engines := c.StringSlice("engines"); len(engines) > 0 {
+		o.Runs = func(ctx context.Context) ([][]standin.RunRecord, error) { return engineRuns(ctx, engines) }
+	}
+	return o, nil
+}
+
+// faultSetter returns a function that sets a fault of one of the stand-ins that
+// are named as NAME=IP:PORT.
+func faultSetter(named []string) func(ctx context.Context, target string, fault []byte) error {
 	targets := make(map[string]string)
-	for _, text := range c.StringSlice("target") {
+	for _, text := range named {
 		name, address, _ := strings.Cut(text, "=")
 		targets[name] = address
 	}
-	o.SetFault = func(ctx context.Context, target string, fault []byte) error {
-		_, err := askStandin(ctx, http.MethodPost, targets[target], standin.PathFault, string(fault))
+	return func(ctx context.Context, target string, fault []byte) error {
+		_, err := callStandin(ctx, http.MethodPost, targets[target], standin.PathFault, fault)
 		return err
 	}
-	if engines := c.StringSlice("engines"); len(engines) > 0 {
-		o.Runs = func(ctx context.Context) ([][]standin.RunRecord, error) { return engineRuns(ctx, engines) }
-	}
-	return o, nil
 }
 
 // engineRuns returns what each of the engine stand-ins ran.
 func engineRuns(ctx context.Context, engines []string) ([][]standin.RunRecord, error) {
 	var all [][]standin.RunRecord
 	for _, address := range engines {
-		content, err := askStandin(ctx, http.MethodGet, address, standin.PathRuns, "")
+		content, err := callStandin(ctx, http.MethodGet, address, standin.PathRuns, nil)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/cmd/standincmd.go
+++ b/internal/cmd/standincmd.go
@@ -18,7 +18,7 @@
 	"github.com/ryeford/ryeford/standin"
 )
 
-// newStandinCommand returns the commands of the stand-ins.
+// newStandinCommand returns the commands on stand-ins.
 func newStandinCommand() *cli.Command {
 	standins := role[settings.Standin]{
 		name:    "run",
@@ -29,24 +29,24 @@
 	}
 	return &cli.Command{
 		Name:  "standin",
-		Usage: "run and steer stand-ins of outside systems, for tests",
+		Usage: "run stand-ins of outside systems, for tests, and set their faults",
 		Commands: []*cli.Command{
 			standins.command(),
 			{
 				Name:      "fault",
-				Usage:     "set what is wrong with a stand-in",
+				Usage:     "set a stand-in's fault; the JSON's form is that of its kind (package standin)",
 				ArgsUsage: "IP:PORT JSON",
 				Action:    setFault,
 			},
 			{
 				Name:      "runs",
-				Usage:     "print what a stand-in counted",
+				Usage:     "print what a stand-in has run, as JSON",
 				ArgsUsage: "IP:PORT",
 				Action:    printRuns,
 			},
 			{
 				Name:      "vm",
-				Usage:     "change a VM's state in a platform stand-in's list",
+				Usage:     "change a VM's state in the list of a platform stand-in",
 				ArgsUsage: "IP:PORT VM live|leaving",
 				Action:    setVM,
 			},
@@ -64,11 +64,11 @@
 	if c.NArg() != 2 {
 		return &UsageError{Problem: "want two arguments: IP:PORT JSON"}
 	}
-	fault := c.Args().Get(1)
-	if !json.Valid([]byte(fault)) {
+	fault := []byte(c.Args().Get(1))
+	if !json.Valid(fault) {
 		return &UsageError{Problem: "the fault is not JSON"}
 	}
-	_, err := askStandin(ctx, http.MethodPost, c.Args().First(), standin.PathFault, fault)
+	_, err := callStandin(ctx, http.MethodPost, c.Args().First(), standin.PathFault, fault)
 	return err
 }
 
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	content, err := askStandin(ctx, http.MethodGet, address, standin.PathRuns, "")
+	content, err := callStandin(ctx, http.MethodGet, address, standin.PathRuns, nil)
 	if err != nil {
 		return err
 	}
@@ -109,12 +109,12 @@
 	return err
 }
 
-// askStandin makes one call of a stand-in.
-func askStandin(ctx context.Context, method, address, path, body string) ([]byte, error) {
+// callStandin makes one call of a stand-in and returns the answer's body.
+func callStandin(ctx context.Context, method, address, path string, body []byte) ([]byte, error) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return nil, &UsageError{Problem: "want IP:PORT, not " + address}
 	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader([]byte(body)))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cmd/statuscmd.go
+++ b/internal/cmd/statuscmd.go
@@ -15,7 +15,7 @@
 func newStatusCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "status",
-		Usage:  "show the routers named, and the agents they reach",
+		Usage:  "show routers and the agents that they reach",
 		Flags:  operatorFlags(jsonFlag()),
 		Action: showStatus,
 	}
--- a/internal/cmd/templatecmd.go
+++ b/internal/cmd/templatecmd.go
@@ -3,41 +3,27 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"net/http"
 	"text/tabwriter"
 	"time"
 
-	"github.com/google/uuid"
 	"github.com/urfave/cli/v3"
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/operator"
-	"github.com/ryeford/ryeford/settings"
 )
 
-const waitInterval = 100 * time.Millisecond
-
-// newTemplateCommand returns the commands on templates.
+// newTemplateCommand returns the commands on templates. Those that publish are in
+// templatepublish.go.
 func newTemplateCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "template",
 		Usage: "publish and read the templates of client accounts",
 		Commands: []*cli.Command{
-			{
-				Name:      "publish",
-				Usage:     "publish a template file",
-				ArgsUsage: "FILE",
-				Flags: operatorFlags(jsonFlag(), waitFlag(),
-					&cli.Int64Flag{Name: "based-on", Value: -1, Usage: "the `VERSION` that the change is based on (default: the current one)"},
-					&cli.StringFlag{Name: "change", Usage: "the `ID` of the change; the same one again publishes once"},
-				),
-				Action: publishTemplate,
-			},
+			newTemplatePublishCommand(),
 			{
 				Name:      "get",
-				Usage:     "print a template",
+				Usage:     "print a template as JSON",
 				ArgsUsage: "ACCOUNT/NAME",
 				Flags:     operatorFlags(),
 				Action:    getTemplate,
@@ -50,153 +36,16 @@
 			},
 			{
 				Name:      "history",
-				Usage:     "list the versions of a template",
+				Usage:     "list the versions of a template, the oldest first",
 				ArgsUsage: "ACCOUNT/NAME",
 				Flags:     operatorFlags(jsonFlag()),
 				Action:    templateHistory,
 			},
-			{
-				Name:      "rollback",
-				Usage:     "publish an earlier version of a template anew",
-				ArgsUsage: "ACCOUNT/NAME",
-				Flags: operatorFlags(jsonFlag(), waitFlag(),
-					&cli.Int64Flag{Name: "to", Usage: "the `VERSION` to go back to", Required: true},
-				),
-				Action: rollbackTemplate,
-			},
+			newTemplateRollbackCommand(),
 		},
 	}
 }
 
-// waitFlag returns the flag that makes a publish wait.
-func waitFlag() cli.Flag {
-	return &cli.DurationFlag{Name: "wait", Usage: "wait up to `TIME` until the routers named and their agents have it in force"}
-}
-
-// publishTemplate publishes a template file.
-func publishTemplate(ctx context.Context, c *cli.Command) error {
-	file, err := oneArg(c, "FILE")
-	if err != nil {
-		return err
-	}
-	s, err := settings.LoadTemplate(file)
-	if err != nil {
-		return err
-	}
-	t := s.Publishable()
-	t.Change = c.String("change")
-	if t.Change == "" {
-		t.Change = uuid.NewString()
-	}
-	return firstOperator(c, func(client *operator.Client) error {
-		t.Sequence = c.Int64("based-on")
-		if t.Sequence < 0 {
-			if t.Sequence, err = currentSequence(ctx, client, t); err != nil {
-				return err
-			}
-		}
-		return publish(ctx, c, client, t)
-	})
-}
-
-// publish publishes a template, prints the outcome and waits if asked to.
-func publish(ctx context.Context, c *cli.Command, client *operator.Client, t *ryeford.Template) error {
-	published, err := client.Publish(ctx, t)
-	if err != nil {
-		return err
-	}
-	if c.Bool("json") {
-		if err := json.NewEncoder(c.Root().Writer).Encode(published); err != nil {
-			return err
-		}
-	} else {
-		fmt.Fprintf(c.Root().Writer, "%s/%s version %d accepted as revision %d\n",
-			published.Account, published.Name, published.Sequence, published.Revision)
-	}
-	if wait := c.Duration("wait"); wait > 0 {
-		return awaitInForce(ctx, c, published.Revision, wait)
-	}
-	return nil
-}
-
-// currentSequence returns the version of a template that is current.
-func currentSequence(ctx context.Context, client *operator.Client, t *ryeford.Template) (int64, error) {
-	current, err := client.Template(ctx, string(t.Account)+"/"+t.Name)
-	var operatorErr *operator.Error
-	if errors.As(err, &operatorErr) && operatorErr.Status == http.StatusNotFound {
-		return 0, nil
-	}
-	if err != nil {
-		return 0, err
-	}
-	return current.Sequence, nil
-}
-
-// An InForceError says that a revision is not in force everywhere in time.
-type InForceError struct {
-	Revision int64
-	Behind   int
-}
-
-// Error returns the text of e.
-func (e *InForceError) Error() string {
-	return fmt.Sprintf("revision %d is accepted, but %d processes do not have it in force yet", e.Revision, e.Behind)
-}
-
-// awaitInForce waits until the routers named and their agents have a revision
-// in force, and shows the progress.
-func awaitInForce(ctx context.Context, c *cli.Command, revision int64, wait time.Duration) error {
-	clients, err := operatorClients(c)
-	if err != nil {
-		return err
-	}
-	began := time.Now()
-	shown := -1
-	for {
-		behind, total := countBehind(ctx, clients, revision)
-		if behind != shown {
-			shown = behind
-			fmt.Fprintf(c.Root().ErrWriter, "revision %d in force on %d of %d processes\n", revision, total-behind, total)
-		}
-		switch {
-		case behind == 0:
-			return nil
-		case time.Since(began) > wait:
-			return &InForceError{Revision: revision, Behind: behind}
-		}
-		select {
-		case <-time.After(waitInterval):
-		case <-ctx.Done():
-			return ctx.Err()
-		}
-	}
-}
-
-// countBehind counts the processes that do not have a revision in force.
-func countBehind(ctx context.Context, clients []*operator.Client, revision int64) (behind, total int) {
-	agents := make(map[ryeford.VMID]int64)
-	for _, client := range clients {
-		total++
-		s, err := client.Status(ctx)
-		if err != nil || s.Revision < revision {
-			behind++
-		}
-		if err != nil {
-			continue
-		}
-		for _, a := range s.Agents {
-			agents[a.VM] = max(agents[a.VM], a.Revision)
-		}
-	}
-	for _, has := range agents {
-		total++
-		if has < revision {
-			behind++
-		}
-	}
-	return behind, total
-}
-
 // getTemplate prints a template.
 func getTemplate(ctx context.Context, c *cli.Command) error {
 	name, err := oneArg(c, "ACCOUNT/NAME")
@@ -238,31 +87,6 @@
 	})
 }
 
-// rollbackTemplate publishes an earlier version of a template anew.
-func rollbackTemplate(ctx context.Context, c *cli.Command) error {
-	name, err := oneArg(c, "ACCOUNT/NAME")
-	if err != nil {
-		return err
-	}
-	to := c.Int64("to")
-	return firstOperator(c, func(client *operator.Client) error {
-		versions, err := client.History(ctx, name)
-		if err != nil {
-			return err
-		}
-		for i := range versions {
-			if versions[i].Sequence != to {
-				continue
-			}
-			t := versions[i]
-			t.Sequence = versions[len(versions)-1].Sequence
-			t.Change = uuid.NewString()
-			return publish(ctx, c, client, &t)
-		}
-		return &ryeford.NotFoundError{Kind: "version of " + name, Name: fmt.Sprint(to)}
-	})
-}
-
 // printTemplates prints templates as a table or as JSON.
 func printTemplates(c *cli.Command, templates []ryeford.Template) error {
 	if c.Bool("json") {
--- a/internal/cmd/tracecmd.go
+++ b/internal/cmd/tracecmd.go
@@ -12,19 +12,19 @@
 func newTraceCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "trace",
-		Usage: "make traces",
+		Usage: "make traces for replay",
 		Commands: []*cli.Command{{
 			Name:      "make",
-			Usage:     "draw a seeded trace and print it",
+			Usage:     "draw a trace of one of the two users' workloads and print it",
 			ArgsUsage: "skriptorij|nordlytt",
 			Flags: []cli.Flag{
-				&cli.Uint64Flag{Name: "seed", Value: 1},
-				&cli.IntFlag{Name: "turns", Value: 1000},
-				&cli.IntFlag{Name: "accounts", Value: 10},
-				&cli.FloatFlag{Name: "not-repeatable", Value: -1, Usage: "the `PART` of the turns that may not be repeated (default: the workload's)"},
-				&cli.IntFlag{Name: "chats", Usage: "how many chats the turns are drawn from (default: the workload's)"},
-				&cli.IntFlag{Name: "chats-from", Usage: "the number of the first chat"},
-				&cli.FloatFlag{Name: "seconds", Value: 60, Usage: "the trace's length"},
+				&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the `SEED` of the random numbers; the same one draws the same trace"},
+				&cli.IntFlag{Name: "turns", Value: 1000, Usage: "how many turns the trace has"},
+				&cli.IntFlag{Name: "accounts", Value: 10, Usage: "how many client accounts the chats belong to"},
+				&cli.FloatFlag{Name: "not-repeatable", Value: -1, Usage: "the `PART` of the turns, 0 to 1, that must not run more than once; below 0 is the workload's"},
+				&cli.IntFlag{Name: "chats", Usage: "how many chats the turns are drawn from; 0 is the workload's"},
+				&cli.IntFlag{Name: "chats-from", Usage: "the number in the first chat's ID"},
+				&cli.FloatFlag{Name: "seconds", Value: 60, Usage: "the trace's length in seconds"},
 			},
 			Action: makeTrace,
 		}},
--- a/internal/cmd/vmcmd.go
+++ b/internal/cmd/vmcmd.go
@@ -14,10 +14,10 @@
 func newVMCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "vm",
-		Usage: "act on a VM",
+		Usage: "change the state of a VM",
 		Commands: []*cli.Command{{
 			Name:      "stop",
-			Usage:     "begin a planned stop: no new work, what is in flight ends",
+			Usage:     "begin a planned stop: the VM's agent takes no new requests, finishes those in flight and exits",
 			ArgsUsage: "VM",
 			Flags:     operatorFlags(),
 			Action:    stopVM,
