--- a/internal/boundedlog/writer.go
+++ b/internal/boundedlog/writer.go
@@ -1,6 +1,7 @@
-// Package boundedlog writes log lines without ever blocking the one that logs:
-// lines wait in a bounded queue, and those that find it full are counted and
-// dropped.
+// Package boundedlog keeps a slow or stuck log from delaying requests: lines wait
+// in a queue of limited size, and those that find it full are counted and dropped.
+//
+// It owns the queue and the goroutine that writes it. It relies on no other package.
 package boundedlog
 
 import (
@@ -11,10 +12,10 @@
 	"time"
 )
 
-// flushEvery is how often the lines that wait are written.
+// flushEvery is how long lines wait so that many are written at once. Not measured.
 const flushEvery = 100 * time.Millisecond
 
-// A Writer queues lines for another writer.
+// A Writer queues lines for another writer. It may be used from any goroutine.
 type Writer struct {
 	out   io.Writer
 	limit int
@@ -23,13 +24,13 @@
 	queue   []byte
 	stopped bool
 
-	dropped atomic.Int64
-	told    int64 // of dropped, in the log already
-	wake    chan struct{}
-	done    chan struct{}
+	dropped  atomic.Int64
+	reported int64 // of dropped, those that the log says; used by run only
+	wake     chan struct{}
+	done     chan struct{}
 }
 
-// New returns a Writer that holds at most limit bytes. Close writes what is left.
+// New returns a Writer to out that holds at most limit bytes. It must be closed.
 func New(out io.Writer, limit int) *Writer {
 	w := &Writer{
 		out:   out,
@@ -41,7 +42,7 @@
 	return w
 }
 
-// Write queues a line. It never blocks on the writer behind, and never fails.
+// Write queues a line, or drops it. It never waits for out and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -62,7 +63,7 @@
 // Dropped returns how many lines were dropped.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits and stops.
+// Close writes what waits and stops. It waits for out, and never fails.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	stopped := w.stopped
@@ -85,17 +86,18 @@
 	w.flush()
 }
 
-// flush writes what waits, and how many lines were dropped since the last time.
+// flush writes what waits, and how many lines were dropped since it last said so.
 func (w *Writer) flush() {
 	w.mu.Lock()
 	batch := w.queue
 	w.queue = nil
 	w.mu.Unlock()
+	// A log that can't be written has no other place to say so.
 	if len(batch) > 0 {
 		_, _ = w.out.Write(batch)
 	}
-	if dropped := w.dropped.Load(); dropped > w.told {
-		_, _ = fmt.Fprintf(w.out, "msg=\"log lines dropped\" lines=%d\n", dropped-w.told)
-		w.told = dropped
+	if dropped := w.dropped.Load(); dropped > w.reported {
+		_, _ = fmt.Fprintf(w.out, "msg=\"log lines dropped\" lines=%d\n", dropped-w.reported)
+		w.reported = dropped
 	}
 }
--- a/internal/cmd/explainlog.go
+++ b/internal/cmd/explainlog.go
@@ -15,15 +15,16 @@
 	"github.com/ryeford/ryeford"
 )
 
-// contextBefore is how long before a request's first line the changes of its
-// router's beliefs are still told.
+// contextBefore is how long before a request's first line its router's changes of
+// state are printed too: about twice as long as a configuration may be relied on at
+// the sites' bounds. Not measured.
 const contextBefore = 10 * time.Second
 
-// maxLogLine is the longest line of a log that is read.
+// maxLogLine is the longest line of a log that is read, in bytes. Not measured.
 const maxLogLine = 1 << 20
 
-// beliefs are the decisions and messages that change what a router believes.
-var beliefs = []string{
+// stateChanges are the decisions and messages by which a router's state changes.
+var stateChanges = []string{
 	"configuration", "endpoints", "readiness", "dependency lost", "dependency regained",
 	"started", "stopping", "stopped", "reload", "log lines dropped",
 }
@@ -37,8 +38,8 @@
 	text    string
 }
 
-// explainLogs prints the story of a request from logs: its own lines, and what
-// the routers that had it came to believe shortly before and meanwhile.
+// explainLogs prints a request's own lines from logs, and the changes of state of
+// the routers that had it, shortly before and meanwhile, in the order of their times.
 func explainLogs(out io.Writer, request ryeford.RequestID, files []string) error {
 	var lines []logLine
 	for _, name := range files {
@@ -49,11 +50,11 @@
 		lines = append(lines, read...)
 	}
 	slices.SortStableFunc(lines, func(a, b logLine) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
-	story := storyOf(lines, request)
-	if len(story) == 0 {
+	found := linesOn(request, lines)
+	if len(found) == 0 {
 		return &ryeford.NotFoundError{Kind: "request", Name: string(request)}
 	}
-	for _, line := range story {
+	for _, line := range found {
 		if _, err := fmt.Fprintln(out, line.text); err != nil {
 			return err
 		}
@@ -61,8 +62,8 @@
 	return nil
 }
 
-// storyOf returns the lines that explain a request.
-func storyOf(lines []logLine, request ryeford.RequestID) []logLine {
+// linesOn returns the lines that explain a request.
+func linesOn(request ryeford.RequestID, lines []logLine) []logLine {
 	first, last := make(map[string]time.Time), make(map[string]time.Time)
 	for _, line := range lines {
 		if line.request != request {
@@ -73,15 +74,15 @@
 		}
 		last[line.vm] = line.at
 	}
-	var story []logLine
+	var found []logLine
 	for _, line := range lines {
-		from, concerned := first[line.vm]
-		within := concerned && !line.at.Before(from.Add(-contextBefore)) && !line.at.After(last[line.vm])
-		if line.request == request || (within && slices.Contains(beliefs, line.what)) {
-			story = append(story, line)
+		from, involved := first[line.vm]
+		within := involved && !line.at.Before(from.Add(-contextBefore)) && !line.at.After(last[line.vm])
+		if line.request == request || (within && slices.Contains(stateChanges, line.what)) {
+			found = append(found, line)
 		}
 	}
-	return story
+	return found
 }
 
 // readLog reads a log; - is standard input.
@@ -106,8 +107,8 @@
 	return lines, scanner.Err()
 }
 
-// parseLogLine reads a line. What a collector of logs wrote before it is passed
-// over.
+// parseLogLine reads a line and reports whether it is one of ours. What a collector
+// of logs has put before ts= is skipped.
 func parseLogLine(text string) (logLine, bool) {
 	start := strings.Index(text, "ts=")
 	if start < 0 {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,9 @@
-// Package telemetry holds a process's metrics and serves them.
+// Package telemetry holds the metrics of one process and serves them, in the text
+// format of Prometheus.
+//
+// It owns the set of a process's metrics and their HTTP server; the names of the
+// metrics are those of the packages that count, and docs/OPERATIONS.md and
+// docs/operators.md list them. It relies on no other package of the module.
 package telemetry
 
 import (
@@ -27,10 +32,10 @@
 	}
 }
 
-// Count adds one to a counter, with a reason if there is one.
+// Count adds one to a counter. A reason that isn't empty becomes its label.
 func (s *Set) Count(name, reason string) { s.Add(name, reason, 1) }
 
-// Add adds n to a counter, with a reason if there is one.
+// Add adds n to a counter. A reason that isn't empty becomes its label.
 func (s *Set) Add(name, reason string, n int) {
 	if reason != "" {
 		name = fmt.Sprintf("%s{reason=%q}", name, reason)
@@ -38,7 +43,8 @@
 	s.set.GetOrCreateCounter(name).Add(n)
 }
 
-// Gauge adds a gauge.
+// Gauge adds a gauge, whose value is read whenever the metrics are. It panics if
+// the name is taken.
 func (s *Set) Gauge(name string, value func() float64) {
 	s.set.NewGauge(name, value)
 }
@@ -48,10 +54,10 @@
 	s.set.GetOrCreateHistogram(name).Update(seconds)
 }
 
-// ControlSent counts control traffic.
+// ControlSent counts bytes of gossip that were sent.
 func (s *Set) ControlSent(bytes int) { s.controlSent.Add(bytes) }
 
-// Write returns the metrics in the text format.
+// Write returns the set's metrics and those of the process, in the text format.
 func (s *Set) Write() []byte {
 	var b bytes.Buffer
 	s.set.WritePrometheus(&b)
@@ -59,7 +65,8 @@
 	return b.Bytes()
 }
 
-// Serve serves /metrics and /healthz until ctx ends.
+// Serve serves /metrics and /healthz over HTTP until ctx ends, and returns an
+// *Error if it can't.
 func Serve(ctx context.Context, address netip.AddrPort, set *Set) error {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
--- a/trace/make.go
+++ b/trace/make.go
@@ -9,25 +9,26 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Workload shapes a drawn trace.
+// A Workload is the shape of a drawn trace.
 type Workload struct {
-	Seed     uint64
-	Accounts int
-	Chats    int
-	// FirstChat is the number of the first chat.
-	FirstChat int
+	Seed      uint64 // the same one draws the same trace
+	Accounts  int    // client accounts
+	Chats     int    // from which the turns are drawn
+	FirstChat int    // the number in the first chat's id
 	Turns     int
-	// Seconds is the length of the trace; the event begins at EventAt.
-	Seconds float64
-	EventAt float64
-	// EventPart is the part of the turns that come in the rush behind EventAt.
+	Seconds   float64 // the length of the trace
+	// EventAt is when an event begins, in seconds, and EventPart the part of the
+	// turns that come in the rush after it. The others are spread evenly.
+	EventAt   float64
 	EventPart float64
-	// PromptTokens is the mean of the tokens that a turn adds.
+	// PromptTokens and AnswerTokens are the means of the tokens that a turn adds
+	// and of those of its answer, both exponentially distributed.
 	PromptTokens float64
 	AnswerTokens float64
-	// NotRepeatable is the part of the turns that may not be repeated.
+	// NotRepeatable is the part of the turns that must not run more than once.
 	NotRepeatable float64
-	// Zipf is how much larger the large accounts are; zero is all alike.
+	// Zipf is the exponent by which accounts' shares of the chats fall; zero makes
+	// all accounts alike.
 	Zipf  float64
 	Model string
 }
@@ -50,13 +51,20 @@
 	}
 }
 
-// rushSeconds is how long the rush behind an event takes to ebb, as the mean of
-// an exponential distribution.
+// rushSeconds is the mean time from an event's begin to a turn of its rush, which
+// is exponentially distributed. Not measured.
 const rushSeconds = 3
 
-// Make draws a trace.
+// sharedTokens are the tokens that all chats of an account begin with. Not measured.
+const sharedTokens = 20
+
+// seedMix makes the second half of the generator's seed differ from the first: the
+// fraction of the golden ratio, in 64 bits.
+const seedMix = 0x9e3779b97f4a7c15
+
+// Make draws a trace: turns in the order of their times.
 func Make(w *Workload) []Entry {
-	random := rand.New(rand.NewPCG(w.Seed, w.Seed^0x9e3779b97f4a7c15))
+	random := rand.New(rand.NewPCG(w.Seed, w.Seed^seedMix))
 	owners := drawOwners(random, w)
 	entries := make([]Entry, 0, w.Turns)
 	for i := range w.Turns {
@@ -68,7 +76,7 @@
 			Chat:         ryeford.ChatID(fmt.Sprintf("chat-%d", w.FirstChat+chat)),
 			Model:        w.Model,
 			PromptTokens: 1 + int(random.ExpFloat64()*w.PromptTokens),
-			SharedTokens: 20,
+			SharedTokens: sharedTokens,
 			AnswerTokens: 1 + int(random.ExpFloat64()*w.AnswerTokens),
 		}
 		if random.Float64() < w.NotRepeatable {
@@ -81,7 +89,7 @@
 	return entries
 }
 
-// drawOwners gives each chat an account; a few accounts have most of them.
+// drawOwners returns the account of each chat; the first accounts have the most.
 func drawOwners(random *rand.Rand, w *Workload) []ryeford.AccountID {
 	weights := make([]float64, w.Accounts)
 	total := 0.0
@@ -102,7 +110,7 @@
 	return owners
 }
 
-// drawTime draws when a turn comes.
+// drawTime returns when a turn comes, in milliseconds.
 func drawTime(random *rand.Rand, w *Workload) int64 {
 	if random.Float64() < w.EventPart {
 		at := w.EventAt + random.ExpFloat64()*rushSeconds
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -1,5 +1,9 @@
-// Package trace holds recorded traces: their format, seeded traces of the two
-// users' workloads, and the outcomes that a trace states.
+// Package trace is the format of recorded traces: the turns of chats with their
+// times, what happens to the fleet meanwhile, and the outcomes that are expected.
+//
+// It owns the format (JSON lines, docs/interfaces.md) and draws traces of the two
+// users' workloads (make.go). It relies on the root package's types only; package
+// replay plays traces.
 package trace
 
 import (
@@ -16,20 +20,23 @@
 
 // The kinds of entries.
 const (
-	KindTurn    Kind = "turn"
-	KindPublish Kind = "publish"
-	KindStopVM  Kind = "stop_vm"
-	KindFault   Kind = "fault"
-	KindJoin    Kind = "engine_join"
-	KindLeave   Kind = "engine_leave"
-	KindOutcome Kind = "outcome"
+	KindTurn    Kind = "turn"         // a request of a caller
+	KindPublish Kind = "publish"      // an operator publishes a template
+	KindStopVM  Kind = "stop_vm"      // an operator begins a planned stop
+	KindFault   Kind = "fault"        // a stand-in gets a fault
+	KindJoin    Kind = "engine_join"  // read, but not played against a running fleet
+	KindLeave   Kind = "engine_leave" // the same
+	KindOutcome Kind = "outcome"      // what the whole replay is to reach
 )
 
-// An Entry is one line of a trace. Entries are in the order of their time;
-// outcomes are last.
+// maxLine is the longest line of a trace, in bytes. Not measured.
+const maxLine = 1 << 20
+
+// An Entry is one line of a trace. Entries are in the order of their times;
+// outcomes, which have none, may stand anywhere.
 type Entry struct {
 	Kind Kind `json:"kind"`
-	// AtMS is when it happens, in milliseconds from the beginning.
+	// AtMS is when it happens, in milliseconds from the begin of the trace.
 	AtMS int64 `json:"at_ms,omitempty"`
 
 	// Of a turn.
@@ -37,7 +44,7 @@
 	Chat          ryeford.ChatID    `json:"chat,omitempty"`
 	Model         string            `json:"model,omitempty"`
 	PromptTokens  int               `json:"prompt_tokens,omitempty"` // that the turn adds
-	SharedTokens  int               `json:"shared_tokens,omitempty"` // of the account's own beginning
+	SharedTokens  int               `json:"shared_tokens,omitempty"` // that begin all chats of the account
 	AnswerTokens  int               `json:"answer_tokens,omitempty"`
 	NotRepeatable bool              `json:"not_repeatable,omitempty"`
 	Idempotency   string            `json:"idempotency_key,omitempty"`
@@ -77,11 +84,11 @@
 // Error returns the text of e.
 func (e *EntryError) Error() string { return e.Problem }
 
-// Read reads a trace.
+// Read reads a trace. Its errors are of type *LineError, or those of r.
 func Read(r io.Reader) ([]Entry, error) {
 	var entries []Entry
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, 1<<20)
+	scanner.Buffer(nil, maxLine)
 	last := int64(0)
 	for line := 1; scanner.Scan(); line++ {
 		if len(scanner.Bytes()) == 0 {
@@ -100,7 +107,7 @@
 	return entries, scanner.Err()
 }
 
-// check checks an entry that follows one at a time.
+// check checks an entry that follows one at last, in milliseconds.
 func check(e *Entry, last int64) error {
 	switch {
 	case e.Kind == KindTurn && (e.Account == "" || e.Chat == "" || e.Model == ""):
