--- a/agentfleet/agent/polls.go
+++ b/agentfleet/agent/polls.go
@@ -57,7 +57,7 @@
 // pollVMs makes the agent leave once the platform's list says that its VM does,
 // until ctx ends. An operator's Leave message is faster, but may not come.
 func (a *Agent) pollVMs(ctx context.Context) error {
-	return every(ctx, a.settings.Polls.VMs, func() {
+	return every(ctx, a.settings.Polls.VMList, func() {
 		vms, err := a.vms.VMs(ctx)
 		if err != nil {
 			if ctx.Err() == nil {
--- a/agentfleet/router/membership.go
+++ b/agentfleet/router/membership.go
@@ -21,7 +21,7 @@
 			_ = r.log.Log("msg", "list of VMs not read", "err", err)
 		}
 		select {
-		case <-time.After(jitter(r.settings.Polls.VMs)):
+		case <-time.After(jitter(r.settings.Polls.VMList)):
 		case <-ctx.Done():
 			return nil
 		}
--- a/settings/agent.go
+++ b/settings/agent.go
@@ -86,9 +86,9 @@
 	// Engine is how often each engine's state is read. The longer, the later an
 	// engine's restart and its evictions are noticed.
 	Engine time.Duration `yaml:"engine" validate:"min=20ms,max=1m"`
-	// VMs is how often the platform's list of VMs is read, for a planned stop of
+	// VMList is how often the platform's list of VMs is read, for a planned stop of
 	// the agent's own VM.
-	VMs time.Duration `yaml:"vms" validate:"min=50ms,max=1m"`
+	VMList time.Duration `yaml:"vms" validate:"min=50ms,max=1m"`
 }
 
 // DefaultAgent returns an Agent with the defaults of what may be left out.
@@ -108,6 +108,6 @@
 			Drain:         2 * time.Minute,
 			Chats:         20_000,
 		},
-		Polls: AgentPolls{Engine: 500 * time.Millisecond, VMs: 3 * time.Second},
+		Polls: AgentPolls{Engine: 500 * time.Millisecond, VMList: 3 * time.Second},
 	}
 }
--- a/settings/router.go
+++ b/settings/router.go
@@ -71,8 +71,8 @@
 // RouterPolls are how often a router reads from the platform. The shorter, the
 // sooner a change is in force, and the more the platform is read.
 type RouterPolls struct {
-	// VMs is how often the list of VMs is read.
-	VMs time.Duration `yaml:"vms" validate:"min=50ms,max=1m"`
+	// VMList is how often the list of VMs is read.
+	VMList time.Duration `yaml:"vms" validate:"min=50ms,max=1m"`
 	// Templates is how often the table is read for changes of templates that no
 	// other router has reported.
 	Templates time.Duration `yaml:"templates" validate:"min=50ms,max=1m"`
@@ -121,7 +121,7 @@
 			LeaveNotice:       2 * time.Second,
 			Drain:             2 * time.Minute,
 		},
-		Polls: RouterPolls{VMs: 2 * time.Second, Templates: 3 * time.Second},
+		Polls: RouterPolls{VMList: 2 * time.Second, Templates: 3 * time.Second},
 		Planner: Planner{
 			Enabled:       true,
 			Interval:      2 * time.Second,
