--- a/internal/cmd/devplatform.go
+++ b/internal/cmd/devplatform.go
@@ -48,7 +48,7 @@
 	return group.Wait()
 }
 
-// announcePlatform waits until the gateway is ready and says how to use it.
+// announcePlatform waits until the gateway is ready, and prints how to use it.
 func announcePlatform(ctx context.Context, c *cli.Command, s *settings.Gateway, emulated *settings.Emulator) error {
 	for ctx.Err() == nil {
 		response, err := http.Get("http://" + s.Readiness.String() + platform.PathReady)
@@ -58,7 +58,7 @@
 				break
 			}
 		}
-		time.Sleep(50 * time.Millisecond)
+		time.Sleep(devPoll)
 	}
 	if ctx.Err() != nil {
 		return nil
