--- a/internal/cmd/explainlog_test.go
+++ b/internal/cmd/explainlog_test.go
@@ -13,8 +13,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestExplainLogs checks that a request's story holds its own lines of all
-// routers in their order, and what those routers came to believe, but nothing of
+// TestExplainLogs checks that an explanation holds the request's own lines, of all
+// routers in their order, and the changes of those routers' state, but nothing of
 // others.
 func TestExplainLogs(t *testing.T) {
 	const a = `  0.1 prefix ts=2026-01-01T00:00:10Z role=gateway vm=a decision=configuration version=3
--- /dev/null
+++ b/replay/replay_test.go
@@ -0,0 +1,87 @@
+package replay
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford/caller"
+	"github.com/ryeford/ryeford/standin"
+	"github.com/ryeford/ryeford/trace"
+)
+
+var (
+	refused = &caller.Answer{Failure: &caller.Failure{Ran: caller.RunNot}}
+	lost    = &caller.Answer{Failure: &caller.Failure{Ran: caller.RunUnknown}}
+	whole   = &caller.Answer{Complete: true}
+)
+
+// TestMaySendAgain checks that a turn which may have run is sent again only if that
+// can't make it run twice, or it may run twice.
+func TestMaySendAgain(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		turn   caller.Turn
+		answer *caller.Answer
+		want   bool
+	}{
+		{"repeatable, may have run", caller.Turn{}, lost, true},
+		{"not repeatable, refused", caller.Turn{NotRepeatable: true}, refused, true},
+		{"not repeatable, may have run", caller.Turn{NotRepeatable: true}, lost, false},
+		{"not repeatable, broken off", caller.Turn{NotRepeatable: true}, &caller.Answer{}, false},
+		{"not repeatable, may have run, with a key", caller.Turn{NotRepeatable: true, Idempotency: "k"}, lost, true},
+	} {
+		assert.Equal(t, maySendAgain(&test.turn, test.answer), test.want, test.name)
+	}
+}
+
+// TestRuns checks that a run of a refused turn, a second run of one that must not
+// be repeated, and an engine loaded above the mean are found in the engines' records.
+func TestRuns(t *testing.T) {
+	at := time.Unix(0, 0)
+	run := func(chat string, begin, end int) standin.RunRecord {
+		return standin.RunRecord{Chat: chat, At: at.Add(time.Duration(begin)), End: at.Add(time.Duration(end))}
+	}
+	r := newReport(nil)
+	r.addChat("a/refused", false, refused)
+	r.addChat("a/once", true, whole)
+	r.addChat("a/often", false, whole)
+	var first, second []standin.RunRecord
+	for i := range 9 {
+		first = append(first, run("a/often", i, 100))
+	}
+	first = append(first, run("a/refused", 200, 201))
+	second = append(second, run("a/once", 10, 100), run("a/once", 210, 211))
+	r.addRuns([][]standin.RunRecord{first, second})
+	assert.Equal(t, r.RanRefused, 1)
+	assert.Equal(t, r.DoubleRuns, 1)
+	assert.Equal(t, r.Peak, 9)
+	assert.Equal(t, r.Skew, 9/4.5)
+	assert.Equal(t, r.AdmitSkew, 9/4.5)
+}
+
+// TestMissed checks which outcomes count as missed.
+func TestMissed(t *testing.T) {
+	low, high := 0.5, 1.5
+	outcome := func(metric string, minimum, maximum *float64) trace.Entry {
+		return trace.Entry{Kind: trace.KindOutcome, Metric: metric, Min: minimum, Max: maximum}
+	}
+	r := newReport([]trace.Entry{{Kind: trace.KindTurn}})
+	r.addTurn("a", whole, true, false)
+	for _, test := range []struct {
+		name    string
+		outcome trace.Entry
+		want    []string
+	}{
+		{"within its bounds", outcome("answered", &low, &high), nil},
+		{"below its minimum", outcome("answered", &high, nil), []string{"answered is 1, below 1.5"}},
+		{"above its maximum", outcome("answered", nil, &low), []string{"answered is 1, above 0.5"}},
+		{"not measured", outcome("speed", &low, nil), []string{"speed: no such metric"}},
+		{"of one account", outcome("answered:a", &low, nil), nil},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			assert.DeepEqual(t, r.Missed([]trace.Entry{test.outcome}), test.want)
+		})
+	}
+}
--- a/replay/turn.go
+++ b/replay/turn.go
@@ -48,7 +48,7 @@
 	if e.Priority != nil {
 		t.Priority = fmt.Sprint(*e.Priority)
 	}
-	answer := p.ask(ctx, t)
+	answer := p.send(ctx, t)
 	key := chatKey(e)
 	right := answer.Text == standin.Answer(key, messages, max(e.AnswerTokens, 1))
 	p.report.addTurn(e.Account, answer, right, c.answered > 0)
@@ -59,9 +59,9 @@
 	}
 }
 
-// ask sends a turn until it is answered, must not be sent again, or its retries
+// send sends a turn until it is answered, must not be sent again, or its retries
 // are spent.
-func (p *player) ask(ctx context.Context, t *caller.Turn) *caller.Answer {
+func (p *player) send(ctx context.Context, t *caller.Turn) *caller.Answer {
 	var answer *caller.Answer
 	for range p.options.Retries + 1 {
 		var err error
@@ -76,7 +76,7 @@
 			return answer
 		}
 		p.report.addFailedAttempt(answer)
-		if !mayAskAgain(t, answer) {
+		if !maySendAgain(t, answer) {
 			return answer
 		}
 		wait := retryPause
@@ -92,9 +92,9 @@
 	return answer
 }
 
-// mayAskAgain reports whether a turn may be sent again: it did not run, or it
+// maySendAgain reports whether a turn may be sent again: it did not run, or it
 // may run twice, or its key keeps it from running twice.
-func mayAskAgain(t *caller.Turn, answer *caller.Answer) bool {
+func maySendAgain(t *caller.Turn, answer *caller.Answer) bool {
 	return answer.NotRun() || !t.NotRepeatable || t.Idempotency != ""
 }
 
