--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"net/netip"
@@ -18,6 +17,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford/gateway"
+	"github.com/ryeford/ryeford/internal/freeport"
 	"github.com/ryeford/ryeford/internal/telemetry"
 	"github.com/ryeford/ryeford/platform"
 	"github.com/ryeford/ryeford/settings"
@@ -79,7 +79,7 @@
 	}
 	s := settings.DefaultGateway()
 	s.VM, s.Region, s.FailureDomain = "router-1", "region", "a"
-	s.Callers.AddrPort, s.Readiness.AddrPort = freeAddress(t), freeAddress(t)
+	s.Callers.AddrPort, s.Readiness.AddrPort = freeport.Next(), freeport.Next()
 	s.Store.AddrPort = netip.MustParseAddrPort(strings.TrimPrefix(storeServer.URL, "http://"))
 	s.Routing.EndpointsWait, s.Routing.EndpointsSettle = 100*time.Millisecond, 10*time.Millisecond
 	s.Routing.StoreTimeout = 300 * time.Millisecond
@@ -126,15 +126,6 @@
 	}
 }
 
-// freeAddress returns an address of loopback that is free.
-func freeAddress(t *testing.T) netip.AddrPort {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(t, err)
-	defer func() { _ = listener.Close() }()
-	return netip.MustParseAddrPort(listener.Addr().String())
-}
-
 // setConfig writes the operators' configuration.
 func (f *fixture) setConfig(config jsonMap) {
 	f.t.Helper()
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"net"
-	"net/netip"
 	"strings"
 	"testing"
 	"time"
@@ -11,19 +9,11 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/internal/freeport"
 	"github.com/ryeford/ryeford/settings"
 	"github.com/ryeford/ryeford/standin/rowstore"
 )
 
-// freeDatagramAddress returns a UDP address of loopback that is free.
-func freeDatagramAddress(t *testing.T) netip.AddrPort {
-	t.Helper()
-	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
-	assert.NilError(t, err)
-	defer func() { _ = conn.Close() }()
-	return netip.MustParseAddrPort(conn.LocalAddr().String())
-}
-
 // newPeers starts n gateways that share a store and gossip, with the time after which
 // a revoked key must not work. change may change the settings of the i-th.
 func newPeers(t *testing.T, n int, revoke time.Duration, change func(i int, s *settings.Gateway)) []*fixture {
@@ -37,7 +27,7 @@
 		}
 		gateways[i] = newFixtureAt(t, store, config, func(s *settings.Gateway) {
 			s.VM = ryeford.VMID(fmt.Sprintf("router-%d", i))
-			s.Peers.AddrPort = freeDatagramAddress(t)
+			s.Peers.AddrPort = freeport.Next()
 			s.Bounds.Revoke = revoke
 			if change != nil {
 				change(i, s)
