--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -95,7 +95,7 @@
 
 // Run serves until the agent has drained. The end of ctx makes it leave.
 func (a *Agent) Run(ctx context.Context) error {
-	stopLeave := context.AfterFunc(ctx, func() { a.Leave("signal") })
+	stopLeave := context.AfterFunc(ctx, func() { a.startLeaving("signal") })
 	defer stopLeave()
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	group, work := errgroup.WithContext(work)
@@ -117,9 +117,9 @@
 	return err
 }
 
-// Leave makes the agent refuse new work from now on, finish what is in flight,
-// and stop.
-func (a *Agent) Leave(why string) {
+// startLeaving makes the agent refuse new work from now on, and wakes drain. Only the
+// first call has an effect.
+func (a *Agent) startLeaving(why string) {
 	a.leaveOnce.Do(func() {
 		a.leaving.Store(true)
 		_ = a.decisions.Note("", "decision", "leave", "reason", why, "unfinished", a.attempts.unfinished())
--- a/agentfleet/agent/attempts.go
+++ b/agentfleet/agent/attempts.go
@@ -16,8 +16,8 @@
 
 	mu         sync.Mutex
 	runs       map[ryeford.AttemptID]*run
-	admitted   map[ryeford.AttemptID]time.Time // until when it is kept
-	tombstones map[ryeford.AttemptID]time.Time // until when it is kept
+	admitted   map[ryeford.AttemptID]time.Time // until when they are remembered
+	tombstones map[ryeford.AttemptID]time.Time // until when they are remembered
 }
 
 // newAttempts returns an attempts that remembers none.
--- a/agentfleet/agent/backend.go
+++ b/agentfleet/agent/backend.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// state returns what the inventory says of b.
+// state returns the part of the inventory on b.
 func (b *backend) state() wire.EngineState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/agentfleet/agent/chatmemory.go
+++ b/agentfleet/agent/chatmemory.go
@@ -7,9 +7,10 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// A chatMemory remembers the chats that were served last.
+// A chatMemory remembers the chats that an engine served last: those whose prefixes
+// it is believed to hold. The one served least recently is forgotten first.
 type chatMemory struct {
-	limit int
+	limit int        // chats
 	order *list.List // of servedChat, the most recent first
 	chats map[wire.ChatKey]*list.Element
 }
@@ -29,12 +30,13 @@
 	}
 }
 
+// has reports whether a chat is remembered.
 func (m *chatMemory) has(key wire.ChatKey) bool {
 	_, ok := m.chats[key]
 	return ok
 }
 
-// add notes that a chat is served now.
+// add remembers a chat that is served now.
 func (m *chatMemory) add(key wire.ChatKey, pool ryeford.Pool) {
 	m.drop(key)
 	m.chats[key] = m.order.PushFront(servedChat{key: key, pool: pool})
--- a/agentfleet/agent/connections.go
+++ b/agentfleet/agent/connections.go
@@ -65,7 +65,7 @@
 		lines := a.decisions.Lines(m.Explain.Request)
 		a.reply(stream, &wire.Message{Decisions: &wire.Decisions{Lines: lines}})
 	case m.Leave != nil:
-		a.Leave("operator")
+		a.startLeaving("operator")
 		a.reply(stream, &wire.Message{Done: &wire.Done{}})
 	}
 }
--- a/agentfleet/agent/inventory.go
+++ b/agentfleet/agent/inventory.go
@@ -7,7 +7,8 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// inventory returns what the agent says of itself.
+// inventory returns the state of the agent, and a channel that is closed at the next
+// change of it. Loads are not a change: they go by gossip.
 func (a *Agent) inventory() (*wire.Inventory, <-chan struct{}) {
 	a.mu.Lock()
 	changed := a.changed
--- a/agentfleet/agent/polls.go
+++ b/agentfleet/agent/polls.go
@@ -67,7 +67,7 @@
 		}
 		for _, vm := range vms {
 			if vm.ID == a.settings.VM && vm.State == ryeford.VMLeaving {
-				a.Leave("list")
+				a.startLeaving("list")
 			}
 		}
 	})
