--- a/agentfleet/agent/admit_test.go
+++ b/agentfleet/agent/admit_test.go
@@ -20,11 +20,7 @@
 	b := newBackend("endpoint-1.1", admission.Limits{PoolFactor: 1.25, Floor: 1, Capacity: 64, ShareFrom: 0.8}, 10)
 	b.engine = &fakeEngine{}
 	b.setServing(true, []ryeford.Pool{pool})
-	a := &Agent{
-		incarnation: "life-2",
-		backends:    map[ryeford.EngineID]*backend{b.id: b},
-		attempts:    newAttempts(time.Minute, time.Second),
-	}
+	a := testAgent(b)
 	d := &wire.Dispatch{
 		Attempt: "a1", Account: "bank", Chat: "c1", Engine: b.id, Incarnation: a.incarnation,
 		Share: 1, MayRedirect: true, Completion: &ryeford.Completion{Pool: pool},
--- a/agentfleet/agent/export.go
+++ b/agentfleet/agent/export.go
@@ -16,7 +16,7 @@
 	exportTimeout     = 20 * time.Second // of the whole export
 	exportDialTimeout = 2 * time.Second  // of one connection
 	exportChats       = 2000             // of each pool and engine
-	exportBatchSize   = 200              // chats in one question to the router
+	exportBatchSize   = 200              // chats in one message to the router
 )
 
 // exportCaches hands the KV caches of the chats that were served last to the
@@ -70,8 +70,8 @@
 // exportBatch hands on chats of one engine and pool. A chat that fails is counted;
 // the causes are not logged, since a lost router or VM fails them all alike.
 func (e *exporter) exportBatch(ctx context.Context, b *backend, pool ryeford.Pool, chats []wire.ChatKey) {
-	question := &wire.Successors{Pool: pool, Chats: chats, Leaving: e.agent.settings.VM}
-	m, err := e.router.Ask(ctx, &wire.Message{Successors: question})
+	request := &wire.Successors{Pool: pool, Chats: chats, Leaving: e.agent.settings.VM}
+	m, err := e.router.Ask(ctx, &wire.Message{Successors: request})
 	if err != nil || m.Placements == nil || len(m.Placements.Placements) != len(chats) {
 		e.failed += len(chats)
 		return
--- a/agentfleet/agent/queue_test.go
+++ b/agentfleet/agent/queue_test.go
@@ -2,10 +2,14 @@
 
 import (
 	"testing"
+	"testing/synctest"
+	"time"
 
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/admission"
+	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
 // TestQueue checks in which order waiters are woken, and that a full queue takes
@@ -30,3 +34,55 @@
 	}
 	assert.Assert(t, q.enter(ryeford.PriorityHighest) == nil)
 }
+
+// TestAdmitOrWait sends a dispatch to an engine at its bound, whose run ends after a
+// while, and checks whether the dispatch waits for that.
+func TestAdmitOrWait(t *testing.T) {
+	const runTime = 30 * time.Millisecond
+	for _, test := range []struct {
+		rule string
+		wait time.Duration // that the router allows
+		warm bool
+		full bool           // the queue
+		want ryeford.Reason // empty: admitted
+		took time.Duration
+	}{
+		{"a chat whose prefix is here waits for the run to end", 100 * time.Millisecond, true, false, "", runTime},
+		{"no longer than allowed", 20 * time.Millisecond, true, false, ryeford.ReasonOverload, 20 * time.Millisecond},
+		{"and only if that is allowed", 0, true, false, ryeford.ReasonOverload, 0},
+		{"another chat is refused at once", 100 * time.Millisecond, false, false, ryeford.ReasonOverload, 0},
+		{"a full queue takes none", 100 * time.Millisecond, true, true, ryeford.ReasonOverload, 0},
+	} {
+		t.Run(test.rule, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				pool := ryeford.Pool{Model: "lira"}
+				b := newBackend("endpoint-1.1", admission.Limits{Floor: 1, Capacity: 1, ShareFrom: 1}, 10)
+				b.engine = &fakeStreamer{streams: []fakeStream{{chunks: 1, whole: true}}}
+				b.setServing(true, []ryeford.Pool{pool})
+				a := testAgent(b)
+				d := &wire.Dispatch{
+					Attempt: "a1", Account: "bank", Chat: "c1", Engine: b.id, Incarnation: a.incarnation,
+					Share: 1, Wait: test.wait, Completion: &ryeford.Completion{Attempt: "a1", Pool: pool},
+					Expires: time.Now().Add(time.Minute), Forget: time.Now().Add(time.Hour),
+				}
+				running := *d
+				running.Attempt, running.Chat = "a0", "c0"
+				_, _ = b.admit(time.Now(), &running)
+				time.AfterFunc(runTime, func() { b.release(time.Now(), d.Account) })
+				if test.warm {
+					b.chats.add(d.ChatKey(), pool)
+				}
+				for test.full && b.queue.enter(ryeford.PriorityLowest) != nil {
+				}
+				began := time.Now()
+				r, refused := a.admitOrWait(t.Context(), d)
+				assert.Equal(t, time.Since(began), test.took)
+				assert.Equal(t, r != nil, test.want == "")
+				if r == nil {
+					assert.Equal(t, refused.Reason, test.want)
+				}
+				time.Sleep(time.Second)
+			})
+		})
+	}
+}
