--- /dev/null
+++ b/agentfleet/agent/drain_test.go
@@ -0,0 +1,45 @@
+package agent
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/admission"
+	"github.com/ryeford/ryeford/agentfleet/wire"
+)
+
+// TestDrain lets an agent leave while a run goes on, and checks when it ends.
+func TestDrain(t *testing.T) {
+	const limit = time.Minute
+	for _, test := range []struct {
+		rule    string
+		runTime time.Duration // zero: nothing runs
+		took    time.Duration
+	}{
+		{"an idle agent ends after the grace", 0, drainGrace},
+		{"a run may end", 3 * time.Second, 3*time.Second + drainGrace},
+		{"up to the limit", time.Hour, limit + drainGrace},
+	} {
+		t.Run(test.rule, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				a := testAgent(newBackend("endpoint-1.1", admission.Limits{}, 1))
+				a.settings.Limits.Drain = limit
+				a.leave, a.changed = make(chan struct{}), make(chan struct{})
+				if test.runTime > 0 {
+					r := newRun(&wire.Dispatch{Attempt: "a1"}, nil, false)
+					defer r.cancel()
+					a.attempts.runs["a1"] = r
+					time.AfterFunc(test.runTime, func() { r.log.Append(ryeford.Chunk{Finish: ryeford.FinishStop}) })
+				}
+				began := time.Now()
+				a.startLeaving("signal")
+				assert.NilError(t, a.drain(t.Context()))
+				assert.Equal(t, time.Since(began), test.took)
+			})
+		})
+	}
+}
