--- a/caller/answer.go
+++ b/caller/answer.go
@@ -34,6 +34,7 @@
 
 // newAnswer returns the Answer that a response's headers begin.
 func newAnswer(response *http.Response) *Answer {
+	// A failure of a router without attempts has no such header: zero attempts.
 	tries, _ := strconv.Atoi(response.Header.Get(router.HeaderTries))
 	return &Answer{
 		Request: response.Header.Get(router.HeaderRequest),
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -44,7 +44,7 @@
 	for _, client := range clients {
 		e, err := client.Explain(ctx, all.Request)
 		if err != nil {
-			failed = err
+			failed = err // others may know the request
 			continue
 		}
 		all.Decisions = append(all.Decisions, e.Decisions...)
--- a/internal/cmd/templatepublish.go
+++ b/internal/cmd/templatepublish.go
@@ -186,7 +186,7 @@
 			behind++
 		}
 		if err != nil {
-			continue
+			continue // counted as behind
 		}
 		for _, a := range s.Agents {
 			agents[a.VM] = max(agents[a.VM], a.Revision)
--- a/replay/turn.go
+++ b/replay/turn.go
@@ -103,7 +103,7 @@
 	for range resumesPerRouter * len(p.options.Routers) {
 		rest, err := p.client.Resume(ctx, p.balance.router(), t.Key, part.LastEvent)
 		if rest == nil || (err != nil && rest.LastEvent == "") {
-			continue
+			continue // a router that is lost, or that can't resume: another one may
 		}
 		rest.Text = part.Text + rest.Text
 		rest.FirstToken = part.FirstToken
--- a/settings/reference_test.go
+++ b/settings/reference_test.go
@@ -33,6 +33,10 @@
 the key and what is allowed. ` + "`ryeford check ROLE FILE`" + ` reads a file as the role would. A
 process learns its addresses and its failure domain from its file only. ` + "`ryeford cert VM...`" + `
 makes an authority and certificates for a trial.
+
+A gateway reads its file again on SIGHUP, logs whether it is right (` + "`msg=reload`" + `), and puts
+` + "`memory_mb`" + ` into use; all other settings take effect at the next start. SIGHUP ends the other
+roles, as it ends any program that doesn't catch it.
 `
 
 // sections are the kinds of settings files, in the order of the page.
