--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -9,9 +9,6 @@
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/gateway/endpoint"
-	"github.com/ryeford/ryeford/gateway/loads"
-	"github.com/ryeford/ryeford/gateway/outlier"
-	"github.com/ryeford/ryeford/gateway/prefixcache"
 	"github.com/ryeford/ryeford/gateway/roster"
 	"github.com/ryeford/ryeford/gateway/watch"
 )
@@ -30,6 +27,11 @@
 	sweepInterval = 500 * time.Millisecond
 )
 
+// A memory is something that the router remembers of each endpoint.
+type memory interface {
+	Forget(id ryeford.EndpointID)
+}
+
 // An endpointList keeps the roster as the platform's list of endpoints says, and
 // drops what the router knows of an endpoint together with the endpoint.
 type endpointList struct {
@@ -40,9 +42,7 @@
 	revision     *revision // the newest of the store, on any of its tables
 	roster       *roster.Roster
 	pool         *endpoint.Pool
-	detector     *outlier.Detector
-	loads        *loads.Table
-	prefixes     *prefixcache.Index
+	memories     []memory // dropped with each endpoint
 	outage       watch.Outage
 	onUpdate     func() // called after each update
 	log          log.Logger
@@ -100,9 +100,9 @@
 // forget drops all that is known of an endpoint.
 func (l *endpointList) forget(id ryeford.EndpointID) {
 	l.pool.CloseIdle(id)
-	l.detector.Forget(id)
-	l.loads.Forget(id)
-	l.prefixes.Forget(id)
+	for _, m := range l.memories {
+		m.Forget(id)
+	}
 }
 
 // sweep closes connections that were idle for too long, and forgets endpoints that
--- /dev/null
+++ b/gateway/probe_test.go
@@ -0,0 +1,42 @@
+package gateway
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"github.com/go-kit/log"
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/gateway/catalog"
+	"github.com/ryeford/ryeford/gateway/roster"
+)
+
+// TestProbes checks that a readiness probe is answered as the rule says, and that
+// failed probes count once the gateway was ordered to stop.
+func TestProbes(t *testing.T) {
+	h := &probeHandler{
+		path:          "/ready",
+		configuration: newConfiguration(configurationOptions{}),
+		roster:        roster.New(roster.DefaultTTLs()),
+		drain:         newDrain(8*time.Second, log.NewNopLogger()),
+		log:           log.NewNopLogger(),
+	}
+	probe := func(path string) int {
+		recorder := httptest.NewRecorder()
+		h.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, nil))
+		return recorder.Code
+	}
+	assert.Equal(t, probe("/other"), http.StatusNotFound)
+	assert.Equal(t, probe("/ready"), http.StatusServiceUnavailable)
+	h.configuration.inForce.Put(catalog.New(&ryeford.Configuration{Version: 1}))
+	assert.Equal(t, probe("/ready"), http.StatusServiceUnavailable)
+	h.roster.Apply(time.Now(), &ryeford.EndpointUpdate{Snapshot: true, Revision: 1}, false)
+	assert.Equal(t, probe("/ready"), http.StatusOK)
+	assert.Equal(t, h.drain.failedProbes.Load(), int32(0))
+	h.drain.leaving.Store(true)
+	assert.Equal(t, probe("/ready"), http.StatusServiceUnavailable)
+	assert.Equal(t, h.drain.failedProbes.Load(), int32(1))
+}
