--- a/agentfleet/claim/batcher.go
+++ b/agentfleet/claim/batcher.go
@@ -10,11 +10,23 @@
 )
 
 const (
-	batchWait    = 4 * time.Millisecond
-	batchSize    = 64
+	// batchWait is how long a batch is open for further writes. Not measured. It is added
+	// to each claim; at 2.3 claims/s a router's batches hold one row (docs/CAPACITY.md,
+	// "The platform's table").
+	batchWait = 4 * time.Millisecond
+
+	// batchSize is the largest number of writes in a batch. Not measured.
+	batchSize = 64
+
+	// batchTimeout bounds a batch with all its transactions. Not measured.
 	batchTimeout = 3 * time.Second
-	batchQueue   = 4096
-	batchWorkers = 4 // transactions under way at once
+
+	// batchQueue is how many writes may wait for a batch; beyond, callers wait to queue
+	// theirs. Not measured.
+	batchQueue = 4096
+
+	// maxBatches is how many batches are under way at once. Not measured.
+	maxBatches = 4
 )
 
 // A batcher joins the writes of several callers into one transaction. Each
@@ -24,7 +36,7 @@
 	queue chan *pending
 }
 
-// A pending is a write that waits.
+// A pending is a write whose caller waits for its outcome.
 type pending struct {
 	write ryeford.Write
 	done  chan outcome
@@ -41,8 +53,8 @@
 	return &batcher{table: table, queue: make(chan *pending, batchQueue)}
 }
 
-// write makes one write. After an error other than a conflict, it may have
-// taken effect only if the error says so.
+// write makes one write. Its error is that of ryeford.Table; the end of ctx leaves open
+// whether the write takes effect once it is in the queue.
 func (b *batcher) write(ctx context.Context, w ryeford.Write) (int64, error) {
 	p := &pending{write: w, done: make(chan outcome, 1)}
 	select {
@@ -60,21 +72,22 @@
 
 // run writes batches until ctx ends.
 func (b *batcher) run(ctx context.Context) error {
-	workers := make(chan struct{}, batchWorkers)
+	slots := make(chan struct{}, maxBatches)
 	for {
 		batch := b.collect(ctx)
 		if batch == nil {
 			return nil
 		}
-		workers <- struct{}{}
+		slots <- struct{}{}
 		go func() {
 			b.commit(ctx, batch)
-			<-workers
+			<-slots
 		}()
 	}
 }
 
-// collect waits for a write and takes those that come right behind it. It
+// collect waits for a write and takes those that come within batchWait of it. Of two
+// writes of one row the second fails at once, since the first decides its condition. It
 // returns nil once ctx ends.
 func (b *batcher) collect(ctx context.Context) []*pending {
 	var batch []*pending
@@ -101,8 +114,8 @@
 	return batch
 }
 
-// commit makes one transaction of a batch. Writes whose condition does not hold
-// are told so, and the others are tried again without them.
+// commit makes one transaction of a batch. Writes whose condition does not hold fail,
+// and the others are made again without them.
 func (b *batcher) commit(ctx context.Context, batch []*pending) {
 	ctx, cancel := context.WithTimeout(ctx, batchTimeout)
 	defer cancel()
@@ -114,21 +127,21 @@
 		version, err := b.table.Transact(ctx, writes...)
 		var conflict *ryeford.ConflictError
 		if !errors.As(err, &conflict) {
-			settle(batch, outcome{version: version, err: err})
+			finish(batch, outcome{version: version, err: err})
 			return
 		}
 		lost, rest := split(batch, conflict.Keys)
-		settle(lost, outcome{err: conflict})
+		finish(lost, outcome{err: conflict})
 		batch = rest
-		if len(lost) == 0 {
-			settle(rest, outcome{err: err})
+		if len(lost) == 0 { // a conflict on no row of ours would come for ever
+			finish(rest, outcome{err: err})
 			return
 		}
 	}
 }
 
-// settle tells the callers of writes how they ended.
-func settle(batch []*pending, o outcome) {
+// finish gives the callers of writes their outcome.
+func finish(batch []*pending, o outcome) {
 	for _, p := range batch {
 		p.done <- o
 	}
--- a/agentfleet/claim/claim.go
+++ b/agentfleet/claim/claim.go
@@ -1,6 +1,10 @@
 // Package claim keeps, in the platform's table, which attempt a caller's
 // idempotency key belongs to. Of any number of routers that are given the same
 // key, one gets to run it.
+//
+// It owns the rows under claim/, which are never removed but by Release. It relies on
+// the table's conditional writes; writes that are made at about the same time go in one
+// transaction (see batcher).
 package claim
 
 import (
@@ -9,17 +13,17 @@
 	"encoding/binary"
 	"encoding/hex"
 	"encoding/json"
-	"errors"
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/agentfleet/tableservice"
 )
 
-const (
-	prefix = "claim/"
-	tries  = 4
-)
+const prefix = "claim/" // of the rows' keys
+
+// maxWrites is how often a claim is written until it is known who holds the key. Not
+// measured: a second write is needed only if a lost one did not take effect, or the row
+// was removed in between.
+const maxWrites = 4
 
 // A Key names a caller's idempotency key within its client account.
 type Key struct {
@@ -37,21 +41,21 @@
 	Incarnation ryeford.Incarnation `json:"incarnation"`
 }
 
-// A Record says which attempt a key belongs to. The attempt is dispatched to
-// none but the candidates, and is admitted until Expires only.
+// A Record says which attempt a key belongs to.
 type Record struct {
-	Attempt    ryeford.AttemptID `json:"attempt"`
-	Request    ryeford.RequestID `json:"request"`
-	Digest     string            `json:"digest"`
-	Expires    time.Time         `json:"expires"`
-	Forget     time.Time         `json:"forget"`
-	Candidates []Candidate       `json:"candidates"`
+	Attempt ryeford.AttemptID `json:"attempt"`
+	Request ryeford.RequestID `json:"request"`
+	Digest  string            `json:"digest"`  // of the request's content, see Digest
+	Expires time.Time         `json:"expires"` // until when the attempt may be admitted
+	Forget  time.Time         `json:"forget"`  // until when its agent remembers the attempt
+	// Candidates are the only engines that the attempt is dispatched to.
+	Candidates []Candidate `json:"candidates"`
 }
 
 // A Claim is a key's record as the table holds it.
 type Claim struct {
 	Record Record
-	// Mine is true where the record is the one that was asked for.
+	// Mine is true if the record is the one that was asked for.
 	Mine bool
 
 	version int64
@@ -71,9 +75,9 @@
 // Run writes claims in batches until ctx ends.
 func (c *Claims) Run(ctx context.Context) error { return c.batcher.run(ctx) }
 
-// Claim claims a key for a record. Where the key is claimed already, it returns
-// the record that holds it. After an error the key may be claimed for the
-// record, which must not be dispatched.
+// Claim claims a key for a record. If the key is claimed already, it returns the record
+// that holds it. After an error, an *Error, the key may be claimed for the record, which
+// must not be dispatched.
 func (c *Claims) Claim(ctx context.Context, key Key, record Record) (*Claim, error) {
 	return c.write(ctx, key, record, 0)
 }
@@ -83,35 +87,34 @@
 	return c.write(ctx, key, record, old.version)
 }
 
-// Release gives up a claim of ours whose attempt did not run. It is a help to
-// the caller's next try only: where it fails, the next try finds out by itself.
+// Release gives up a claim of ours whose attempt did not run. It only spares the
+// caller's next request with the key to find that out.
 func (c *Claims) Release(ctx context.Context, key Key, held *Claim) error {
 	_, err := c.batcher.write(ctx, ryeford.Write{Key: key.String(), IfVersion: held.version, Delete: true})
 	return err
 }
 
-// write writes a record if the row has a version. A lost answer is settled by
-// reading the row back.
+// write writes a record if the row still has a version, zero for no row. If the answer
+// is lost, or another write came first, it reads the row back.
 func (c *Claims) write(ctx context.Context, key Key, record Record, version int64) (*Claim, error) {
 	value, err := json.Marshal(&record)
 	if err != nil {
 		return nil, &Error{Key: key, Err: err}
 	}
 	w := ryeford.Write{Key: key.String(), Value: value, IfVersion: version}
-	for range tries {
+	for range maxWrites {
 		written, err := c.batcher.write(ctx, w)
 		if err == nil {
 			return &Claim{Record: record, Mine: true, version: written}, nil
 		}
-		var conflict *ryeford.ConflictError
-		if !errors.As(err, &conflict) && !tableservice.MayHaveApplied(err) {
+		if !ryeford.NeedsReadBack(err) {
 			return nil, &Error{Key: key, Err: err}
 		}
 		held, err := c.read(ctx, key)
 		if err != nil {
 			return nil, &Error{Key: key, Err: err}
 		}
-		if held != nil && held.version != version {
+		if decided(held, version) {
 			held.Mine = held.Record.Attempt == record.Attempt
 			return held, nil
 		}
@@ -119,6 +122,13 @@
 	return nil, &Error{Key: key, Err: &ryeford.UnavailableError{Service: "claims", Err: context.DeadlineExceeded}}
 }
 
+// decided reports whether the claim that was read after a write of ours tells who holds
+// the key: it is not the one that the write was to replace, so the write took effect or
+// another came first. Otherwise the write may be made again.
+func decided(held *Claim, replaced int64) bool {
+	return held != nil && held.version != replaced
+}
+
 // read returns a key's claim, or nil.
 func (c *Claims) read(ctx context.Context, key Key) (*Claim, error) {
 	rows, err := c.table.Get(ctx, key.String())
@@ -135,10 +145,11 @@
 	return claim, nil
 }
 
-// Digest returns what tells whether two requests under one key are the same.
+// Digest returns the digest of a request's parts: the SHA-256 of each with its length
+// before it, in hexadecimal digits. Two requests with one key are the same if theirs are.
 func Digest(parts ...[]byte) string {
 	d := sha256.New()
-	for _, part := range parts {
+	for _, part := range parts { // a hash.Hash never fails to write
 		_, _ = d.Write(binary.BigEndian.AppendUint64(nil, uint64(len(part))))
 		_, _ = d.Write(part)
 	}
--- a/agentfleet/claim/claim_test.go
+++ b/agentfleet/claim/claim_test.go
@@ -90,3 +90,27 @@
 		synctest.Wait()
 	})
 }
+
+// TestDecided checks when a row that was read back tells who holds a key.
+func TestDecided(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		held     *Claim
+		replaced int64
+		want     bool
+	}{
+		{"no row: the write did not take effect", nil, 0, false},
+		{"a row where there was none", &Claim{version: 7}, 0, true},
+		{"the row that was to be replaced", &Claim{version: 7}, 7, false},
+		{"another row in its place", &Claim{version: 8}, 7, true},
+		{"the row was removed", nil, 7, false},
+	} {
+		assert.Equal(t, decided(test.held, test.replaced), test.want, test.name)
+	}
+}
+
+// TestDigest checks that a part's end counts.
+func TestDigest(t *testing.T) {
+	assert.Equal(t, Digest([]byte("a"), []byte("b")), Digest([]byte("a"), []byte("b")))
+	assert.Assert(t, Digest([]byte("ab"), nil) != Digest([]byte("a"), []byte("b")))
+}
--- a/agentfleet/lease/lease.go
+++ b/agentfleet/lease/lease.go
@@ -1,7 +1,11 @@
-// Package lease elects one holder among processes by a row of the platform's
-// table. Holding a lease is only a hint: a holder may be paused while its lease
-// lapses. What a holder writes is therefore made conditional on the lease's
-// row, in the same transaction (see Held.Renewal).
+// Package lease elects one holder among processes by a row of the platform's table.
+//
+// A lease may lapse while its holder is paused, so holding one proves nothing. What a
+// holder writes is made conditional on the lease's row, in the same transaction (see
+// Held.Renewal): that is what keeps two holders from writing. The clocks of the
+// processes decide only how soon another one takes over.
+//
+// The package owns the rows under lease/.
 package lease
 
 import (
@@ -11,7 +15,6 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/agentfleet/tableservice"
 )
 
 // A record is the lease's row.
@@ -31,13 +34,13 @@
 	ttl    time.Duration
 }
 
-// New returns a Lease that this process may hold. The life tells this process
-// from an earlier one of the same VM.
+// New returns a Lease that this process may hold for ttl after each renewal. The life
+// tells this process from an earlier one of the same VM.
 func New(table ryeford.Table, name string, holder ryeford.VMID, life string, ttl time.Duration) *Lease {
 	return &Lease{table: table, key: "lease/" + name, holder: holder, life: life, ttl: ttl}
 }
 
-// A Held is a lease that is held, as of its last renewal.
+// A Held is a lease as this process took or renewed it last.
 type Held struct {
 	Epoch   int64
 	Expires time.Time
@@ -46,7 +49,8 @@
 	lease   *Lease
 }
 
-// A HeldError says that another process holds the lease.
+// A HeldError says that another process holds the lease. Its fields are empty if that
+// process took it at the same time.
 type HeldError struct {
 	Holder  ryeford.VMID
 	Expires time.Time
@@ -55,8 +59,9 @@
 // Error returns the text of e.
 func (e *HeldError) Error() string { return "lease held by " + string(e.Holder) }
 
-// Acquire takes or renews the lease. The epoch grows whenever the holder
-// changes. A lease that another one holds gives a *HeldError.
+// Acquire takes or renews the lease. If another process holds it, or took it at the
+// same time, the error is a *HeldError. After any other error it is not known who holds
+// the lease; the next call finds out.
 func (l *Lease) Acquire(ctx context.Context) (*Held, error) {
 	rows, err := l.table.Get(ctx, l.key)
 	if err != nil {
@@ -68,15 +73,32 @@
 			return nil, &RecordError{Err: err}
 		}
 	}
+	next, err := l.next(current, time.Now())
+	if err != nil {
+		return nil, err
+	}
+	return l.write(ctx, next, rows[0].Version)
+}
+
+// next is the rule of the lease: it returns the record with which this process takes or
+// renews the lease, given the one in the row, or a *HeldError. A lease is taken once it
+// has expired, also from an earlier life of the same VM. The epoch grows whenever the
+// holder changes.
+func (l *Lease) next(current record, now time.Time) (record, error) {
 	mine := current.Holder == l.holder && current.Life == l.life
-	if !mine && time.Now().Before(current.Expires) {
-		return nil, &HeldError{Holder: current.Holder, Expires: current.Expires}
+	if !mine && now.Before(current.Expires) {
+		return record{}, &HeldError{Holder: current.Holder, Expires: current.Expires}
 	}
-	next := record{Holder: l.holder, Life: l.life, Epoch: current.Epoch, Expires: time.Now().Add(l.ttl)}
+	epoch := current.Epoch
 	if !mine {
-		next.Epoch++
+		epoch++
 	}
-	return l.write(ctx, next, rows[0].Version)
+	return l.record(epoch, now), nil
+}
+
+// record returns the record of this process's lease, renewed now.
+func (l *Lease) record(epoch int64, now time.Time) record {
+	return record{Holder: l.holder, Life: l.life, Epoch: epoch, Expires: now.Add(l.ttl)}
 }
 
 // write writes the lease's row if it has a version.
@@ -89,9 +111,7 @@
 	var conflict *ryeford.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		return nil, &HeldError{}
-	case tableservice.MayHaveApplied(err):
-		return nil, err // the next call finds out
+		return nil, &HeldError{} // by whom is read the next time
 	case err != nil:
 		return nil, err
 	}
@@ -101,7 +121,7 @@
 // Renewal returns the write that makes a transaction conditional on the lease
 // still being as it was when h was acquired, and renews it.
 func (h *Held) Renewal() (ryeford.Write, error) {
-	next := record{Holder: h.lease.holder, Life: h.lease.life, Epoch: h.Epoch, Expires: time.Now().Add(h.lease.ttl)}
+	next := h.lease.record(h.Epoch, time.Now())
 	value, err := json.Marshal(&next)
 	if err != nil {
 		return ryeford.Write{}, &RecordError{Err: err}
--- a/agentfleet/lease/lease_test.go
+++ b/agentfleet/lease/lease_test.go
@@ -65,3 +65,32 @@
 	_, err = New(table, "planner", "router-1", "life-2", time.Minute).Acquire(t.Context())
 	assert.Assert(t, errors.As(err, &other))
 }
+
+// TestNext checks who may take or renew a lease.
+func TestNext(t *testing.T) {
+	now := time.Unix(1_000_000, 0)
+	const ttl = 10 * time.Second
+	for _, test := range []struct {
+		name    string
+		current record
+		held    bool
+		epoch   int64 // of the next record
+	}{
+		{"nobody has held it", record{}, false, 1},
+		{"this process holds it", record{Holder: "router-1", Life: "life-1", Epoch: 3, Expires: now.Add(time.Second)}, false, 3},
+		{"its own has expired", record{Holder: "router-1", Life: "life-1", Epoch: 3, Expires: now.Add(-time.Second)}, false, 3},
+		{"an earlier life holds it", record{Holder: "router-1", Life: "life-0", Epoch: 3, Expires: now.Add(time.Second)}, true, 0},
+		{"another holds it", record{Holder: "router-2", Life: "life-2", Epoch: 3, Expires: now.Add(time.Second)}, true, 0},
+		{"another's expires now", record{Holder: "router-2", Life: "life-2", Epoch: 3, Expires: now}, false, 4},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			l := New(nil, "planner", "router-1", "life-1", ttl)
+			next, err := l.next(test.current, now)
+			var held *HeldError
+			assert.Equal(t, errors.As(err, &held), test.held)
+			if !test.held {
+				assert.DeepEqual(t, next, record{Holder: "router-1", Life: "life-1", Epoch: test.epoch, Expires: now.Add(ttl)})
+			}
+		})
+	}
+}
--- a/agentfleet/tableservice/client.go
+++ b/agentfleet/tableservice/client.go
@@ -6,7 +6,6 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"io"
 	"net/http"
 	"net/netip"
@@ -220,9 +219,3 @@
 
 // Error returns the text of e.
 func (e *StatusError) Error() string { return http.StatusText(e.Status) }
-
-// MayHaveApplied reports whether err leaves open if a write took effect.
-func MayHaveApplied(err error) bool {
-	var unavailable *ryeford.UnavailableError
-	return errors.As(err, &unavailable) && unavailable.MayHaveApplied
-}
--- a/agentfleet/template/book.go
+++ b/agentfleet/template/book.go
@@ -1,5 +1,9 @@
 // Package template keeps the templates of the client accounts: which are in
 // force here (a Book), and how they are published (a Store).
+//
+// A Book is in memory and as old as the last delta that reached the process, by gossip
+// or by a poll; it never goes back. A Store owns the rows revision, template/, change/,
+// history/ and publish/ of the platform's table, and relies on its transactions.
 package template
 
 import (
@@ -10,12 +14,6 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Name names a template.
-type Name struct {
-	Account ryeford.AccountID
-	Name    string
-}
-
 // A Book holds the templates that are in force in this process. Its revision
 // never goes down, and it holds every template up to its revision.
 type Book struct {
@@ -50,12 +48,11 @@
 }
 
 // Apply puts a delta in force: all templates that changed after revision from,
-// up to revision to. It reports whether the book advanced. A delta that is old,
-// or that would leave a gap, changes nothing.
+// up to revision to. It reports whether the book advanced.
 func (b *Book) Apply(from, to int64, templates []ryeford.Template) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if to <= b.revision || from > b.revision {
+	if !advances(b.revision, from, to) {
 		return false
 	}
 	for i := range templates {
@@ -68,6 +65,12 @@
 	return true
 }
 
+// advances reports whether a delta is applied to a book at a revision. One that is old,
+// or that would leave a gap, is not.
+func advances(revision, from, to int64) bool {
+	return to > revision && from <= revision
+}
+
 // apply keeps a template, unless a later one of its name is held.
 func (b *Book) apply(t *ryeford.Template) {
 	name := Name{Account: t.Account, Name: t.Name}
@@ -116,7 +119,7 @@
 }
 
 // Find returns the template that serves an account's model: the one of that
-// name, or the first by name with that model.
+// name, or the first by name with that model. A template must not be changed.
 func (b *Book) Find(account ryeford.AccountID, model string) (*ryeford.Template, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
--- a/agentfleet/template/check.go
+++ b/agentfleet/template/check.go
@@ -9,7 +9,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// checker is safe for use by several goroutines, and caches what it learns.
+// checker may be used by several goroutines at once, and caches the types it has seen.
 var checker = validator.New(validator.WithRequiredStructEnabled())
 
 // Check checks a template that is to be published. The error is a
--- a/agentfleet/template/store.go
+++ b/agentfleet/template/store.go
@@ -3,25 +3,20 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"strconv"
-	"strings"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/agentfleet/tableservice"
 )
 
-// The rows of the platform's table that hold the templates.
 const (
-	rowRevision     = "revision"
-	prefixTemplate  = "template/"
-	prefixRevision  = "change/"  // by revision: the template that made it
-	prefixHistory   = "history/" // by template and sequence
-	prefixPublished = "publish/" // by change id: what it led to
-	maxDelta        = 64         // revisions read one by one before a full read
-	publishTries    = 8          // when other templates' publishes get in between
-	sequenceDigits  = "%020d"    // so that history rows list in order
+	// maxDelta is how many revisions are read row by row; a reader that lacks more reads
+	// all templates. Not measured.
+	maxDelta = 64
+
+	// maxPublishes is how often a publish is made while other templates' publishes come
+	// first. Not measured.
+	maxPublishes = 8
 )
 
 // A SequenceError says that a publish was based on another version of the
@@ -34,8 +29,7 @@
 
 // Error returns the text of e.
 func (e *SequenceError) Error() string {
-	return fmt.Sprintf("template %s/%s is at version %d, not %d: read it and publish again",
-		e.Name.Account, e.Name.Name, e.Current, e.Based)
+	return fmt.Sprintf("template %s is at version %d, not %d: read it and publish again", e.Name, e.Current, e.Based)
 }
 
 // A Store publishes templates to the platform's table, and reads them back.
@@ -48,26 +42,26 @@
 	return &Store{table: table}
 }
 
-// Publish accepts a template. Its Sequence is the version it is based on, zero
-// for a new one; its Change makes a repeated publish take effect once. The
-// template that is returned has its new Sequence and Revision.
+// Publish accepts a template. Its Sequence is the version it is based on, zero for a
+// new one; its Change makes a repeated publish take effect once. The template that is
+// returned has its new Sequence and Revision. The error is a *SequenceError if the
+// template is based on another version than the current one.
 func (s *Store) Publish(ctx context.Context, t ryeford.Template) (*ryeford.Template, error) {
 	var last error
-	for range publishTries {
+	for range maxPublishes {
 		published, err := s.publishOnce(ctx, t)
-		var conflict *ryeford.ConflictError
-		if !errors.As(err, &conflict) && !tableservice.MayHaveApplied(err) {
+		if !ryeford.NeedsReadBack(err) {
 			return published, err
 		}
-		// The next try reads the change's own row first, and so finds out
+		// The next time round reads the change's own row first, and so finds out
 		// whether a publish whose answer was lost took effect.
 		last = err
 	}
 	return nil, last
 }
 
-// Revision returns the newest accepted revision.
-func (s *Store) Revision(ctx context.Context) (int64, error) {
+// newest returns the newest accepted revision.
+func (s *Store) newest(ctx context.Context) (int64, error) {
 	rows, err := s.table.Get(ctx, rowRevision)
 	if err != nil {
 		return 0, err
@@ -77,7 +71,7 @@
 
 // Since returns the newest revision and the templates above another one.
 func (s *Store) Since(ctx context.Context, revision int64) (int64, []ryeford.Template, error) {
-	newest, err := s.Revision(ctx)
+	newest, err := s.newest(ctx)
 	if err != nil || newest <= revision {
 		return revision, nil, err
 	}
@@ -138,102 +132,51 @@
 	if publishedRow.Version != 0 {
 		return decodeRow(publishedRow)
 	}
-	current := ryeford.Template{}
+	current := &ryeford.Template{}
 	if templateRow.Version != 0 {
-		if err := json.Unmarshal(templateRow.Value, &current); err != nil {
-			return nil, &RowError{Key: templateRow.Key, Err: err}
+		if current, err = decodeRow(templateRow); err != nil {
+			return nil, err
 		}
 	}
-	if current.Sequence != t.Sequence {
-		return nil, &SequenceError{Name: name, Based: t.Sequence, Current: current.Sequence}
+	next, err := nextVersion(t, current.Sequence)
+	if err != nil {
+		return nil, err
 	}
 	revision, err := parseRevision(revisionRow)
 	if err != nil {
 		return nil, err
 	}
-	t.Sequence++
-	t.Revision = revision + 1
-	value, err := json.Marshal(&t)
+	next.Revision = revision + 1
+	if err := s.write(ctx, next, revisionRow.Version, templateRow.Version); err != nil {
+		return nil, err
+	}
+	return next, nil
+}
+
+// write writes the rows of a published template, if the rows of the revision and of the
+// template still have these versions.
+func (s *Store) write(ctx context.Context, t *ryeford.Template, revisionVersion, templateVersion int64) error {
+	name := Name{Account: t.Account, Name: t.Name}
+	value, err := json.Marshal(t)
 	if err != nil {
-		return nil, &RowError{Key: templateRow.Key, Err: err}
+		return &RowError{Key: templateKey(name), Err: err}
 	}
 	_, err = s.table.Transact(ctx,
-		ryeford.Write{Key: rowRevision, Value: []byte(strconv.FormatInt(t.Revision, 10)), IfVersion: revisionRow.Version},
-		ryeford.Write{Key: templateKey(name), Value: value, IfVersion: templateRow.Version},
+		ryeford.Write{Key: rowRevision, Value: []byte(strconv.FormatInt(t.Revision, 10)), IfVersion: revisionVersion},
+		ryeford.Write{Key: templateKey(name), Value: value, IfVersion: templateVersion},
 		ryeford.Write{Key: publishedKey(t.Change), Value: value},
 		ryeford.Write{Key: revisionKey(t.Revision), Value: value},
 		ryeford.Write{Key: historyKey(name, t.Sequence), Value: value},
 	)
-	if err != nil {
-		return nil, err
-	}
-	return &t, nil
-}
-
-// String returns the name as ACCOUNT/NAME.
-func (n Name) String() string { return string(n.Account) + "/" + n.Name }
-
-// ParseName returns the name that ACCOUNT/NAME means.
-func ParseName(text string) (Name, error) {
-	account, name, ok := strings.Cut(text, "/")
-	if !ok || account == "" || name == "" || strings.Contains(name, "/") {
-		return Name{}, &ryeford.InputError{Field: "template", Problem: "want ACCOUNT/NAME"}
-	}
-	return Name{Account: ryeford.AccountID(account), Name: name}, nil
-}
-
-func templateKey(name Name) string { return prefixTemplate + name.String() }
-
-func publishedKey(change string) string { return prefixPublished + change }
-
-func revisionKey(revision int64) string { return prefixRevision + strconv.FormatInt(revision, 10) }
-
-func historyKey(name Name, sequence int64) string {
-	return prefixHistory + name.String() + "/" + fmt.Sprintf(sequenceDigits, sequence)
-}
-
-// parseRevision returns the revision of its row; an absent row means zero.
-func parseRevision(row ryeford.Row) (int64, error) {
-	if row.Version == 0 {
-		return 0, nil
-	}
-	revision, err := strconv.ParseInt(string(row.Value), 10, 64)
-	if err != nil {
-		return 0, &RowError{Key: row.Key, Err: err}
-	}
-	return revision, nil
-}
-
-// decodeRows returns the templates of rows.
-func decodeRows(rows []ryeford.Row) ([]ryeford.Template, error) {
-	templates := make([]ryeford.Template, 0, len(rows))
-	for _, row := range rows {
-		t, err := decodeRow(row)
-		if err != nil {
-			return nil, err
-		}
-		templates = append(templates, *t)
-	}
-	return templates, nil
+	return err
 }
 
-// decodeRow returns the template of a row.
-func decodeRow(row ryeford.Row) (*ryeford.Template, error) {
-	t := &ryeford.Template{}
-	if err := json.Unmarshal(row.Value, t); err != nil {
-		return nil, &RowError{Key: row.Key, Err: err}
+// nextVersion returns a template with the sequence after the current one, on which it
+// must be based.
+func nextVersion(t ryeford.Template, current int64) (*ryeford.Template, error) {
+	if t.Sequence != current {
+		return nil, &SequenceError{Name: Name{Account: t.Account, Name: t.Name}, Based: t.Sequence, Current: current}
 	}
-	return t, nil
-}
-
-// A RowError says that a row of the table can't be read.
-type RowError struct {
-	Key string
-	Err error
+	t.Sequence++
+	return &t, nil
 }
-
-// Error returns the text of e.
-func (e *RowError) Error() string { return "row " + e.Key + ": " + e.Err.Error() }
-
-// Unwrap returns the cause of e.
-func (e *RowError) Unwrap() error { return e.Err }
--- a/agentfleet/template/template_test.go
+++ b/agentfleet/template/template_test.go
@@ -130,3 +130,76 @@
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
+
+// TestAdvances checks which deltas a book at revision 5 takes.
+func TestAdvances(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		from, to int64
+		want     bool
+	}{
+		{"the next", 5, 6, true},
+		{"overlapping", 3, 8, true},
+		{"from the start", 0, 6, true},
+		{"old", 3, 4, false},
+		{"the same", 4, 5, false},
+		{"with a gap", 6, 8, false},
+	} {
+		assert.Equal(t, advances(5, test.from, test.to), test.want, test.name)
+	}
+}
+
+// TestFind checks which template serves an account's model.
+func TestFind(t *testing.T) {
+	book := NewBook()
+	book.Apply(0, 4, []ryeford.Template{
+		{Account: "bank", Name: "calls", Model: "lira", Revision: 1},
+		{Account: "bank", Name: "agents", Model: "lira", Revision: 2},
+		{Account: "bank", Name: "lira", Model: "psalm", Revision: 3},
+		{Account: "church", Name: "debate", Model: "hymn", Revision: 4},
+	})
+	for _, test := range []struct {
+		name    string
+		account ryeford.AccountID
+		model   string
+		want    string // the template's name, or empty
+	}{
+		{"by name", "bank", "calls", "calls"},
+		{"a name comes before a model", "bank", "lira", "lira"},
+		{"by model", "bank", "psalm", "lira"},
+		{"another account's", "bank", "hymn", ""},
+		{"none", "bank", "x", ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			found, ok := book.Find(test.account, test.model)
+			assert.Equal(t, ok, test.want != "")
+			if ok {
+				assert.Equal(t, found.Name, test.want)
+			}
+		})
+	}
+}
+
+// TestNextVersion checks which publish is accepted.
+func TestNextVersion(t *testing.T) {
+	for _, test := range []struct {
+		name           string
+		based, current int64
+		accepted       bool
+	}{
+		{"new", 0, 0, true},
+		{"on the current version", 3, 3, true},
+		{"on an old version", 2, 3, false},
+		{"on no version, though there is one", 0, 1, false},
+		{"on a version that is not there", 4, 3, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			next, err := nextVersion(ryeford.Template{Sequence: test.based}, test.current)
+			var sequence *SequenceError
+			assert.Equal(t, errors.As(err, &sequence), !test.accepted)
+			if test.accepted {
+				assert.Equal(t, next.Sequence, test.current+1)
+			}
+		})
+	}
+}
--- a/table.go
+++ b/table.go
@@ -1,6 +1,9 @@
 package ryeford
 
-import "context"
+import (
+	"context"
+	"errors"
+)
 
 // A Row is one row of the platform's table. Version is zero where the row is
 // absent. A row that is removed and written anew never has an old version.
@@ -34,3 +37,12 @@
 	// Transact makes all writes or none. It returns the rows' new version.
 	Transact(ctx context.Context, writes ...Write) (int64, error)
 }
+
+// NeedsReadBack reports whether the rows of a write that failed with err must be read
+// to learn what they hold now: another write came first, or it is not known whether
+// this one took effect. After any other error nothing was written.
+func NeedsReadBack(err error) bool {
+	var conflict *ConflictError
+	var unavailable *UnavailableError
+	return errors.As(err, &conflict) || errors.As(err, &unavailable) && unavailable.MayHaveApplied
+}
