--- a/agentfleet/tableservice/client.go
+++ b/agentfleet/tableservice/client.go
@@ -1,5 +1,9 @@
-// Package tableservice reaches the platform's table service, object store and list
-// of VMs over HTTP and JSON.
+// Package tableservice reaches the services in which the fleet with agents keeps its
+// state, over HTTP and JSON: a transactional table, an object store and the list of VMs.
+//
+// It owns no state but the list of VMs that was read last. Each call is sent once:
+// whether a failed one is repeated is up to its caller, to whom a
+// ryeford.UnavailableError says whether it may have taken effect.
 package tableservice
 
 import (
@@ -17,51 +21,20 @@
 	"github.com/ryeford/ryeford"
 )
 
-// The paths of the platform's services.
 const (
-	PathGet      = "/table/get"
-	PathList     = "/table/list"
-	PathTransact = "/table/transact"
-	PathObjects  = "/objects/"
-	PathVMs      = "/vms"
-)
-
-// HeaderVM names the VM that calls the platform.
-const HeaderVM = "X-Ryeford-VM"
-
-const maxAnswer = 64 << 20
-
-// callTimeout bounds each call. Not measured: well above the some hundred
-// milliseconds that a slow store takes, below what a caller waits.
-const callTimeout = 2 * time.Second
-
-// A GetRequest asks for rows by key.
-type GetRequest struct {
-	Keys []string `json:"keys"`
-}
-
-// A RowsAnswer holds rows.
-type RowsAnswer struct {
-	Rows []ryeford.Row `json:"rows"`
-}
-
-// A ListRequest asks for the rows with a prefix.
-type ListRequest struct {
-	Prefix string `json:"prefix"`
-}
+	// maxAnswer bounds an answer, in bytes. A longer one fails to decode. Not measured.
+	maxAnswer = 64 << 20
 
-// A TransactRequest asks for writes, all or none.
-type TransactRequest struct {
-	Writes []ryeford.Write `json:"writes"`
-}
+	// callTimeout bounds each call. Not measured: well above the some hundred
+	// milliseconds that a slow store takes, below what a caller waits.
+	callTimeout = 2 * time.Second
 
-// A TransactAnswer holds the rows' new version or the keys in conflict.
-type TransactAnswer struct {
-	Version   int64    `json:"version,omitempty"`
-	Conflicts []string `json:"conflicts,omitempty"`
-}
+	// maxIdle is how many connections are kept for later calls. Not measured.
+	maxIdle = 16
+)
 
-// A Client is a ryeford.Table, ryeford.ObjectStore and ryeford.VMList.
+// A Client is a ryeford.Table, ryeford.ObjectStore and ryeford.VMList. It may be used by
+// several goroutines at once.
 type Client struct {
 	base string
 	vm   ryeford.VMID
@@ -86,7 +59,7 @@
 		base: "http://" + address.String(),
 		// A write is sent once only: a transport that repeats it on its own
 		// would hide that it may have taken effect.
-		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}},
+		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdle}},
 	}
 	for _, option := range options {
 		option(c)
@@ -182,8 +155,8 @@
 	return content, err
 }
 
-// send makes one HTTP call. A write whose answer is lost may have been applied;
-// one that was refused with a status was not.
+// send makes one HTTP call. A write whose answer is lost may have been applied. The
+// response's body has been read and closed.
 func (c *Client) send(ctx context.Context, method, path string, header http.Header, body []byte, write bool) (*http.Response, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -191,26 +164,36 @@
 	if err != nil {
 		return nil, nil, &ryeford.UnavailableError{Service: path, Err: err}
 	}
-	request.GetBody = nil
+	request.GetBody = nil // without it, net/http can't send the body twice
 	request.Header = header
 	request.Header.Set(HeaderVM, string(c.vm))
 	response, err := c.http.Do(request)
 	if err != nil {
 		return nil, nil, &ryeford.UnavailableError{Service: path, MayHaveApplied: write, Err: err}
 	}
-	defer func() { _ = response.Body.Close() }()
+	defer func() { _ = response.Body.Close() }() // all that counts of it has been read
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
-	switch {
-	case err != nil:
+	if err != nil {
 		return nil, nil, &ryeford.UnavailableError{Service: path, MayHaveApplied: write, Err: err}
-	case response.StatusCode == http.StatusNotFound:
-		return nil, nil, &ryeford.NotFoundError{Kind: "object", Name: path}
-	case response.StatusCode != http.StatusOK && response.StatusCode != http.StatusNotModified:
-		return nil, nil, &ryeford.UnavailableError{Service: path, Err: &StatusError{Status: response.StatusCode}}
+	}
+	if err := statusError(path, response.StatusCode); err != nil {
+		return nil, nil, err
 	}
 	return response, content, nil
 }
 
+// statusError returns the error that an HTTP status stands for, or nil. A call that was
+// answered with such a status took no effect.
+func statusError(path string, status int) error {
+	switch status {
+	case http.StatusOK, http.StatusNotModified:
+		return nil
+	case http.StatusNotFound:
+		return &ryeford.NotFoundError{Kind: "object", Name: path}
+	}
+	return &ryeford.UnavailableError{Service: path, Err: &StatusError{Status: status}}
+}
+
 // A StatusError says that the platform answered with an HTTP status other than
 // 200.
 type StatusError struct {
--- /dev/null
+++ b/agentfleet/tableservice/client_test.go
@@ -0,0 +1,79 @@
+package tableservice
+
+import (
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"net/netip"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+)
+
+// TestErrors checks what each answer to a call means.
+func TestErrors(t *testing.T) {
+	answer := func(status int, body string) http.HandlerFunc {
+		return func(w http.ResponseWriter, _ *http.Request) {
+			w.WriteHeader(status)
+			_, _ = w.Write([]byte(body))
+		}
+	}
+	cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+	for _, test := range []struct {
+		name       string
+		handler    http.HandlerFunc
+		write      func(err error) bool // checks the error of a write
+		mayApplied bool
+	}{
+		{"accepted", answer(200, `{"version":7}`), func(err error) bool { return err == nil }, false},
+		{"in conflict", answer(200, `{"conflicts":["k"]}`), as[*ryeford.ConflictError], false},
+		{"refused with a status", answer(500, ``), as[*ryeford.UnavailableError], false},
+		{"no such path", answer(404, ``), as[*ryeford.NotFoundError], false},
+		{"answer can't be read", answer(200, `{`), as[*ryeford.UnavailableError], true},
+		{"answer cut", cut, as[*ryeford.UnavailableError], true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			server := httptest.NewServer(test.handler)
+			defer server.Close()
+			client := New(netip.MustParseAddrPort(server.Listener.Addr().String()))
+			_, err := client.Transact(t.Context(), ryeford.Write{Key: "k"})
+			assert.Assert(t, test.write(err), "%v", err)
+			var unavailable *ryeford.UnavailableError
+			assert.Equal(t, errors.As(err, &unavailable) && unavailable.MayHaveApplied, test.mayApplied)
+
+			// A read never takes effect.
+			_, err = client.Get(t.Context(), "k")
+			assert.Assert(t, !errors.As(err, &unavailable) || !unavailable.MayHaveApplied)
+		})
+	}
+}
+
+// as reports whether an error is of a type.
+func as[E error](err error) bool {
+	var target E
+	return errors.As(err, &target)
+}
+
+// TestUnchangedList checks that a list of VMs that has not changed is not sent again.
+func TestUnchangedList(t *testing.T) {
+	sent := 0
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.Header.Get("If-None-Match") == `"1"` {
+			w.WriteHeader(http.StatusNotModified)
+			return
+		}
+		sent++
+		w.Header().Set("ETag", `"1"`)
+		_, _ = w.Write([]byte(`[{"id":"endpoint-1"}]`))
+	}))
+	defer server.Close()
+	client := New(netip.MustParseAddrPort(server.Listener.Addr().String()), WithVM("router-1"))
+	for range 3 {
+		vms, err := client.VMs(t.Context())
+		assert.NilError(t, err)
+		assert.Equal(t, len(vms), 1)
+	}
+	assert.Equal(t, sent, 1)
+}
