--- a/agentfleet/claim/claim.go
+++ b/agentfleet/claim/claim.go
@@ -122,8 +122,8 @@
 	return nil, &Error{Key: key, Err: &ryeford.UnavailableError{Service: "claims", Err: context.DeadlineExceeded}}
 }
 
-// decided reports whether the claim that was read after a write of ours tells who holds
-// the key: it is not the one that the write was to replace, so the write took effect or
+// decided reports whether the claim that was read after a write of ours shows who
+// holds the key: it is not the one that the write was to replace, so the write took effect or
 // another came first. Otherwise the write may be made again.
 func decided(held *Claim, replaced int64) bool {
 	return held != nil && held.version != replaced
--- a/agentfleet/claim/claim_test.go
+++ b/agentfleet/claim/claim_test.go
@@ -91,7 +91,7 @@
 	})
 }
 
-// TestDecided checks when a row that was read back tells who holds a key.
+// TestDecided checks when a row that was read back shows who holds a key.
 func TestDecided(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -100,7 +100,7 @@
 		want     bool
 	}{
 		{"no row: the write did not take effect", nil, 0, false},
-		{"a row where there was none", &Claim{version: 7}, 0, true},
+		{"a row instead of none", &Claim{version: 7}, 0, true},
 		{"the row that was to be replaced", &Claim{version: 7}, 7, false},
 		{"another row in its place", &Claim{version: 8}, 7, true},
 		{"the row was removed", nil, 7, false},
--- a/agentfleet/lease/lease.go
+++ b/agentfleet/lease/lease.go
@@ -35,7 +35,7 @@
 }
 
 // New returns a Lease that this process may hold for ttl after each renewal. The life
-// tells this process from an earlier one of the same VM.
+// distinguishes this process from an earlier one of the same VM.
 func New(table ryeford.Table, name string, holder ryeford.VMID, life string, ttl time.Duration) *Lease {
 	return &Lease{table: table, key: "lease/" + name, holder: holder, life: life, ttl: ttl}
 }
--- a/agentfleet/placement/rules_test.go
+++ b/agentfleet/placement/rules_test.go
@@ -73,8 +73,8 @@
 	}{
 		{"twice its part", 10, 0.3, 1, 6},
 		{"its part is rounded up", 10, 0.25, 1, 6},
-		{"all at the most", 10, 0.8, 1, 10},
-		{"two at the least", 10, 0.01, 1, 2},
+		{"at most all", 10, 0.8, 1, 10},
+		{"at least two", 10, 0.01, 1, 2},
 		{"one engine", 1, 0.1, 1, 1},
 		{"no engine", 0, 0.1, 1, 0},
 	} {
--- a/agentfleet/router/callers_test.go
+++ b/agentfleet/router/callers_test.go
@@ -15,7 +15,7 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// newTestRouter returns a router that knows one account, and no engine.
+// newTestRouter returns a router with one account and no engine.
 func newTestRouter() *Router {
 	r := &Router{
 		settings:  settings.DefaultRouter(),
@@ -85,7 +85,7 @@
 }
 
 // TestRefusalIsImmediate checks that a request that no engine can take is
-// answered at once, and that refused callers are told different times.
+// answered at once, and that refused callers get different times.
 func TestRefusalIsImmediate(t *testing.T) {
 	r := newTestRouter()
 	seen := make(map[string]bool)
--- a/agentfleet/router/connect_test.go
+++ b/agentfleet/router/connect_test.go
@@ -21,7 +21,7 @@
 		{"again", 0, 400 * time.Millisecond},
 		{"again", 0, 800 * time.Millisecond},
 		{"again", 0, 1600 * time.Millisecond},
-		{"at the most", 0, 2 * time.Second},
+		{"at the maximum", 0, 2 * time.Second},
 		{"stays there", 0, 2 * time.Second},
 		{"after a stable connection", stableAfter + 1, 50 * time.Millisecond},
 		{"lost at once", 0, 100 * time.Millisecond},
--- a/agentfleet/router/failure_test.go
+++ b/agentfleet/router/failure_test.go
@@ -10,8 +10,8 @@
 	"github.com/ryeford/ryeford/agentfleet/template"
 )
 
-// TestUnknownIsNeverNotRun checks that a request of which an earlier try may
-// have run is never said not to have run, whatever refused the last try.
+// TestUnknownIsNeverNotRun checks that a request of which an earlier dispatch
+// may have run is never said not to have run, whatever refused the last one.
 func TestUnknownIsNeverNotRun(t *testing.T) {
 	refused := &ryeford.NotRunError{Reason: ryeford.ReasonOverload, RetryAfter: time.Second}
 	x := &exchange{request: &request{repeatable: true}, mayHaveRun: true}
@@ -21,7 +21,7 @@
 	assert.Equal(t, status, 502)
 	assert.Equal(t, reasonOf(verdict), ryeford.ReasonOverload)
 
-	// Not even where an unknown outcome was caused by a refusal.
+	// Not even if a refusal caused the unknown outcome.
 	body, _ = newErrorBody("r", &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: refused})
 	assert.Equal(t, body.Error.Ran, "unknown")
 
