--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -22,26 +22,26 @@
 type reach int
 
 const (
-	nobody         reach = iota // no request: the fault must go unnoticed
-	throughGateway              // requests through the gateway that it strikes
-	everybody                   // requests through any gateway
+	noRequest      reach = iota // none
+	throughGateway              // those through the gateway that it strikes
+	anyRequest                  // those through any gateway
 )
 
 // faults are all faults. A seed draws from them by their index, so rows keep their
 // order, and are repeated if a fault is to come more often.
 var faults = []fault{
 	{"kill", "kill a gateway; it starts anew", throughGateway, (*injector).kill},
-	{"stop", "SIGTERM to a gateway, a planned stop; it starts anew", nobody, (*injector).stop},
+	{"stop", "SIGTERM to a gateway, a planned stop; it starts anew", noRequest, (*injector).stop},
 	{"freeze", "SIGSTOP to a gateway, SIGCONT after up to 3 s", throughGateway, (*injector).freeze},
-	{"hangup", "SIGHUP to a gateway, which reads its settings again", nobody, (*injector).hangup},
-	{"link", "a gateway's way to the store silent, mute one way, slow or reset, up to 3 s", nobody, (*injector).link},
-	{"link", "the same", nobody, (*injector).link},
-	{"store", "the store refuses, hangs, is slow, sends its feeds no changes or forgets its history, up to 3 s", nobody, (*injector).store},
-	{"server", "a server misbehaves for 1 to 20 requests, up to 1.5 s", everybody, (*injector).server},
-	{"server", "the same", everybody, (*injector).server},
-	{"leave", "a server drains, is perhaps gone, and is back", nobody, (*injector).leave},
-	{"configure", "the second account's key is revoked, or valid again", nobody, (*injector).configure},
-	{"configure", "the same", nobody, (*injector).configure},
+	{"hangup", "SIGHUP to a gateway, which reads its settings again", noRequest, (*injector).hangup},
+	{"link", "a gateway's way to the store silent, mute one way, slow or reset, up to 3 s", noRequest, (*injector).link},
+	{"link", "the same", noRequest, (*injector).link},
+	{"store", "the store refuses, hangs, is slow, sends its feeds no changes or forgets its history, up to 3 s", noRequest, (*injector).store},
+	{"server", "a server misbehaves for 1 to 20 requests, up to 1.5 s", anyRequest, (*injector).server},
+	{"server", "the same", anyRequest, (*injector).server},
+	{"leave", "a server drains, is perhaps gone, and is back", noRequest, (*injector).leave},
+	{"configure", "the second account's key is revoked, or valid again", noRequest, (*injector).configure},
+	{"configure", "the same", noRequest, (*injector).configure},
 }
 
 // The longest that faults last. Each lasts a time that is drawn below.
--- a/internal/soak/injector_test.go
+++ b/internal/soak/injector_test.go
@@ -66,9 +66,9 @@
 	switch f.mayCut {
 	case throughGateway:
 		in.addCut(gateway, from)
-	case everybody:
+	case anyRequest:
 		in.addCut(allGateways, from)
-	case nobody:
+	case noRequest:
 	}
 }
 
