--- a/internal/cmd/role.go
+++ b/internal/cmd/role.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// newLogger returns the logger of a process: logfmt with a time, in UTC, and the
-// role. Package boundedlog's lines, and explain --log, rely on ts= coming first.
+// newLogger returns the logger of a process: logfmt with the time, in UTC, and the
+// role. explain --log skips what stands before ts=, so that comes first.
 func newLogger(w io.Writer, role string) log.Logger {
 	logger := log.NewLogfmtLogger(log.NewSyncWriter(w))
 	now := log.TimestampFormat(func() time.Time { return time.Now().UTC() }, time.RFC3339Nano)
