--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -80,16 +80,16 @@
 	}
 }
 
-// noteConnection notes when callers connect. It is an http.Server's ConnState.
-func (d *drain) noteConnection(_ net.Conn, state http.ConnState) {
+// recordConnection records when callers connect. It is an http.Server's ConnState.
+func (d *drain) recordConnection(_ net.Conn, state http.ConnState) {
 	if state == http.StateNew {
 		now := time.Now()
 		d.lastConnection.Store(&now)
 	}
 }
 
-// noteFailedProbe counts a readiness probe that failed, if the gateway stops.
-func (d *drain) noteFailedProbe() {
+// countFailedProbe counts a readiness probe that failed, if the gateway stops.
+func (d *drain) countFailedProbe() {
 	if d.leaving.Load() {
 		d.failedProbes.Add(1)
 	}
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -15,16 +15,16 @@
 func TestAwaitNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(8*time.Second, log.NewNopLogger())
-		d.noteFailedProbe()
-		d.noteFailedProbe()
+		d.countFailedProbe()
+		d.countFailedProbe()
 		d.leaving.Store(true)
 		ordered := time.Now()
 		d.awaitNotice(ordered)
 		assert.Equal(t, time.Since(ordered), 3400*time.Millisecond)
 
-		d.noteFailedProbe()
+		d.countFailedProbe()
 		ordered = time.Now()
-		time.AfterFunc(time.Second, d.noteFailedProbe)
+		time.AfterFunc(time.Second, d.countFailedProbe)
 		d.awaitNotice(ordered)
 		took := time.Since(ordered)
 		assert.Assert(t, took >= 1400*time.Millisecond && took <= 1450*time.Millisecond, "%s", took)
@@ -40,8 +40,8 @@
 		d.awaitQuiet(began.Add(5 * time.Second))
 		assert.Equal(t, time.Since(began), time.Duration(0), "no caller has ever connected")
 
-		d.noteConnection(nil, http.StateNew)
-		time.AfterFunc(400*time.Millisecond, func() { d.noteConnection(nil, http.StateActive) })
+		d.recordConnection(nil, http.StateNew)
+		time.AfterFunc(400*time.Millisecond, func() { d.recordConnection(nil, http.StateActive) })
 		d.awaitQuiet(began.Add(5 * time.Second))
 		assert.Equal(t, time.Since(began), 550*time.Millisecond, "a known connection is no new one")
 
@@ -53,11 +53,11 @@
 				case <-stop:
 					return
 				case <-time.After(100 * time.Millisecond):
-					d.noteConnection(nil, http.StateNew)
+					d.recordConnection(nil, http.StateNew)
 				}
 			}
 		}()
-		d.noteConnection(nil, http.StateNew)
+		d.recordConnection(nil, http.StateNew)
 		d.awaitQuiet(began.Add(2 * time.Second))
 		assert.Equal(t, time.Since(began), 2*time.Second, "callers connect all the time")
 		close(stop)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	callers.http.ConnState = g.drain.noteConnection
+	callers.http.ConnState = g.drain.recordConnection
 	probes, err := g.listen(work, g.settings.Readiness, g.probes)
 	if err != nil {
 		return err
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -39,7 +39,7 @@
 		return
 	}
 	w.WriteHeader(http.StatusServiceUnavailable)
-	h.drain.noteFailedProbe()
+	h.drain.countFailedProbe()
 }
 
 // state returns what readiness depends on.
