--- /dev/null
+++ b/gateway/endpoint/connection.go
@@ -0,0 +1,104 @@
+package endpoint
+
+import (
+	"bufio"
+	"context"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+
+	"github.com/ryeford/ryeford"
+)
+
+const (
+	// dialTimeout bounds the time to open a connection. Not measured.
+	dialTimeout = 400 * time.Millisecond
+	// ackTimeout is how long sent bytes may stay unacknowledged before the kernel
+	// closes the connection: an endpoint that lost its network or its power sends
+	// nothing at all. Not measured.
+	ackTimeout = 3 * time.Second
+	// readBuffer is the memory of a connection for what it reads, in bytes. Not
+	// measured.
+	readBuffer = 4 << 10
+	// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+	tcpUserTimeout = 18
+)
+
+// A connection is one connection to an endpoint.
+type connection struct {
+	net.Conn
+	endpoint ryeford.EndpointID
+	reader   *bufio.Reader
+	// maxIdle is how long the endpoint leaves the connection open without a request.
+	maxIdle   time.Duration
+	idleUntil time.Time
+}
+
+// dial opens a connection to an endpoint. The error is an *UnsentError.
+func dial(ctx context.Context, to *ryeford.Endpoint) (*connection, error) {
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setAckTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", to.Address.String())
+	if err != nil {
+		return nil, &UnsentError{Err: err}
+	}
+	return &connection{
+		Conn:     conn,
+		endpoint: to.ID,
+		reader:   bufio.NewReaderSize(conn, readBuffer),
+		maxIdle:  defaultMaxIdle,
+	}, nil
+}
+
+// setAckTimeout sets ackTimeout on a new socket.
+func setAckTimeout(_, _ string, raw syscall.RawConn) error {
+	var failed error
+	err := raw.Control(func(fd uintptr) {
+		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(ackTimeout.Milliseconds()))
+	})
+	if err != nil {
+		return err
+	}
+	return failed
+}
+
+// silent reports whether nothing has arrived on an idle connection: neither its end
+// nor bytes, which would belong to no request.
+func (c *connection) silent() bool {
+	sysConn, ok := c.Conn.(syscall.Conn)
+	if !ok {
+		return true
+	}
+	raw, err := sysConn.SyscallConn()
+	if err != nil {
+		return false
+	}
+	silent := false
+	err = raw.Read(func(fd uintptr) bool {
+		var b [1]byte
+		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		silent = n <= 0 && (err == syscall.EAGAIN || err == syscall.EWOULDBLOCK)
+		return true
+	})
+	return err == nil && silent
+}
+
+// readKeepAlive sets maxIdle from a response's Keep-Alive header, which states whole
+// seconds. One that cannot be read changes nothing.
+func (c *connection) readKeepAlive(header http.Header) {
+	for field := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
+		text, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
+		if !ok {
+			continue
+		}
+		if seconds, err := strconv.Atoi(text); err == nil {
+			c.maxIdle = time.Duration(seconds)*time.Second - idleMargin
+		}
+	}
+}
+
+// close closes the connection for good. Its error is dropped: it could only say that
+// the connection was broken before.
+func (c *connection) close() { _ = c.Close() }
--- a/gateway/endpoint/endpoint_test.go
+++ b/gateway/endpoint/endpoint_test.go
@@ -59,7 +59,7 @@
 }
 
 func newPool() *endpoint.Pool {
-	return endpoint.New(platform.Protocol{}, endpoint.DefaultOptions())
+	return endpoint.New(platform.Protocol{})
 }
 
 // TestReuse checks that a connection is used again, unless its end has come
--- a/gateway/endpoint/fuzz_test.go
+++ b/gateway/endpoint/fuzz_test.go
@@ -21,7 +21,7 @@
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n" + head + "\r\nuntil the end"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nRyeford-Request-Id: r2\r\nContent-Length: 1\r\n\r\nx" + head + "Content-Length: 0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 503 Busy\r\nRyeford-Request-Id: r1\r\nRyeford-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
-	pool := New(platform.Protocol{}, DefaultOptions())
+	pool := New(platform.Protocol{})
 	request := &Request{ID: "r1", Method: "POST", Target: "/a", Host: "h"}
 	f.Fuzz(func(t *testing.T, content []byte) {
 		near, far := net.Pipe()
--- /dev/null
+++ b/gateway/endpoint/reuse_test.go
@@ -0,0 +1,90 @@
+package endpoint
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford/platform"
+)
+
+// TestProvablyUnsent checks what a write that failed proves.
+func TestProvablyUnsent(t *testing.T) {
+	tests := []struct {
+		name       string
+		written    int
+		contextErr error
+		want       bool
+	}{
+		{"nothing was written", 0, nil, true},
+		{"a part was written", 1, nil, false},
+		{"the request's time was over", 0, context.DeadlineExceeded, false},
+	}
+	for _, test := range tests {
+		assert.Equal(t, provablyUnsent(test.written, test.contextErr), test.want, test.name)
+	}
+}
+
+// TestReadKeepAlive checks how long a connection may be idle, by what its endpoint
+// states.
+func TestReadKeepAlive(t *testing.T) {
+	tests := []struct {
+		keepAlive string
+		want      time.Duration
+	}{
+		{"", defaultMaxIdle},
+		{"timeout=5", 5*time.Second - idleMargin},
+		{"max=3, timeout=2", 2*time.Second - idleMargin},
+		{"timeout=0", -idleMargin},
+		{"timeout=soon", defaultMaxIdle},
+	}
+	for _, test := range tests {
+		c := &connection{maxIdle: defaultMaxIdle}
+		c.readKeepAlive(http.Header{"Keep-Alive": {test.keepAlive}})
+		assert.Equal(t, c.maxIdle, test.want, "%q", test.keepAlive)
+	}
+}
+
+// TestKeepConnection checks when the connection of a response that is closed becomes
+// idle.
+func TestKeepConnection(t *testing.T) {
+	tests := []struct {
+		name                 string
+		keep, whole, stopped bool
+		rest                 string // what follows the response
+		maxIdle              time.Duration
+		want                 bool
+	}{
+		{"all is well", true, true, true, "", time.Second, true},
+		{"the endpoint closes it, or has not got the request whole", false, true, true, "", time.Second, false},
+		{"the response was not read whole", true, false, true, "", time.Second, false},
+		{"the request's context has ended", true, true, false, "", time.Second, false},
+		{"bytes follow the response", true, true, true, "x", time.Second, false},
+		{"the endpoint allows no idle time", true, true, true, "", -time.Second, false},
+	}
+	for _, test := range tests {
+		near, far := net.Pipe()
+		reader := bufio.NewReader(strings.NewReader(test.rest))
+		_, err := reader.Peek(len(test.rest))
+		assert.NilError(t, err)
+		pool := New(platform.Protocol{})
+		c := &connection{Conn: near, endpoint: "e", reader: reader, maxIdle: test.maxIdle}
+		response := &Response{pool: pool, connection: c, keep: test.keep, whole: test.whole, stop: func() bool { return test.stopped }}
+		response.Close()
+		response.Close() // does nothing
+		assert.Equal(t, len(pool.idle["e"]) == 1, test.want, test.name)
+		if !test.want {
+			_, err := far.Read(make([]byte, 1))
+			assert.ErrorIs(t, err, io.EOF, test.name)
+		}
+		assert.NilError(t, near.Close())
+		assert.NilError(t, far.Close())
+	}
+}
--- a/gateway/endpointlist_test.go
+++ b/gateway/endpointlist_test.go
@@ -82,7 +82,7 @@
 			settle:   50 * time.Millisecond,
 			revision: &revision{},
 			roster:   roster.New(roster.DefaultTTLs()),
-			pool:     endpoint.New(nil, endpoint.DefaultOptions()),
+			pool:     endpoint.New(nil),
 			memories: []memory{m},
 			outage:   newOutage("endpoints", func() time.Duration { return 0 }, log.NewNopLogger(), telemetry.NewSet()),
 			onUpdate: func() { updates++ },
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -76,7 +76,7 @@
 		metrics:     metrics,
 		roster:      roster.New(roster.DefaultTTLs()),
 		detector:    outlier.New(outlier.DefaultLimits()),
-		pool:        endpoint.New(platform.Protocol, endpoint.DefaultOptions()),
+		pool:        endpoint.New(platform.Protocol),
 		loads:       loads.New(),
 		prefixes:    prefixcache.New(prefixcache.DefaultLimits()),
 		drain:       newDrain(s.Bounds.Grace, logger),
