--- a/completion.go
+++ b/completion.go
@@ -8,13 +8,14 @@
 
 // A Completion is what an engine is asked to run.
 type Completion struct {
-	Attempt   AttemptID `cbor:"1,keyasint"`
-	Pool      Pool      `cbor:"2,keyasint"`
-	Priority  Priority  `cbor:"3,keyasint"`
-	Messages  []Message `cbor:"4,keyasint"`
-	MaxTokens int       `cbor:"5,keyasint,omitempty"`
+	Attempt  AttemptID `cbor:"1,keyasint"`
+	Pool     Pool      `cbor:"2,keyasint"`
+	Priority Priority  `cbor:"3,keyasint"`
+	Messages []Message `cbor:"4,keyasint"`
+	// MaxTokens bounds the answer; zero leaves the bound to the engine.
+	MaxTokens int `cbor:"5,keyasint,omitempty"`
 	// Prefix is text of the answer that the caller already has; the engine
-	// goes on behind it.
+	// continues after it.
 	Prefix string `cbor:"6,keyasint,omitempty"`
 }
 
@@ -22,8 +23,9 @@
 type Call struct {
 	Attempt     AttemptID `cbor:"1,keyasint"`
 	Method      string    `cbor:"2,keyasint"`
-	Path        string    `cbor:"3,keyasint"`
+	Path        string    `cbor:"3,keyasint"` // with the query, as the caller wrote it
 	ContentType string    `cbor:"4,keyasint,omitempty"`
 	Body        []byte    `cbor:"5,keyasint,omitempty"`
-	Repeatable  bool      `cbor:"6,keyasint"`
+	// Repeatable says that the caller allows the call to run more than once.
+	Repeatable bool `cbor:"6,keyasint"`
 }
--- a/endpoint.go
+++ b/endpoint.go
@@ -5,12 +5,14 @@
 // An EndpointID names one life of an endpoint: it changes at each start.
 type EndpointID string
 
-// An EndpointState is what an endpoint says of itself.
+// An EndpointState is what an endpoint says of itself in the list of endpoints.
 type EndpointState int
 
 // The states of endpoints.
 const (
 	EndpointReady EndpointState = iota
+	// EndpointDraining is that of an endpoint that will end soon, and serves until
+	// then.
 	EndpointDraining
 )
 
@@ -20,13 +22,14 @@
 	Service       string
 	Address       netip.AddrPort
 	FailureDomain string
-	Slots         int
-	State         EndpointState
+	// Slots is how many requests it runs at once; more wait in its queue.
+	Slots int
+	State EndpointState
 }
 
-// An EndpointLoad is what an endpoint tells of its load with an answer.
+// An EndpointLoad is the load that an endpoint reports with a response, in requests.
 type EndpointLoad struct {
 	Running int
 	Waiting int
-	Slots   int
+	Slots   int // how many it runs at once
 }
--- a/engine.go
+++ b/engine.go
@@ -2,24 +2,25 @@
 
 import "context"
 
-// An EngineLoad is what an engine reports of itself, with a lag.
+// An EngineLoad is what an engine reports of itself, in requests. It lags behind the
+// truth.
 type EngineLoad struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 }
 
-// A CacheEvent tells that an engine stored or evicted a chat's prefix. Events
-// come late and with gaps in Sequence.
+// A CacheEvent says that an engine stored or evicted a chat's prefix. Events come
+// late and with gaps in Sequence.
 type CacheEvent struct {
 	Sequence int64  `json:"sequence"`
 	Chat     ChatID `json:"chat"`
 	Evicted  bool   `json:"evicted"`
 }
 
-// An Order tells an engine what to serve. An engine that checks fences refuses
-// an order whose epoch is below the highest it has seen.
+// An Order says which pools an engine is to load and serve. An engine that checks
+// fences refuses an order whose epoch is below the highest it has seen.
 type Order struct {
-	Epoch int64  `json:"epoch"`
+	Epoch int64  `json:"epoch"` // of the planner's lease
 	Pools []Pool `json:"pools"`
 }
 
@@ -28,15 +29,16 @@
 	// Next returns the next chunk as it came: perhaps late, repeated, out of
 	// order or of another attempt. io.EOF ends the stream.
 	Next() (Chunk, error)
-	// Close gives the stream up without cancelling the run.
+	// Close stops reading without cancelling the run.
 	Close() error
 }
 
-// An Engine is one model engine.
+// An Engine is one model engine. An error but for those named below does not say
+// whether the call had an effect.
 type Engine interface {
 	// Complete starts an attempt.
 	Complete(ctx context.Context, chat ChatID, completion *Completion) (ChunkReader, error)
-	// Resume reads a started attempt again, from an offset.
+	// Resume reads a started attempt again, from the chunk at an offset.
 	Resume(ctx context.Context, attempt AttemptID, offset int64) (ChunkReader, error)
 	// Cancel stops an attempt.
 	Cancel(ctx context.Context, attempt AttemptID) error
@@ -49,7 +51,8 @@
 	// Serving returns the pools that the engine has ready, and the highest
 	// epoch it has seen.
 	Serving(ctx context.Context) (Order, error)
-	// Order makes the engine load and serve pools.
+	// Order makes the engine load and serve pools. It returns a *FenceError if the
+	// engine has seen a newer epoch.
 	Order(ctx context.Context, order Order) error
 }
 
--- a/errors.go
+++ b/errors.go
@@ -8,9 +8,11 @@
 
 // A NotRunError says that a request provably did not run.
 type NotRunError struct {
-	Reason     Reason
+	Reason Reason
+	// RetryAfter is when the caller should try again; zero leaves it to the caller.
 	RetryAfter time.Duration
-	Engine     EngineID // where a ReasonRedirect points
+	// Engine is the one that a ReasonRedirect points to.
+	Engine EngineID
 }
 
 // Error returns the text of e.
@@ -20,9 +22,11 @@
 
 // An UnknownError says that a request may have run, whole or in part.
 type UnknownError struct {
-	Reason     Reason
+	Reason Reason
+	// RetryAfter is when the caller should try again; zero leaves it to the caller.
 	RetryAfter time.Duration
-	Err        error
+	// Err is the cause; nil if Reason says all.
+	Err error
 }
 
 // Error returns the text of e.
@@ -39,9 +43,10 @@
 // An InputError says what is wrong with something that a caller or an operator
 // sent.
 type InputError struct {
-	Field   string
+	Field   string // the header, setting or part of the body that is wrong
 	Problem string
-	Status  int // the HTTP status that fits, or zero for 400
+	// Status is the HTTP status of the response; zero stands for 400.
+	Status int
 }
 
 // Error returns the text of e.
@@ -49,9 +54,10 @@
 	return e.Field + ": " + e.Problem
 }
 
-// A ConflictError says that a conditional write found other versions.
+// A ConflictError says that a conditional write found other versions, and wrote
+// nothing.
 type ConflictError struct {
-	Keys []string
+	Keys []string // of the rows whose versions differ
 }
 
 // Error returns the text of e.
@@ -59,10 +65,11 @@
 	return "conflict on " + strings.Join(e.Keys, ", ")
 }
 
-// An UnavailableError says that a service of the platform did not answer.
+// An UnavailableError says that a service of the platform did not answer, or not as
+// it should.
 type UnavailableError struct {
-	Service string
-	// MayHaveApplied is true where a write may have taken effect.
+	Service string // its name or path
+	// MayHaveApplied says that a write may have taken effect, now or soon.
 	MayHaveApplied bool
 	Err            error
 }
@@ -77,7 +84,7 @@
 
 // A NotFoundError says that a named thing does not exist.
 type NotFoundError struct {
-	Kind string
+	Kind string // of thing, such as "VM"
 	Name string
 }
 
@@ -86,13 +93,17 @@
 	return fmt.Sprintf("%s %q not found", e.Kind, e.Name)
 }
 
-// A FenceError says that an order was older than one already seen.
+// A FenceError says that an order was older than one that the engine has seen. The
+// epochs are zero if the engine does not state them.
 type FenceError struct {
-	Epoch int64
+	Epoch int64 // of the order
 	Seen  int64
 }
 
 // Error returns the text of e.
 func (e *FenceError) Error() string {
+	if e.Seen == 0 {
+		return "order refused: one of a newer epoch was seen"
+	}
 	return fmt.Sprintf("order of epoch %d refused: epoch %d was seen", e.Epoch, e.Seen)
 }
--- a/imports_test.go
+++ b/imports_test.go
@@ -130,6 +130,17 @@
 	assert.Check(t, known, "%s (%s) imports %s (%s)", from, upper.side, to, lower.side)
 }
 
+// TestPlatformWords checks that only the adapter and the stand-ins use the platform's
+// spelling of its headers, tables and rows.
+func TestPlatformWords(t *testing.T) {
+	const words = modulePath + "/platform/wire"
+	for _, p := range listPackages(t) {
+		from := folderOf(p.ImportPath)
+		mayImport := from == "platform" || strings.HasPrefix(from, "standin/")
+		assert.Check(t, mayImport || !slices.Contains(p.Imports, words), "%s imports platform/wire", from)
+	}
+}
+
 // place returns the row of a folder.
 func place(t *testing.T, folder string) struct {
 	layer layer
--- a/objectstore.go
+++ b/objectstore.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// An ObjectStore is the platform's object store.
+// An ObjectStore is the platform's object store. A failure is an *UnavailableError.
 type ObjectStore interface {
 	// GetObject returns an object's content, or a *NotFoundError.
 	GetObject(ctx context.Context, name string) ([]byte, error)
--- a/pool.go
+++ b/pool.go
@@ -2,7 +2,8 @@
 
 import "strings"
 
-// A Pool is what an engine must have loaded to serve a request.
+// A Pool is what an engine must have loaded to serve a request: a model, with an
+// adapter and a version if those are set. Pools that differ in a part are different.
 type Pool struct {
 	Model   string `cbor:"1,keyasint,omitempty" json:"model" yaml:"model"`
 	Adapter string `cbor:"2,keyasint,omitempty" json:"adapter,omitempty" yaml:"adapter"`
--- a/protocol.go
+++ b/protocol.go
@@ -6,45 +6,49 @@
 	"time"
 )
 
-// A PromptPart is one part of a prompt. Requests whose prompts begin with the
-// same parts share what an engine keeps of them.
+// A PromptPart is one part of a prompt. Requests whose prompts begin with the same
+// parts share what an engine caches of them.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// A RequestMeta is the metadata of a caller's request: what its header says,
-// apart from its method, target and body.
+// A RequestMeta is the metadata of a caller's request: what its header says, apart
+// from its method, target and body.
 type RequestMeta struct {
-	ID  RequestID
+	ID RequestID
+	// Key is that of a client account; empty if the caller sends none.
 	Key string
 	// Timeout is how long the caller waits from now; zero if it does not say.
 	Timeout time.Duration
-	// Prefix holds the parts of the prompt in their order. The last one belongs
-	// to this request alone.
+	// Prefix holds the parts of the prompt in order. The last one belongs to this
+	// request or its chat alone. Nil stands for a request without a prompt.
 	Prefix []PromptPart
 }
 
-// A ForwardMeta is the metadata that the system adds to a request when it sends it
+// A ForwardMeta is the metadata that the router adds to a request when it sends it
 // to an endpoint.
 type ForwardMeta struct {
-	Request  RequestID
+	Request RequestID
+	// Endpoint is the one that the request is meant for; no other one runs it.
 	Endpoint EndpointID
 	// Timeout is the time left until the request's deadline.
-	Timeout  time.Duration
+	Timeout time.Duration
+	// Account is empty if the request belongs to no client account.
 	Account  AccountID
 	Priority Priority
-	// FetchFrom is an engine that the endpoint may fetch cached parts of the
-	// prompt from; invalid if none is known.
+	// FetchFrom is an endpoint that this one may fetch cached parts of the prompt
+	// from; invalid if none is known.
 	FetchFrom netip.AddrPort
 	// LastEvent is the ID of the last event that the caller has; the endpoint
-	// continues the stream after it.
+	// continues the stream after it. It is empty at a stream's beginning.
 	LastEvent string
 }
 
 // A ResponseMeta is the metadata of an endpoint's response: what its header says,
 // apart from its status and body.
 type ResponseMeta struct {
+	// Request is the one that the response is to; empty if it does not say.
 	Request RequestID
 	// NotRun reports whether the endpoint states that it did not run the request.
 	NotRun bool
@@ -52,7 +56,8 @@
 	Signed bool
 	// Load is nil if the endpoint does not report it.
 	Load *EndpointLoad
-	// Encoded reports whether the body has a content encoding.
+	// Encoded reports whether the body has a content encoding, and thus is not the
+	// endpoint's own.
 	Encoded bool
 }
 
@@ -70,7 +75,7 @@
 	// ResponseHeader returns the header that is sent to the caller, given that of
 	// the endpoint's response.
 	ResponseHeader(endpoint http.Header) http.Header
-	// ErrorHeader sets the header of an error response that the system itself
+	// ErrorHeader sets the header of an error response that the router itself
 	// makes. Without a request ID or a time to retry after, those are left out.
 	ErrorHeader(header http.Header, request RequestID, retryAfter time.Duration)
 }
--- a/reason.go
+++ b/reason.go
@@ -1,31 +1,39 @@
 package ryeford
 
-// A Reason is the stable code of a refusal or failure. Callers, logs and
-// metrics all show the same code.
+// A Reason is the stable code of a refusal or failure. Callers, logs and metrics all
+// show the same code: a code never changes its meaning, and none is used again.
 type Reason string
 
-// The reasons.
+// The reasons of both fleets.
+const (
+	ReasonOverload    Reason = "overload"     // the engine or endpoint is at its load bound
+	ReasonUnreachable Reason = "unreachable"  // nothing of the request could be sent
+	ReasonNoCandidate Reason = "no_candidate" // no engine or endpoint is left to try
+	ReasonDeadline    Reason = "deadline"     // the request's time is over
+	ReasonCancelled   Reason = "cancelled"    // the caller closed the connection
+	ReasonEngineLost  Reason = "engine_lost"  // the answer broke off, or none came
+	ReasonEngineError Reason = "engine_error" // the engine or endpoint answered with an error
+	ReasonLeaving     Reason = "leaving"      // the VM, router or endpoint is draining
+	ReasonNotReady    Reason = "not_ready"    // the router has not read what it needs yet
+)
+
+// The reasons of the gateway.
 const (
-	ReasonOverload           Reason = "overload"            // the engine is at its load bound
-	ReasonShare              Reason = "share"               // the account is above its share
-	ReasonLeaving            Reason = "leaving"             // the VM is leaving
-	ReasonNotServing         Reason = "not_serving"         // the engine has not loaded the pool
-	ReasonIncarnation        Reason = "incarnation"         // the agent restarted
-	ReasonExpired            Reason = "expired"             // the dispatch came too late
-	ReasonTombstone          Reason = "tombstone"           // the attempt was given up on
-	ReasonDuplicate          Reason = "duplicate"           // the attempt was admitted before
-	ReasonRedirect           Reason = "redirect"            // another engine holds the chat's prefix
-	ReasonNoCandidate        Reason = "no_candidate"        // no engine can be reached
-	ReasonUnreachable        Reason = "unreachable"         // the agent can't be reached
-	ReasonStoreUnavailable   Reason = "store_unavailable"   // the platform's table can't be reached
-	ReasonRetryBudget        Reason = "retry_budget"        // the account spent its retries
-	ReasonDeadline           Reason = "deadline"            // no time is left
-	ReasonEngineLost         Reason = "engine_lost"         // the engine was lost midway
-	ReasonStalled            Reason = "stalled"             // the engine stopped to send
-	ReasonRunning            Reason = "running"             // the same key's first run goes on
-	ReasonCancelled          Reason = "cancelled"           // the caller gave up
-	ReasonEngineError        Reason = "engine_error"        // the engine reported an error
-	ReasonNotReady           Reason = "not_ready"           // the router has no configuration yet
 	ReasonStaleConfiguration Reason = "stale_configuration" // the configuration may be out of date
-	ReasonKeyRevoked         Reason = "key_taken"           // the key was taken away meanwhile
+	ReasonKeyRevoked         Reason = "key_taken"           // the key was revoked after the request came
+)
+
+// The reasons of the fleet with agents.
+const (
+	ReasonRetryBudget      Reason = "retry_budget"      // the account's budget for retries is spent
+	ReasonShare            Reason = "share"             // the account is above its share
+	ReasonNotServing       Reason = "not_serving"       // the engine has not loaded the pool
+	ReasonIncarnation      Reason = "incarnation"       // the agent restarted since the router dispatched
+	ReasonExpired          Reason = "expired"           // the dispatch arrived after its expiry
+	ReasonTombstone        Reason = "tombstone"         // the attempt was given up before it was admitted
+	ReasonDuplicate        Reason = "duplicate"         // the attempt was admitted before
+	ReasonRedirect         Reason = "redirect"          // another engine has the chat's prefix cached
+	ReasonStoreUnavailable Reason = "store_unavailable" // the platform's table cannot be reached
+	ReasonStalled          Reason = "stalled"           // the engine stopped sending
+	ReasonRunning          Reason = "running"           // an earlier run of the same request may not have ended
 )
--- a/source.go
+++ b/source.go
@@ -6,55 +6,62 @@
 	"time"
 )
 
-// A ConfigurationUpdate is an answer of a ConfigurationSource.
+// A ConfigurationUpdate is what a ConfigurationSource returns.
 type ConfigurationUpdate struct {
-	// Configuration is nil where there is none yet.
+	// Configuration is nil if there is none yet.
 	Configuration *Configuration
-	// Revision is the newest of the source.
+	// Revision is the newest of the source. It rises with every change there, also of
+	// other things than the configuration.
 	Revision int64
-	// Clock is what the source's steady clock showed when it answered.
+	// Clock is the source's monotonic clock when it answered. Its zero means nothing.
 	Clock time.Duration
 }
 
-// A ConfigurationSource is where the operators' accepted configuration lies.
+// A ConfigurationSource is where the operators' accepted configuration is kept.
 //
-// A failure is an *UnavailableError.
+// A failure is an *UnavailableError, or the error of a configuration that cannot be
+// read.
 type ConfigurationSource interface {
 	// Configuration returns the configuration, whole.
 	Configuration(ctx context.Context) (ConfigurationUpdate, error)
 }
 
-// An EndpointUpdate is an answer of an EndpointSource.
+// An EndpointUpdate is what an EndpointSource returns.
 type EndpointUpdate struct {
-	// Snapshot says that Present is the whole list, and not what has changed.
+	// Snapshot says that Present is the whole list. Otherwise Present holds the
+	// endpoints that are new or have changed, and Removed those that have left.
 	Snapshot bool
 	Present  []Endpoint
 	Removed  []EndpointID
+	// Revision is the newest of the source, and what the next call asks from.
 	Revision int64
 }
 
 // An EndpointSource is the list of endpoints. It lags behind the truth.
 //
-// A failure is an *UnavailableError, or a *HistoryLostError where changes since
-// a revision can no longer be told.
+// A failure is an *UnavailableError, or the error of an entry that cannot be read.
 type EndpointSource interface {
-	// Endpoints returns the list, whole.
+	// Endpoints returns the whole list.
 	Endpoints(ctx context.Context) (EndpointUpdate, error)
-	// EndpointsSince returns as soon as something has changed since a revision,
-	// or once wait is over.
+	// EndpointsSince returns as soon as something has changed since a revision, or,
+	// without a change, once wait is over. If the source no longer keeps the changes
+	// since then, the error is a *HistoryLostError.
 	EndpointsSince(ctx context.Context, revision int64, wait time.Duration) (EndpointUpdate, error)
 }
 
 // A RouterList is where the routers of a fleet find each other.
 type RouterList interface {
 	// Register enters a router, or renews its entry, and returns the addresses of
-	// the others. They may be stale or down.
+	// the others. Those may be stale or down. If the list could be read and only the
+	// entry not be written, it returns both the addresses and an error.
 	Register(ctx context.Context, vm VMID, address netip.AddrPort) ([]netip.AddrPort, error)
 }
 
-// A HistoryLostError says that changes since a revision can no longer be told:
+// A HistoryLostError says that a source no longer keeps the changes since a revision:
 // the whole is to be read again.
 type HistoryLostError struct {
+	// Revision is from which the whole may be: an older one is stale. Zero accepts
+	// any, as the platform's store states none.
 	Revision int64
 }
 
--- a/table.go
+++ b/table.go
@@ -5,8 +5,8 @@
 	"errors"
 )
 
-// A Row is one row of the platform's table. Version is zero where the row is
-// absent. A row that is removed and written anew never has an old version.
+// A Row is one row of the platform's table. Version is zero if the row is absent. A
+// row that is removed and written again never has an old version.
 type Row struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value,omitempty"`
@@ -34,7 +34,7 @@
 	Get(ctx context.Context, keys ...string) ([]Row, error)
 	// List returns the rows whose key has the prefix, in the order of keys.
 	List(ctx context.Context, prefix string) ([]Row, error)
-	// Transact makes all writes or none. It returns the rows' new version.
+	// Transact makes all writes or none. It returns the new version of the rows.
 	Transact(ctx context.Context, writes ...Write) (int64, error)
 }
 
