--- a/gateway/endpoint/endpoint_test.go
+++ b/gateway/endpoint/endpoint_test.go
@@ -62,8 +62,8 @@
 	return endpoint.New(platform.Protocol{})
 }
 
-// TestReuse checks that a connection is used again, unless its end has come
-// meanwhile: then a new one is opened, and nothing is lost.
+// TestReuse checks that a connection is used again, unless the endpoint has closed it
+// meanwhile: then a new one is opened, and no request is lost.
 func TestReuse(t *testing.T) {
 	closed := make(chan struct{}, 8)
 	to, count := listen(t, func(conn net.Conn) {
@@ -88,7 +88,7 @@
 	assert.Equal(t, count.Load(), int64(3))
 }
 
-// TestUnsent checks that a request that never reached an endpoint is told apart
+// TestUnsent checks that a request that never reached an endpoint is distinguished
 // from one whose answer is lost.
 func TestUnsent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestKeepAlive checks that a connection does not rest for longer than its
+// TestKeepAlive checks that a connection is not idle for longer than its
 // endpoint allows.
 func TestKeepAlive(t *testing.T) {
 	to, count := listen(t, func(conn net.Conn) {
@@ -158,7 +158,7 @@
 	<-ended
 }
 
-// TestNotReady checks that a request that must not be sent any more is not.
+// TestNotReady checks that a request whose last check fails is not sent.
 func TestNotReady(t *testing.T) {
 	received := make(chan struct{}, 1)
 	to, _ := listen(t, func(conn net.Conn) {
