--- a/agentfleet/agent/run_test.go
+++ b/agentfleet/agent/run_test.go
@@ -21,7 +21,7 @@
 		away       time.Duration // without a reader
 		cancelled  bool
 	}{
-		{"a repeatable run is cancelled after the grace period", true, 1, grace, true},
+		{"a repeatable run is cancelled after the grace period", true, 1, grace + 1, true},
 		{"not before", true, 1, grace - 1, false},
 		{"not while another reader is there", true, 2, 0, false},
 		{"one that is not repeatable goes on", false, 1, time.Hour, false},
