--- a/agentfleet/router/http.go
+++ b/agentfleet/router/http.go
@@ -11,6 +11,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/internal/httpserver"
 )
 
 const (
@@ -35,14 +36,10 @@
 		IdleTimeout:           idleTimeout,
 		ErrorHandler:          r.serveBadRequest,
 	}
-	// Closing the listener fails only if it is closed already; Serve returns either way.
-	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
-	defer stop()
-	err = server.Serve(listener)
-	if ctx.Err() != nil {
-		return nil
+	if err := httpserver.Serve(ctx, listener, server); err != nil {
+		return &ListenError{Address: address, Err: err}
 	}
-	return &ListenError{Address: address, Err: err}
+	return nil
 }
 
 // A ListenError says that a server could not run at its address.
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -3,7 +3,7 @@
 //
 // It owns the set of a process's metrics and their HTTP server; the names of the
 // metrics are those of the packages that count, and docs/OPERATIONS.md and
-// docs/operators.md list them. It relies on no other package of the module.
+// docs/operators.md list them. It relies on internal/httpserver alone.
 package telemetry
 
 import (
@@ -15,6 +15,8 @@
 
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/valyala/fasthttp"
+
+	"github.com/ryeford/ryeford/internal/httpserver"
 )
 
 // A Set is the metrics of one process.
@@ -85,13 +87,10 @@
 			}
 		},
 	}
-	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
-	defer stop()
-	err = server.Serve(listener)
-	if ctx.Err() != nil {
-		return nil
+	if err := httpserver.Serve(ctx, listener, server); err != nil {
+		return &Error{Err: err}
 	}
-	return &Error{Err: err}
+	return nil
 }
 
 // An Error is a failure to serve metrics.
--- a/standin/emulator/emulator.go
+++ b/standin/emulator/emulator.go
@@ -9,13 +9,13 @@
 
 import (
 	"context"
-	"errors"
 	"net"
 	"net/http"
 	"net/netip"
 
 	"golang.org/x/sync/errgroup"
 
+	"github.com/ryeford/ryeford/internal/httpserver"
 	"github.com/ryeford/ryeford/platform/wire"
 	"github.com/ryeford/ryeford/settings"
 	"github.com/ryeford/ryeford/standin/appserver"
@@ -78,10 +78,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	group.Go(func() error {
 		defer stop()
-		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			return err
-		}
-		return nil
+		return httpserver.Serve(ctx, listener, server)
 	})
 	return nil
 }
--- a/standin/http.go
+++ b/standin/http.go
@@ -7,6 +7,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"github.com/ryeford/ryeford/internal/httpserver"
 	"github.com/ryeford/ryeford/settings"
 )
 
@@ -32,8 +33,7 @@
 	writeRuns(ctx *fasthttp.RequestCtx)
 }
 
-// listenAndServe serves a stand-in until ctx ends. Connections that are open then
-// end with the process.
+// listenAndServe serves a stand-in until ctx ends.
 func listenAndServe(ctx context.Context, address settings.Address, h handler) error {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -44,13 +44,10 @@
 		NoDefaultServerHeader: true,
 		MaxRequestBodySize:    maxRequestBody,
 	}
-	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
-	defer stop()
-	err = server.Serve(listener)
-	if ctx.Err() != nil {
-		return nil
+	if err := httpserver.Serve(ctx, listener, server); err != nil {
+		return &Error{Op: "serve", Err: err}
 	}
-	return &Error{Op: "serve", Err: err}
+	return nil
 }
 
 // dispatch passes a request to the method of h that serves its path.
