--- a/imports_test.go
+++ b/imports_test.go
@@ -38,13 +38,16 @@
 	either   side = "either"   // may use both fleets
 )
 
+// A position is where a folder stands in the tree.
+type position struct {
+	layer layer
+	side  side
+}
+
 // tree places each folder of the module. A folder without a row of its own belongs
 // to the row of the nearest folder above it, unless that is the module's root: a
 // package in a new place fails until it is entered here.
-var tree = map[string]struct {
-	layer layer
-	side  side
-}{
+var tree = map[string]position{
 	".":     {values, both},
 	"retry": {rules, both},
 	"route": {rules, both},
@@ -142,23 +145,18 @@
 }
 
 // place returns the row of a folder.
-func place(t *testing.T, folder string) struct {
-	layer layer
-	side  side
-} {
+func place(t *testing.T, folder string) position {
 	t.Helper()
-	for name := folder; name != ""; {
+	for name, found := folder, true; found; {
 		if row, ok := tree[name]; ok {
 			return row
 		}
 		slash := strings.LastIndexByte(name, '/')
-		if slash < 0 {
-			break
-		}
-		name = name[:slash]
+		found = slash >= 0
+		name = name[:max(0, slash)]
 	}
 	t.Fatalf("%s has no place in the tree of imports_test.go", folder)
-	panic("unreachable")
+	return position{}
 }
 
 // folderOf returns the folder of a package of the module.
