--- a/gateway/endpoint/send.go
+++ b/gateway/endpoint/send.go
@@ -119,7 +119,7 @@
 }
 
 // skip reads a response to another request to its end, and reports whether the one
-// that is due may follow.
+// that is due may follow. If not, the connection is closed, whatever the error was.
 func skip(head *http.Response) bool {
 	n, err := io.Copy(io.Discard, io.LimitReader(head.Body, maxStrayBody))
 	return err == nil && n < maxStrayBody && !head.Close
