--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -3,9 +3,10 @@
 // chooses an endpoint for each, passes the answer on, and keeps nothing that
 // must last.
 //
-// A Gateway wires its parts together and runs them. Each part owns one piece of
-// state: configuration, endpointList, gossip, drain, probeHandler, and server
-// for the HTTP servers. A request's life is in request.go and the files after it.
+// A Gateway wires its parts together (wiring.go) and runs them. Each part owns one
+// piece of state: configuration, endpointList, gossip, drain, probeHandler, and
+// server for the HTTP servers. A request's life begins in handler.go. What the parts
+// decide, the packages below this one say.
 //
 // The package knows no header and no call of the platform: those are behind
 // ryeford.Protocol, ryeford.ConfigurationSource and ryeford.EndpointSource.
@@ -14,14 +15,11 @@
 import (
 	"context"
 	"net/http"
-	"time"
 
 	"github.com/go-kit/log"
 	"golang.org/x/sync/errgroup"
-	"golang.org/x/sync/semaphore"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/gateway/admit"
 	"github.com/ryeford/ryeford/gateway/endpoint"
 	"github.com/ryeford/ryeford/gateway/freshness"
 	"github.com/ryeford/ryeford/gateway/loads"
@@ -30,7 +28,6 @@
 	"github.com/ryeford/ryeford/gateway/prefixcache"
 	"github.com/ryeford/ryeford/gateway/roster"
 	"github.com/ryeford/ryeford/internal/telemetry"
-	"github.com/ryeford/ryeford/retry"
 	"github.com/ryeford/ryeford/settings"
 )
 
@@ -60,11 +57,14 @@
 	initialSync   *initialSync
 	handler       *handler
 
+	// What several parts use:
 	roster   *roster.Roster // kept by endpoints
 	detector *outlier.Detector
 	pool     *endpoint.Pool
 	loads    *loads.Table
 	prefixes *prefixcache.Index
+	peers    *peers.Table // kept by gossip
+	revision *revision    // the newest of the store
 }
 
 // New returns a Gateway.
@@ -79,96 +79,20 @@
 		pool:        endpoint.New(platform.Protocol),
 		loads:       loads.New(),
 		prefixes:    prefixcache.New(prefixcache.DefaultLimits()),
+		peers:       peers.New(s.Peers.AddrPort, peers.DefaultLimits()),
+		revision:    &revision{},
 		drain:       newDrain(s.Bounds.Grace, logger),
 		initialSync: newInitialSync(s.Routing.StartPatience),
 	}
-	g.addParts()
+	g.addConfiguration()
+	g.addEndpoints()
+	g.addGossip()
+	g.addProbes()
 	g.addHandler()
 	g.addMetrics()
 	return g
 }
 
-// addParts adds the parts that build on others.
-func (g *Gateway) addParts() {
-	s := g.settings
-	revision := &revision{}
-	table := peers.New(s.Peers.AddrPort, peers.DefaultLimits())
-	g.configuration = newConfiguration(configurationOptions{
-		source:   g.platform.Configurations,
-		term:     freshness.Term(s.Bounds.Revoke),
-		refresh:  s.RefreshConfiguration(),
-		peers:    table,
-		revision: revision,
-		onUpdate: g.noteSynced,
-		log:      g.log,
-		metrics:  g.metrics,
-	})
-	g.endpoints = &endpointList{
-		source:   g.platform.Endpoints,
-		wait:     s.WaitForEndpoints(),
-		settle:   s.SettleEndpoints(),
-		revision: revision,
-		roster:   g.roster,
-		pool:     g.pool,
-		memories: []memory{g.detector, g.loads, g.prefixes},
-		outage:   newOutage("endpoints", g.configuration.leaseLeft, g.log, g.metrics),
-		onUpdate: g.noteSynced,
-		log:      g.log,
-	}
-	g.gossip = &gossip{
-		self:          s.Peers.AddrPort,
-		vm:            s.VM,
-		routers:       g.platform.Routers,
-		started:       time.Now().UnixNano(),
-		table:         table,
-		configuration: g.configuration,
-		roster:        g.roster,
-		prefixes:      g.prefixes,
-		loads:         g.loads,
-		log:           g.log,
-		metrics:       g.metrics,
-	}
-	g.probes = &probeHandler{
-		path:          g.platform.ReadyPath,
-		configuration: g.configuration,
-		roster:        g.roster,
-		drain:         g.drain,
-		log:           g.log,
-	}
-}
-
-// addHandler adds what serves callers.
-func (g *Gateway) addHandler() {
-	s := g.settings
-	durations := newDurations()
-	g.handler = &handler{
-		protocol:      g.platform.Protocol,
-		configuration: g.configuration,
-		roster:        g.roster,
-		drain:         g.drain,
-		initialSync:   g.initialSync,
-		bodies:        semaphore.NewWeighted(admit.BodyMemory(s.Memory)),
-		budgets:       retry.NewWindows(retry.Bound{Span: s.Bounds.RetryWindow, Ratio: s.Bounds.RetryRatio, Reserve: s.Bounds.RetryReserve}),
-		durations:     durations,
-		log:           g.log,
-		metrics:       g.metrics,
-	}
-	g.handler.forwarder = &forwarder{
-		settings:      s,
-		protocol:      g.platform.Protocol,
-		configuration: g.configuration,
-		roster:        g.roster,
-		detector:      g.detector,
-		pool:          g.pool,
-		loads:         g.loads,
-		prefixes:      g.prefixes,
-		gossip:        g.gossip,
-		durations:     durations,
-		log:           g.log,
-		metrics:       g.metrics,
-	}
-}
-
 // Run serves until stop ends, and then until what is in flight has ended.
 func (g *Gateway) Run(stop context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(stop))
@@ -209,12 +133,3 @@
 func (g *Gateway) listen(work context.Context, address settings.Address, handler http.Handler) (*server, error) {
 	return newServer(work, address.AddrPort, handler, g.configuration, g.log)
 }
-
-// addMetrics adds the gauges.
-func (g *Gateway) addMetrics() {
-	g.metrics.Gauge("ryeford_in_flight", func() float64 { return float64(g.drain.inFlight.Load()) })
-	g.metrics.Gauge("ryeford_endpoints", func() float64 { return float64(g.roster.Len()) })
-	g.metrics.Gauge("ryeford_peers", func() float64 { return float64(g.gossip.table.Alive(time.Now())) })
-	g.metrics.Gauge("ryeford_lease_seconds", func() float64 { return g.configuration.lease.Left(time.Now()).Seconds() })
-	g.metrics.Gauge("ryeford_configuration_version", func() float64 { return float64(g.configuration.version()) })
-}
--- /dev/null
+++ b/gateway/wiring.go
@@ -0,0 +1,110 @@
+package gateway
+
+import (
+	"time"
+
+	"golang.org/x/sync/semaphore"
+
+	"github.com/ryeford/ryeford/gateway/admit"
+	"github.com/ryeford/ryeford/gateway/freshness"
+	"github.com/ryeford/ryeford/retry"
+)
+
+// addConfiguration adds what reads the operators' configuration.
+func (g *Gateway) addConfiguration() {
+	g.configuration = newConfiguration(configurationOptions{
+		source:   g.platform.Configurations,
+		term:     freshness.Term(g.settings.Bounds.Revoke),
+		refresh:  g.settings.RefreshConfiguration(),
+		peers:    g.peers,
+		revision: g.revision,
+		onUpdate: g.noteSynced,
+		log:      g.log,
+		metrics:  g.metrics,
+	})
+}
+
+// addEndpoints adds what follows the list of endpoints.
+func (g *Gateway) addEndpoints() {
+	g.endpoints = &endpointList{
+		source:   g.platform.Endpoints,
+		wait:     g.settings.WaitForEndpoints(),
+		settle:   g.settings.SettleEndpoints(),
+		revision: g.revision,
+		roster:   g.roster,
+		pool:     g.pool,
+		memories: []memory{g.detector, g.loads, g.prefixes},
+		outage:   newOutage("endpoints", g.configuration.leaseLeft, g.log, g.metrics),
+		onUpdate: g.noteSynced,
+		log:      g.log,
+	}
+}
+
+// addGossip adds what exchanges messages with the peers.
+func (g *Gateway) addGossip() {
+	g.gossip = &gossip{
+		self:          g.settings.Peers.AddrPort,
+		vm:            g.settings.VM,
+		routers:       g.platform.Routers,
+		started:       time.Now().UnixNano(),
+		table:         g.peers,
+		configuration: g.configuration,
+		roster:        g.roster,
+		prefixes:      g.prefixes,
+		loads:         g.loads,
+		log:           g.log,
+		metrics:       g.metrics,
+	}
+}
+
+// addProbes adds what answers readiness probes.
+func (g *Gateway) addProbes() {
+	g.probes = &probeHandler{
+		path:          g.platform.ReadyPath,
+		configuration: g.configuration,
+		roster:        g.roster,
+		drain:         g.drain,
+		log:           g.log,
+	}
+}
+
+// addHandler adds what serves callers.
+func (g *Gateway) addHandler() {
+	s := g.settings
+	durations := newDurations()
+	g.handler = &handler{
+		protocol:      g.platform.Protocol,
+		configuration: g.configuration,
+		roster:        g.roster,
+		drain:         g.drain,
+		initialSync:   g.initialSync,
+		bodies:        semaphore.NewWeighted(admit.BodyMemory(s.Memory)),
+		budgets:       retry.NewWindows(retry.Bound{Span: s.Bounds.RetryWindow, Ratio: s.Bounds.RetryRatio, Reserve: s.Bounds.RetryReserve}),
+		durations:     durations,
+		log:           g.log,
+		metrics:       g.metrics,
+	}
+	g.handler.forwarder = &forwarder{
+		settings:      s,
+		protocol:      g.platform.Protocol,
+		configuration: g.configuration,
+		roster:        g.roster,
+		detector:      g.detector,
+		pool:          g.pool,
+		loads:         g.loads,
+		prefixes:      g.prefixes,
+		gossip:        g.gossip,
+		durations:     durations,
+		log:           g.log,
+		metrics:       g.metrics,
+	}
+}
+
+// addMetrics adds the gauges.
+func (g *Gateway) addMetrics() {
+	g.metrics.Gauge("ryeford_in_flight", func() float64 { return float64(g.drain.inFlight.Load()) })
+	g.metrics.Gauge("ryeford_endpoints", func() float64 { return float64(g.roster.Len()) })
+	g.metrics.Gauge("ryeford_peers", func() float64 { return float64(g.peers.Alive(time.Now())) })
+	g.metrics.Gauge("ryeford_lease_seconds", func() float64 { return g.configuration.lease.Left(time.Now()).Seconds() })
+	g.metrics.Gauge("ryeford_configuration_version", func() float64 { return float64(g.configuration.version()) })
+}
