--- a/agentfleet/agent/giveup.go
+++ b/agentfleet/agent/giveup.go
@@ -14,8 +14,8 @@
 // given up. begun reports whether a part of the answer has come. Until then the
 // engine may be reading the prompt, which takes longer than a token.
 //
-// The gateway's limit on the first byte only looks the same: it has another
-// endpoint try, here the same engine is asked again.
+// The gateway's limit on the first byte only looks the same: there the request goes
+// to another endpoint, here the same engine is asked for the rest.
 func stallLimit(limits *settings.AgentLimits, begun bool) time.Duration {
 	if begun {
 		return limits.BetweenTokens
