--- /dev/null
+++ b/agentfleet/router/attempt_test.go
@@ -0,0 +1,31 @@
+package router
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford/settings"
+)
+
+// TestNewAttempt checks for how long an attempt may be admitted, and is remembered.
+func TestNewAttempt(t *testing.T) {
+	now := time.Unix(1_000_000, 0)
+	limits := &settings.RouterLimits{Dispatch: 2 * time.Second, ClaimTTL: 10 * time.Minute}
+	for _, test := range []struct {
+		name    string
+		claimed bool
+		forget  time.Duration
+	}{
+		{"without a claim", false, forgetAfter},
+		{"with a claim", true, 10 * time.Minute},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			a, b := newAttempt(now, limits, test.claimed), newAttempt(now, limits, test.claimed)
+			assert.Equal(t, a.expires, now.Add(2*time.Second))
+			assert.Equal(t, a.forget, now.Add(test.forget))
+			assert.Assert(t, a.id != b.id)
+		})
+	}
+}
--- a/agentfleet/router/callers.go
+++ b/agentfleet/router/callers.go
@@ -130,7 +130,7 @@
 	x := &exchange{
 		router:    r,
 		request:   req,
-		attempt:   last.attempt,
+		attempt:   attempt{id: last.attempt},
 		candidate: last.candidate,
 		next:      last.offset + 1,
 		rejoins:   maxRejoins,
@@ -159,7 +159,7 @@
 		warm = "warm"
 	}
 	r.metrics.Count("ryeford_turns_total", warm)
-	_ = r.decisions.Note(req.id, "decision", "route", "request", req.id, "attempt", x.attempt, "account", req.account, "chat", req.chat,
+	_ = r.decisions.Note(req.id, "decision", "route", "request", req.id, "attempt", x.attempt.id, "account", req.account, "chat", req.chat,
 		"engine", x.candidate.Engine, "vm", x.candidate.VM, "failure_domain", r.fleet.domain(x.candidate.VM), "home", x.home,
 		"try", x.dispatches, "mean", x.poolMean(), "warm", x.warm, "first_chunk", took)
 }
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -106,13 +106,13 @@
 
 // newRecord names a new attempt and returns the record that claims it.
 func (x *exchange) newRecord() claim.Record {
-	x.newAttempt(time.Now())
+	x.attempt = newAttempt(time.Now(), &x.router.settings.Limits, true)
 	return claim.Record{
-		Attempt:    x.attempt,
+		Attempt:    x.attempt.id,
 		Request:    x.request.id,
 		Digest:     x.request.digest,
-		Expires:    x.expires,
-		Forget:     x.forget,
+		Expires:    x.attempt.expires,
+		Forget:     x.attempt.forget,
 		Candidates: x.queue,
 	}
 }
@@ -132,8 +132,8 @@
 // send the answer.
 func (x *exchange) joinFirst(ctx context.Context, held *claim.Claim) (bool, error) {
 	record := &held.Record
-	attempt, expires, forget := x.attempt, x.expires, x.forget
-	x.attempt, x.expires, x.forget = record.Attempt, record.Expires, record.Forget
+	own := x.attempt
+	x.attempt = attempt{id: record.Attempt, expires: record.Expires, forget: record.Forget}
 	x.request.id = record.Request
 	if found, err := x.peekUntilExpired(ctx, record); found || err != nil {
 		return found, err
@@ -148,7 +148,7 @@
 			unanswered++
 		}
 	}
-	x.attempt, x.expires, x.forget = attempt, expires, forget
+	x.attempt = own
 	if unanswered > 0 {
 		return false, &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, RetryAfter: retry.Spread(x.router.settings.Limits.Dispatch)}
 	}
@@ -189,7 +189,7 @@
 		x.candidate = c
 		x.request.id = reply.Admitted.Request
 		x.stream = stream
-		x.asm = answer.NewAssembler(x.attempt, x.next)
+		x.asm = answer.NewAssembler(x.attempt.id, x.next)
 		return true, nil
 	}
 	stream.Close()
--- a/agentfleet/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -30,14 +30,14 @@
 	if !ok || a.inventory.Incarnation != c.Incarnation {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonUnreachable}
 	}
-	openCtx, cancel := context.WithDeadline(ctx, x.expires)
+	openCtx, cancel := context.WithDeadline(ctx, x.attempt.expires)
 	defer cancel()
 	stream, err := a.conn.Open(openCtx)
 	if err != nil {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonUnreachable}
 	}
 	x.stream = stream
-	stream.SetReadDeadline(x.expires.Add(dispatchGrace))
+	stream.SetReadDeadline(x.attempt.expires.Add(dispatchGrace))
 	if err := stream.Send(&wire.Message{Dispatch: x.dispatchMessage(c)}); err != nil {
 		return x.resolveLost(ctx, err)
 	}
@@ -55,7 +55,7 @@
 	req := x.request
 	d := &wire.Dispatch{
 		Request:     req.id,
-		Attempt:     x.attempt,
+		Attempt:     x.attempt.id,
 		Account:     req.account,
 		Chat:        req.chat,
 		Engine:      c.Engine,
@@ -63,8 +63,8 @@
 		Priority:    req.priority,
 		Share:       req.share,
 		Repeatable:  req.repeatable,
-		Expires:     x.expires,
-		Forget:      x.forget,
+		Expires:     x.attempt.expires,
+		Forget:      x.attempt.forget,
 		PoolMean:    x.poolMean(),
 		MayRedirect: mayRedirect(req, c.Engine == x.home, x.dispatches),
 		Offset:      x.next,
@@ -74,12 +74,12 @@
 	}
 	if req.call != nil {
 		call := *req.call
-		call.Attempt = x.attempt
+		call.Attempt = x.attempt.id
 		d.Call = &call
 		return d
 	}
 	completion := *req.completion
-	completion.Attempt = x.attempt
+	completion.Attempt = x.attempt.id
 	completion.Prefix = string(x.text)
 	d.Completion = &completion
 	return d
@@ -106,13 +106,13 @@
 // handleReply takes the agent's reply to a dispatch or a join.
 func (x *exchange) handleReply(m *wire.Message) error {
 	switch {
-	case m.Admitted != nil && m.Admitted.Attempt == x.attempt:
+	case m.Admitted != nil && m.Admitted.Attempt == x.attempt.id:
 		x.addProbe(m.Admitted.Load)
 		x.warm = m.Admitted.Warm
 		x.request.id = m.Admitted.Request
-		x.asm = answer.NewAssembler(x.attempt, x.next)
+		x.asm = answer.NewAssembler(x.attempt.id, x.next)
 		return nil
-	case m.Refused != nil && m.Refused.Attempt == x.attempt:
+	case m.Refused != nil && m.Refused.Attempt == x.attempt.id:
 		return x.handleRefusal(m.Refused)
 	}
 	return &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: &ProtocolError{}}
--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -4,8 +4,6 @@
 	"context"
 	"time"
 
-	"github.com/google/uuid"
-
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/answer"
 	"github.com/ryeford/ryeford/agentfleet/claim"
@@ -16,11 +14,6 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// forgetAfter is how long an agent must remember an attempt without a claim, which is
-// asked after for rejoinTime at most. Not measured: above the dispatch time and
-// rejoinTime together.
-const forgetAfter = 30 * time.Second
-
 // An exchange serves one request: it dispatches it to engines until one has admitted
 // it, and yields the answer's chunks in their order, each once.
 //
@@ -35,10 +28,8 @@
 	dispatches int               // so far
 	rounds     int               // that all candidates were asked
 
-	attempt    ryeford.AttemptID
+	attempt    attempt
 	candidate  claim.Candidate // where the attempt is
-	expires    time.Time       // until when the attempt may be admitted
-	forget     time.Time       // until when the agent remembers the attempt
 	mayHaveRun bool            // an earlier attempt may have run
 	probes     load.Probes
 	retryAfter time.Duration // the shortest that a refusal named
@@ -156,7 +147,7 @@
 		x.first = c
 	}
 	if !x.request.claimed() {
-		x.newAttempt(time.Now())
+		x.attempt = newAttempt(time.Now(), &x.router.settings.Limits, false)
 	}
 	if err := x.dispatch(ctx, c); err != nil {
 		return err
@@ -164,16 +155,6 @@
 	return x.awaitFirst(ctx)
 }
 
-// newAttempt names a new attempt, with its limits.
-func (x *exchange) newAttempt(now time.Time) {
-	x.attempt = ryeford.AttemptID(uuid.NewString())
-	x.expires = now.Add(x.router.settings.Limits.Dispatch)
-	x.forget = now.Add(forgetAfter)
-	if x.request.claimed() {
-		x.forget = now.Add(x.router.settings.Limits.ClaimTTL)
-	}
-}
-
 // close gives up the stream of the last dispatch.
 func (x *exchange) close() {
 	if x.stream != nil {
@@ -199,7 +180,7 @@
 	req := x.request
 	x.router.metrics.Count("ryeford_tries_failed_total", string(reasonOf(err)))
 	_ = x.router.decisions.Note(req.id,
-		"decision", "try", "request", req.id, "attempt", x.attempt, "account", req.account, "chat", req.chat,
+		"decision", "try", "request", req.id, "attempt", x.attempt.id, "account", req.account, "chat", req.chat,
 		"engine", c.Engine, "vm", c.VM, "failure_domain", x.router.fleet.domain(c.VM), "try", x.dispatches,
 		"reason", reasonOf(err), "mean", x.poolMean(), "left", len(x.queue), "err", err)
 }
--- a/agentfleet/router/join.go
+++ b/agentfleet/router/join.go
@@ -71,11 +71,11 @@
 	stream.SetReadDeadline(limit)
 	query := &wire.Join{
 		Account:     x.request.account,
-		Attempt:     x.attempt,
+		Attempt:     x.attempt.id,
 		Incarnation: c.Incarnation,
 		Offset:      x.next,
-		Expires:     x.expires,
-		Forget:      x.forget,
+		Expires:     x.attempt.expires,
+		Forget:      x.attempt.forget,
 		Peek:        peek,
 	}
 	if err := stream.Send(&wire.Message{Join: query}); err != nil {
