--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -46,23 +46,31 @@
 // newExchange returns an exchange with the candidates of a request.
 func (r *Router) newExchange(req *request) *exchange {
 	x := &exchange{router: r, request: req}
+	queue := r.candidates(req)
+	if len(queue) > 0 {
+		x.home = queue[0].Engine
+		x.queue = r.suspects.last(time.Now(), queue)
+	}
+	return x
+}
+
+// candidates returns the engines that can serve a request, in its chat's rendezvous
+// order, limits.candidates at most. Those of agents that are not connected are left out.
+func (r *Router) candidates(req *request) []claim.Candidate {
 	set := r.targets(req)
 	if set == nil {
-		return x
+		return nil
 	}
 	var ranking route.Ranking
 	set.Rank(route.ChatHash(req.account, req.chat), r.settings.Limits.Candidates, &ranking)
+	var candidates []claim.Candidate
 	for _, index := range ranking.Index[:ranking.Len] {
 		target := set.Target(int(index))
 		if c, ok := r.candidate(target.Engine); ok {
-			x.queue = append(x.queue, c)
+			candidates = append(candidates, c)
 		}
 	}
-	if len(x.queue) > 0 {
-		x.home = x.queue[0].Engine
-	}
-	x.queue = r.suspects.last(time.Now(), x.queue)
-	return x
+	return candidates
 }
 
 // candidate returns an engine as a candidate, if its agent is connected.
--- a/agentfleet/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -54,9 +54,10 @@
 
 // recover goes on with an answer whose stream was lost, as afterLostStream says.
 func (x *exchange) recover(ctx context.Context, cause error) error {
+	var reported *ryeford.UnknownError // as chunkError makes it; a connection's errors are others
 	lost := lostStream{
 		expired:    ctx.Err() != nil || time.Now().After(x.request.deadline),
-		reported:   mayHaveRun(cause),
+		reported:   errors.As(cause, &reported),
 		repeatable: x.request.repeatable,
 		call:       x.request.call != nil,
 		rejoins:    x.rejoins,
@@ -101,7 +102,7 @@
 func (x *exchange) refill() {
 	lost := x.candidate.Engine
 	x.queue = nil
-	for _, c := range x.router.newExchange(x.request).queue {
+	for _, c := range x.router.suspects.last(time.Now(), x.router.candidates(x.request)) {
 		if c.Engine != lost {
 			x.queue = append(x.queue, c)
 		}
