--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -90,7 +90,7 @@
 func (in *injector) link(random *rand.Rand, gateway int) {
 	toStore := in.fleet.gateways[gateway].store
 	mode := proxyMode(1 + random.IntN(int(proxyModes)-1))
-	in.note("link of %s: %s", in.fleet.gateways[gateway].name, mode)
+	in.logf("link of %s: %s", in.fleet.gateways[gateway].name, mode)
 	toStore.set(mode)
 	pause(random, maxGatewayFault)
 	toStore.set(proxyPass)
--- a/internal/soak/injector_test.go
+++ b/internal/soak/injector_test.go
@@ -52,7 +52,7 @@
 		drawn := faults[random.IntN(len(faults))]
 		gateway := random.IntN(len(in.fleet.gateways))
 		own := rand.New(rand.NewPCG(random.Uint64(), 0))
-		in.note("%s at %s", drawn.name, in.fleet.gateways[gateway].name)
+		in.logf("%s at %s", drawn.name, in.fleet.gateways[gateway].name)
 		in.group.Go(func() { in.inject(&drawn, own, gateway) })
 		pause(random, maxBetweenFaults)
 	}
@@ -79,8 +79,8 @@
 	in.cuts = append(in.cuts, cut{gateway: gateway, from: from, until: time.Now()})
 }
 
-// note adds a line to the timeline of the run.
-func (in *injector) note(format string, args ...any) {
+// logf adds a line to the timeline of the run.
+func (in *injector) logf(format string, args ...any) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.timeline = append(in.timeline, fmt.Sprintf("%6.3f ", time.Since(in.began).Seconds())+fmt.Sprintf(format, args...))
@@ -93,7 +93,7 @@
 
 // post changes the emulator.
 func (in *injector) post(change string) {
-	in.note("%s", change)
+	in.logf("%s", change)
 	if err := in.fleet.post(change); err != nil {
 		in.fleet.t.Errorf("%s: %v", change, err)
 	}
--- a/standin/enginecache.go
+++ b/standin/enginecache.go
@@ -21,9 +21,9 @@
 	defer e.mu.Unlock()
 	events := make([]ryeford.CacheEvent, 0)
 	delay := time.Duration(e.fault.EventDelayMS) * time.Millisecond
-	for _, noted := range e.cache.events[min(int(after), len(e.cache.events)):] {
-		event := noted.event
-		if time.Since(noted.at) < delay {
+	for _, timed := range e.cache.events[min(int(after), len(e.cache.events)):] {
+		event := timed.event
+		if time.Since(timed.at) < delay {
 			break
 		}
 		if e.fault.EventGap > 0 && event.Sequence%int64(e.fault.EventGap) == 0 {
--- a/standin/enginerun.go
+++ b/standin/enginerun.go
@@ -9,8 +9,8 @@
 
 // generate runs a request in the batch.
 func (e *engineServer) generate(r *run) {
-	defer e.noteEnd(r)
-	e.notePeak()
+	defer e.recordEnd(r)
+	e.recordPeak()
 	err := e.slots.acquire(r.ctx, r.request.Priority)
 	if err != nil {
 		r.append(errorEvent(r, "cancelled"), true)
@@ -24,16 +24,16 @@
 	e.decode(r, prompt, &fault, usage)
 }
 
-// notePeak counts how many runs run and wait, the calling one included.
-func (e *engineServer) notePeak() {
+// recordPeak records how many runs run and wait, the calling one included.
+func (e *engineServer) recordPeak() {
 	running, waiting := e.slots.counts()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counts.Peak = max(e.counts.Peak, running+waiting+1)
 }
 
-// noteEnd records when a run ended.
-func (e *engineServer) noteEnd(r *run) {
+// recordEnd records when a run ended.
+func (e *engineServer) recordEnd(r *run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counts.Runs[e.records[r.attempt]].End = time.Now()
--- a/standin/promptcache.go
+++ b/standin/promptcache.go
@@ -14,11 +14,11 @@
 	limit  int
 	order  *list.List // of cacheEntry, the most recent first
 	chats  map[ryeford.ChatID]*list.Element
-	events []notedEvent
+	events []timedEvent
 }
 
-// A notedEvent is a cache event and when it came to be.
-type notedEvent struct {
+// A timedEvent is a cache event and when it happened.
+type timedEvent struct {
 	event ryeford.CacheEvent
 	at    time.Time
 }
@@ -83,5 +83,5 @@
 		Chat:     chat,
 		Evicted:  evicted,
 	}
-	c.events = append(c.events, notedEvent{event: event, at: time.Now()})
+	c.events = append(c.events, timedEvent{event: event, at: time.Now()})
 }
