--- /dev/null
+++ b/gateway/balancer.go
@@ -0,0 +1,130 @@
+package gateway
+
+import (
+	"sync/atomic"
+	"time"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/gateway/choice"
+	"github.com/ryeford/ryeford/gateway/loads"
+	"github.com/ryeford/ryeford/gateway/outlier"
+	"github.com/ryeford/ryeford/gateway/peers"
+	"github.com/ryeford/ryeford/gateway/prefixcache"
+	"github.com/ryeford/ryeford/gateway/roster"
+)
+
+// A balancer chooses the endpoint of an attempt. It reads what the router knows of
+// the endpoints and asks package choice, which holds the rules; it owns nothing but
+// the place where the next search for the least loaded endpoint starts.
+type balancer struct {
+	roster   *roster.Roster
+	detector *outlier.Detector
+	loads    *loads.Table
+	prefixes *prefixcache.Index
+	peers    *peers.Table
+	limits   choice.Limits
+
+	start atomic.Uint64
+}
+
+// An endpointQuery is what a request asks of the balancer.
+type endpointQuery struct {
+	service string
+	// shared are the parts of the prompt that other requests may share; if there are
+	// any, affinity is the hash of the last one.
+	shared   []ryeford.PromptPart
+	affinity uint64
+	tried    map[ryeford.EndpointID]bool
+}
+
+// A selection is the endpoint that was chosen, and why.
+type selection struct {
+	to         *roster.Entry // nil if there is none
+	source     *roster.Entry // of a cached prefix, or nil
+	choice     choice.Choice
+	load       float64 // estimated, of the chosen endpoint
+	candidates int
+}
+
+// maxStart keeps the start of a search within an int of any size.
+const maxStart = 1 << 30
+
+// choose chooses the endpoint of an attempt.
+func (b *balancer) choose(now time.Time, query *endpointQuery) selection {
+	entries := b.roster.Serving(query.service)
+	serving := len(entries)
+	byAffinity := len(query.shared) > 0
+	if byAffinity {
+		entries = append(entries[:serving:serving], b.roster.Draining(query.service)...)
+	}
+	candidates := b.candidates(now, query, entries, serving)
+	var chosen choice.Choice
+	if byAffinity {
+		chosen = choice.ByAffinity(candidates, query.affinity, b.limits)
+	} else {
+		chosen = choice.ByLoad(candidates, b.limits, int(b.start.Add(1)%maxStart))
+	}
+	if chosen.Index < 0 {
+		return selection{choice: chosen, candidates: len(candidates)}
+	}
+	result := selection{
+		to:         entries[chosen.Index],
+		choice:     chosen,
+		load:       candidates[chosen.Index].Load,
+		candidates: len(candidates),
+	}
+	if byAffinity {
+		result.source = b.source(now, query, entries, &chosen)
+	}
+	return result
+}
+
+// candidates returns what is known of some endpoints, of which the first ones, as
+// many as serving, accept requests.
+func (b *balancer) candidates(now time.Time, query *endpointQuery, entries []*roster.Entry, serving int) []choice.Candidate {
+	held, tokens := b.held(now, query.shared)
+	candidates := make([]choice.Candidate, 0, len(entries))
+	for i, entry := range entries {
+		others, known := b.peers.Requests(now, entry.ID)
+		load, hash := b.loads.Estimate(now, entry.ID, others, known)
+		candidates = append(candidates, choice.Candidate{
+			ID:            entry.ID,
+			Domain:        entry.FailureDomain,
+			Hash:          hash,
+			Load:          load,
+			Slots:         entry.Slots,
+			Tried:         query.tried[entry.ID],
+			Unhealthy:     !b.detector.Healthy(now, entry.ID),
+			Draining:      i >= serving,
+			MissingTokens: tokens - held[entry.ID],
+		})
+	}
+	return candidates
+}
+
+// held returns how many tokens of a prompt's shared parts each endpoint is likely
+// to hold, and how many there are.
+func (b *balancer) held(now time.Time, shared []ryeford.PromptPart) (held map[ryeford.EndpointID]int, tokens int) {
+	if len(shared) == 0 {
+		return nil, 0
+	}
+	for i := range shared {
+		tokens += shared[i].Tokens
+	}
+	return b.prefixes.HeldTokens(now, shared), tokens
+}
+
+// source returns the endpoint from which the chosen one may fetch what it lacks of
+// the prompt, or nil.
+func (b *balancer) source(now time.Time, query *endpointQuery, entries []*roster.Entry, chosen *choice.Choice) *roster.Entry {
+	to := entries[chosen.Index]
+	indexed, parts := b.prefixes.Longest(now, query.shared, func(id ryeford.EndpointID) bool {
+		entry := b.roster.Entry(id)
+		return entry != nil && entry.Service == query.service && id != to.ID && b.detector.Healthy(now, id)
+	})
+	joined := !to.FirstSeen.IsZero()
+	if choice.SourceOf(chosen, parts, len(query.shared), joined) == choice.SourceAlternate {
+		return entries[chosen.Alternate]
+	}
+	return b.roster.Entry(indexed)
+}
--- /dev/null
+++ b/gateway/balancer_test.go
@@ -0,0 +1,94 @@
+package gateway
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/gateway/choice"
+	"github.com/ryeford/ryeford/gateway/loads"
+	"github.com/ryeford/ryeford/gateway/outlier"
+	"github.com/ryeford/ryeford/gateway/peers"
+	"github.com/ryeford/ryeford/gateway/prefixcache"
+	"github.com/ryeford/ryeford/gateway/roster"
+)
+
+// newTestBalancer returns a balancer of a router that has just read its first list,
+// with endpoints a and b.
+func newTestBalancer(now time.Time) *balancer {
+	b := &balancer{
+		roster:   roster.New(roster.DefaultTTLs()),
+		detector: outlier.New(outlier.DefaultLimits()),
+		loads:    loads.New(),
+		prefixes: prefixcache.New(prefixcache.DefaultLimits()),
+		peers:    peers.New(netip.AddrPort{}, peers.DefaultLimits()),
+		limits:   choice.DefaultLimits(2, ""),
+	}
+	b.roster.Apply(now, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{
+		{ID: "a", Service: "s", Slots: 8}, {ID: "b", Service: "s", Slots: 8},
+	}}, false)
+	return b
+}
+
+// TestBalancer states where a request goes, and from where its prompt is fetched,
+// as what the router knows changes. The home of the prompt is endpoint home.
+func TestBalancer(t *testing.T) {
+	now := time.Unix(1000, 0)
+	query := &endpointQuery{service: "s", shared: []ryeford.PromptPart{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}}, affinity: 7}
+	fresh := newTestBalancer(now).choose(now, query)
+	home, other := fresh.to.ID, fresh.source.ID
+	for _, test := range []struct {
+		name       string
+		change     func(b *balancer)
+		to, source ryeford.EndpointID
+		reason     choice.Reason
+	}{
+		{"nothing is known", func(*balancer) {}, home, other, choice.ReasonHome},
+		{"another endpoint was sent the beginning", func(b *balancer) { b.prefixes.Add(now, other, query.shared[:1]) },
+			home, other, choice.ReasonHome},
+		{"home drains: it takes nothing and is the source", func(b *balancer) {
+			b.roster.Apply(now, &ryeford.EndpointUpdate{Revision: 2, Present: []ryeford.Endpoint{{ID: home, Service: "s", State: ryeford.EndpointDraining}}}, false)
+		}, other, home, choice.ReasonHome},
+		{"home left without draining: it is the source for a time", func(b *balancer) {
+			b.roster.Apply(now, &ryeford.EndpointUpdate{Revision: 2, Removed: []ryeford.EndpointID{home}}, false)
+		}, other, home, choice.ReasonHome},
+		{"home is ejected: it is no source either", func(b *balancer) { b.detector.Eject(now, home, time.Second) },
+			other, "", choice.ReasonHome},
+		{"home has more requests than the prompt is worth", func(b *balancer) {
+			for range 2 {
+				b.loads.Begin(home)
+			}
+		}, other, home, choice.ReasonLighter},
+		{"all are ejected", func(b *balancer) {
+			b.detector.Eject(now, home, time.Second)
+			b.detector.Eject(now, other, time.Second)
+			b.loads.Begin(home)
+		}, other, "", choice.ReasonLastResort},
+	} {
+		b := newTestBalancer(now)
+		test.change(b)
+		selected := b.choose(now, query)
+		assert.Equal(t, selected.to.ID, test.to, test.name)
+		assert.Equal(t, selected.choice.Reason, test.reason, test.name)
+		source := ryeford.EndpointID("")
+		if selected.source != nil {
+			source = selected.source.ID
+		}
+		assert.Equal(t, source, test.source, test.name)
+	}
+}
+
+// TestBalancerTried checks that an endpoint that was tried is not chosen again, and
+// that none is when all were.
+func TestBalancerTried(t *testing.T) {
+	now := time.Unix(1000, 0)
+	b := newTestBalancer(now)
+	query := &endpointQuery{service: "s", tried: map[ryeford.EndpointID]bool{"a": true}}
+	assert.Equal(t, b.choose(now, query).to.ID, ryeford.EndpointID("b"))
+	query.tried["b"] = true
+	assert.Assert(t, b.choose(now, query).to == nil)
+	assert.Assert(t, b.choose(now, &endpointQuery{service: "another"}).to == nil)
+}
--- a/gateway/forwarder.go
+++ b/gateway/forwarder.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-	"sync/atomic"
 	"time"
 
 	"github.com/go-kit/log"
@@ -19,11 +18,12 @@
 )
 
 // A forwarder is what all exchanges share: what is known of the endpoints, and the
-// connections to them. It owns nothing but the round-robin counter.
+// connections to them. It owns nothing.
 type forwarder struct {
 	settings      *settings.Gateway
 	protocol      ryeford.Protocol
 	configuration *configuration
+	balancer      *balancer
 	roster        *roster.Roster
 	detector      *outlier.Detector
 	pool          *endpoint.Pool
@@ -33,8 +33,6 @@
 	durations     *durations
 	log           log.Logger
 	metrics       *telemetry.Set
-
-	turn atomic.Uint64 // breaks ties among equally loaded endpoints
 }
 
 // newExchange returns the exchange that serves a request, and writes its response to w.
--- a/gateway/wiring.go
+++ b/gateway/wiring.go
@@ -6,6 +6,7 @@
 	"golang.org/x/sync/semaphore"
 
 	"github.com/ryeford/ryeford/gateway/admit"
+	"github.com/ryeford/ryeford/gateway/choice"
 	"github.com/ryeford/ryeford/gateway/freshness"
 	"github.com/ryeford/ryeford/retry"
 )
@@ -88,6 +89,7 @@
 		settings:      s,
 		protocol:      g.platform.Protocol,
 		configuration: g.configuration,
+		balancer:      g.newBalancer(),
 		roster:        g.roster,
 		detector:      g.detector,
 		pool:          g.pool,
@@ -100,6 +102,18 @@
 	}
 }
 
+// newBalancer returns the balancer, which reads the peers' loads from their table.
+func (g *Gateway) newBalancer() *balancer {
+	return &balancer{
+		roster:   g.roster,
+		detector: g.detector,
+		loads:    g.loads,
+		prefixes: g.prefixes,
+		peers:    g.peers,
+		limits:   choice.DefaultLimits(g.settings.Bounds.CapFactor, g.settings.FailureDomain),
+	}
+}
+
 // addMetrics adds the gauges.
 func (g *Gateway) addMetrics() {
 	g.metrics.Gauge("ryeford_in_flight", func() float64 { return float64(g.drain.inFlight.Load()) })
