--- a/route/route.go
+++ b/route/route.go
@@ -1,10 +1,13 @@
-// Package route orders the engines for a chat by rendezvous hashing. It holds
-// no state and does no I/O: every router that knows the same engines finds the
-// same order.
+// Package route orders targets for a key by rendezvous hashing: every router that
+// knows the same targets finds the same order without agreement, and a target that
+// joins or leaves moves only the keys that it gains or loses.
+//
+// The fleet with agents ranks engines for a chat (Set.Rank). The gateway and the
+// peers' table use the hashes and the score alone (hash.go). The package owns no
+// state and does no I/O.
 package route
 
 import (
-	"math/bits"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
@@ -12,22 +15,23 @@
 	"github.com/ryeford/ryeford"
 )
 
-// MaxCandidates is the most candidates that a Ranking holds.
+// MaxCandidates is how many candidates a Ranking holds at most, so that it needs no
+// allocation; the router's setting candidates allows no more. Not measured.
 const MaxCandidates = 8
 
-// A Target is an engine as a candidate.
+// A Target is an engine that may be a candidate.
 type Target struct {
 	Engine ryeford.EngineID
 	VM     ryeford.VMID
-	Domain string
+	Domain string // failure domain
 }
 
 // A Set is an immutable set of targets that serve the same pool.
 type Set struct {
 	targets []Target
-	// seeds and domains stand apart from the targets, so that a walk over all
-	// of them stays within the processor's cache.
-	seeds   []uint64
+	// hashes (of the engines' IDs) and domains (numbered) are kept apart from the
+	// targets, so that a walk over all of them stays within the processor's cache.
+	hashes  []uint64
 	domains []int32
 }
 
@@ -41,7 +45,7 @@
 			numbers[t.Domain] = int32(len(numbers))
 		}
 		set.domains = append(set.domains, numbers[t.Domain])
-		set.seeds = append(set.seeds, xxhash.Sum64String(string(t.Engine)))
+		set.hashes = append(set.hashes, NameHash(string(t.Engine)))
 	}
 	return set
 }
@@ -52,16 +56,17 @@
 // Target returns the i-th target.
 func (s *Set) Target(i int) *Target { return &s.targets[i] }
 
-// A Ranking holds the indexes of a chat's first candidates, best first.
+// A Ranking holds a chat's first candidates, best first.
 type Ranking struct {
-	Index [MaxCandidates]int32
+	Index [MaxCandidates]int32 // of the Set's targets; the first Len count
 	Len   int
 
 	score [MaxCandidates]uint64
 }
 
-// Rank writes a chat's first k candidates to r. The second is moved to another
-// failure domain than the first where there is one, so that the loss of a
+// Rank writes a chat's first k candidates, at most MaxCandidates, to r: the ones
+// with the highest scores, best first. The second place goes to the best one in
+// another failure domain than the first's, if there is one, so that the loss of a
 // domain leaves a candidate that the chat may have used.
 func (s *Set) Rank(chat uint64, k int, r *Ranking) {
 	k = min(k, MaxCandidates)
@@ -70,8 +75,8 @@
 		return
 	}
 	lowest := uint64(0) // of the ranking, once it is full
-	for i, seed := range s.seeds {
-		score := mix(chat, seed)
+	for i, hash := range s.hashes {
+		score := Mix(chat, hash)
 		if score < lowest {
 			continue
 		}
@@ -85,8 +90,8 @@
 	}
 }
 
-// spread moves the best candidate of another failure domain than the first's to
-// the second place.
+// spread moves the best target in another failure domain than the first's to the
+// second place; one that is not in the ranking yet replaces the last.
 func (s *Set) spread(chat uint64, r *Ranking) {
 	first := s.domains[r.Index[0]]
 	for j := 1; j < r.Len; j++ {
@@ -96,11 +101,11 @@
 		}
 	}
 	best, bestScore := int32(-1), uint64(0)
-	for i, seed := range s.seeds {
+	for i, hash := range s.hashes {
 		if s.domains[i] == first {
 			continue
 		}
-		if score := mix(chat, seed); best < 0 || score > bestScore {
+		if score := Mix(chat, hash); best < 0 || score > bestScore {
 			best, bestScore = int32(i), score
 		}
 	}
@@ -110,7 +115,7 @@
 	}
 }
 
-// insert puts a target into the ranking, which holds at most k.
+// insert inserts a target by its score into the ranking, which holds at most k.
 func (r *Ranking) insert(index int32, score uint64, k int) {
 	j := r.Len
 	if j == k {
@@ -133,7 +138,7 @@
 	r.Index[1] = index
 }
 
-// ChatHash returns the hash by which a chat is routed.
+// ChatHash returns the uniform hash of a client account's chat.
 func ChatHash(account ryeford.AccountID, chat ryeford.ChatID) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -143,14 +148,7 @@
 	return d.Sum64()
 }
 
-// mix returns the rendezvous score of a chat and an engine: the folded product
-// of the two hashes, which are each uniform already.
-func mix(chat, engine uint64) uint64 {
-	hi, lo := bits.Mul64(chat, engine)
-	return hi ^ lo
-}
-
 // Score returns the rendezvous score of any name and an engine.
 func Score(name string, engine ryeford.EngineID) uint64 {
-	return mix(xxhash.Sum64String(name), xxhash.Sum64String(string(engine)))
+	return Mix(NameHash(name), NameHash(string(engine)))
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -1,7 +1,9 @@
 package route
 
 import (
+	"cmp"
 	"fmt"
+	"slices"
 	"testing"
 
 	"gotest.tools/v3/assert"
@@ -69,3 +71,44 @@
 		})
 	}
 }
+
+// TestRankSecond states which of a chat's targets get the first two places, by
+// their failure domains in the order of their scores.
+func TestRankSecond(t *testing.T) {
+	const chat = 12345
+	for _, test := range []struct {
+		domains string // of the targets, best score first; a letter each
+		k       int
+		want    string // places in that order
+	}{
+		{"", 3, ""},
+		{"a", 3, "0"},
+		{"ab", 3, "01"},
+		{"aab", 3, "021"},
+		{"aabc", 3, "021"},
+		{"aaab", 3, "031"}, // beyond the ranking: replaces its last
+		{"aaab", 2, "03"},
+		{"aaa", 3, "012"},
+		{"aab", 1, "0"},
+		{"aab", 0, ""},
+		{"abababababab", 12, "01234567"}, // MaxCandidates
+	} {
+		targets := make([]Target, len(test.domains))
+		for i := range targets {
+			targets[i].Engine = ryeford.EngineID(fmt.Sprintf("e%d", i))
+		}
+		slices.SortFunc(targets, func(a, b Target) int {
+			return cmp.Compare(Mix(chat, NameHash(string(b.Engine))), Mix(chat, NameHash(string(a.Engine))))
+		})
+		for i := range targets {
+			targets[i].Domain = test.domains[i : i+1]
+		}
+		var r Ranking
+		NewSet(targets).Rank(chat, test.k, &r)
+		got := ""
+		for _, index := range r.Index[:r.Len] {
+			got += fmt.Sprint(index)
+		}
+		assert.Equal(t, got, test.want, test.domains)
+	}
+}
