--- a/gateway/choice/choice_test.go
+++ b/gateway/choice/choice_test.go
@@ -67,7 +67,7 @@
 }
 
 // TestHomesMoveLittle checks that an endpoint that joins or leaves moves only the
-// prompts that it gains or loses, and all of them from or to it.
+// prompts that it gains or loses.
 func TestHomesMoveLittle(t *testing.T) {
 	var candidates []Candidate
 	for i := range 12 {
@@ -85,7 +85,7 @@
 		}
 		moved++
 		assert.Equal(t, after.Index, 12)
-		// Who had it before is known as the holder.
+		// The one that had it before is the alternate.
 		assert.Equal(t, after.Alternate, before.Index)
 	}
 	assert.Assert(t, moved > keys/13/2 && moved < keys/13*2, "%d moved", moved)
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestLighter checks that the next of a prompt's order is taken only where the
-// loads' difference outweighs what it lacks, that what the first lacks does not
+// TestLighter checks that the second in a prompt's order is taken only if the
+// difference of loads outweighs what it lacks, that what the first lacks does not
 // count, and that no third is taken.
 func TestLighter(t *testing.T) {
 	const key = 12345
--- a/gateway/choose_bench_test.go
+++ b/gateway/choose_bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// BenchmarkChoose measures the choice of an endpoint with all that goes into it,
-// at the sizes of a small deployment, a grown one and letter 1's.
+// BenchmarkChoose measures the choice of an endpoint with all that it reads, at the
+// sizes of a small deployment, a grown one and the largest planned one.
 func BenchmarkChoose(b *testing.B) {
 	for _, size := range []struct{ endpoints, peers int }{{12, 4}, {47, 25}, {3500, 389}} {
 		b.Run(fmt.Sprintf("endpoints=%d/peers=%d", size.endpoints, size.peers), func(b *testing.B) {
@@ -25,7 +25,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if to, _ := x.choose(); to == nil {
-					b.Fatal("nobody was chosen")
+					b.Fatal("no endpoint was chosen")
 				}
 			}
 		})
@@ -33,7 +33,7 @@
 }
 
 // benchExchange returns an exchange of a router that knows so many endpoints and
-// has heard so many peers, each with requests at some of the endpoints.
+// peers, each with requests at some of the endpoints.
 func benchExchange(endpoints, heard int) *exchange {
 	const loadsEach = 20
 	g := New(settings.DefaultGateway(), Platform{Protocol: platform.Protocol{}}, log.NewNopLogger(), telemetry.NewSet())
--- a/gateway/outlier/outlier_test.go
+++ b/gateway/outlier/outlier_test.go
@@ -12,8 +12,8 @@
 	BaseEjection: time.Second, MaxEjection: 4 * time.Second, MaxSilence: time.Second,
 }
 
-// TestFailuresInRow checks that an endpoint that fails again and again is left
-// out, each time for longer, and let in again.
+// TestFailuresInRow checks that an endpoint that keeps failing is ejected, each
+// time for longer, and is healthy again after each term.
 func TestFailuresInRow(t *testing.T) {
 	d := New(limits)
 	now := time.Unix(1000, 0)
@@ -28,8 +28,8 @@
 	assert.Assert(t, d.Healthy(now, "b"))
 }
 
-// TestShare checks that an endpoint that fails a part of its requests is found,
-// and that the failures which all have are borne.
+// TestShare checks that an endpoint that fails half of its requests is ejected, and
+// one that fails a seventh is not.
 func TestShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestSilence checks that an endpoint that says nothing on what it was sent is
-// left out, until it speaks.
+// TestSilence checks that an endpoint that leaves a request unanswered is unhealthy
+// until it responds.
 func TestSilence(t *testing.T) {
 	d := New(limits)
 	now := time.Unix(1000, 0)
--- a/gateway/roster/roster_test.go
+++ b/gateway/roster/roster_test.go
@@ -32,7 +32,7 @@
 	return names
 }
 
-// TestChanges plays the life of endpoints.
+// TestChanges checks that endpoints join, drain and leave as updates say.
 func TestChanges(t *testing.T) {
 	r := New(ttls)
 	assert.Assert(t, !r.Known())
@@ -46,20 +46,20 @@
 	assert.Equal(t, r.Serving("s")[1].FirstSeen, start)
 	r.Apply(start, &ryeford.EndpointUpdate{Revision: 3, Removed: []ryeford.EndpointID{"a", "b"}}, false)
 	assert.Equal(t, serving(r), "c")
-	// An answer that was held up changes nothing.
+	// An update that was delayed changes nothing.
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 2, Present: []ryeford.Endpoint{ready("b")}}, false)
 	assert.Equal(t, serving(r), "c")
 }
 
-// TestDoubt checks that what the first list after an outage lacks stays a while,
-// and that what leaves is not doubted.
+// TestDoubt checks that endpoints missing from the first list after an outage are
+// kept as suspect for a time, and that draining ones are not.
 func TestDoubt(t *testing.T) {
 	r := New(ttls)
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), draining("d")}}, false)
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 5}, true)
 	assert.Equal(t, serving(r), "ab")
 	assert.Equal(t, len(r.Draining("s")), 0)
-	// One of them writes its entry anew; a later list takes nothing back.
+	// One of them is back on a later list, which does not drop the other.
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 6, Present: []ryeford.Endpoint{ready("b")}}, false)
 	assert.Equal(t, serving(r), "ab")
 	assert.Equal(t, len(r.Expire(start.Add(time.Second))), 0)
@@ -67,7 +67,7 @@
 	assert.Equal(t, serving(r), "b")
 }
 
-// TestDeparted checks that an endpoint which leaves the list without having drained takes
+// TestDeparted checks that an endpoint that leaves the list without draining takes
 // nothing at once, stays a source of prompts for a time, and is then forgotten;
 // one that had said that it leaves goes with its entry.
 func TestDeparted(t *testing.T) {
