--- a/gateway/prefixcache/index.go
+++ b/gateway/prefixcache/index.go
@@ -15,16 +15,17 @@
 	"github.com/ryeford/ryeford"
 )
 
-// The limits of the gateway's index. Not measured: they date from 2a0751d, whose
-// panels measured the index as a whole (docs/design.md, "who is known to hold the
-// parts is the source").
+// The limits of the gateway's index. Not measured when they were set: they date from
+// 2a0751d, whose panels measured the index as a whole (docs/design.md, "who is known
+// to hold the parts is the source").
 const (
 	// maxParts is how many parts of prompts are indexed. It bounds memory.
 	maxParts = 4096
 	// maxHolders is how many endpoints are kept for each part, the latest first.
 	maxHolders = 4
 	// holderTTL is the time after which an endpoint is no longer believed to hold
-	// what it was sent.
+	// what it was sent. 10 s made no clear difference (docs/design.md, "One constant at
+	// a time").
 	holderTTL = time.Minute
 )
 
