--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -20,8 +20,8 @@
 	log      log.Logger
 	inFlight atomic.Int64 // callers' requests
 
-	closeBy        atomic.Pointer[time.Time] // set before leaving is
-	leaving        atomic.Bool               // the process was ordered to stop
+	closeBy        atomic.Pointer[time.Time] // set before stopping is
+	stopping       atomic.Bool               // the process was ordered to stop
 	failedProbes   atomic.Int32              // since the order
 	lastConnection atomic.Pointer[time.Time] // when a caller connected last, or nil
 }
@@ -44,7 +44,7 @@
 	ordered := time.Now()
 	closeBy := shutdown.CloseBy(ordered, d.grace)
 	d.closeBy.Store(&closeBy)
-	d.leaving.Store(true)
+	d.stopping.Store(true)
 	_ = d.log.Log("msg", "stopping", "in_flight", d.inFlight.Load())
 	d.awaitNotice(ordered)
 	d.awaitQuiet(closeBy)
@@ -90,7 +90,7 @@
 
 // countFailedProbe counts a readiness probe that failed, if the gateway stops.
 func (d *drain) countFailedProbe() {
-	if d.leaving.Load() {
+	if d.stopping.Load() {
 		d.failedProbes.Add(1)
 	}
 }
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -17,7 +17,7 @@
 		d := newDrain(8*time.Second, log.NewNopLogger())
 		d.countFailedProbe()
 		d.countFailedProbe()
-		d.leaving.Store(true)
+		d.stopping.Store(true)
 		ordered := time.Now()
 		d.awaitNotice(ordered)
 		assert.Equal(t, time.Since(ordered), 3400*time.Millisecond)
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// apply takes an answer of the list and reports whether it told of any change.
+// apply takes an answer of the list and reports whether it holds any change.
 //
 // An endpoint that the first answer after an outage lacks may be alive: the list
 // drops endpoints that could not reach it either. One that a later answer lacks is
--- a/gateway/freshness/confirm.go
+++ b/gateway/freshness/confirm.go
@@ -5,9 +5,9 @@
 // Rule: an own read does, unless its revision is older than the newest one that was
 // known when it was sent. A peer's confirmation does if it is of the very version
 // in force here; if the peer has a newer version, or there is none here, the router
-// reads by itself at once; if it has an older one, it says nothing.
+// reads by itself at once; if it has an older one, nothing follows.
 //
-// Why: a source whose reads fall behind what it has answered before would keep a
+// Why: a source whose reads are older than what it has answered before would keep a
 // revoked key alive, and since leases are shared, at every router (commit 090e5a4).
 // A peer does not send the configuration itself, so that a newer one must be read.
 
@@ -20,7 +20,8 @@
 
 // The actions after a peer's confirmation.
 const (
-	// PeerIgnored means that the confirmation says nothing about the version here.
+	// PeerIgnored means that the confirmation is of an older version than the one
+	// here.
 	PeerIgnored PeerAction = iota
 	// PeerRenews means that it renews the lease.
 	PeerRenews
--- a/gateway/freshness/lease.go
+++ b/gateway/freshness/lease.go
@@ -2,7 +2,7 @@
 // relied on, and when, and by which process, the source is read again.
 //
 // It owns a Lease; it relies on a steady clock that goes on while the process or
-// the machine is paused, and on the steady clock that the source tells with each
+// the machine is paused, and on the steady clock that the source sends with each
 // answer. It does no I/O and reads no time of day.
 package freshness
 
--- a/gateway/freshness/sharedlease.go
+++ b/gateway/freshness/sharedlease.go
@@ -11,7 +11,7 @@
 // showed when the source was read and the most that it may show now.
 //
 // Why: a message may take any time and pass through any number of routers, and
-// clocks of routers differ. The source tells its steady clock with each answer, so
+// clocks of routers differ. The source sends its steady clock with each answer, so
 // that each router can bound by its own reads what that clock shows now, and never
 // takes a confirmation for younger than it is.
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -8,7 +8,7 @@
 // server for the HTTP servers. A request's life begins in handler.go. What the parts
 // decide, the packages below this one say.
 //
-// The package knows no header and no call of the platform: those are behind
+// The package knows no header and no call of the platform: it is given those as
 // ryeford.Protocol, ryeford.ConfigurationSource and ryeford.EndpointSource.
 package gateway
 
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -38,7 +38,7 @@
 	arrived := time.Now()
 	h.drain.inFlight.Add(1)
 	defer h.drain.inFlight.Add(-1)
-	if h.drain.leaving.Load() {
+	if h.drain.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	meta, err := h.protocol.ParseRequest(r.Header)
@@ -129,7 +129,7 @@
 		return state
 	}
 	state.RouteFound = true
-	state.NoTimeLeft = h.drain.leaving.Load() && !h.drain.leavesTimeFor(q.arrived, h.durations.slowest(q.rule))
+	state.NoTimeLeft = h.drain.stopping.Load() && !h.drain.leavesTimeFor(q.arrived, h.durations.slowest(q.rule))
 	if q.catalog.Keyed() && !q.rule.Public {
 		q.account = q.catalog.Account(q.meta.Key)
 		state.NeedsKey = true
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -16,7 +16,8 @@
 // A Message is what a router sends its peers every Interval.
 type Message struct {
 	Sender netip.AddrPort `cbor:"1,keyasint"`
-	// Started tells the processes of one sender apart: nanoseconds since 1970.
+	// Started is when the sender's process was started, in nanoseconds since 1970.
+	// It distinguishes the processes that had one address.
 	Started int64 `cbor:"2,keyasint"`
 	// Sequence numbers the messages of one process, from 1.
 	Sequence uint64 `cbor:"3,keyasint"`
--- a/gateway/peers/schedule.go
+++ b/gateway/peers/schedule.go
@@ -9,7 +9,7 @@
 // bytes a second. Every eighth message names peers that are alive.
 //
 // Why: a router's traffic must not grow with the fleet. A message that is lost or
-// not sent is replaced by the next, which tells all loads anew; only prompts that
+// not sent is replaced by the next, which holds all loads anew; only prompts that
 // were sent since the last message are lost with it, and cost a cached prefix that
 // another router does not know of.
 
@@ -23,7 +23,7 @@
 	// average. Set by: the bound of 10 KB/s of control traffic a node in the first
 	// letter, both ways; docs/design.md has the runs with it.
 	BytesPerSecond = 5000
-	// MaxPrompts is how many prompts a message tells; more are dropped. Not measured.
+	// MaxPrompts is how many prompts a message holds; more are dropped. Not measured.
 	MaxPrompts = 24
 	// MaxMessage is the largest message that is read, in bytes. Not measured.
 	MaxMessage = 16 << 10
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -46,7 +46,7 @@
 func (h *probeHandler) state(now time.Time) readiness.State {
 	current := h.configuration.current()
 	return readiness.State{
-		Stopping:       h.drain.leaving.Load(),
+		Stopping:       h.drain.stopping.Load(),
 		Configured:     current != nil,
 		EndpointsKnown: h.roster.Known(),
 		Keyed:          current != nil && current.Keyed(),
--- a/gateway/probe_test.go
+++ b/gateway/probe_test.go
@@ -36,7 +36,7 @@
 	h.roster.Apply(time.Now(), &ryeford.EndpointUpdate{Snapshot: true, Revision: 1}, false)
 	assert.Equal(t, probe("/ready"), http.StatusOK)
 	assert.Equal(t, h.drain.failedProbes.Load(), int32(0))
-	h.drain.leaving.Store(true)
+	h.drain.stopping.Store(true)
 	assert.Equal(t, probe("/ready"), http.StatusServiceUnavailable)
 	assert.Equal(t, h.drain.failedProbes.Load(), int32(1))
 }
--- a/gateway/watch/next.go
+++ b/gateway/watch/next.go
@@ -13,7 +13,7 @@
 // Rule, by the verdict on the answer:
 //
 //	current      apply it, then ask for changes after its revision; pause for
-//	             Settle first if it told of a change
+//	             Settle first if it holds a change
 //	stale        ignore it: it is older than what is known and confirms nothing;
 //	             ask again after MinPause
 //	historyLost  read the whole at once
@@ -27,7 +27,7 @@
 const (
 	current     verdict = iota // as new as what is known, or newer
 	stale                      // older than what is known
-	historyLost                // the source can't tell changes since a revision any more
+	historyLost                // the source no longer has the changes since a revision
 	failed                     // the source did not answer
 )
 
--- a/gateway/watch/watch.go
+++ b/gateway/watch/watch.go
@@ -24,7 +24,7 @@
 type Options struct {
 	// Wait is how long a question for changes is held while there are none.
 	Wait time.Duration
-	// Settle is the pause after an answer that told of a change, so that changes in
+	// Settle is the pause after an answer that holds a change, so that changes in
 	// a row come in one answer.
 	Settle time.Duration
 	// MinPause is the longest pause after a first failure; it doubles with each
@@ -35,7 +35,7 @@
 
 // A Handler is called with what a watch finds, from one goroutine.
 type Handler[U any] struct {
-	// Apply takes an answer and reports whether it told of any change.
+	// Apply takes an answer and reports whether it holds any change.
 	Apply func(update U, revision int64) bool
 	// Lost is called at the first failure after an answer, Regained at the first
 	// answer after failures.
--- a/gateway/watch/watch_test.go
+++ b/gateway/watch/watch_test.go
@@ -34,7 +34,7 @@
 }
 
 // TestSettle checks that changes in a row are asked for together: a watch waits
-// after an answer that told of one, and not after an answer that told of none.
+// after an answer with a change, and not after one without.
 func TestSettle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -111,7 +111,7 @@
 	assert.DeepEqual(t, applied, []int64{9, 9})
 }
 
-// TestHistoryLost checks that the whole is read again once changes can't be told.
+// TestHistoryLost checks that the whole is read again once changes are no longer kept.
 func TestHistoryLost(t *testing.T) {
 	s, applied, lost, _ := play(t, step{revision: 9}, step{err: &ryeford.HistoryLostError{Revision: 9}}, step{revision: 12})
 	assert.DeepEqual(t, applied, []int64{9, 12})
