--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -10,7 +10,6 @@
 	"github.com/ryeford/ryeford/gateway/admit"
 	"github.com/ryeford/ryeford/gateway/endpoint"
 	"github.com/ryeford/ryeford/gateway/giveup"
-	"github.com/ryeford/ryeford/gateway/outlier"
 	"github.com/ryeford/ryeford/gateway/roster"
 	"github.com/ryeford/ryeford/retry"
 )
@@ -97,17 +96,16 @@
 		x.noteSent(end)
 	}
 	over := ctx.Err() != nil
-	if !over {
-		x.blame(to, end, err)
-	}
+	var withdrawn *ryeford.NotRunError // by checkSend
+	errors.As(err, &withdrawn)
+	rate(ended{end: end, withdrawn: withdrawn != nil, over: over}).report(x.forwarder.detector, to.ID)
 	if cause := context.Cause(attempt); cause != nil && !over && end != retry.EndBarred {
 		err = cause
 	}
 	x.noteFailed(to, end, err)
-	var barred *ryeford.NotRunError
 	switch {
-	case end == retry.EndBarred && errors.As(err, &barred):
-		return end, barred
+	case end == retry.EndBarred:
+		return end, withdrawn
 	case over:
 		return end, x.stopped(ctx)
 	case end == retry.EndUnsent:
@@ -129,30 +127,13 @@
 	return retry.EndLost
 }
 
-// blame holds an attempt without a response against its endpoint, unless checkSend
-// ended it.
-func (x *exchange) blame(to *roster.Entry, end retry.End, err error) {
-	var notRun *ryeford.NotRunError
-	switch {
-	case errors.As(err, &notRun):
-	case end == retry.EndUnsent:
-		x.forwarder.detector.Eject(time.Now(), to.ID, outlier.UnreachableEjection)
-	default:
-		x.forwarder.detector.Failed(time.Now(), to.ID)
-	}
-}
-
 // endRefused ends an attempt that the endpoint states not to have run.
 func (x *exchange) endRefused(to *roster.Entry, response *endpoint.Response) (retry.End, error) {
 	x.noteSent(retry.EndRefused)
 	// The body is read only so that the connection can be used again; if that fails,
 	// it is closed.
 	_, _ = response.ReadAll(maxWholeBody)
-	if response.Status == http.StatusMisdirectedRequest {
-		x.forwarder.detector.Eject(time.Now(), to.ID, outlier.MisdirectedEjection)
-	} else {
-		x.forwarder.detector.Failed(time.Now(), to.ID)
-	}
+	rate(ended{end: retry.EndRefused, status: response.Status}).report(x.forwarder.detector, to.ID)
 	err := giveup.NotRun(ryeford.ReasonOverload)
 	x.noteFailed(to, retry.EndRefused, err)
 	return retry.EndRefused, err
@@ -160,21 +141,16 @@
 
 // receive passes a response on, as far as it may be.
 func (x *exchange) receive(ctx, attempt context.Context, to *roster.Entry, response *endpoint.Response) (retry.End, error) {
-	f := x.forwarder
 	x.noteSent(retry.EndLost) // until the whole response is there
 	x.notePrompt(to, response.Status)
 	end, err := x.relay.pass(attempt, response, x.withholds(response.Status))
-	switch {
-	case end == retry.EndAnswered && response.Status < http.StatusInternalServerError:
-		f.detector.Succeeded(time.Now(), to.ID)
-	case ctx.Err() == nil:
-		f.detector.Failed(time.Now(), to.ID)
-	}
+	over := ctx.Err() != nil
+	rate(ended{end: end, status: response.Status, over: over}).report(x.forwarder.detector, to.ID)
 	if end == retry.EndAnswered {
 		x.noteAnswered(to, response.Status)
 		return end, nil
 	}
-	if ctx.Err() != nil {
+	if over {
 		end, err = retry.EndStopped, x.stopped(ctx)
 	}
 	x.noteFailed(to, end, err)
--- /dev/null
+++ b/gateway/rating.go
@@ -0,0 +1,66 @@
+package gateway
+
+import (
+	"net/http"
+	"time"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/gateway/outlier"
+	"github.com/ryeford/ryeford/retry"
+)
+
+// A rating is what the end of an attempt says of its endpoint's health.
+type rating int
+
+const (
+	ratingNone        rating = iota
+	ratingGood               // it answered
+	ratingFailure            // it failed, or refused the request
+	ratingUnreachable        // it accepts no connection
+	ratingMisdirected        // its address belongs to another endpoint
+)
+
+// An ended is an attempt whose endpoint is rated.
+type ended struct {
+	end    retry.End
+	status int // of the response, or zero
+	// withdrawn says that the gateway itself did not send the request, because the
+	// endpoint is draining or the request must not be sent any more.
+	withdrawn bool
+	// over says that the caller has gone or that the request's deadline has passed.
+	over bool
+}
+
+// rate returns the rating of an attempt's endpoint: a failure is held against it,
+// unless the gateway or the caller ended the attempt. A refusal counts as one, since
+// an endpoint that sheds load should get less.
+func rate(e ended) rating {
+	switch {
+	case e.end == retry.EndAnswered && e.status < http.StatusInternalServerError:
+		return ratingGood
+	case e.end == retry.EndRefused && e.status == http.StatusMisdirectedRequest:
+		return ratingMisdirected
+	case e.end == retry.EndRefused:
+		return ratingFailure
+	case e.withdrawn || e.over:
+		return ratingNone
+	case e.end == retry.EndUnsent:
+		return ratingUnreachable
+	}
+	return ratingFailure
+}
+
+// report passes an attempt's rating to the outlier detector.
+func (r rating) report(detector *outlier.Detector, id ryeford.EndpointID) {
+	now := time.Now()
+	switch r {
+	case ratingGood:
+		detector.Succeeded(now, id)
+	case ratingFailure:
+		detector.Failed(now, id)
+	case ratingUnreachable:
+		detector.Eject(now, id, outlier.UnreachableEjection)
+	case ratingMisdirected:
+		detector.Eject(now, id, outlier.MisdirectedEjection)
+	}
+}
