--- /dev/null
+++ b/gateway/eventstream_test.go
@@ -0,0 +1,74 @@
+package gateway
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford/gateway/endpoint"
+)
+
+// TestReadEvent checks that only whole events are read.
+func TestReadEvent(t *testing.T) {
+	long := "data: " + strings.Repeat("x", 8<<10) + "\n\n" // longer than the reader's buffer
+	for _, row := range []struct {
+		rule   string
+		stream string
+		events []string
+		end    error
+	}{
+		{"two events", "id: 1\ndata: a\n\ndata: b\n\n", []string{"id: 1\ndata: a\n\n", "data: b\n\n"}, io.EOF},
+		{"lines that end with CR LF", "data: a\r\n\r\n", []string{"data: a\r\n\r\n"}, io.EOF},
+		{"a long line", long, []string{long}, io.EOF},
+		{"an empty stream", "", nil, io.EOF},
+		{"empty lines at the end", "data: a\n\n\n", []string{"data: a\n\n"}, io.EOF},
+		{"broken off within an event", "data: a\n\ndata: b\n", []string{"data: a\n\n"}, io.ErrUnexpectedEOF},
+		{"broken off within a line", "data: a\n\nda", []string{"data: a\n\n"}, io.ErrUnexpectedEOF},
+	} {
+		t.Run(row.rule, func(t *testing.T) {
+			reader := bufio.NewReader(strings.NewReader(row.stream))
+			for _, want := range row.events {
+				event, err := readEvent(reader)
+				assert.NilError(t, err)
+				assert.Equal(t, string(event), want)
+			}
+			_, err := readEvent(reader)
+			assert.ErrorIs(t, err, row.end)
+		})
+	}
+}
+
+// TestReadLargeEvent checks that an event is not read without end.
+func TestReadLargeEvent(t *testing.T) {
+	_, err := readEvent(bufio.NewReader(strings.NewReader("data: " + strings.Repeat("x", maxEvent))))
+	var tooLarge *endpoint.TooLargeError
+	assert.Assert(t, errors.As(err, &tooLarge), "%v", err)
+}
+
+// TestEventIDs checks which events of a continued stream the caller has already.
+func TestEventIDs(t *testing.T) {
+	assert.Equal(t, eventID([]byte("id: 7\ndata: x\n\n")), "7")
+	assert.Equal(t, eventID([]byte("data: x\nid:8\n\n")), "8")
+	assert.Equal(t, eventID([]byte("data: id: 9\n\n")), "")
+	assert.Assert(t, follows("7", "8"))
+	assert.Assert(t, follows("9", "10"), "by their numbers")
+	assert.Assert(t, !follows("7", "7"))
+	assert.Assert(t, !follows("8", "7"))
+	assert.Assert(t, follows("a", "b"), "not comparable")
+	assert.Assert(t, follows("", "1"), "the first")
+}
+
+// TestIsEventStream checks which responses are passed on event by event.
+func TestIsEventStream(t *testing.T) {
+	for contentType, want := range map[string]bool{
+		"text/event-stream": true, "text/event-stream; charset=utf-8": true, "Text/Event-Stream": true,
+		"text/plain": false, "": false, "text/event-stream; bad": false,
+	} {
+		assert.Equal(t, isEventStream(http.Header{"Content-Type": {contentType}}), want, contentType)
+	}
+}
