--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -174,8 +174,8 @@
 	x.forwarder.gossip.addPrompt(to.ID, shared)
 }
 
-// A perTryTimeoutError says that an attempt was given up for another one, because the
-// first byte of a response did not come in time.
+// A perTryTimeoutError says that an attempt was given up for another one, because no
+// response came in time.
 type perTryTimeoutError struct{}
 
 // Error returns the text of e.
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -36,8 +36,8 @@
 	deadline time.Time // of the request
 	headOnly bool      // the caller wants no body
 
-	onFirst func()        // called when a response begins
-	first   time.Duration // from the request's arrival to the first response's beginning
+	onFirst func()        // called for the first event, or once a whole response is read
+	first   time.Duration // from the request's arrival until then
 	begun   bool          // the head of a stream was sent to the caller
 	events  int           // that were sent to the caller
 	lastID  string        // of the last event with an ID that was sent to the caller
@@ -110,7 +110,7 @@
 	}
 }
 
-// noteFirst notes that a response has begun.
+// noteFirst notes that the first event, or a whole response, has been read.
 func (r *relay) noteFirst() {
 	if r.onFirst != nil {
 		r.onFirst()
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -14,8 +14,8 @@
 	// measured.
 	maxUnsent = 4
 	// perTryTimeoutFactor is the multiple of a route's latency goal that an
-	// attempt may go without the first byte of a response, while another attempt
-	// is allowed. Not measured.
+	// attempt may go without the first event of a stream, or the whole of any
+	// other response, while another attempt is allowed. Not measured.
 	perTryTimeoutFactor = 1.5
 )
 
@@ -129,10 +129,11 @@
 	return Step{Again: true, Budgeted: true, Reuse: reuse}
 }
 
-// PerTryTimeout returns how long the next attempt may wait for the first byte of
-// a response before the request is sent to another endpoint, and false if it may
-// wait until the request's deadline. A slow endpoint is only given up if the
-// attempt after it is allowed: sent is how many attempts were sent already.
+// PerTryTimeout returns how long the next attempt may wait for the first event of a
+// stream, or for the whole of any other response, before the request is sent to
+// another endpoint, and false if it may wait until the request's deadline. A slow
+// endpoint is only given up if an attempt after that is allowed: sent is how many
+// attempts were sent already.
 func (p Policy) PerTryTimeout(sent int) (time.Duration, bool) {
 	if !p.Idempotent || p.Goal <= 0 || sent+1 >= p.MaxAttempts {
 		return 0, false
