--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -156,8 +156,8 @@
 }
 
 // peekUntilExpired looks for the first run while its dispatch may still be under way,
-// without stopping it. An agent that doesn't answer is looked at again, and asked in
-// earnest by joinFirst.
+// without stopping it. An agent that does not answer is asked again, at last by
+// joinFirst.
 func (x *exchange) peekUntilExpired(ctx context.Context, record *claim.Record) (bool, error) {
 	for time.Now().Before(record.Expires) {
 		for _, c := range record.Candidates {
--- a/agentfleet/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -33,7 +33,7 @@
 	openCtx, cancel := context.WithDeadline(ctx, x.attempt.expires)
 	defer cancel()
 	stream, err := a.conn.Open(openCtx)
-	if err != nil {
+	if err != nil { // the connection is going: keepConnected logs why
 		return &ryeford.NotRunError{Reason: ryeford.ReasonUnreachable}
 	}
 	x.stream = stream
--- a/agentfleet/router/join.go
+++ b/agentfleet/router/join.go
@@ -41,6 +41,7 @@
 			x.stream = stream
 			return x.handleReply(reply)
 		}
+		// The agent can't be asked yet; the first failure, cause, says more than this one.
 		if a, ok := x.router.fleet.vm(x.candidate.VM); ok && a.inventory.Incarnation != x.candidate.Incarnation {
 			unknown.Reason = ryeford.ReasonIncarnation
 			return unknown
