--- a/retry/window.go
+++ b/retry/window.go
@@ -74,11 +74,14 @@
 	return true
 }
 
-// slice returns the slice of a moment.
+// slice returns the slice in which a request or repeat of a moment counts. A request
+// is counted by its arrival, but only once it is admitted: what came before the first
+// slice counts in that one, and what came so long ago that its slice is used anew
+// counts in the newer one.
 func (w *Window) slice(now time.Time) *windowSlice {
-	number := int64(now.Sub(w.epoch) / (w.limits.Span / windowSlices))
+	number := max(0, int64(now.Sub(w.epoch)/(w.limits.Span/windowSlices)))
 	s := &w.slices[number%(windowSlices+1)]
-	if s.number != number {
+	if s.number < number {
 		*s = windowSlice{number: number}
 	}
 	return s
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -70,3 +70,25 @@
 	}
 	assert.Assert(t, repeats <= 84 && repeats > 84/2, "%d repeats", repeats)
 }
+
+// TestWindowEarlyRequest checks that a request may be counted that came before its
+// service's window was made: one that waited for the first configuration.
+func TestWindowEarlyRequest(t *testing.T) {
+	now := time.Unix(1000, 0)
+	w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Ratio: 1})
+	w.Request(now.Add(-600 * time.Millisecond))
+	assert.Assert(t, w.Repeat(now, 1), "the request counts")
+	assert.Assert(t, !w.Repeat(now, 1))
+}
+
+// TestWindowLateCount checks that a request that is counted long after it came, since
+// its body was slow, takes back no repeat.
+func TestWindowLateCount(t *testing.T) {
+	now := time.Unix(1000, 0)
+	w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Reserve: 2})
+	now = now.Add(30 * time.Second)
+	assert.Assert(t, w.Repeat(now, 1))
+	assert.Assert(t, w.Repeat(now, 1))
+	w.Request(now.Add(-10*time.Second - 500*time.Millisecond))
+	assert.Assert(t, !w.Repeat(now, 1))
+}
