--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -19,7 +19,7 @@
 func (x *exchange) attempt(ctx context.Context, to, source *roster.Entry) (retry.End, error) {
 	f := x.forwarder
 	x.tried[to.ID] = true
-	attempt, cancel := context.WithCancelCause(ctx)
+	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	if timeout, ok := x.policy.PerTryTimeout(x.history.Sent); ok {
 		timer := time.AfterFunc(timeout, func() { cancel(&perTryTimeoutError{}) })
@@ -29,17 +29,17 @@
 	f.loads.Begin(to.ID)
 	defer f.loads.End(to.ID)
 	number := f.detector.Start(time.Now(), to.ID)
-	response, err := x.send(attempt, to, source)
+	response, err := x.send(attemptCtx, to, source)
 	f.detector.End(time.Now(), to.ID, number, err == nil)
 	if err != nil {
-		return x.endUnanswered(ctx, attempt, to, err)
+		return x.endUnanswered(ctx, attemptCtx, to, err)
 	}
 	defer response.Close()
 	f.loads.Report(time.Now(), to.ID, response.Meta.Load)
 	if response.Meta.NotRun {
 		return x.endRefused(to, response)
 	}
-	return x.receive(ctx, attempt, to, response)
+	return x.receive(ctx, attemptCtx, to, response)
 }
 
 // send sends the request and waits for the head of the response.
@@ -47,10 +47,10 @@
 	f, q := x.forwarder, x.request
 	return f.pool.Send(ctx, &to.Endpoint, &endpoint.Request{
 		ID:      q.meta.ID,
-		Method:  x.http.Method,
-		Target:  x.http.RequestURI,
-		Host:    x.http.Host,
-		Header:  f.protocol.ForwardHeader(x.http.Header, x.forwardMeta(to, source)),
+		Method:  x.incoming.Method,
+		Target:  x.incoming.RequestURI,
+		Host:    x.incoming.Host,
+		Header:  f.protocol.ForwardHeader(x.incoming.Header, x.forwardMeta(to, source)),
 		Body:    q.body,
 		HasBody: q.hasBody,
 	}, func() error { return x.checkSend(to) })
@@ -90,19 +90,19 @@
 }
 
 // endUnanswered ends an attempt that brought no response, or none that may be used.
-func (x *exchange) endUnanswered(ctx, attempt context.Context, to *roster.Entry, err error) (retry.End, error) {
+func (x *exchange) endUnanswered(ctx, attemptCtx context.Context, to *roster.Entry, err error) (retry.End, error) {
 	end := endOf(err)
 	if end.MayHaveRun() {
-		x.noteSent(end)
+		x.countSent(end)
 	}
 	over := ctx.Err() != nil
 	var withdrawn *ryeford.NotRunError // by checkSend
 	errors.As(err, &withdrawn)
 	rate(ended{end: end, withdrawn: withdrawn != nil, over: over}).report(x.forwarder.detector, to.ID)
-	if cause := context.Cause(attempt); cause != nil && !over && end != retry.EndBarred {
+	if cause := context.Cause(attemptCtx); cause != nil && !over && end != retry.EndBarred {
 		err = cause
 	}
-	x.noteFailed(to, end, err)
+	x.recordFailed(to, end, err)
 	switch {
 	case end == retry.EndBarred:
 		return end, withdrawn
@@ -129,43 +129,43 @@
 
 // endRefused ends an attempt that the endpoint states not to have run.
 func (x *exchange) endRefused(to *roster.Entry, response *endpoint.Response) (retry.End, error) {
-	x.noteSent(retry.EndRefused)
+	x.countSent(retry.EndRefused)
 	// The body is read only so that the connection can be used again; if that fails,
 	// it is closed.
 	_, _ = response.ReadAll(maxWholeBody)
 	rate(ended{end: retry.EndRefused, status: response.Status}).report(x.forwarder.detector, to.ID)
 	err := giveup.NotRun(ryeford.ReasonOverload)
-	x.noteFailed(to, retry.EndRefused, err)
+	x.recordFailed(to, retry.EndRefused, err)
 	return retry.EndRefused, err
 }
 
 // receive passes a response on, as far as it may be.
-func (x *exchange) receive(ctx, attempt context.Context, to *roster.Entry, response *endpoint.Response) (retry.End, error) {
-	x.noteSent(retry.EndLost) // until the whole response is there
-	x.notePrompt(to, response.Status)
-	end, err := x.relay.pass(attempt, response, x.withholds(response.Status))
+func (x *exchange) receive(ctx, attemptCtx context.Context, to *roster.Entry, response *endpoint.Response) (retry.End, error) {
+	x.countSent(retry.EndLost) // until the whole response is there
+	x.recordPrompt(to, response.Status)
+	end, err := x.relay.pass(attemptCtx, response, x.withholds(response.Status))
 	over := ctx.Err() != nil
 	rate(ended{end: end, status: response.Status, over: over}).report(x.forwarder.detector, to.ID)
 	if end == retry.EndAnswered {
-		x.noteAnswered(to, response.Status)
+		x.recordAnswered(to, response.Status)
 		return end, nil
 	}
 	if over {
 		end, err = retry.EndStopped, x.stopped(ctx)
 	}
-	x.noteFailed(to, end, err)
+	x.recordFailed(to, end, err)
 	return end, err
 }
 
-// noteSent counts an attempt that was sent and, as far as is known yet, ended so.
-func (x *exchange) noteSent(end retry.End) {
+// countSent counts an attempt that was sent and, as far as is known yet, ended so.
+func (x *exchange) countSent(end retry.End) {
 	x.history.Sent++
 	x.mayHaveRun = x.mayHaveRun || end.MayHaveRun()
 }
 
-// notePrompt remembers, and tells the peers, that an endpoint that accepted the request
+// recordPrompt remembers, and tells the peers, that an endpoint that accepted the request
 // now holds the shared parts of its prompt.
-func (x *exchange) notePrompt(to *roster.Entry, status int) {
+func (x *exchange) recordPrompt(to *roster.Entry, status int) {
 	if !x.request.shared || status >= http.StatusMultipleChoices {
 		return
 	}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -19,7 +19,7 @@
 type exchange struct {
 	forwarder *forwarder
 	request   *request
-	http      *http.Request
+	incoming  *http.Request
 	writer    http.ResponseWriter
 	policy    retry.Policy
 	relay     relay
@@ -110,16 +110,16 @@
 	writeVerdict(x.writer, f.protocol, q.meta.ID, &verdict)
 }
 
-// noteFailed logs and counts an attempt that did not answer the caller.
-func (x *exchange) noteFailed(to *roster.Entry, end retry.End, err error) {
+// recordFailed logs and counts an attempt that did not answer the caller.
+func (x *exchange) recordFailed(to *roster.Entry, end retry.End, err error) {
 	f, q := x.forwarder, x.request
 	f.metrics.Count("ryeford_tries_failed_total", end.String())
 	_ = f.log.Log("decision", "try_failed", "request", q.meta.ID, "endpoint", to.ID, "address", to.Address,
 		"outcome", end, "sent", x.history.Sent, "events", x.relay.events, "took", roundTime(time.Since(q.arrived)), "err", err)
 }
 
-// noteAnswered logs and counts a response that the caller has whole.
-func (x *exchange) noteAnswered(to *roster.Entry, status int) {
+// recordAnswered logs and counts a response that the caller has whole.
+func (x *exchange) recordAnswered(to *roster.Entry, status int) {
 	f, q := x.forwarder, x.request
 	took := time.Since(q.arrived)
 	f.durations.observe(q.rule, took)
--- a/gateway/forwarder.go
+++ b/gateway/forwarder.go
@@ -10,17 +10,16 @@
 	"github.com/ryeford/ryeford/gateway/endpoint"
 	"github.com/ryeford/ryeford/gateway/loads"
 	"github.com/ryeford/ryeford/gateway/outlier"
+	"github.com/ryeford/ryeford/gateway/peers"
 	"github.com/ryeford/ryeford/gateway/prefixcache"
 	"github.com/ryeford/ryeford/gateway/roster"
 	"github.com/ryeford/ryeford/internal/telemetry"
 	"github.com/ryeford/ryeford/retry"
-	"github.com/ryeford/ryeford/settings"
 )
 
 // A forwarder is what all exchanges share: what is known of the endpoints, and the
 // connections to them. It owns nothing.
 type forwarder struct {
-	settings      *settings.Gateway
 	protocol      ryeford.Protocol
 	configuration *configuration
 	balancer      *balancer
@@ -30,6 +29,8 @@
 	loads         *loads.Table
 	prefixes      *prefixcache.Index
 	gossip        *gossip
+	peers         *peers.Table
+	minSharers    int // of the retry budget's reserve, from the settings
 	durations     *durations
 	log           log.Logger
 	metrics       *telemetry.Set
@@ -40,7 +41,7 @@
 	x := &exchange{
 		forwarder: f,
 		request:   q,
-		http:      r,
+		incoming:  r,
 		writer:    w,
 		policy:    retry.ForRoute(q.rule),
 		tried:     make(map[ryeford.EndpointID]bool),
@@ -59,5 +60,5 @@
 
 // sharers returns among how many routers the reserve of a retry budget is divided.
 func (f *forwarder) sharers(now time.Time) int {
-	return retry.Sharers(f.settings.Routing.Routers, f.gossip.table.Alive(now)+1)
+	return retry.Sharers(f.minSharers, f.peers.Alive(now)+1)
 }
--- /dev/null
+++ b/gateway/handler_test.go
@@ -0,0 +1,103 @@
+package gateway
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/go-kit/log"
+	"golang.org/x/sync/semaphore"
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/gateway/catalog"
+	"github.com/ryeford/ryeford/gateway/roster"
+	"github.com/ryeford/ryeford/internal/telemetry"
+	"github.com/ryeford/ryeford/platform"
+	"github.com/ryeford/ryeford/retry"
+)
+
+// newRefusingHandler returns a handler that knows a configuration with a public and a
+// keyed route, and a list without endpoints, and logs to b. It has no forwarder: it
+// can only refuse. Its configuration is stale.
+func newRefusingHandler(b *strings.Builder) *handler {
+	h := &handler{
+		protocol:      platform.Protocol{},
+		configuration: newConfiguration(configurationOptions{term: time.Minute}),
+		roster:        roster.New(roster.DefaultTTLs()),
+		drain:         newDrain(8*time.Second, log.NewNopLogger()),
+		initialSync:   newInitialSync(0),
+		bodies:        semaphore.NewWeighted(1000),
+		budgets:       retry.NewWindows(retry.Bound{Span: time.Second}),
+		durations:     newDurations(),
+		log:           log.NewLogfmtLogger(b),
+		metrics:       telemetry.NewSet(),
+	}
+	h.configuration.inForce.Put(catalog.New(&ryeford.Configuration{
+		Version:  1,
+		Limits:   ryeford.RequestLimits{MaxBody: 100},
+		Accounts: []ryeford.AccountRule{{Account: "bank", Keys: []string{"key"}}},
+		Routes: []ryeford.RouteRule{
+			{Name: "open", Host: "host", Prefix: "/open/", Public: true},
+			{Name: "keyed", Host: "host", Prefix: "/keyed/"},
+		},
+	}))
+	h.roster.Apply(time.Now(), &ryeford.EndpointUpdate{Snapshot: true, Revision: 1}, false)
+	return h
+}
+
+// TestRefusals checks what a caller that is refused gets, and what the log says.
+func TestRefusals(t *testing.T) {
+	fresh := func(h *handler) { h.configuration.lease.Renew(time.Now()) }
+	stop := func(h *handler) {
+		fresh(h)
+		now := time.Now()
+		h.drain.closeBy.Store(&now)
+		h.drain.stopping.Store(true)
+	}
+	for _, row := range []struct {
+		rule   string
+		change func(*handler)
+		path   string
+		key    string
+		body   string
+		status int
+		reason string
+		closes bool // the connection
+	}{
+		{"no configuration", func(h *handler) { h.configuration = newConfiguration(configurationOptions{}) }, "/keyed/a", "key", "", 503, "not_ready", false},
+		{"no list of endpoints", func(h *handler) { h.roster = roster.New(roster.DefaultTTLs()) }, "/keyed/a", "key", "", 503, "not_ready", false},
+		{"unknown route, stale", func(*handler) {}, "/none/a", "key", "", 503, "stale_configuration", true},
+		{"unknown route", fresh, "/none/a", "key", "", 404, "input", false},
+		{"key, stale", func(*handler) {}, "/keyed/a", "key", "", 503, "stale_configuration", true},
+		{"unknown key", fresh, "/keyed/a", "other", "", 401, "input", false},
+		{"no key", fresh, "/keyed/a", "", "", 401, "input", false},
+		{"stopping", stop, "/keyed/a", "key", "", 503, "leaving", true},
+		{"stopping, public route", stop, "/open/a", "", "", 503, "leaving", true},
+		{"body too large", fresh, "/keyed/a", "key", strings.Repeat("x", 101), 413, "input", true},
+		{"no memory for the body", func(h *handler) { h.bodies = semaphore.NewWeighted(99) }, "/keyed/a", "key", strings.Repeat("x", 100), 503, "overload", false},
+	} {
+		t.Run(row.rule, func(t *testing.T) {
+			var b strings.Builder
+			h := newRefusingHandler(&b)
+			row.change(h)
+			r := httptest.NewRequest(http.MethodPost, row.path, strings.NewReader(row.body))
+			r.Host = "host"
+			r.Header.Set("Ryeford-Request-Id", "r1")
+			if row.key != "" {
+				r.Header.Set("Authorization", "Bearer "+row.key)
+			}
+			w := httptest.NewRecorder()
+			h.ServeHTTP(w, r)
+			assert.Equal(t, w.Code, row.status)
+			assert.Equal(t, w.Header().Get("Retry-After") != "", row.status == http.StatusServiceUnavailable)
+			assert.Equal(t, w.Header().Get("Connection") == "close", row.closes)
+			assert.Equal(t, w.Header().Get("Ryeford-Request-Id"), "r1")
+			assert.Assert(t, strings.Contains(b.String(), "decision=refuse request=r1 "), b.String())
+			assert.Assert(t, strings.Contains(b.String(), " reason="+row.reason+" "), b.String())
+			assert.Equal(t, h.drain.inFlight.Load(), int64(0))
+		})
+	}
+}
--- a/gateway/initialsync.go
+++ b/gateway/initialsync.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// noteSynced completes the initial sync once both the configuration and the list of
+// checkSynced completes the initial sync if both the configuration and the list of
 // endpoints are known.
-func (g *Gateway) noteSynced() {
+func (g *Gateway) checkSynced() {
 	if g.configuration.current() != nil && g.roster.Known() {
 		g.initialSync.complete()
 	}
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return retry.EndLost, &ryeford.UnknownError{Reason: ryeford.ReasonEngineLost, Err: err}
 	}
-	r.noteFirst()
+	r.recordFirst()
 	switch {
 	case r.begun: // it can't continue the stream
 		return retry.EndLost, newStatusError(response.Status)
@@ -95,7 +95,7 @@
 			}
 			return retry.EndLost, &ryeford.UnknownError{Reason: ryeford.ReasonEngineLost, Err: err}
 		}
-		r.noteFirst()
+		r.recordFirst()
 		id := eventID(event)
 		if r.begun && id != "" && !follows(r.lastID, id) {
 			continue // the caller has it already
@@ -110,8 +110,8 @@
 	}
 }
 
-// noteFirst notes that the first event, or a whole response, has been read.
-func (r *relay) noteFirst() {
+// recordFirst notes that the first event, or a whole response, has been read.
+func (r *relay) recordFirst() {
 	if r.onFirst != nil {
 		r.onFirst()
 		r.onFirst = nil
--- a/gateway/wiring.go
+++ b/gateway/wiring.go
@@ -19,7 +19,7 @@
 		refresh:  g.settings.RefreshConfiguration(),
 		peers:    g.peers,
 		revision: g.revision,
-		onUpdate: g.noteSynced,
+		onUpdate: g.checkSynced,
 		log:      g.log,
 		metrics:  g.metrics,
 	})
@@ -36,7 +36,7 @@
 		pool:     g.pool,
 		memories: []memory{g.detector, g.loads, g.prefixes},
 		outage:   newOutage("endpoints", g.configuration.leaseLeft, g.log, g.metrics),
-		onUpdate: g.noteSynced,
+		onUpdate: g.checkSynced,
 		log:      g.log,
 	}
 }
@@ -86,7 +86,6 @@
 		metrics:       g.metrics,
 	}
 	g.handler.forwarder = &forwarder{
-		settings:      s,
 		protocol:      g.platform.Protocol,
 		configuration: g.configuration,
 		balancer:      g.newBalancer(),
@@ -96,6 +95,8 @@
 		loads:         g.loads,
 		prefixes:      g.prefixes,
 		gossip:        g.gossip,
+		peers:         g.peers,
+		minSharers:    s.Routing.Routers,
 		durations:     durations,
 		log:           g.log,
 		metrics:       g.metrics,
