--- a/agentfleet/engine/protocol.go
+++ b/agentfleet/engine/protocol.go
@@ -14,7 +14,6 @@
 // caches the chat, HeaderLastEvent the last event that a resumed stream has.
 const (
 	PathCompletions = "/v1/chat/completions"
-	PathLoad        = "/load"
 	PathEvents      = "/cache_events"
 	PathCache       = "/cache/"
 	PathServing     = "/serving"
--- a/engine.go
+++ b/engine.go
@@ -2,13 +2,6 @@
 
 import "context"
 
-// An EngineLoad is what an engine reports of itself, in requests. It lags behind the
-// truth.
-type EngineLoad struct {
-	Running int `json:"running"`
-	Waiting int `json:"waiting"`
-}
-
 // A CacheEvent says that an engine stored or evicted a chat's prefix. Events come
 // late and with gaps in Sequence.
 type CacheEvent struct {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -1,7 +1,6 @@
 package standin
 
 import (
-	"math/rand/v2"
 	"strings"
 	"sync"
 	"time"
@@ -21,15 +20,12 @@
 	defaultCacheChats = 1000                    // chats whose prompts are cached
 	// prefillPerStep is how many tokens of a prompt one step takes in.
 	prefillPerStep = 64
-	// loadReportEvery is how old a load report may be: an engine counts its load at
-	// intervals, and answers with the last count.
-	loadReportEvery = 200 * time.Millisecond
 )
 
 // An engineServer plays a model engine: completions as event streams that may be
-// joined again and cancelled, load reports, a cache of prompts with its events, and
-// orders to load pools. Its answers are computed from the prompt (see Answer), so that
-// a caller can tell its own.
+// joined again and cancelled, a cache of prompts with its events, and orders to load
+// pools. Its answers are computed from the prompt (see Answer), so that a caller can
+// tell its own.
 //
 // It plays time by the step: a token takes one, a prompt one for each prefillPerStep
 // tokens that are not cached, whatever the load. It does not play a model, memory,
@@ -48,8 +44,6 @@
 	records  map[ryeford.AttemptID]int // into counts.Runs
 	counts   EngineCounts
 	serving  ryeford.Order
-	report   ryeford.EngineLoad // the last load report
-	reported time.Time
 }
 
 // newEngine returns an engineServer.
@@ -81,8 +75,6 @@
 func (e *engineServer) serve(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
-	case path == engine.PathLoad:
-		e.load(ctx)
 	case path == engine.PathEvents:
 		e.cacheEvents(ctx)
 	case path == engine.PathServing:
@@ -116,19 +108,3 @@
 	defer e.mu.Unlock()
 	writeJSON(ctx, &e.counts)
 }
-
-// load answers with the last load report, or a new one if that has grown old.
-func (e *engineServer) load(ctx *fasthttp.RequestCtx) {
-	running, waiting := e.slots.counts()
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if rand.Float64() < e.fault.DropLoads {
-		ctx.Error("lost", fasthttp.StatusServiceUnavailable)
-		return
-	}
-	if time.Since(e.reported) > loadReportEvery {
-		e.report = ryeford.EngineLoad{Running: running, Waiting: waiting}
-		e.reported = time.Now()
-	}
-	writeJSON(ctx, &e.report)
-}
--- a/standin/enginefault.go
+++ b/standin/enginefault.go
@@ -20,8 +20,6 @@
 	FinishAfter int                  `json:"finish_after"`
 	// Disorder sends events out of order, repeated, and of other attempts.
 	Disorder bool `json:"disorder"`
-	// DropLoads is the part of load reports that are lost, 0 to 1.
-	DropLoads float64 `json:"drop_loads"`
 	// EventGap leaves out each cache event whose number it divides.
 	EventGap int `json:"event_gap"`
 	// EventDelayMS holds each cache event back, in milliseconds.
