--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -66,7 +66,7 @@
 // New returns an Agent that listens. Its engines are asked what they serve once
 // it runs.
 func New(s *settings.Agent, tlsConfig *tls.Config, vms ryeford.VMList, logger log.Logger) (*Agent, error) {
-	listener, err := transport.Listen(s.Listen.AddrPort, tlsConfig, transport.NewOptions(&s.Transport))
+	listener, err := transport.Listen(s.Listen.AddrPort, tlsConfig, &s.Transport)
 	if err != nil {
 		return nil, err
 	}
--- a/agentfleet/agent/export.go
+++ b/agentfleet/agent/export.go
@@ -30,7 +30,7 @@
 		_ = a.log.Log("msg", "KV caches not handed on", "err", "no router is connected")
 		return
 	}
-	dialer, err := transport.NewDialer(a.settings.Listen.Addr(), a.tls, transport.NewOptions(&a.settings.Transport))
+	dialer, err := transport.NewDialer(a.settings.Listen.Addr(), a.tls, &a.settings.Transport)
 	if err != nil {
 		_ = a.log.Log("msg", "KV caches not handed on", "err", err)
 		return
--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -70,7 +70,7 @@
 
 // New returns a Router.
 func New(s *settings.Router, tlsConfig *tls.Config, platform Platform, logger log.Logger) (*Router, error) {
-	dialer, err := transport.NewDialer(s.Callers.Addr(), tlsConfig, transport.NewOptions(&s.Transport))
+	dialer, err := transport.NewDialer(s.Callers.Addr(), tlsConfig, &s.Transport)
 	if err != nil {
 		return nil, err
 	}
--- a/agentfleet/transport/listener.go
+++ b/agentfleet/transport/listener.go
@@ -7,6 +7,8 @@
 	"net/netip"
 
 	"github.com/quic-go/quic-go"
+
+	"github.com/ryeford/ryeford/settings"
 )
 
 // A Listener accepts connections on a UDP socket of its own.
@@ -15,8 +17,8 @@
 }
 
 // Listen returns a Listener on a UDP address; port 0 is any free one.
-func Listen(address netip.AddrPort, tlsConfig *tls.Config, options Options) (*Listener, error) {
-	l, err := quic.ListenAddr(address.String(), tlsConfig, options.quicConfig())
+func Listen(address netip.AddrPort, tlsConfig *tls.Config, s *settings.Transport) (*Listener, error) {
+	l, err := quic.ListenAddr(address.String(), tlsConfig, newQUICConfig(s))
 	if err != nil {
 		return nil, &Error{Op: "listen", Address: address, Err: err}
 	}
--- a/agentfleet/transport/options.go
+++ b/agentfleet/transport/options.go
@@ -20,26 +20,13 @@
 	maxWindow        = 8 << 20   // bytes up to which both may grow
 )
 
-// Options are the settings of connections.
-type Options struct {
-	// IdleTimeout is after how long without a packet a connection is lost.
-	IdleTimeout time.Duration
-	// KeepAlive is how often an idle connection is probed. What that costs:
-	// docs/CAPACITY.md, S10 and S11.
-	KeepAlive time.Duration
-}
-
-// NewOptions returns the Options that settings ask for.
-func NewOptions(s *settings.Transport) Options {
-	return Options{IdleTimeout: s.IdleTimeout, KeepAlive: s.KeepAlive}
-}
-
-// quicConfig returns the QUIC settings of both ends.
-func (o *Options) quicConfig() *quic.Config {
+// newQUICConfig returns the QUIC settings of both ends. What the keep-alives of idle
+// connections cost: docs/CAPACITY.md, S10 and S11.
+func newQUICConfig(s *settings.Transport) *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:           handshakeTimeout,
-		MaxIdleTimeout:                 o.IdleTimeout,
-		KeepAlivePeriod:                o.KeepAlive,
+		MaxIdleTimeout:                 s.IdleTimeout,
+		KeepAlivePeriod:                s.KeepAlive,
 		MaxIncomingStreams:             maxStreams,
 		InitialStreamReceiveWindow:     streamWindow,
 		MaxStreamReceiveWindow:         maxWindow,
--- a/agentfleet/transport/transport_test.go
+++ b/agentfleet/transport/transport_test.go
@@ -14,11 +14,12 @@
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/wire"
+	"github.com/ryeford/ryeford/settings"
 )
 
 var (
 	loopback    = netip.MustParseAddr("127.0.0.1")
-	testOptions = Options{IdleTimeout: 4 * time.Second, KeepAlive: 1500 * time.Millisecond}
+	testOptions = &settings.Transport{IdleTimeout: 4 * time.Second, KeepAlive: 1500 * time.Millisecond}
 )
 
 func testTLS(t testing.TB, authority *Authority, vm ryeford.VMID) *tls.Config {
@@ -30,7 +31,7 @@
 }
 
 // listen runs a peer that accepts connections until the test ends.
-func listen(t testing.TB, config *tls.Config, options Options) *Listener {
+func listen(t testing.TB, config *tls.Config, options *settings.Transport) *Listener {
 	l, err := Listen(netip.AddrPortFrom(loopback, 0), config, options)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -61,7 +62,7 @@
 	}
 }
 
-func dial(t testing.TB, config *tls.Config, to netip.AddrPort, options Options) (*Conn, error) {
+func dial(t testing.TB, config *tls.Config, to netip.AddrPort, options *settings.Transport) (*Conn, error) {
 	d, err := NewDialer(loopback, config, options)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = d.Close() })
@@ -116,7 +117,7 @@
 	const conns = 300
 	authority, err := NewAuthority()
 	assert.NilError(b, err)
-	for _, options := range []Options{
+	for _, options := range []*settings.Transport{
 		{IdleTimeout: 4 * time.Second, KeepAlive: 1500 * time.Millisecond},
 		{IdleTimeout: 60 * time.Second, KeepAlive: 20 * time.Second},
 	} {
@@ -129,7 +130,7 @@
 }
 
 // measureIdle opens connections and leaves them idle for a while.
-func measureIdle(b *testing.B, authority *Authority, options Options, conns int) {
+func measureIdle(b *testing.B, authority *Authority, options *settings.Transport, conns int) {
 	l := listen(b, testTLS(b, authority, "endpoint-1"), options)
 	d, err := NewDialer(loopback, testTLS(b, authority, "router-1"), options)
 	assert.NilError(b, err)
