--- a/agentfleet/engine/service.go
+++ b/agentfleet/engine/service.go
@@ -91,7 +91,7 @@
 // returns the same error for a body that broke off, a further read does not.
 func (r *bodyReader) bodyComplete() bool {
 	_, err := r.response.Body.Read(make([]byte, 1))
-	return errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
+	return errors.Is(err, io.EOF)
 }
 
 // noRedirect passes redirects on to the caller instead of following them: a
--- a/agentfleet/lease/lease.go
+++ b/agentfleet/lease/lease.go
@@ -42,18 +42,16 @@
 
 // A Held is a lease as this process took or renewed it last.
 type Held struct {
-	Epoch   int64
-	Expires time.Time
+	Epoch int64
 
 	version int64
 	lease   *Lease
 }
 
-// A HeldError says that another process holds the lease. Its fields are empty if that
-// process took it at the same time.
+// A HeldError says that another process holds the lease. Holder is empty if that process
+// took it at the same time.
 type HeldError struct {
-	Holder  ryeford.VMID
-	Expires time.Time
+	Holder ryeford.VMID
 }
 
 // Error returns the text of e.
@@ -87,7 +85,7 @@
 func (l *Lease) next(current record, now time.Time) (record, error) {
 	mine := current.Holder == l.holder && current.Life == l.life
 	if !mine && now.Before(current.Expires) {
-		return record{}, &HeldError{Holder: current.Holder, Expires: current.Expires}
+		return record{}, &HeldError{Holder: current.Holder}
 	}
 	epoch := current.Epoch
 	if !mine {
@@ -115,7 +113,7 @@
 	case err != nil:
 		return nil, err
 	}
-	return &Held{Epoch: next.Epoch, Expires: next.Expires, version: written, lease: l}, nil
+	return &Held{Epoch: next.Epoch, version: written, lease: l}, nil
 }
 
 // Renewal returns the write that makes a transaction conditional on the lease
--- a/agentfleet/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -133,7 +133,7 @@
 		target, ok := x.router.candidate(refused.Engine)
 		x.queue = redirected(x.queue, x.candidate, refused.Engine, target, ok)
 	}
-	return &ryeford.NotRunError{Reason: refused.Reason, RetryAfter: refused.RetryAfter, Engine: refused.Engine}
+	return &ryeford.NotRunError{Reason: refused.Reason, RetryAfter: refused.RetryAfter}
 }
 
 // redirected returns the queue after a home pointed to an engine: that engine first, if
--- a/errors.go
+++ b/errors.go
@@ -11,8 +11,6 @@
 	Reason Reason
 	// RetryAfter is when the caller should try again; zero leaves it to the caller.
 	RetryAfter time.Duration
-	// Engine is the one that a ReasonRedirect points to.
-	Engine EngineID
 }
 
 // Error returns the text of e.
