--- a/standin/enginecache.go
+++ b/standin/enginecache.go
@@ -3,7 +3,6 @@
 import (
 	"net/url"
 	"strconv"
-	"time"
 
 	"github.com/valyala/fasthttp"
 
@@ -19,19 +18,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	events := make([]ryeford.CacheEvent, 0)
-	delay := time.Duration(e.fault.EventDelayMS) * time.Millisecond
-	for _, timed := range e.cache.events[min(int(after), len(e.cache.events)):] {
-		event := timed.event
-		if time.Since(timed.at) < delay {
-			break
-		}
-		if e.fault.EventGap > 0 && event.Sequence%int64(e.fault.EventGap) == 0 {
-			continue
-		}
-		events = append(events, event)
-	}
-	writeJSON(ctx, events)
+	writeJSON(ctx, e.cache.events[min(int(after), len(e.cache.events)):])
 }
 
 // cacheContent exports or imports a chat's KV cache.
--- a/standin/enginefault.go
+++ b/standin/enginefault.go
@@ -20,10 +20,6 @@
 	FinishAfter int                  `json:"finish_after"`
 	// Disorder sends events out of order, repeated, and of other attempts.
 	Disorder bool `json:"disorder"`
-	// EventGap leaves out each cache event whose number it divides.
-	EventGap int `json:"event_gap"`
-	// EventDelayMS holds each cache event back, in milliseconds.
-	EventDelayMS int `json:"event_delay_ms"`
 	// Refuse answers 503 to completions.
 	Refuse bool `json:"refuse"`
 	// DelayMS delays the start of each run, in milliseconds.
--- a/standin/link.go
+++ b/standin/link.go
@@ -23,8 +23,6 @@
 	DelayMS int     `json:"delay_ms"` // each way, in milliseconds
 	Lose    float64 `json:"lose"`     // part of the datagrams, 0 to 1
 	Repeat  float64 `json:"repeat"`   // part of the datagrams, 0 to 1
-	// CutBack cuts the way back to the caller only.
-	CutBack bool `json:"cut_back"`
 }
 
 // A link plays the network between routers and one agent: it relays UDP datagrams to
@@ -88,7 +86,7 @@
 			continue // the datagram is lost, as on a network
 		}
 		data := append([]byte(nil), buf[:n]...)
-		l.pass(false, func() { _, _ = out.Write(data) })
+		l.pass(func() { _, _ = out.Write(data) })
 	}
 }
 
@@ -120,16 +118,16 @@
 			continue // refused: nothing listens at the far end for now
 		}
 		data := append([]byte(nil), buf[:n]...)
-		l.pass(true, func() { _, _ = l.socket.WriteToUDPAddrPort(data, caller) })
+		l.pass(func() { _, _ = l.socket.WriteToUDPAddrPort(data, caller) })
 	}
 }
 
 // pass sends a datagram as the fault allows.
-func (l *link) pass(back bool, send func()) {
+func (l *link) pass(send func()) {
 	l.mu.Lock()
 	fault := l.fault
 	l.mu.Unlock()
-	if fault.Cut || (back && fault.CutBack) || rand.Float64() < fault.Lose {
+	if fault.Cut || rand.Float64() < fault.Lose {
 		return
 	}
 	times := 1
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -3,7 +3,6 @@
 import (
 	"strings"
 	"sync"
-	"time"
 
 	"github.com/go-kit/log"
 	"github.com/valyala/fasthttp"
@@ -19,16 +18,12 @@
 type PlatformFault struct {
 	// Down refuses all calls of the table and the object store.
 	Down bool `json:"down"`
-	// SlowMS delays them, in milliseconds.
-	SlowMS int `json:"slow_ms"`
 	// LoseAnswers drops the answers of so many writes after they took effect.
 	LoseAnswers int `json:"lose_answers"`
 	// DownAfterKey sets Down right after a write of the row with this key.
 	DownAfterKey string `json:"down_after_key"`
 	// FreezeList makes the named VMs read the list of VMs as it is now.
 	FreezeList []ryeford.VMID `json:"freeze_list"`
-	// ListDown refuses the list of VMs.
-	ListDown bool `json:"list_down"`
 }
 
 // PlatformCounts counts the calls that the platform served or refused.
@@ -132,16 +127,14 @@
 	}
 }
 
-// available waits while the platform is slow and reports whether it is up.
+// available reports whether the platform is up.
 func (p *platformServer) available() bool {
 	p.mu.Lock()
-	fault := p.fault
-	if fault.Down {
+	defer p.mu.Unlock()
+	if p.fault.Down {
 		p.counts.Refused++
 	}
-	p.mu.Unlock()
-	time.Sleep(time.Duration(fault.SlowMS) * time.Millisecond)
-	return !fault.Down
+	return !p.fault.Down
 }
 
 // allowRead admits a reading call, or answers 503.
--- a/standin/platformvms.go
+++ b/standin/platformvms.go
@@ -17,10 +17,6 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.counts.Lists++
-	if p.fault.ListDown {
-		ctx.Error("unavailable", fasthttp.StatusServiceUnavailable)
-		return
-	}
 	if !ctx.IsPost() {
 		reader := ryeford.VMID(ctx.Request.Header.Peek(tableservice.HeaderVM))
 		vms := p.listVMs()
--- a/standin/promptcache.go
+++ b/standin/promptcache.go
@@ -3,7 +3,6 @@
 import (
 	"container/list"
 	"strings"
-	"time"
 
 	"github.com/ryeford/ryeford"
 )
@@ -14,13 +13,7 @@
 	limit  int
 	order  *list.List // of cacheEntry, the most recent first
 	chats  map[ryeford.ChatID]*list.Element
-	events []timedEvent
-}
-
-// A timedEvent is a cache event and when it happened.
-type timedEvent struct {
-	event ryeford.CacheEvent
-	at    time.Time
+	events []ryeford.CacheEvent
 }
 
 // A cacheEntry is the prompt of one chat.
@@ -35,6 +28,8 @@
 		limit: limit,
 		order: list.New(),
 		chats: make(map[ryeford.ChatID]*list.Element),
+		// Not nil, so that an engine without events answers with an empty list.
+		events: []ryeford.CacheEvent{},
 	}
 }
 
@@ -78,10 +73,9 @@
 
 // event adds a cache event.
 func (c *promptCache) event(chat ryeford.ChatID, evicted bool) {
-	event := ryeford.CacheEvent{
+	c.events = append(c.events, ryeford.CacheEvent{
 		Sequence: int64(len(c.events) + 1),
 		Chat:     chat,
 		Evicted:  evicted,
-	}
-	c.events = append(c.events, timedEvent{event: event, at: time.Now()})
+	})
 }
