--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -122,7 +122,7 @@
 func (a *Agent) startLeaving(why string) {
 	a.leaveOnce.Do(func() {
 		a.leaving.Store(true)
-		_ = a.decisions.Note("", "decision", "leave", "reason", why, "unfinished", a.attempts.unfinished())
+		a.decisions.Record("", "decision", "leave", "reason", why, "unfinished", a.attempts.unfinished())
 		close(a.leave)
 		a.inventoryChanged()
 	})
--- a/agentfleet/agent/decisionlog.go
+++ b/agentfleet/agent/decisionlog.go
@@ -9,7 +9,7 @@
 // logAdmitted logs an admission.
 func (a *Agent) logAdmitted(d *wire.Dispatch, decided *admission.Decision, warm bool) {
 	a.metrics.Count("ryeford_admitted_total", "")
-	_ = a.decisions.Note(d.Request,
+	a.decisions.Record(d.Request,
 		"decision", "admit", "request", d.Request, "attempt", d.Attempt, "account", d.Account, "chat", d.Chat,
 		"engine", d.Engine, "failure_domain", a.settings.FailureDomain,
 		"load", decided.Load, "bound", decided.Bound, "mean", d.PoolMean, "held", decided.Held, "share", d.Share, "warm", warm)
@@ -18,7 +18,7 @@
 // logRefused logs a refusal.
 func (a *Agent) logRefused(d *wire.Dispatch, refused *wire.Refused) {
 	a.metrics.Count("ryeford_refused_total", string(refused.Reason))
-	_ = a.decisions.Note(d.Request,
+	a.decisions.Record(d.Request,
 		"decision", "refuse", "request", d.Request, "attempt", d.Attempt, "account", d.Account, "chat", d.Chat,
 		"engine", d.Engine, "failure_domain", a.settings.FailureDomain, "reason", refused.Reason,
 		"load", refused.Load, "bound", refused.Bound, "mean", d.PoolMean, "share", d.Share, "redirect", refused.Engine)
--- a/agentfleet/agent/drain.go
+++ b/agentfleet/agent/drain.go
@@ -31,7 +31,7 @@
 	case <-time.After(drainGrace):
 	case <-ctx.Done():
 	}
-	_ = a.decisions.Note("", "decision", "drained", "unfinished", a.attempts.unfinished())
+	a.decisions.Record("", "decision", "drained", "unfinished", a.attempts.unfinished())
 	return nil
 }
 
--- a/agentfleet/agent/execute.go
+++ b/agentfleet/agent/execute.go
@@ -77,7 +77,7 @@
 		NotRun:  failure.notRun,
 	})
 	a.metrics.Count("ryeford_failed_total", string(failure.reason))
-	_ = a.decisions.Note(d.Request,
+	a.decisions.Record(d.Request,
 		"decision", "fail", "request", d.Request, "attempt", d.Attempt, "account", d.Account, "chat", d.Chat,
 		"engine", d.Engine, "reason", failure.reason, "not_run", failure.notRun, "offset", next+d.Offset, "err", failure.err)
 	if r.backend.engine == nil || failure.notRun {
--- a/agentfleet/agent/export.go
+++ b/agentfleet/agent/export.go
@@ -42,7 +42,7 @@
 			e.exportBackend(ctx, b)
 		}
 	}
-	_ = a.decisions.Note("", "decision", "export", "exported", e.exported, "failed", e.failed)
+	a.decisions.Record("", "decision", "export", "exported", e.exported, "failed", e.failed)
 }
 
 // An exporter hands KV caches to other VMs.
--- a/agentfleet/agent/join.go
+++ b/agentfleet/agent/join.go
@@ -25,6 +25,6 @@
 		return
 	}
 	refused.Reason, refused.Unknown = v.refusal()
-	_ = a.decisions.Note("", "decision", "settle", "attempt", j.Attempt, "reason", refused.Reason, "unknown", refused.Unknown)
+	a.decisions.Record("", "decision", "settle", "attempt", j.Attempt, "reason", refused.Reason, "unknown", refused.Unknown)
 	a.reply(stream, &wire.Message{Refused: refused})
 }
--- a/agentfleet/agent/plan.go
+++ b/agentfleet/agent/plan.go
@@ -56,7 +56,7 @@
 		return
 	}
 	a.plan = m.Plan
-	_ = a.decisions.Note("", "decision", "plan", "epoch", m.Plan.Epoch, "sequence", m.Plan.Sequence, "assignments", len(m.Plan.Assignments))
+	a.decisions.Record("", "decision", "plan", "epoch", m.Plan.Epoch, "sequence", m.Plan.Sequence, "assignments", len(m.Plan.Assignments))
 }
 
 // applyPlan orders the engines to serve what the plan says, until ctx ends.
@@ -115,6 +115,6 @@
 	}
 	b.issued = issuedOrder{epoch: plan.Epoch, sequence: plan.Sequence, at: now}
 	err = b.engine.Order(ctx, ryeford.Order{Epoch: plan.Epoch, Pools: assignment.Pools})
-	_ = a.decisions.Note("", "decision", "order", "engine", b.id, "epoch", plan.Epoch, "sequence", plan.Sequence,
+	a.decisions.Record("", "decision", "order", "engine", b.id, "epoch", plan.Epoch, "sequence", plan.Sequence,
 		"seen", serving.Epoch, "pools", len(assignment.Pools), "reason", assignment.Reason, "checks_fences", b.checksFences, "err", err)
 }
--- a/agentfleet/agent/polls.go
+++ b/agentfleet/agent/polls.go
@@ -37,7 +37,7 @@
 	order, err := b.engine.Serving(ctx)
 	changed := b.setServing(err == nil, order.Pools)
 	if changed {
-		_ = a.decisions.Note("", "decision", "serving", "engine", b.id, "alive", err == nil, "pools", len(order.Pools), "epoch", order.Epoch)
+		a.decisions.Record("", "decision", "serving", "engine", b.id, "alive", err == nil, "pools", len(order.Pools), "epoch", order.Epoch)
 	}
 	return changed
 }
--- a/agentfleet/decision/log.go
+++ b/agentfleet/decision/log.go
@@ -43,16 +43,15 @@
 	return &Log{out: out}
 }
 
-// Note logs one decision, and keeps it if it is on a request. The pairs are keys
+// Record logs one decision, and keeps it if it is on a request. The pairs are keys
 // and values in turn.
-//
-// The error is the logger's. Callers may drop it, as that of any log line: it says
-// that standard error can't be written to, and there is no other place to say so.
-func (l *Log) Note(request ryeford.RequestID, pairs ...any) error {
+func (l *Log) Record(request ryeford.RequestID, pairs ...any) {
 	if request != "" {
 		l.keep(request, pairs)
 	}
-	return l.out.Log(pairs...)
+	// An error says that standard error can't be written to, and there is no other
+	// place to say so.
+	_ = l.out.Log(pairs...)
 }
 
 // keep keeps a decision's line, with the time.
--- a/agentfleet/decision/log_test.go
+++ b/agentfleet/decision/log_test.go
@@ -20,16 +20,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		l := NewLog(log.NewLogfmtLogger(&out))
-		notes := [][]any{
+		records := [][]any{
 			{"decision", "admit", "request", ryeford.RequestID("r1"), "load", 2.5, "warm", true},
 			{"decision", "admit", "request", ryeford.RequestID("r2")},
 			{"decision", "fail", "request", ryeford.RequestID("r1"), "err", errors.New("it broke"), "cause", nil},
 		}
-		for _, pairs := range notes {
-			assert.NilError(t, l.Note(pairs[3].(ryeford.RequestID), pairs...))
+		for _, pairs := range records {
+			l.Record(pairs[3].(ryeford.RequestID), pairs...)
 			time.Sleep(time.Second)
 		}
-		assert.NilError(t, l.Note("", "decision", "leave", "reason", "signal"))
+		l.Record("", "decision", "leave", "reason", "signal")
 		assert.DeepEqual(t, l.Lines("r1"), []string{
 			`ts=2000-01-01T00:00:00Z decision=admit request=r1 load=2.5 warm=true`,
 			`ts=2000-01-01T00:00:02Z decision=fail request=r1 err="it broke" cause=null`,
@@ -40,13 +40,13 @@
 	})
 }
 
-// TestLinesBound notes more than is kept: the oldest line goes first.
+// TestLinesBound records more than is kept: the oldest line goes first.
 func TestLinesBound(t *testing.T) {
 	l := NewLog(log.NewNopLogger())
-	assert.NilError(t, l.Note("first", "decision", "route"))
-	assert.NilError(t, l.Note("second", "decision", "route"))
+	l.Record("first", "decision", "route")
+	l.Record("second", "decision", "route")
 	for range keptLines - 1 {
-		assert.NilError(t, l.Note("later", "decision", "route"))
+		l.Record("later", "decision", "route")
 	}
 	assert.Equal(t, len(l.Lines("first")), 0)
 	assert.Equal(t, len(l.Lines("second")), 1)
--- a/agentfleet/gossip/gossip.go
+++ b/agentfleet/gossip/gossip.go
@@ -54,7 +54,7 @@
 			l.Send(1)
 		case <-changed:
 			changed = l.Book.Changed()
-			_ = l.Decisions.Note("", "decision", "in_force", "revision", l.Book.Revision())
+			l.Decisions.Record("", "decision", "in_force", "revision", l.Book.Revision())
 			l.Send(fanout)
 		case <-l.planChanged():
 			l.Send(fanout)
--- a/agentfleet/router/answerstream.go
+++ b/agentfleet/router/answerstream.go
@@ -41,7 +41,7 @@
 	s.once.Do(func() {
 		x := s.exchange
 		if !s.ended {
-			_ = s.router.decisions.Note(x.request.id, "decision", "caller_gone", "request", x.request.id, "offset", x.next)
+			s.router.decisions.Record(x.request.id, "decision", "caller_gone", "request", x.request.id, "offset", x.next)
 			x.cancel()
 		}
 		s.router.finish(x, s.cancel)
@@ -72,7 +72,7 @@
 func (s *answerStream) logInterrupted(err error) {
 	req := s.exchange.request
 	s.router.metrics.Count("ryeford_interrupted_total", string(reasonOf(err)))
-	_ = s.router.decisions.Note(req.id, "decision", "interrupt", "request", req.id, "account", req.account, "chat", req.chat,
+	s.router.decisions.Record(req.id, "decision", "interrupt", "request", req.id, "account", req.account, "chat", req.chat,
 		"engine", s.exchange.candidate.Engine, "offset", s.exchange.next, "reason", reasonOf(err), "err", err)
 }
 
--- a/agentfleet/router/callers.go
+++ b/agentfleet/router/callers.go
@@ -144,7 +144,7 @@
 		writeError(ctx, req.id, err)
 		return
 	}
-	_ = r.decisions.Note(req.id, "decision", "resume", "request", req.id, "account", req.account,
+	r.decisions.Record(req.id, "decision", "resume", "request", req.id, "account", req.account,
 		"vm", last.candidate.VM, "attempt", last.attempt, "offset", x.next)
 	r.writeAnswer(work, cancel, ctx, x)
 }
@@ -159,7 +159,7 @@
 		warm = "warm"
 	}
 	r.metrics.Count("ryeford_turns_total", warm)
-	_ = r.decisions.Note(req.id, "decision", "route", "request", req.id, "attempt", x.attempt.id, "account", req.account, "chat", req.chat,
+	r.decisions.Record(req.id, "decision", "route", "request", req.id, "attempt", x.attempt.id, "account", req.account, "chat", req.chat,
 		"engine", x.candidate.Engine, "vm", x.candidate.VM, "failure_domain", r.fleet.domain(x.candidate.VM), "home", x.home,
 		"try", x.dispatches, "mean", x.poolMean(), "warm", x.warm, "first_chunk", took)
 }
@@ -168,6 +168,6 @@
 func (r *Router) logGivenUp(x *exchange, err error) {
 	req := x.request
 	r.metrics.Count("ryeford_requests_total", string(reasonOf(err)))
-	_ = r.decisions.Note(req.id, "decision", "give_up", "request", req.id, "account", req.account, "chat", req.chat,
+	r.decisions.Record(req.id, "decision", "give_up", "request", req.id, "account", req.account, "chat", req.chat,
 		"tries", x.dispatches, "reason", reasonOf(err), "mean", x.poolMean(), "err", err)
 }
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -121,7 +121,7 @@
 // Nothing was dispatched.
 func (x *exchange) claimFailed(err error) error {
 	req := x.request
-	_ = x.router.decisions.Note(req.id, "decision", "refuse", "request", req.id, "account", req.account,
+	x.router.decisions.Record(req.id, "decision", "refuse", "request", req.id, "account", req.account,
 		"chat", req.chat, "reason", ryeford.ReasonStoreUnavailable, "err", err)
 	return &ryeford.NotRunError{Reason: ryeford.ReasonStoreUnavailable, RetryAfter: retry.Spread(storeRetryAfter)}
 }
--- a/agentfleet/router/connect.go
+++ b/agentfleet/router/connect.go
@@ -47,7 +47,7 @@
 		err := r.connect(ctx, vm)
 		wait := backoff.next(time.Since(began))
 		if ctx.Err() == nil {
-			_ = r.decisions.Note("", "decision", "agent_lost", "vm", vm.ID, "failure_domain", vm.FailureDomain, "redial", wait, "err", err)
+			r.decisions.Record("", "decision", "agent_lost", "vm", vm.ID, "failure_domain", vm.FailureDomain, "redial", wait, "err", err)
 		}
 		select {
 		case <-time.After(jitter(wait)):
@@ -106,7 +106,7 @@
 func (r *Router) updateInventory(vm ryeford.VM, conn *transport.Conn, inv *wire.Inventory) {
 	r.fleet.put(&agent{vm: vm, conn: conn, inventory: inv})
 	r.sendTo(conn, &wire.Gossip{}) // so that a new agent need not wait until it is drawn
-	_ = r.decisions.Note("", "decision", "agent", "vm", vm.ID, "failure_domain", inv.FailureDomain,
+	r.decisions.Record("", "decision", "agent", "vm", vm.ID, "failure_domain", inv.FailureDomain,
 		"incarnation", inv.Incarnation, "leaving", inv.Leaving, "engines", len(inv.Engines))
 }
 
--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -187,7 +187,7 @@
 func (x *exchange) logFailed(c claim.Candidate, err error) {
 	req := x.request
 	x.router.metrics.Count("ryeford_tries_failed_total", string(reasonOf(err)))
-	_ = x.router.decisions.Note(req.id,
+	x.router.decisions.Record(req.id,
 		"decision", "try", "request", req.id, "attempt", x.attempt.id, "account", req.account, "chat", req.chat,
 		"engine", c.Engine, "vm", c.VM, "failure_domain", x.router.fleet.domain(c.VM), "try", x.dispatches,
 		"reason", reasonOf(err), "mean", x.poolMean(), "left", len(x.queue), "err", err)
--- a/agentfleet/router/planstore.go
+++ b/agentfleet/router/planstore.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	err = p.makeCurrent(ctx, held, planPointer{Epoch: plan.Epoch, Sequence: plan.Sequence, Object: object}, version)
-	_ = p.router.decisions.Note("", "decision", "place", "epoch", plan.Epoch, "sequence", plan.Sequence,
+	p.router.decisions.Record("", "decision", "place", "epoch", plan.Epoch, "sequence", plan.Sequence,
 		"assignments", len(plan.Assignments), "moves", out.Moves, "late", out.Late, "accepted", err == nil, "err", err)
 	if err != nil {
 		return err
--- a/agentfleet/router/publish.go
+++ b/agentfleet/router/publish.go
@@ -27,10 +27,10 @@
 	from := r.book.Revision()
 	published, err := r.templates.Publish(ctx, t)
 	if err != nil {
-		_ = r.decisions.Note("", "decision", "not_published", "account", t.Account, "template", t.Name, "change", t.Change, "based", t.Sequence, "err", err)
+		r.decisions.Record("", "decision", "not_published", "account", t.Account, "template", t.Name, "change", t.Change, "based", t.Sequence, "err", err)
 		return nil, err
 	}
-	_ = r.decisions.Note("", "decision", "published", "account", t.Account, "template", t.Name, "change", t.Change,
+	r.decisions.Record("", "decision", "published", "account", t.Account, "template", t.Name, "change", t.Change,
 		"sequence", published.Sequence, "revision", published.Revision)
 	if !r.book.Apply(published.Revision-1, published.Revision, []ryeford.Template{*published}) {
 		r.catchUp(ctx, from)
@@ -88,6 +88,6 @@
 	if a, ok := r.fleet.vm(id); ok {
 		_, err = a.conn.Ask(ctx, &wire.Message{Leave: &wire.Leave{}})
 	}
-	_ = r.decisions.Note("", "decision", "stop_vm", "vm", id, "role", vm.Role, "failure_domain", vm.FailureDomain, "err", err)
+	r.decisions.Record("", "decision", "stop_vm", "vm", id, "role", vm.Role, "failure_domain", vm.FailureDomain, "err", err)
 	return &vm, nil
 }
--- a/agentfleet/router/readiness.go
+++ b/agentfleet/router/readiness.go
@@ -30,7 +30,7 @@
 		return nil
 	}
 	r.leaving.Store(true)
-	_ = r.decisions.Note("", "decision", "leave", "in_flight", r.inFlight.Load())
+	r.decisions.Record("", "decision", "leave", "in_flight", r.inFlight.Load())
 	notice := time.NewTimer(r.settings.Limits.LeaveNotice)
 	defer notice.Stop()
 	select {
--- a/agentfleet/router/sync.go
+++ b/agentfleet/router/sync.go
@@ -79,6 +79,6 @@
 // setSynced marks the book as complete: it holds what the fleet had accepted.
 func (r *Router) setSynced(source string) {
 	if r.synced.CompareAndSwap(false, true) {
-		_ = r.decisions.Note("", "decision", "synced", "source", source, "revision", r.book.Revision())
+		r.decisions.Record("", "decision", "synced", "source", source, "revision", r.book.Revision())
 	}
 }
