--- a/agentfleet/tableservice/client.go
+++ b/agentfleet/tableservice/client.go
@@ -45,26 +45,16 @@
 	list    []ryeford.VM
 }
 
-// An Option changes a Client.
-type Option func(*Client)
-
-// WithVM names the VM that calls.
-func WithVM(vm ryeford.VMID) Option {
-	return func(c *Client) { c.vm = vm }
-}
-
-// New returns a Client of the platform at an address.
-func New(address netip.AddrPort, options ...Option) *Client {
-	c := &Client{
+// New returns a Client of the platform at an address. vm is the VM that calls; it is
+// empty for a command that runs on none.
+func New(address netip.AddrPort, vm ryeford.VMID) *Client {
+	return &Client{
 		base: "http://" + address.String(),
+		vm:   vm,
 		// A write is sent once only: a transport that repeats it on its own
 		// would hide that it may have taken effect.
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdle}},
 	}
-	for _, option := range options {
-		option(c)
-	}
-	return c
 }
 
 // Get implements ryeford.Table.
--- a/agentfleet/tableservice/client_test.go
+++ b/agentfleet/tableservice/client_test.go
@@ -37,7 +37,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			server := httptest.NewServer(test.handler)
 			defer server.Close()
-			client := New(netip.MustParseAddrPort(server.Listener.Addr().String()))
+			client := New(netip.MustParseAddrPort(server.Listener.Addr().String()), "")
 			_, err := client.Transact(t.Context(), ryeford.Write{Key: "k"})
 			assert.Assert(t, test.write(err), "%v", err)
 			var unavailable *ryeford.UnavailableError
@@ -69,7 +69,7 @@
 		_, _ = w.Write([]byte(`[{"id":"endpoint-1"}]`))
 	}))
 	defer server.Close()
-	client := New(netip.MustParseAddrPort(server.Listener.Addr().String()), WithVM("router-1"))
+	client := New(netip.MustParseAddrPort(server.Listener.Addr().String()), "router-1")
 	for range 3 {
 		vms, err := client.VMs(t.Context())
 		assert.NilError(t, err)
--- a/internal/cmd/agentcmd.go
+++ b/internal/cmd/agentcmd.go
@@ -27,5 +27,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return agent.New(s, tlsConfig, tableservice.New(s.Platform.AddrPort, tableservice.WithVM(s.VM)), p.logger)
+	return agent.New(s, tlsConfig, tableservice.New(s.Platform.AddrPort, s.VM), p.logger)
 }
--- a/internal/cmd/devfleet.go
+++ b/internal/cmd/devfleet.go
@@ -94,7 +94,7 @@
 		return err
 	}
 	group.Go(func() error { return standin.Run(ctx, f.standin, f.logger) })
-	client := tableservice.New(f.router.Platform.AddrPort, tableservice.WithVM(f.router.VM))
+	client := tableservice.New(f.router.Platform.AddrPort, f.router.VM)
 	for _, s := range f.agents {
 		tlsConfig, err := issueTLS(authority, s.VM)
 		if err != nil {
--- a/internal/cmd/fleet_bench_test.go
+++ b/internal/cmd/fleet_bench_test.go
@@ -69,7 +69,7 @@
 		start(b, f.dir, "standin", "run", "--settings", fmt.Sprintf("engines-%d.yaml", i))
 		start(b, f.dir, "agent", "--settings", fmt.Sprintf("endpoint-%d.yaml", i))
 	}
-	assert.NilError(b, publishDemo(b.Context(), tableservice.New(netip.MustParseAddrPort(f.platform))))
+	assert.NilError(b, publishDemo(b.Context(), tableservice.New(netip.MustParseAddrPort(f.platform), "")))
 	start(b, f.dir, "router", "--settings", "router-1.yaml")
 	address := netip.MustParseAddrPort(f.named["router_1_callers"])
 	for i := 0; ; i++ {
--- a/internal/cmd/routercmd.go
+++ b/internal/cmd/routercmd.go
@@ -27,5 +27,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return router.New(s, tlsConfig, tableservice.New(s.Platform.AddrPort, tableservice.WithVM(s.VM)), p.logger)
+	return router.New(s, tlsConfig, tableservice.New(s.Platform.AddrPort, s.VM), p.logger)
 }
--- a/internal/cmd/standincmd.go
+++ b/internal/cmd/standincmd.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return &UsageError{Problem: "want IP:PORT, not " + c.Args().Get(0)}
 	}
-	client := tableservice.New(address)
+	client := tableservice.New(address, "")
 	vms, err := client.VMs(ctx)
 	if err != nil {
 		return err
