--- a/agentfleet/agent/admit.go
+++ b/agentfleet/agent/admit.go
@@ -15,7 +15,7 @@
 	r, refused := a.admitOrWait(ctx, d)
 	if refused != nil {
 		a.logRefused(d, refused)
-		a.reply(stream, &wire.Message{Refused: refused})
+		stream.Reply(&wire.Message{Refused: refused})
 		return
 	}
 	a.sendAnswer(ctx, stream, r, d.Request, d.Offset)
--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -53,9 +53,8 @@
 	attempts *attempts
 	book     *template.Book
 
-	leaving   atomic.Bool
-	leave     chan struct{} // closed when leaving begins
-	leaveOnce sync.Once
+	leaving atomic.Bool
+	leave   chan struct{} // closed when leaving begins
 
 	mu      sync.Mutex
 	changed chan struct{}                // closed at the next change of the inventory
@@ -120,12 +119,12 @@
 // startLeaving makes the agent refuse new work from now on, and wakes drain. Only the
 // first call has an effect.
 func (a *Agent) startLeaving(why string) {
-	a.leaveOnce.Do(func() {
-		a.leaving.Store(true)
-		a.decisions.Record("", "decision", "leave", "reason", why, "unfinished", a.attempts.unfinished())
-		close(a.leave)
-		a.inventoryChanged()
-	})
+	if !a.leaving.CompareAndSwap(false, true) {
+		return
+	}
+	a.decisions.Record("", "decision", "leave", "reason", why, "unfinished", a.attempts.unfinished())
+	close(a.leave)
+	a.inventoryChanged()
 }
 
 // addBackends makes the backends of the settings.
--- a/agentfleet/agent/answers.go
+++ b/agentfleet/agent/answers.go
@@ -8,14 +8,6 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// reply sends the only message that answers a stream. If it can't be sent, the
-// router's connection is lost, and the router asks again on a new one.
-func (a *Agent) reply(stream *transport.Stream, m *wire.Message) {
-	if stream.Send(m) == nil {
-		stream.CloseSend()
-	}
-}
-
 // sendAnswer sends a run's answer from an offset on, until its end or until the
 // router is gone. The run goes on without a reader: see run.
 func (a *Agent) sendAnswer(ctx context.Context, stream *transport.Stream, r *run, request ryeford.RequestID, offset int64) {
--- a/agentfleet/agent/connections.go
+++ b/agentfleet/agent/connections.go
@@ -58,14 +58,14 @@
 		a.serveWatch(ctx, conn, stream)
 	case m.Pull != nil:
 		revision, templates := a.book.Since(m.Pull.Revision)
-		a.reply(stream, &wire.Message{Delta: &wire.Delta{Revision: revision, Templates: templates}})
+		stream.Reply(&wire.Message{Delta: &wire.Delta{Revision: revision, Templates: templates}})
 	case m.Import != nil:
 		a.serveImport(ctx, stream, m.Import)
 	case m.Explain != nil:
 		lines := a.decisions.Lines(m.Explain.Request)
-		a.reply(stream, &wire.Message{Decisions: &wire.Decisions{Lines: lines}})
+		stream.Reply(&wire.Message{Decisions: &wire.Decisions{Lines: lines}})
 	case m.Leave != nil:
 		a.startLeaving("operator")
-		a.reply(stream, &wire.Message{Done: &wire.Done{}})
+		stream.Reply(&wire.Message{Done: &wire.Done{}})
 	}
 }
--- a/agentfleet/agent/import.go
+++ b/agentfleet/agent/import.go
@@ -21,5 +21,5 @@
 	b.mu.Lock()
 	b.chats.add(m.Chat, m.Pool)
 	b.mu.Unlock()
-	a.reply(stream, &wire.Message{Done: &wire.Done{}})
+	stream.Reply(&wire.Message{Done: &wire.Done{}})
 }
--- a/agentfleet/agent/join.go
+++ b/agentfleet/agent/join.go
@@ -16,7 +16,7 @@
 	refused := &wire.Refused{Attempt: j.Attempt, Incarnation: a.incarnation}
 	if j.Incarnation != a.incarnation {
 		refused.Reason, refused.Unknown = ryeford.ReasonIncarnation, true
-		a.reply(stream, &wire.Message{Refused: refused})
+		stream.Reply(&wire.Message{Refused: refused})
 		return
 	}
 	r, v := a.attempts.settle(time.Now(), j)
@@ -26,5 +26,5 @@
 	}
 	refused.Reason, refused.Unknown = v.refusal()
 	a.decisions.Record("", "decision", "settle", "attempt", j.Attempt, "reason", refused.Reason, "unknown", refused.Unknown)
-	a.reply(stream, &wire.Message{Refused: refused})
+	stream.Reply(&wire.Message{Refused: refused})
 }
--- a/agentfleet/router/agentrequests.go
+++ b/agentfleet/router/agentrequests.go
@@ -27,20 +27,14 @@
 	if err != nil {
 		return
 	}
-	var reply *wire.Message
 	switch {
 	case m.Pull != nil:
 		revision, templates := r.book.Since(m.Pull.Revision)
-		reply = &wire.Message{Delta: &wire.Delta{Revision: revision, Templates: templates}}
+		stream.Reply(&wire.Message{Delta: &wire.Delta{Revision: revision, Templates: templates}})
 	case m.PullPlan != nil:
-		reply = &wire.Message{Plan: r.planner.plan.partOf(m.PullPlan.VM)}
+		stream.Reply(&wire.Message{Plan: r.planner.plan.partOf(m.PullPlan.VM)})
 	case m.Successors != nil:
-		reply = &wire.Message{Placements: r.successors(m.Successors)}
-	default:
-		return
-	}
-	if stream.Send(reply) == nil {
-		stream.CloseSend()
+		stream.Reply(&wire.Message{Placements: r.successors(m.Successors)})
 	}
 }
 
--- a/agentfleet/transport/stream.go
+++ b/agentfleet/transport/stream.go
@@ -26,6 +26,14 @@
 	return nil
 }
 
+// Reply sends the only message that answers a stream, and ends the sending side. If it
+// can't be sent, the connection is lost, and the peer sees that it got no answer.
+func (s *Stream) Reply(m *wire.Message) {
+	if s.Send(m) == nil {
+		s.CloseSend()
+	}
+}
+
 // Receive returns the next message. Its error wraps io.EOF if the peer has ended its
 // sending side, and those of wire.ReadMessage.
 func (s *Stream) Receive() (*wire.Message, error) {
