--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -98,7 +98,7 @@
 	over := ctx.Err() != nil
 	var withdrawn *ryeford.NotRunError // by checkSend
 	errors.As(err, &withdrawn)
-	rate(ended{end: end, withdrawn: withdrawn != nil, over: over}).report(x.forwarder.detector, to.ID)
+	rate(attemptEnd{end: end, withdrawn: withdrawn != nil, over: over}).report(x.forwarder.detector, to.ID)
 	if cause := context.Cause(attemptCtx); cause != nil && !over && end != retry.EndBarred {
 		err = cause
 	}
@@ -133,7 +133,7 @@
 	// The body is read only so that the connection can be used again; if that fails,
 	// it is closed.
 	_, _ = response.ReadAll(maxWholeBody)
-	rate(ended{end: retry.EndRefused, status: response.Status}).report(x.forwarder.detector, to.ID)
+	rate(attemptEnd{end: retry.EndRefused, status: response.Status}).report(x.forwarder.detector, to.ID)
 	err := giveup.NotRun(ryeford.ReasonOverload)
 	x.recordFailed(to, retry.EndRefused, err)
 	return retry.EndRefused, err
@@ -145,7 +145,7 @@
 	x.recordPrompt(to, response.Status)
 	end, err := x.relay.pass(attemptCtx, response, x.withholds(response.Status))
 	over := ctx.Err() != nil
-	rate(ended{end: end, status: response.Status, over: over}).report(x.forwarder.detector, to.ID)
+	rate(attemptEnd{end: end, status: response.Status, over: over}).report(x.forwarder.detector, to.ID)
 	if end == retry.EndAnswered {
 		x.recordAnswered(to, response.Status)
 		return end, nil
--- a/gateway/rating.go
+++ b/gateway/rating.go
@@ -20,8 +20,8 @@
 	ratingMisdirected        // its address belongs to another endpoint
 )
 
-// An ended is an attempt whose endpoint is rated.
-type ended struct {
+// An attemptEnd is what the rating of an attempt's endpoint goes by.
+type attemptEnd struct {
 	end    retry.End
 	status int // of the response, or zero
 	// withdrawn says that the gateway itself did not send the request, because the
@@ -32,9 +32,8 @@
 }
 
 // rate returns the rating of an attempt's endpoint: a failure is held against it,
-// unless the gateway or the caller ended the attempt. A refusal counts as one, since
-// an endpoint that sheds load should get less.
-func rate(e ended) rating {
+// unless the gateway or the caller ended the attempt. A refusal counts as one.
+func rate(e attemptEnd) rating {
 	switch {
 	case e.end == retry.EndAnswered && e.status < http.StatusInternalServerError:
 		return ratingGood
--- a/gateway/rating_test.go
+++ b/gateway/rating_test.go
@@ -12,23 +12,23 @@
 func TestRate(t *testing.T) {
 	for _, row := range []struct {
 		rule  string
-		ended ended
+		ended attemptEnd
 		want  rating
 	}{
-		{"answered", ended{end: retry.EndAnswered, status: 200}, ratingGood},
-		{"answered what the caller did wrong", ended{end: retry.EndAnswered, status: 404}, ratingGood},
-		{"answered, though the deadline has passed since", ended{end: retry.EndAnswered, status: 200, over: true}, ratingGood},
-		{"answered with its own failure", ended{end: retry.EndAnswered, status: 500}, ratingFailure},
-		{"its failure was not passed on", ended{end: retry.EndFailed, status: 500}, ratingFailure},
-		{"the connection broke", ended{end: retry.EndLost}, ratingFailure},
-		{"the connection was closed, because the caller is gone", ended{end: retry.EndLost, over: true}, ratingNone},
-		{"no connection", ended{end: retry.EndUnsent}, ratingUnreachable},
-		{"no connection in the time that was left", ended{end: retry.EndUnsent, over: true}, ratingNone},
-		{"it began to drain before the request was sent", ended{end: retry.EndUnsent, withdrawn: true}, ratingNone},
-		{"the key was revoked before the request was sent", ended{end: retry.EndBarred, withdrawn: true}, ratingNone},
-		{"it sheds load", ended{end: retry.EndRefused, status: 503}, ratingFailure},
-		{"it sheds load, and the caller is gone", ended{end: retry.EndRefused, status: 503, over: true}, ratingFailure},
-		{"another endpoint has its address", ended{end: retry.EndRefused, status: 421}, ratingMisdirected},
+		{"answered", attemptEnd{end: retry.EndAnswered, status: 200}, ratingGood},
+		{"answered what the caller did wrong", attemptEnd{end: retry.EndAnswered, status: 404}, ratingGood},
+		{"answered, though the deadline has passed since", attemptEnd{end: retry.EndAnswered, status: 200, over: true}, ratingGood},
+		{"answered with its own failure", attemptEnd{end: retry.EndAnswered, status: 500}, ratingFailure},
+		{"its failure was not passed on", attemptEnd{end: retry.EndFailed, status: 500}, ratingFailure},
+		{"the connection broke", attemptEnd{end: retry.EndLost}, ratingFailure},
+		{"the connection was closed, because the caller is gone", attemptEnd{end: retry.EndLost, over: true}, ratingNone},
+		{"no connection", attemptEnd{end: retry.EndUnsent}, ratingUnreachable},
+		{"no connection in the time that was left", attemptEnd{end: retry.EndUnsent, over: true}, ratingNone},
+		{"it began to drain before the request was sent", attemptEnd{end: retry.EndUnsent, withdrawn: true}, ratingNone},
+		{"the key was revoked before the request was sent", attemptEnd{end: retry.EndBarred, withdrawn: true}, ratingNone},
+		{"it sheds load", attemptEnd{end: retry.EndRefused, status: 503}, ratingFailure},
+		{"it sheds load, and the caller is gone", attemptEnd{end: retry.EndRefused, status: 503, over: true}, ratingFailure},
+		{"another endpoint has its address", attemptEnd{end: retry.EndRefused, status: 421}, ratingMisdirected},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
 			assert.Equal(t, rate(row.ended), row.want)
