--- a/agentfleet/router/answers.go
+++ b/agentfleet/router/answers.go
@@ -102,6 +102,6 @@
 }
 
 // engineError returns the failure that an engine reported in a chunk.
-func engineError(chunk *ryeford.Chunk) *ryeford.UnknownError {
-	return &ryeford.UnknownError{Reason: ryeford.ReasonEngineError, Err: &EngineError{Text: chunk.Failure}}
+func engineError(chunk *ryeford.Chunk) *ryeford.MayHaveRunError {
+	return &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineError, Err: &EngineError{Text: chunk.Failure}}
 }
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -78,7 +78,7 @@
 		return x.claimFailed(err)
 	}
 	if !replaced.Mine {
-		return &ryeford.UnknownError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Spread(x.router.settings.Limits.Dispatch)}
+		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Spread(x.router.settings.Limits.Dispatch)}
 	}
 	return x.dispatchClaimed(ctx, key, replaced)
 }
@@ -150,7 +150,7 @@
 	}
 	x.attempt = own
 	if unanswered > 0 {
-		return false, &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, RetryAfter: retry.Spread(x.router.settings.Limits.Dispatch)}
+		return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, RetryAfter: retry.Spread(x.router.settings.Limits.Dispatch)}
 	}
 	return false, nil
 }
@@ -166,12 +166,12 @@
 			}
 		}
 		if time.Now().After(x.request.deadline) {
-			return false, &ryeford.UnknownError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Spread(time.Until(record.Expires))}
+			return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Spread(time.Until(record.Expires))}
 		}
 		select {
 		case <-time.After(peekInterval):
 		case <-ctx.Done():
-			return false, &ryeford.UnknownError{Reason: ryeford.ReasonRunning}
+			return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning}
 		}
 	}
 	return false, nil
@@ -183,7 +183,7 @@
 	limit := time.Now().Add(x.router.settings.Limits.Dispatch)
 	reply, stream, err := x.join(ctx, c, peek, limit)
 	if err != nil {
-		return false, &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: err}
+		return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: err}
 	}
 	if reply.Admitted != nil {
 		x.candidate = c
@@ -196,5 +196,5 @@
 	if reply.Refused != nil && !reply.Refused.Unknown {
 		return false, nil
 	}
-	return false, &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable}
+	return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable}
 }
--- a/agentfleet/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -115,13 +115,13 @@
 	case m.Refused != nil && m.Refused.Attempt == x.attempt.id:
 		return x.handleRefusal(m.Refused)
 	}
-	return &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: &ProtocolError{}}
+	return &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: &ProtocolError{}}
 }
 
 // handleRefusal takes a refusal, and returns it as an error.
 func (x *exchange) handleRefusal(refused *wire.Refused) error {
 	if refused.Unknown {
-		return &ryeford.UnknownError{Reason: refused.Reason, RetryAfter: refused.RetryAfter}
+		return &ryeford.MayHaveRunError{Reason: refused.Reason, RetryAfter: refused.RetryAfter}
 	}
 	switch refused.Reason {
 	case ryeford.ReasonOverload, ryeford.ReasonShare:
--- a/agentfleet/router/errors.go
+++ b/agentfleet/router/errors.go
@@ -22,7 +22,7 @@
 
 // reasonOf returns the reason of a failure.
 func reasonOf(err error) ryeford.Reason {
-	var unknown *ryeford.UnknownError
+	var unknown *ryeford.MayHaveRunError
 	if errors.As(err, &unknown) {
 		return unknown.Reason
 	}
--- a/agentfleet/router/failure.go
+++ b/agentfleet/router/failure.go
@@ -33,7 +33,7 @@
 	status := fasthttp.StatusBadGateway
 	var input *ryeford.InputError
 	var notRun *ryeford.NotRunError
-	var unknown *ryeford.UnknownError
+	var unknown *ryeford.MayHaveRunError
 	switch {
 	case errors.As(err, &input):
 		detail.Code, detail.Ran = "invalid_request", "not_run"
--- a/agentfleet/router/failure_test.go
+++ b/agentfleet/router/failure_test.go
@@ -22,7 +22,7 @@
 	assert.Equal(t, reasonOf(verdict), ryeford.ReasonOverload)
 
 	// Not even if a refusal caused the unknown outcome.
-	body, _ = newErrorBody("r", &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: refused})
+	body, _ = newErrorBody("r", &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: refused})
 	assert.Equal(t, body.Error.Ran, "unknown")
 
 	x.mayHaveRun = false
@@ -45,8 +45,8 @@
 		{"refused for load", &ryeford.NotRunError{Reason: ryeford.ReasonOverload, RetryAfter: time.Second}, 503, "overload", "not_run", 1000},
 		{"above the share", &ryeford.NotRunError{Reason: ryeford.ReasonShare}, 429, "share", "not_run", 0},
 		{"budget spent", &ryeford.NotRunError{Reason: ryeford.ReasonRetryBudget}, 429, "retry_budget", "not_run", 0},
-		{"may have run", &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, RetryAfter: time.Second}, 502, "unreachable", "unknown", 1000},
-		{"its first run may go on", &ryeford.UnknownError{Reason: ryeford.ReasonRunning}, 409, "running", "unknown", 0},
+		{"may have run", &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, RetryAfter: time.Second}, 502, "unreachable", "unknown", 1000},
+		{"its first run may go on", &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning}, 409, "running", "unknown", 0},
 		{"a fault of ours", &ProtocolError{}, 502, "internal", "unknown", 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/agentfleet/router/join.go
+++ b/agentfleet/router/join.go
@@ -25,7 +25,7 @@
 // outcome is unknown. A repeatable request is not worth the wait: its outcome counts as
 // unknown at once, and it goes to another engine.
 func (x *exchange) resolveLost(ctx context.Context, cause error) error {
-	unknown := &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: cause}
+	unknown := &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: cause}
 	if x.request.repeatable || ctx.Err() != nil {
 		return unknown
 	}
--- a/agentfleet/router/receive.go
+++ b/agentfleet/router/receive.go
@@ -75,8 +75,8 @@
 }
 
 // chunkError returns the failure that an agent reported in a chunk.
-func chunkError(chunk *ryeford.Chunk) *ryeford.UnknownError {
-	return &ryeford.UnknownError{Reason: chunk.Reason, Err: &EngineError{Text: chunk.Failure}}
+func chunkError(chunk *ryeford.Chunk) *ryeford.MayHaveRunError {
+	return &ryeford.MayHaveRunError{Reason: chunk.Reason, Err: &EngineError{Text: chunk.Failure}}
 }
 
 // delivered takes note of a chunk that is passed on to the caller. The last one earns
--- a/agentfleet/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -54,7 +54,7 @@
 
 // recover goes on with an answer whose stream was lost, as afterLostStream says.
 func (x *exchange) recover(ctx context.Context, cause error) error {
-	var reported *ryeford.UnknownError // as chunkError makes it; a connection's errors are others
+	var reported *ryeford.MayHaveRunError // as chunkError makes it; a connection's errors are others
 	lost := lostStream{
 		expired:    ctx.Err() != nil || time.Now().After(x.request.deadline),
 		reported:   errors.As(cause, &reported),
@@ -64,13 +64,13 @@
 	}
 	switch afterLostStream(lost) {
 	case recoverTooLate:
-		return &ryeford.UnknownError{Reason: ryeford.ReasonDeadline, Err: cause}
+		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonDeadline, Err: cause}
 	case recoverRejoin:
 		return x.rejoin(ctx, cause)
 	case recoverElsewhere:
 		return x.continueElsewhere(ctx, cause)
 	}
-	return &ryeford.UnknownError{Reason: ryeford.ReasonEngineLost, Err: cause}
+	return &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: cause}
 }
 
 // rejoin reads on at the agent that keeps the answer. A refusal there proves nothing,
@@ -79,7 +79,7 @@
 	err := x.resolveLost(ctx, cause)
 	var notRun *ryeford.NotRunError
 	if errors.As(err, &notRun) {
-		return &ryeford.UnknownError{Reason: notRun.Reason, Err: cause}
+		return &ryeford.MayHaveRunError{Reason: notRun.Reason, Err: cause}
 	}
 	return err
 }
@@ -90,10 +90,10 @@
 	x.mayHaveRun = true
 	x.refill()
 	if !x.pay(stepRetry) {
-		return &ryeford.UnknownError{Reason: ryeford.ReasonRetryBudget, RetryAfter: retry.Spread(x.retryAfter), Err: cause}
+		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonRetryBudget, RetryAfter: retry.Spread(x.retryAfter), Err: cause}
 	}
 	if len(x.queue) == 0 {
-		return &ryeford.UnknownError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(x.retryAfter), Err: cause}
+		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(x.retryAfter), Err: cause}
 	}
 	return x.dispatchQueue(ctx)
 }
--- a/agentfleet/router/retry.go
+++ b/agentfleet/router/retry.go
@@ -59,7 +59,7 @@
 // mayHaveRun reports whether a failure leaves open that the attempt ran. An unknown
 // outcome stays unknown if a refusal caused it.
 func mayHaveRun(err error) bool {
-	var unknown *ryeford.UnknownError
+	var unknown *ryeford.MayHaveRunError
 	return errors.As(err, &unknown)
 }
 
@@ -78,7 +78,7 @@
 	}
 	if mayHaveRun {
 		// The refusal goes along as text only: errors.As must not find it.
-		return &ryeford.UnknownError{Reason: notRun.Reason, RetryAfter: retryAfter, Err: &EngineError{Text: last.Error()}}
+		return &ryeford.MayHaveRunError{Reason: notRun.Reason, RetryAfter: retryAfter, Err: &EngineError{Text: last.Error()}}
 	}
 	return &ryeford.NotRunError{Reason: notRun.Reason, RetryAfter: retryAfter}
 }
--- a/agentfleet/router/retry_test.go
+++ b/agentfleet/router/retry_test.go
@@ -12,7 +12,9 @@
 // TestAfterFailure checks what follows each end of a dispatch.
 func TestAfterFailure(t *testing.T) {
 	notRun := func(reason ryeford.Reason) error { return &ryeford.NotRunError{Reason: reason} }
-	unknown := func(cause error) error { return &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable, Err: cause} }
+	unknown := func(cause error) error {
+		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: cause}
+	}
 	for _, test := range []struct {
 		name       string
 		err        error
@@ -48,7 +50,7 @@
 		{"the last was full", &ryeford.NotRunError{Reason: ryeford.ReasonOverload}, 1, true},
 		{"full again", &ryeford.NotRunError{Reason: ryeford.ReasonOverload}, 2, false},
 		{"above its share", &ryeford.NotRunError{Reason: ryeford.ReasonShare}, 1, false},
-		{"may have run", &ryeford.UnknownError{Reason: ryeford.ReasonUnreachable}, 1, false},
+		{"may have run", &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable}, 1, false},
 		{"nobody was asked", nil, 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/errors.go
+++ b/errors.go
@@ -18,8 +18,8 @@
 	return fmt.Sprintf("not run: %s", e.Reason)
 }
 
-// An UnknownError says that a request may have run, whole or in part.
-type UnknownError struct {
+// A MayHaveRunError says that a request may have run, whole or in part.
+type MayHaveRunError struct {
 	Reason Reason
 	// RetryAfter is when the caller should try again; zero leaves it to the caller.
 	RetryAfter time.Duration
@@ -28,7 +28,7 @@
 }
 
 // Error returns the text of e.
-func (e *UnknownError) Error() string {
+func (e *MayHaveRunError) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("unknown whether it ran: %s", e.Reason)
 	}
@@ -36,7 +36,7 @@
 }
 
 // Unwrap returns the cause of e.
-func (e *UnknownError) Unwrap() error { return e.Err }
+func (e *MayHaveRunError) Unwrap() error { return e.Err }
 
 // An InputError says what is wrong with something that a caller or an operator
 // sent.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -111,7 +111,7 @@
 	case end == retry.EndUnsent:
 		return end, giveup.NotRun(ryeford.ReasonUnreachable)
 	}
-	return end, &ryeford.UnknownError{Reason: ryeford.ReasonEngineLost, Err: err}
+	return end, &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: err}
 }
 
 // endOf returns how an attempt ended, given the error of sending it.
--- a/gateway/giveup/giveup.go
+++ b/gateway/giveup/giveup.go
@@ -9,7 +9,7 @@
 // only once; and that a broken response must not look complete.
 //
 // The package owns no state and does no I/O. It relies on the errors of the root
-// package: NotRunError, UnknownError and InputError.
+// package: NotRunError, MayHaveRunError and InputError.
 package giveup
 
 import (
@@ -54,7 +54,7 @@
 		reason = ryeford.ReasonDeadline
 	}
 	if mayHaveRun {
-		return &ryeford.UnknownError{Reason: reason}
+		return &ryeford.MayHaveRunError{Reason: reason}
 	}
 	return NotRun(reason)
 }
@@ -71,7 +71,7 @@
 
 // A Verdict is how a request ends.
 type Verdict struct {
-	// Err is what is logged. It is an *UnknownError if the request may have run.
+	// Err is what is logged. It is a *MayHaveRunError if the request may have run.
 	Err error
 	// Status is the HTTP status that the caller gets, unless Abort is true.
 	Status int
@@ -90,7 +90,7 @@
 	var notRun *ryeford.NotRunError
 	if r.MayHaveRun && errors.As(err, &notRun) {
 		// The last attempt has not run, but an earlier one may have.
-		err = &ryeford.UnknownError{Reason: notRun.Reason, Err: r.Last}
+		err = &ryeford.MayHaveRunError{Reason: notRun.Reason, Err: r.Last}
 	}
 	status, retryAfter := statusOf(err)
 	return Verdict{Err: err, Status: status, RetryAfter: retryAfter, Reason: reasonOf(err), Abort: r.Begun}
@@ -104,21 +104,21 @@
 		v.Reason == string(ryeford.ReasonStaleConfiguration)
 }
 
-// statusOf returns the HTTP status of a failure, and its Retry-After. An
-// UnknownError is looked for first: it may wrap the NotRunError of a later attempt,
+// statusOf returns the HTTP status of a failure, and its Retry-After. A
+// MayHaveRunError is looked for first: it may wrap the NotRunError of a later attempt,
 // which promises nothing for the earlier ones.
 func statusOf(err error) (int, time.Duration) {
 	var input *ryeford.InputError
 	var notRun *ryeford.NotRunError
-	var unknown *ryeford.UnknownError
+	var mayHaveRun *ryeford.MayHaveRunError
 	switch {
 	case errors.As(err, &input) && input.Status != 0:
 		return input.Status, 0
 	case errors.As(err, &input):
 		return http.StatusBadRequest, 0
-	case errors.As(err, &unknown) && unknown.Reason == ryeford.ReasonDeadline:
+	case errors.As(err, &mayHaveRun) && mayHaveRun.Reason == ryeford.ReasonDeadline:
 		return http.StatusGatewayTimeout, 0
-	case errors.As(err, &unknown):
+	case errors.As(err, &mayHaveRun):
 		return http.StatusBadGateway, 0
 	case errors.As(err, &notRun):
 		return http.StatusServiceUnavailable, notRun.RetryAfter
@@ -130,12 +130,12 @@
 func reasonOf(err error) string {
 	var input *ryeford.InputError
 	var notRun *ryeford.NotRunError
-	var unknown *ryeford.UnknownError
+	var mayHaveRun *ryeford.MayHaveRunError
 	switch {
 	case errors.As(err, &input):
 		return "input"
-	case errors.As(err, &unknown):
-		return string(unknown.Reason)
+	case errors.As(err, &mayHaveRun):
+		return string(mayHaveRun.Reason)
 	case errors.As(err, &notRun):
 		return string(notRun.Reason)
 	}
--- a/gateway/giveup/giveup_test.go
+++ b/gateway/giveup/giveup_test.go
@@ -20,8 +20,8 @@
 		reason string
 	}{
 		"not run":                  {notRun, http.StatusServiceUnavailable, "overload"},
-		"an earlier try may have":  {&ryeford.UnknownError{Reason: ryeford.ReasonOverload, Err: notRun}, http.StatusBadGateway, "overload"},
-		"an earlier one, too late": {&ryeford.UnknownError{Reason: ryeford.ReasonDeadline, Err: notRun}, http.StatusGatewayTimeout, "deadline"},
+		"an earlier try may have":  {&ryeford.MayHaveRunError{Reason: ryeford.ReasonOverload, Err: notRun}, http.StatusBadGateway, "overload"},
+		"an earlier one, too late": {&ryeford.MayHaveRunError{Reason: ryeford.ReasonDeadline, Err: notRun}, http.StatusGatewayTimeout, "deadline"},
 		"no such route":            {&ryeford.InputError{Field: "path", Status: http.StatusNotFound}, http.StatusNotFound, "input"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 
 // TestDecide checks how requests end.
 func TestDecide(t *testing.T) {
-	lost := &ryeford.UnknownError{Reason: ryeford.ReasonEngineLost}
+	lost := &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost}
 	for _, row := range []struct {
 		rule    string
 		request Request
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -59,7 +59,7 @@
 func (r *relay) passWhole(response *endpoint.Response, withheld bool) (retry.End, error) {
 	body, err := response.ReadAll(maxWholeBody)
 	if err != nil {
-		return retry.EndLost, &ryeford.UnknownError{Reason: ryeford.ReasonEngineLost, Err: err}
+		return retry.EndLost, &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: err}
 	}
 	r.recordFirst()
 	switch {
@@ -74,7 +74,7 @@
 	}
 	r.writer.WriteHeader(response.Status)
 	if _, err = r.writer.Write(body); err != nil {
-		return retry.EndStopped, &ryeford.UnknownError{Reason: ryeford.ReasonCancelled, Err: err}
+		return retry.EndStopped, &ryeford.MayHaveRunError{Reason: ryeford.ReasonCancelled, Err: err}
 	}
 	return retry.EndAnswered, nil
 }
@@ -93,7 +93,7 @@
 			if ctx.Err() != nil {
 				err = context.Cause(ctx)
 			}
-			return retry.EndLost, &ryeford.UnknownError{Reason: ryeford.ReasonEngineLost, Err: err}
+			return retry.EndLost, &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: err}
 		}
 		r.recordFirst()
 		id := eventID(event)
@@ -101,7 +101,7 @@
 			continue // the caller has it already
 		}
 		if err := r.writeEvent(response, event); err != nil {
-			return retry.EndStopped, &ryeford.UnknownError{Reason: ryeford.ReasonCancelled, Err: err}
+			return retry.EndStopped, &ryeford.MayHaveRunError{Reason: ryeford.ReasonCancelled, Err: err}
 		}
 		if id != "" {
 			r.lastID = id
@@ -159,7 +159,7 @@
 // newStatusError returns the error of an attempt whose response was not passed on
 // because of its status.
 func newStatusError(status int) error {
-	return &ryeford.UnknownError{Reason: ryeford.ReasonEngineError, Err: &StatusError{Status: status}}
+	return &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineError, Err: &StatusError{Status: status}}
 }
 
 // A StatusError says that an endpoint's response had a status that is not passed on.
