--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -36,8 +36,8 @@
 // drops what the router knows of an endpoint together with the endpoint.
 type endpointList struct {
 	source ryeford.EndpointSource
-	// wait is how long the source holds a question for changes, and settle the
-	// pause after a change.
+	// wait is how long the source waits for a change before it answers, and settle
+	// the pause after a change.
 	wait, settle time.Duration
 	revision     *revision // the newest of the store, on any of its tables
 	roster       *roster.Roster
--- a/gateway/endpointlist_test.go
+++ b/gateway/endpointlist_test.go
@@ -17,7 +17,7 @@
 )
 
 // An endpointStandIn is a list of endpoints that answers from a script, and then
-// holds each question for as long as it may.
+// waits at each poll for as long as it may.
 type endpointStandIn struct {
 	answers []endpointAnswer
 }
--- a/gateway/watch/next.go
+++ b/gateway/watch/next.go
@@ -18,7 +18,7 @@
 //	             ask again after MinPause
 //	historyLost  read the whole at once
 //	failed       ask the same again after a pause that doubles with each failure
-//	             in a row, and let the source hold no question until it answers:
+//	             in a row, and with no wait until the source answers:
 //	             that it is back is to be noticed at once
 
 // A verdict is what an answer of a source is worth.
@@ -46,45 +46,45 @@
 	return current, answered
 }
 
-// A question is what a source is asked.
-type question struct {
+// A poll is one read of a source: of the whole, or of what has changed.
+type poll struct {
 	whole    bool  // read the whole; else, ask for changes since revision
 	revision int64 // the newest that is known
-	failures int   // in a row, before this question
+	failures int   // in a row, before this poll
 }
 
-// wait returns how long the source may hold the question.
-func (q question) wait(options *Options) time.Duration {
-	if q.failures > 0 {
+// wait returns how long the source may wait for a change before it answers.
+func (p poll) wait(options *Options) time.Duration {
+	if p.failures > 0 {
 		return 0
 	}
 	return options.Wait
 }
 
-// after returns the question that follows q and the verdict on its answer.
-func (q question) after(v verdict, revision int64) question {
-	next := question{whole: q.whole, revision: revision}
+// after returns the poll that follows p and the verdict on its answer.
+func (p poll) after(v verdict, revision int64) poll {
+	next := poll{whole: p.whole, revision: revision}
 	switch v {
 	case current:
 		next.whole = false
 	case historyLost:
 		next.whole = true
-		next.failures = q.failures
+		next.failures = p.failures
 	case failed:
-		next.failures = q.failures + 1
+		next.failures = p.failures + 1
 	}
 	return next
 }
 
-// pause returns the pause between an answer and the question q that follows.
-func (q question) pause(v verdict, changed bool, options *Options) time.Duration {
+// pause returns the pause between an answer and the poll p that follows.
+func (p poll) pause(v verdict, changed bool, options *Options) time.Duration {
 	switch {
 	case v == current && changed:
 		return options.Settle
 	case v == stale:
 		return options.MinPause
 	case v == failed:
-		return jitter(backoff(q.failures, options))
+		return jitter(backoff(p.failures, options))
 	}
 	return 0
 }
--- a/gateway/watch/next_test.go
+++ b/gateway/watch/next_test.go
@@ -15,23 +15,23 @@
 // 7 and has failed twice.
 func TestNext(t *testing.T) {
 	options := &Options{Wait: time.Second, Settle: 300 * time.Millisecond, MinPause: 10 * time.Millisecond, MaxPause: 100 * time.Millisecond}
-	asked := question{revision: 7, failures: 2}
+	asked := poll{revision: 7, failures: 2}
 	for _, test := range []struct {
 		name     string
 		answered int64
 		err      error
 		changed  bool
 		verdict  verdict
-		next     question
+		next     poll
 		wait     time.Duration
 		maxPause time.Duration
 	}{
-		{"a change", 9, nil, true, current, question{revision: 9}, time.Second, 300 * time.Millisecond},
-		{"no change", 7, nil, false, current, question{revision: 7}, time.Second, 0},
-		{"stale", 6, nil, false, stale, question{revision: 7}, time.Second, 10 * time.Millisecond},
-		{"history lost", 0, fmt.Errorf("wrapped: %w", &ryeford.HistoryLostError{Revision: 5}), false, historyLost, question{whole: true, revision: 5, failures: 2}, 0, 0},
-		{"history lost at a later revision", 0, &ryeford.HistoryLostError{Revision: 8}, false, historyLost, question{whole: true, revision: 7, failures: 2}, 0, 0},
-		{"failed", 0, errors.New("out"), false, failed, question{revision: 7, failures: 3}, 0, 40 * time.Millisecond},
+		{"a change", 9, nil, true, current, poll{revision: 9}, time.Second, 300 * time.Millisecond},
+		{"no change", 7, nil, false, current, poll{revision: 7}, time.Second, 0},
+		{"stale", 6, nil, false, stale, poll{revision: 7}, time.Second, 10 * time.Millisecond},
+		{"history lost", 0, fmt.Errorf("wrapped: %w", &ryeford.HistoryLostError{Revision: 5}), false, historyLost, poll{whole: true, revision: 5, failures: 2}, 0, 0},
+		{"history lost at a later revision", 0, &ryeford.HistoryLostError{Revision: 8}, false, historyLost, poll{whole: true, revision: 7, failures: 2}, 0, 0},
+		{"failed", 0, errors.New("out"), false, failed, poll{revision: 7, failures: 3}, 0, 40 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			v, revision := judge(asked.revision, test.answered, test.err)
--- a/gateway/watch/watch.go
+++ b/gateway/watch/watch.go
@@ -1,7 +1,7 @@
 // Package watch follows a source that can be read whole and then asked, with a
 // wait, for what has changed since.
 //
-// It owns the newest revision that the source has answered. What is asked next, and
+// It owns the newest revision that the source has answered. What is polled next, and
 // when, depends on the last answer (next.go); the package relies on the source to
 // return once the wait is over.
 package watch
@@ -22,7 +22,7 @@
 
 // Options are how a source is followed.
 type Options struct {
-	// Wait is how long a question for changes is held while there are none.
+	// Wait is how long the source waits for a change before it answers a poll.
 	Wait time.Duration
 	// Settle is the pause after an answer that holds a change, so that changes in
 	// a row come in one answer.
@@ -45,11 +45,11 @@
 
 // Run follows a source until ctx ends.
 func Run[U any](ctx context.Context, source Source[U], options Options, handler Handler[U]) {
-	next := question{whole: true}
+	next := poll{whole: true}
 	outage := Outage{Lost: handler.Lost, Regained: handler.Regained}
 	for ctx.Err() == nil {
 		sent := time.Now()
-		update, answered, err := ask(ctx, source, next, &options)
+		update, answered, err := send(ctx, source, next, &options)
 		if ctx.Err() != nil {
 			return
 		}
@@ -71,12 +71,12 @@
 	}
 }
 
-// ask asks a source a question.
-func ask[U any](ctx context.Context, source Source[U], q question, options *Options) (U, int64, error) {
-	if q.whole {
+// send sends a poll to a source.
+func send[U any](ctx context.Context, source Source[U], p poll, options *Options) (U, int64, error) {
+	if p.whole {
 		return source.Read(ctx)
 	}
-	return source.Since(ctx, q.revision, q.wait(options))
+	return source.Since(ctx, p.revision, p.wait(options))
 }
 
 // An Outage follows whether a source answers. The zero Outage is of one that does.
@@ -89,7 +89,7 @@
 	since time.Time // zero unless the source is lost
 }
 
-// Failed notes that the source did not answer a question that was sent at a time.
+// Failed notes that the source did not answer a read that was sent at a time.
 func (o *Outage) Failed(sent time.Time, err error) {
 	if o.since.IsZero() {
 		o.since = sent
--- a/gateway/watch/watch_test.go
+++ b/gateway/watch/watch_test.go
@@ -12,7 +12,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A script answers a watch's questions one after the other and then ends it.
+// A script answers a watch's polls one after the other and then ends it.
 type script struct {
 	steps  []step
 	asked  []asked
@@ -26,7 +26,7 @@
 	takes    time.Duration
 }
 
-// An asked is one question as the source got it.
+// An asked is one poll as the source got it.
 type asked struct {
 	whole bool
 	since int64
@@ -56,7 +56,7 @@
 	return "update", now.revision, now.err
 }
 
-// times returns when each question was asked.
+// times returns when each poll was sent.
 func (s *script) times(began time.Time) []time.Duration {
 	var times []time.Duration
 	for _, at := range s.at {
