--- a/internal/cmd/devcmd.go
+++ b/internal/cmd/devcmd.go
@@ -53,10 +53,7 @@
 	if err != nil {
 		return err
 	}
-	fleet, err := newDevFleet(callers, operators)
-	if err != nil {
-		return err
-	}
+	fleet := newDevFleet(callers, operators)
 	if c.Bool("verbose") {
 		fleet.logger = newLogger(c.Root().ErrWriter, "dev")
 	}
@@ -68,6 +65,18 @@
 	return group.Wait()
 }
 
+// pollDev waits until a dev fleet serves, and reports whether it does. It gives up
+// when ctx ends.
+func pollDev(ctx context.Context, serves func() bool) bool {
+	for ctx.Err() == nil {
+		if serves() {
+			return true
+		}
+		time.Sleep(devPoll)
+	}
+	return false
+}
+
 // publishDemo publishes the demo account's template, once the platform answers.
 func publishDemo(ctx context.Context, table ryeford.Table) error {
 	t := ryeford.Template{
--- a/internal/cmd/devfleet.go
+++ b/internal/cmd/devfleet.go
@@ -4,9 +4,7 @@
 	"context"
 	"crypto/tls"
 	"fmt"
-	"net"
 	"net/netip"
-	"time"
 
 	"github.com/go-kit/log"
 	"github.com/urfave/cli/v3"
@@ -17,6 +15,7 @@
 	"github.com/ryeford/ryeford/agentfleet/router"
 	"github.com/ryeford/ryeford/agentfleet/tableservice"
 	"github.com/ryeford/ryeford/agentfleet/transport"
+	"github.com/ryeford/ryeford/internal/freeport"
 	"github.com/ryeford/ryeford/settings"
 	"github.com/ryeford/ryeford/standin"
 )
@@ -38,12 +37,11 @@
 }
 
 // newDevFleet returns the settings of a dev fleet.
-func newDevFleet(callers, operators netip.AddrPort) (*devFleet, error) {
-	ports := &portPicker{}
+func newDevFleet(callers, operators netip.AddrPort) *devFleet {
 	f := &devFleet{
 		logger: log.NewNopLogger(),
 		standin: &settings.Standin{
-			Platform: &settings.StandinPlatform{Address: ports.pick()},
+			Platform: &settings.StandinPlatform{Address: freeAddress()},
 		},
 	}
 	f.router = settings.DefaultRouter()
@@ -55,20 +53,20 @@
 	f.router.Platform = f.standin.Platform.Address
 	f.router.Limits.LeaveNotice = 0
 	for i := range devAgents {
-		f.addAgent(ports, i+1)
+		f.addAgent(i + 1)
 	}
-	return f, ports.err
+	return f
 }
 
 // addAgent adds an agent with its engines; the first has a service too.
-func (f *devFleet) addAgent(ports *portPicker, number int) {
+func (f *devFleet) addAgent(number int) {
 	s := settings.DefaultAgent()
 	s.VM = ryeford.VMID(fmt.Sprintf("endpoint-%d", number))
 	s.Region, s.FailureDomain = "region-1", fmt.Sprintf("domain-%d", number)
 	s.Platform = f.standin.Platform.Address
-	s.Listen, s.Metrics = ports.pick(), ports.pick()
+	s.Listen, s.Metrics = freeAddress(), freeAddress()
 	for i := range devEngines {
-		e := settings.StandinEngine{Address: ports.pick(), Pools: []ryeford.Pool{{Model: devModel}}, ChecksFences: true}
+		e := settings.StandinEngine{Address: freeAddress(), Pools: []ryeford.Pool{{Model: devModel}}, ChecksFences: true}
 		f.standin.Engines = append(f.standin.Engines, e)
 		s.Engines = append(s.Engines, settings.Engine{
 			ID:           ryeford.EngineID(fmt.Sprintf("%s.%d", s.VM, i+1)),
@@ -77,7 +75,7 @@
 		})
 	}
 	if number == 1 {
-		service := settings.StandinService{Address: ports.pick()}
+		service := settings.StandinService{Address: freeAddress()}
 		f.standin.Services = append(f.standin.Services, service)
 		s.Services = []settings.Service{{ID: "notes.1", Name: devService, Address: service.Address}}
 	}
@@ -132,14 +130,11 @@
 
 // announce waits until a turn is answered, and prints how to send one.
 func (f *devFleet) announce(ctx context.Context, c *cli.Command) error {
-	for ctx.Err() == nil {
+	served := pollDev(ctx, func() bool {
 		answer, err := demoTurn(ctx, f.router.Callers.AddrPort)
-		if err == nil && answer.Complete {
-			break
-		}
-		time.Sleep(devPoll)
-	}
-	if ctx.Err() != nil {
+		return err == nil && answer.Complete
+	})
+	if !served {
 		return nil
 	}
 	_, err := fmt.Fprintf(c.Root().Writer, `ready: callers on %[1]s, operators on %[2]s
@@ -153,18 +148,5 @@
 	return err
 }
 
-// A portPicker picks free ports of loopback, and keeps the last error.
-type portPicker struct {
-	err error
-}
-
-// pick returns a free address.
-func (p *portPicker) pick() settings.Address {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		p.err = err
-		return settings.Address{}
-	}
-	defer func() { _ = l.Close() }()
-	return settings.Address{AddrPort: l.Addr().(*net.TCPAddr).AddrPort()}
-}
+// freeAddress returns an address of loopback that is free.
+func freeAddress() settings.Address { return settings.Address{AddrPort: freeport.Next()} }
--- a/internal/cmd/devplatform.go
+++ b/internal/cmd/devplatform.go
@@ -20,22 +20,18 @@
 // runDevPlatform runs a gateway with an emulator of the users' platform until
 // ctx ends.
 func runDevPlatform(ctx context.Context, c *cli.Command, callers netip.AddrPort) error {
-	ports := &portPicker{}
-	emulated := &settings.Emulator{Store: ports.pick(), Admin: ports.pick()}
+	emulated := &settings.Emulator{Store: freeAddress(), Admin: freeAddress()}
 	for _, server := range []settings.EmulatorServer{
 		{ID: "model-1", Service: emulator.DemoModel, Events: 20, Step: 20 * time.Millisecond},
 		{ID: "model-2", Service: emulator.DemoModel, Events: 20, Step: 20 * time.Millisecond},
 		{ID: "notes-1", Service: emulator.DemoNotes, Step: 20 * time.Millisecond},
 	} {
-		server.Address, server.FailureDomain = ports.pick(), "domain-1"
+		server.Address, server.FailureDomain = freeAddress(), "domain-1"
 		emulated.Servers = append(emulated.Servers, server)
 	}
 	s := settings.DefaultGateway()
 	s.VM, s.Region, s.FailureDomain = "router-1", "region-1", "domain-1"
-	s.Callers, s.Readiness, s.Store = settings.Address{AddrPort: callers}, ports.pick(), emulated.Store
-	if ports.err != nil {
-		return ports.err
-	}
+	s.Callers, s.Readiness, s.Store = settings.Address{AddrPort: callers}, freeAddress(), emulated.Store
 	logger := log.NewNopLogger()
 	if c.Bool("verbose") {
 		logger = newLogger(c.Root().ErrWriter, "gateway")
@@ -50,17 +46,15 @@
 
 // announcePlatform waits until the gateway is ready, and prints how to use it.
 func announcePlatform(ctx context.Context, c *cli.Command, s *settings.Gateway, emulated *settings.Emulator) error {
-	for ctx.Err() == nil {
+	ready := pollDev(ctx, func() bool {
 		response, err := http.Get("http://" + s.Readiness.String() + platform.PathReady)
-		if err == nil {
-			_ = response.Body.Close()
-			if response.StatusCode == http.StatusOK {
-				break
-			}
+		if err != nil {
+			return false
 		}
-		time.Sleep(devPoll)
-	}
-	if ctx.Err() != nil {
+		_ = response.Body.Close()
+		return response.StatusCode == http.StatusOK
+	})
+	if !ready {
 		return nil
 	}
 	_, err := fmt.Fprintf(c.Root().Writer, `ready: callers on %[1]s, the emulator's faults on %[2]s
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,5 +1,5 @@
-// Package freeport picks addresses of loopback for servers that tests start. The tests of
-// several packages use it, which is why it is not in a test file.
+// Package freeport picks addresses of loopback for the servers that tests and
+// `ryeford dev` start.
 // It owns no port: an address is free when it is picked, and nothing keeps it so.
 package freeport
 
