--- a/caller/client.go
+++ b/caller/client.go
@@ -6,7 +6,6 @@
 package caller
 
 import (
-	"bytes"
 	"context"
 	"io"
 	"net/http"
@@ -40,14 +39,12 @@
 func (c *Client) Complete(ctx context.Context, address netip.AddrPort, t *Turn) (*Answer, error) {
 	body, err := t.body()
 	if err != nil {
-		return nil, err
+		return &Answer{}, err
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address.String()+router.PathCompletions, bytes.NewReader(body))
+	request, err := t.post(ctx, address, router.PathCompletions, body)
 	if err != nil {
-		return nil, err
+		return &Answer{}, err
 	}
-	request.GetBody = nil // or net/http might send it again by itself
-	t.setHeaders(request.Header)
 	return c.stream(request)
 }
 
@@ -55,7 +52,7 @@
 func (c *Client) Resume(ctx context.Context, address netip.AddrPort, key, lastEvent string) (*Answer, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+router.PathAnswers, nil)
 	if err != nil {
-		return nil, err
+		return &Answer{}, err
 	}
 	request.Header.Set("Authorization", "Bearer "+key)
 	request.Header.Set(router.HeaderLastEvent, lastEvent)
@@ -64,12 +61,10 @@
 
 // CallService calls a plain service with a body and returns its answer's body.
 func (c *Client) CallService(ctx context.Context, address netip.AddrPort, path string, t *Turn, body []byte) (*Answer, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address.String()+router.PathServices+path, bytes.NewReader(body))
+	request, err := t.post(ctx, address, router.PathServices+path, body)
 	if err != nil {
-		return nil, err
+		return &Answer{}, err
 	}
-	request.GetBody = nil // or net/http might send it again by itself
-	t.setHeaders(request.Header)
 	response, err := c.http.Do(request)
 	if err != nil {
 		return &Answer{}, err
--- a/caller/turn.go
+++ b/caller/turn.go
@@ -1,8 +1,11 @@
 package caller
 
 import (
+	"bytes"
+	"context"
 	"encoding/json"
 	"net/http"
+	"net/netip"
 	"time"
 
 	"github.com/ryeford/ryeford"
@@ -41,6 +44,17 @@
 	})
 }
 
+// post returns the request that sends a body of the turn to a router.
+func (t *Turn) post(ctx context.Context, address netip.AddrPort, path string, body []byte) (*http.Request, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address.String()+path, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	request.GetBody = nil // or net/http might send it again by itself
+	t.setHeaders(request.Header)
+	return request, nil
+}
+
 // setHeaders sets the headers of a turn.
 func (t *Turn) setHeaders(header http.Header) {
 	header.Set("Authorization", "Bearer "+t.Key)
--- a/internal/cmd/role.go
+++ b/internal/cmd/role.go
@@ -60,7 +60,7 @@
 
 // command returns the command of the role.
 func (r *role[S]) command() *cli.Command {
-	flag := settingsFlag()
+	flag := &cli.StringFlag{Name: "settings", Usage: "the settings `FILE`, in YAML (docs/settings.md)", Required: true}
 	if r.variable != "" {
 		flag.Sources = cli.EnvVars(r.variable)
 	}
@@ -124,8 +124,3 @@
 	now := log.TimestampFormat(func() time.Time { return time.Now().UTC() }, time.RFC3339Nano)
 	return log.With(logger, "ts", now, "role", role)
 }
-
-// settingsFlag returns the flag that names a settings file.
-func settingsFlag() *cli.StringFlag {
-	return &cli.StringFlag{Name: "settings", Usage: "the settings `FILE`, in YAML (docs/settings.md)", Required: true}
-}
--- a/replay/balancer.go
+++ b/replay/balancer.go
@@ -5,7 +5,6 @@
 	"net/http"
 	"net/netip"
 	"sync"
-	"sync/atomic"
 	"time"
 )
 
@@ -19,9 +18,9 @@
 // the load balancer before a fleet does.
 type balancer struct {
 	routers []netip.AddrPort
-	next    atomic.Int64
 
 	mu    sync.Mutex
+	next  int
 	ready []netip.AddrPort
 }
 
@@ -76,5 +75,6 @@
 	if len(from) == 0 {
 		from = b.routers
 	}
-	return from[int(b.next.Add(1))%len(from)]
+	b.next++
+	return from[b.next%len(from)]
 }
--- a/replay/runs.go
+++ b/replay/runs.go
@@ -46,7 +46,7 @@
 		}
 	}
 	for chat, o := range r.chats {
-		if o.notRun == o.turns && ran[chat] > 0 {
+		if o.notRun == o.turns {
 			r.RanRefused += ran[chat]
 		}
 		if o.notRepeatable == o.turns && ran[chat] > o.turns {
--- a/replay/turn.go
+++ b/replay/turn.go
@@ -66,9 +66,6 @@
 	for range p.options.Retries + 1 {
 		var err error
 		answer, err = p.client.Complete(ctx, p.balance.router(), t)
-		if answer == nil {
-			answer = &caller.Answer{}
-		}
 		if err != nil && answer.LastEvent != "" {
 			answer = p.resume(ctx, t, answer)
 		}
@@ -102,7 +99,7 @@
 func (p *player) resume(ctx context.Context, t *caller.Turn, part *caller.Answer) *caller.Answer {
 	for range resumesPerRouter * len(p.options.Routers) {
 		rest, err := p.client.Resume(ctx, p.balance.router(), t.Key, part.LastEvent)
-		if rest == nil || (err != nil && rest.LastEvent == "") {
+		if err != nil && rest.LastEvent == "" {
 			continue // a router that is lost, or that can't resume: another one may
 		}
 		rest.Text = part.Text + rest.Text
--- a/settings/address.go
+++ b/settings/address.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/netip"
+	"strings"
 
 	"github.com/goccy/go-yaml/ast"
 )
@@ -17,7 +18,7 @@
 	if err != nil {
 		return &FieldError{
 			Line:    node.GetToken().Position.Line,
-			Key:     keyOf(node.GetPath()),
+			Key:     strings.TrimPrefix(node.GetPath(), "$."),
 			Problem: "want an IP address and port such as 10.0.0.1:7000",
 		}
 	}
--- a/settings/errors.go
+++ b/settings/errors.go
@@ -88,12 +88,10 @@
 		return "missing; it must be given"
 	case "min":
 		return "must be at least " + e.Param()
-	case "max":
+	case "max", "lte":
 		return "must be at most " + e.Param()
 	case "gt":
 		return "must be above " + e.Param()
-	case "lte":
-		return "must be at most " + e.Param()
 	case "oneof":
 		return "must be one of: " + e.Param()
 	case "ltfield":
@@ -120,8 +118,3 @@
 	}
 	return node.GetToken().Position.Line
 }
-
-// keyOf returns a key as the file names it from a path such as $.limits.floor.
-func keyOf(path string) string {
-	return strings.TrimPrefix(path, "$.")
-}
