--- a/replay/replay.go
+++ b/replay/replay.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.report.addRuns(runs)
+	p.report.addRuns(runs, began)
 	return p.report, nil
 }
 
--- a/replay/runs.go
+++ b/replay/runs.go
@@ -35,8 +35,9 @@
 	}
 }
 
-// addRuns compares what the engines ran with what callers were answered.
-func (r *Report) addRuns(engines [][]standin.RunRecord) {
+// addRuns compares what the engines ran with what callers were answered. The engines
+// may have run earlier traces, before began: those count in no load.
+func (r *Report) addRuns(engines [][]standin.RunRecord, began time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ran := make(map[ryeford.ChatID]int)
@@ -53,7 +54,7 @@
 			r.DoubleRuns += ran[chat] - o.turns
 		}
 	}
-	r.addLoads(engines)
+	r.addLoads(engines, began)
 }
 
 // A change is the begin or the end of a run at an engine.
@@ -63,9 +64,10 @@
 	by     int // 1 or -1
 }
 
-// addLoads adds the loads of the engines, and their skews while the mean is at or
-// above the floor.
-func (r *Report) addLoads(engines [][]standin.RunRecord) {
+// addLoads adds the loads of the engines from began on, and their skews while the mean
+// is at or above the floor. An earlier trace may have been played to more engines, and
+// its skews over the mean of these would say nothing.
+func (r *Report) addLoads(engines [][]standin.RunRecord, began time.Time) {
 	var changes []change
 	for engine, runs := range engines {
 		for i := range runs {
@@ -82,6 +84,9 @@
 	for _, c := range changes {
 		loads[c.engine] += c.by
 		total += c.by
+		if c.at.Before(began) {
+			continue
+		}
 		busiest := slices.Max(loads)
 		r.Peak = max(r.Peak, busiest)
 		mean := float64(total) / float64(len(engines))
