--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -17,3 +17,11 @@
 	defer func() { _ = listener.Close() }()
 	assert.Assert(t, !isFree(first))
 }
+
+// TestReserved checks that a port that another process has picked is passed over, though
+// nothing listens on it yet.
+func TestReserved(t *testing.T) {
+	port := Next().Port()
+	assert.Assert(t, isFree(loopback(port)))
+	assert.Assert(t, !reserve(port))
+}
