--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -51,6 +51,7 @@
 	limit, cancel := context.WithDeadline(context.WithoutCancel(work), closeBy)
 	defer cancel()
 	_ = d.log.Log("msg", "closing idle connections", "in_flight", d.inFlight.Load(), "polls", d.failedProbes.Load())
+	// Shutdown closes the listener and idle connections, and waits for the busy ones.
 	if err := callers.http.Shutdown(limit); err != nil {
 		_ = d.log.Log("msg", "closing busy connections", "in_flight", d.inFlight.Load(), "err", err)
 		callers.close()
@@ -65,7 +66,7 @@
 	time.Sleep(shutdown.NoticeMargin)
 }
 
-// awaitQuiet waits until callers have stopped to connect, but no longer than until
+// awaitQuiet waits until no caller has connected for some time, but no longer than until
 // closeBy.
 func (d *drain) awaitQuiet(closeBy time.Time) {
 	for now := time.Now(); now.Before(closeBy); now = time.Now() {
--- a/gateway/shutdown/shutdown.go
+++ b/gateway/shutdown/shutdown.go
@@ -3,7 +3,7 @@
 // values out.
 //
 // Rule: from the order on, the process is unready and closes each caller's
-// connection after its answer, but serves on. It stops to listen once the load
+// connection after its answer, but serves on. It closes its listener once the load
 // balancer has noticed and no new connection has come for quietTime. It refuses
 // requests that would not be answered before it has to end. It closes what is still
 // open closeMargin before the end of its grace period, after which it is killed.
@@ -53,8 +53,8 @@
 	return failedProbes >= minProbes || sinceOrder >= maxNoticeWait
 }
 
-// Quiet reports whether callers have stopped to connect. lastConnection is when the
-// last one did, or zero if none ever has.
+// Quiet reports whether no caller has connected for quietTime. lastConnection is when
+// the last one did, or zero if none ever has.
 func Quiet(now, lastConnection time.Time) bool {
 	return lastConnection.IsZero() || now.Sub(lastConnection) > quietTime
 }
