--- a/gateway/handler_test.go
+++ b/gateway/handler_test.go
@@ -30,7 +30,7 @@
 		drain:         newDrain(8*time.Second, log.NewNopLogger()),
 		initialSync:   newInitialSync(0),
 		bodies:        semaphore.NewWeighted(1000),
-		budgets:       retry.NewWindows(retry.Bound{Span: time.Second}),
+		budgets:       retry.NewWindows(retry.WindowLimits{Span: time.Second}),
 		durations:     newDurations(),
 		log:           log.NewLogfmtLogger(b),
 		metrics:       telemetry.NewSet(),
--- a/retry/share.go
+++ b/retry/share.go
@@ -14,18 +14,7 @@
 	unseenRouters = 4
 )
 
-// A Bound is what the operators allow all routers together to send to one service
-// beyond the first attempt of each request.
-type Bound struct {
-	// Span is the sliding span of time over which the bound holds.
-	Span time.Duration
-	// Ratio is the part of the span's requests that may be repeated.
-	Ratio float64
-	// Reserve is how many repeats are allowed beyond that.
-	Reserve float64
-}
-
-// Sharers returns among how many routers the Reserve of a Bound is divided, so
+// Sharers returns among how many routers the Reserve of a Window is divided, so
 // that all of them together keep it without agreeing on each repeat: the live ones
 // and a quarter more, but at least the configured number, since a router that has
 // lost touch with its peers must not take the whole reserve (commit 94211f1).
@@ -45,16 +34,12 @@
 	windows map[string]*Window // by service
 }
 
-// NewWindows returns Windows that keep a router's part of a bound for each service.
-func NewWindows(bound Bound) *Windows {
-	return &Windows{
-		limits: WindowLimits{
-			Span:    bound.Span,
-			Ratio:   bound.Ratio * reserveShare,
-			Reserve: bound.Reserve * reserveShare,
-		},
-		windows: make(map[string]*Window),
-	}
+// NewWindows returns Windows that use reserveShare of what the operators let all
+// routers together to send to each service.
+func NewWindows(limits WindowLimits) *Windows {
+	limits.Ratio *= reserveShare
+	limits.Reserve *= reserveShare
+	return &Windows{limits: limits, windows: make(map[string]*Window)}
 }
 
 // Of returns the Window of a service.
--- a/retry/share_test.go
+++ b/retry/share_test.go
@@ -28,7 +28,7 @@
 // TestWindows checks that each service has a budget of its own, of which a router
 // uses nine tenths.
 func TestWindows(t *testing.T) {
-	w := NewWindows(Bound{Span: 10 * time.Second, Ratio: 0.2, Reserve: 10})
+	w := NewWindows(WindowLimits{Span: 10 * time.Second, Ratio: 0.2, Reserve: 10})
 	now := time.Now()
 	spend := func(service string) (repeats int) {
 		for w.Of(service).Repeat(now, 1) {
