--- a/standin/engine.go
+++ b/standin/engine.go
@@ -1,6 +1,7 @@
 package standin
 
 import (
+	"cmp"
 	"strings"
 	"sync"
 	"time"
@@ -41,40 +42,31 @@
 	affected int // runs that the fault has affected
 	cache    *promptCache
 	runs     map[ryeford.AttemptID]*run
-	records  map[ryeford.AttemptID]int // into counts.Runs
 	counts   EngineCounts
 	serving  ryeford.Order
 }
 
 // newEngine returns an engineServer.
 func newEngine(s *settings.StandinEngine) *engineServer {
-	e := &engineServer{
-		step:     s.Step,
+	return &engineServer{
+		step:     cmp.Or(s.Step, defaultStep),
 		loadTime: s.LoadTime,
 		fences:   s.ChecksFences,
+		slots:    slots{free: cmp.Or(s.Slots, defaultSlots)},
+		cache:    newPromptCache(cmp.Or(s.CacheChats, defaultCacheChats)),
 		runs:     make(map[ryeford.AttemptID]*run),
-		records:  make(map[ryeford.AttemptID]int),
 		serving:  ryeford.Order{Pools: s.Pools},
 	}
-	if e.step == 0 {
-		e.step = defaultStep
-	}
-	e.slots.free = s.Slots
-	if s.Slots == 0 {
-		e.slots.free = defaultSlots
-	}
-	limit := s.CacheChats
-	if limit == 0 {
-		limit = defaultCacheChats
-	}
-	e.cache = newPromptCache(limit)
-	return e
 }
 
-// serve implements handler.
+// serve serves a request.
 func (e *engineServer) serve(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
+	case path == PathFault:
+		e.setFault(ctx)
+	case path == PathRuns:
+		e.writeRuns(ctx)
 	case path == engine.PathEvents:
 		e.cacheEvents(ctx)
 	case path == engine.PathServing:
@@ -90,7 +82,7 @@
 	}
 }
 
-// setFault implements handler. It replaces the whole fault.
+// setFault takes a fault. It replaces the whole fault.
 func (e *engineServer) setFault(ctx *fasthttp.RequestCtx) {
 	var fault EngineFault
 	if !readJSON(ctx, &fault) {
@@ -102,7 +94,7 @@
 	e.affected = 0
 }
 
-// writeRuns implements handler.
+// writeRuns answers with the runs.
 func (e *engineServer) writeRuns(ctx *fasthttp.RequestCtx) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/enginecompletion.go
+++ b/standin/enginecompletion.go
@@ -47,7 +47,7 @@
 		e.affected++
 	}
 	e.runs[r.attempt] = r
-	e.records[r.attempt] = len(e.counts.Runs)
+	r.record = len(e.counts.Runs)
 	e.counts.Runs = append(e.counts.Runs, RunRecord{
 		Attempt: string(r.attempt),
 		Chat:    string(r.chat),
--- a/standin/engineorder.go
+++ b/standin/engineorder.go
@@ -21,11 +21,9 @@
 		return
 	}
 	if e.fences && order.Epoch < e.serving.Epoch {
-		e.counts.Refused = append(e.counts.Refused, order.Epoch)
 		ctx.Error("fenced", fasthttp.StatusPreconditionFailed)
 		return
 	}
-	e.counts.Orders = append(e.counts.Orders, order.Epoch)
 	e.serving.Epoch = order.Epoch
 	time.AfterFunc(e.loadTime, func() { e.loaded(order) })
 }
--- a/standin/enginerun.go
+++ b/standin/enginerun.go
@@ -10,7 +10,6 @@
 // generate runs a request in the batch.
 func (e *engineServer) generate(r *run) {
 	defer e.recordEnd(r)
-	e.recordPeak()
 	err := e.slots.acquire(r.ctx, r.request.Priority)
 	if err != nil {
 		r.append(errorEvent(r, "cancelled"), true)
@@ -24,19 +23,11 @@
 	e.decode(r, prompt, &fault, usage)
 }
 
-// recordPeak records how many runs run and wait, the calling one included.
-func (e *engineServer) recordPeak() {
-	running, waiting := e.slots.counts()
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.counts.Peak = max(e.counts.Peak, running+waiting+1)
-}
-
 // recordEnd records when a run ended.
 func (e *engineServer) recordEnd(r *run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.counts.Runs[e.records[r.attempt]].End = time.Now()
+	e.counts.Runs[r.record].End = time.Now()
 }
 
 // faultOf returns the fault that affects a run.
@@ -53,7 +44,6 @@
 func (e *engineServer) prefill(r *run, prompt string) *ryeford.Usage {
 	e.mu.Lock()
 	cached := e.cache.cached(r.chat, prompt)
-	e.counts.Runs[e.records[r.attempt]].Cached = cached
 	e.mu.Unlock()
 	usage := &ryeford.Usage{PromptTokens: countTokens(prompt), CachedTokens: cached}
 	steps := (usage.PromptTokens - cached + prefillPerStep - 1) / prefillPerStep
--- a/standin/http.go
+++ b/standin/http.go
@@ -15,7 +15,7 @@
 const (
 	// PathFault takes what is wrong with the stand-in from now on: its fault as JSON.
 	PathFault = "/fault"
-	// PathRuns answers with what the stand-in has counted, as JSON.
+	// PathRuns answers with what an engine or a service has run, as JSON.
 	PathRuns = "/runs"
 )
 
@@ -23,24 +23,14 @@
 // object that the fleet writes, a plan; not measured.
 const maxRequestBody = 64 << 20
 
-// A handler is a stand-in that is reached over HTTP.
-type handler interface {
-	// serve serves a request of the protocol that is played.
-	serve(ctx *fasthttp.RequestCtx)
-	// setFault takes the fault in a request's body.
-	setFault(ctx *fasthttp.RequestCtx)
-	// writeRuns answers with what was counted.
-	writeRuns(ctx *fasthttp.RequestCtx)
-}
-
 // listenAndServe serves a stand-in until ctx ends.
-func listenAndServe(ctx context.Context, address settings.Address, h handler) error {
+func listenAndServe(ctx context.Context, address settings.Address, serve fasthttp.RequestHandler) error {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
 		return &Error{Op: "listen", Err: err}
 	}
 	server := &fasthttp.Server{
-		Handler:               func(ctx *fasthttp.RequestCtx) { dispatch(ctx, h) },
+		Handler:               serve,
 		NoDefaultServerHeader: true,
 		MaxRequestBodySize:    maxRequestBody,
 	}
@@ -50,18 +40,6 @@
 	return nil
 }
 
-// dispatch passes a request to the method of h that serves its path.
-func dispatch(ctx *fasthttp.RequestCtx, h handler) {
-	switch string(ctx.Path()) {
-	case PathFault:
-		h.setFault(ctx)
-	case PathRuns:
-		h.writeRuns(ctx)
-	default:
-		h.serve(ctx)
-	}
-}
-
 // readJSON decodes the request's body, or answers 400.
 func readJSON(ctx *fasthttp.RequestCtx, into any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
--- a/standin/link.go
+++ b/standin/link.go
@@ -51,14 +51,13 @@
 	}, nil
 }
 
-// serve implements handler. A link relays UDP and has nothing to serve over HTTP.
-func (l *link) serve(*fasthttp.RequestCtx) {}
-
-// writeRuns implements handler. A link counts nothing.
-func (l *link) writeRuns(*fasthttp.RequestCtx) {}
-
-// setFault implements handler. It replaces the whole fault.
-func (l *link) setFault(ctx *fasthttp.RequestCtx) {
+// serve takes a fault, which replaces the whole one before. A link has nothing else
+// to serve over HTTP.
+func (l *link) serve(ctx *fasthttp.RequestCtx) {
+	if string(ctx.Path()) != PathFault {
+		ctx.Error("no such path", fasthttp.StatusNotFound)
+		return
+	}
 	var fault LinkFault
 	if !readJSON(ctx, &fault) {
 		return
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -26,14 +26,6 @@
 	FreezeList []ryeford.VMID `json:"freeze_list"`
 }
 
-// PlatformCounts counts the calls that the platform served or refused.
-type PlatformCounts struct {
-	Reads   int64 `json:"reads"`
-	Writes  int64 `json:"writes"`
-	Lists   int64 `json:"lists"` // of the list of VMs, reads and changes
-	Refused int64 `json:"refused"`
-}
-
 // A platformServer plays the platform's services: the transactional table and the
 // object store, each call within a rate, and the list of VMs.
 //
@@ -52,7 +44,6 @@
 	vms     map[ryeford.VMID]ryeford.VM
 	fault   PlatformFault
 	frozen  []ryeford.VM // the list of VMs as the last fault was set
-	counts  PlatformCounts
 }
 
 // newPlatform returns a platformServer, with the state of its last life.
@@ -90,7 +81,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), perSecond)
 }
 
-// setFault implements handler. It changes the named fields of the fault.
+// setFault takes a fault. It changes the named fields of the fault.
 func (p *platformServer) setFault(ctx *fasthttp.RequestCtx) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,17 +90,12 @@
 	}
 }
 
-// writeRuns implements handler.
-func (p *platformServer) writeRuns(ctx *fasthttp.RequestCtx) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	writeJSON(ctx, &p.counts)
-}
-
-// serve implements handler.
+// serve serves a request of the table, the object store or the list of VMs.
 func (p *platformServer) serve(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
+	case path == PathFault:
+		p.setFault(ctx)
 	case path == tableservice.PathVMs:
 		p.serveVMs(ctx)
 	case !p.available():
@@ -131,32 +117,15 @@
 func (p *platformServer) available() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.fault.Down {
-		p.counts.Refused++
-	}
 	return !p.fault.Down
 }
 
-// allowRead admits a reading call, or answers 503.
-func (p *platformServer) allowRead(ctx *fasthttp.RequestCtx) bool {
-	return p.allow(ctx, p.reads, &p.counts.Reads)
-}
-
-// allowWrite admits a writing call, or answers 503.
-func (p *platformServer) allowWrite(ctx *fasthttp.RequestCtx) bool {
-	return p.allow(ctx, p.writes, &p.counts.Writes)
-}
-
-// allow admits one call by a limiter and counts it, or answers 503.
-func (p *platformServer) allow(ctx *fasthttp.RequestCtx, limiter *rate.Limiter, count *int64) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// allow admits one call by a limiter, or answers 503.
+func allow(ctx *fasthttp.RequestCtx, limiter *rate.Limiter) bool {
 	if !limiter.Allow() {
-		p.counts.Refused++
 		ctx.Error("rate exceeded", fasthttp.StatusServiceUnavailable)
 		return false
 	}
-	*count++
 	return true
 }
 
--- a/standin/platformobjects.go
+++ b/standin/platformobjects.go
@@ -24,7 +24,7 @@
 
 // putObject writes an object.
 func (p *platformServer) putObject(ctx *fasthttp.RequestCtx, name string) {
-	if !p.allowWrite(ctx) {
+	if !allow(ctx, p.writes) {
 		return
 	}
 	p.mu.Lock()
@@ -36,7 +36,7 @@
 
 // getObject answers with an object.
 func (p *platformServer) getObject(ctx *fasthttp.RequestCtx, name string) {
-	if !p.allowRead(ctx) {
+	if !allow(ctx, p.reads) {
 		return
 	}
 	p.mu.Lock()
--- a/standin/platformtable.go
+++ b/standin/platformtable.go
@@ -12,7 +12,7 @@
 // get answers a read of rows by their keys.
 func (p *platformServer) get(ctx *fasthttp.RequestCtx) {
 	var request tableservice.GetRequest
-	if !p.allowRead(ctx) || !readJSON(ctx, &request) {
+	if !allow(ctx, p.reads) || !readJSON(ctx, &request) {
 		return
 	}
 	rows, err := p.table.Get(ctx, request.Keys...)
@@ -22,7 +22,7 @@
 // list answers a read of rows by the prefix of their keys.
 func (p *platformServer) list(ctx *fasthttp.RequestCtx) {
 	var request tableservice.ListRequest
-	if !p.allowRead(ctx) || !readJSON(ctx, &request) {
+	if !allow(ctx, p.reads) || !readJSON(ctx, &request) {
 		return
 	}
 	rows, err := p.table.List(ctx, request.Prefix)
@@ -41,7 +41,7 @@
 // transact makes all writes of a request, or none.
 func (p *platformServer) transact(ctx *fasthttp.RequestCtx) {
 	var request tableservice.TransactRequest
-	if !p.allowWrite(ctx) || !readJSON(ctx, &request) {
+	if !allow(ctx, p.writes) || !readJSON(ctx, &request) {
 		return
 	}
 	p.mu.Lock()
--- a/standin/platformvms.go
+++ b/standin/platformvms.go
@@ -16,7 +16,6 @@
 func (p *platformServer) serveVMs(ctx *fasthttp.RequestCtx) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.counts.Lists++
 	if !ctx.IsPost() {
 		reader := ryeford.VMID(ctx.Request.Header.Peek(tableservice.HeaderVM))
 		vms := p.listVMs()
--- a/standin/record.go
+++ b/standin/record.go
@@ -7,18 +7,14 @@
 type RunRecord struct {
 	Attempt string    `json:"attempt"`
 	Chat    string    `json:"chat,omitempty"`
-	Path    string    `json:"path,omitempty"`   // of a service's call, with its query
-	Body    string    `json:"body,omitempty"`   // of a service's call
-	At      time.Time `json:"at"`               // when it came
-	Cached  int       `json:"cached,omitempty"` // tokens of the prompt, at an engine
+	Path    string    `json:"path,omitempty"` // of a service's call, with its query
+	Body    string    `json:"body,omitempty"` // of a service's call
+	At      time.Time `json:"at"`             // when it came
 	// End is when the run ended; zero while it goes on, and at a service.
 	End time.Time `json:"end,omitzero"`
 }
 
 // EngineCounts are what an engine counts of itself.
 type EngineCounts struct {
-	Runs    []RunRecord `json:"runs"`
-	Orders  []int64     `json:"orders"`         // epochs of the orders it took, as they came
-	Refused []int64     `json:"refused_orders"` // epochs of those it refused
-	Peak    int         `json:"peak"`           // the most runs that ran and waited at once
+	Runs []RunRecord `json:"runs"`
 }
--- a/standin/run.go
+++ b/standin/run.go
@@ -17,6 +17,7 @@
 	cancel   context.CancelFunc
 	ctx      context.Context
 	affected bool // by the fault
+	record   int  // its index in EngineCounts.Runs
 
 	mu      sync.Mutex
 	events  []engine.CompletionChunk
--- a/standin/service.go
+++ b/standin/service.go
@@ -7,7 +7,6 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/ryeford/ryeford/agentfleet/engine"
-	"github.com/ryeford/ryeford/settings"
 )
 
 // A ServiceFault is what is wrong with a service.
@@ -37,27 +36,34 @@
 	runs  []RunRecord
 }
 
-// newService returns a service.
-func newService(s *settings.StandinService) *service {
-	return &service{delay: s.Delay}
+// serve serves a request.
+func (s *service) serve(ctx *fasthttp.RequestCtx) {
+	switch string(ctx.Path()) {
+	case PathFault:
+		s.setFault(ctx)
+	case PathRuns:
+		s.writeRuns(ctx)
+	default:
+		s.call(ctx)
+	}
 }
 
-// setFault implements handler. It changes the named fields of the fault.
+// setFault takes a fault. It changes the named fields of the fault.
 func (s *service) setFault(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	readJSON(ctx, &s.fault)
 }
 
-// writeRuns implements handler.
+// writeRuns answers with the calls.
 func (s *service) writeRuns(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	writeJSON(ctx, s.runs)
 }
 
-// serve implements handler. It runs one call.
-func (s *service) serve(ctx *fasthttp.RequestCtx) {
+// call runs one call.
+func (s *service) call(ctx *fasthttp.RequestCtx) {
 	record := RunRecord{
 		Attempt: string(ctx.Request.Header.Peek(engine.HeaderAttempt)),
 		Path:    string(ctx.RequestURI()),
--- a/standin/slots.go
+++ b/standin/slots.go
@@ -11,7 +11,6 @@
 type slots struct {
 	mu      sync.Mutex
 	free    int
-	running int
 	waiting []*waiter
 }
 
@@ -26,7 +25,6 @@
 	s.mu.Lock()
 	if s.free > 0 {
 		s.free--
-		s.running++
 		s.mu.Unlock()
 		return nil
 	}
@@ -63,17 +61,9 @@
 func (s *slots) handOver() {
 	if len(s.waiting) == 0 {
 		s.free++
-		s.running--
 		return
 	}
 	next := s.waiting[0]
 	s.waiting = s.waiting[1:]
 	close(next.ready)
 }
-
-// counts returns how many requests run and wait.
-func (s *slots) counts() (running, waiting int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.running, len(s.waiting)
-}
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -1,6 +1,6 @@
 // Package standin plays the systems around the fleet with agents, for tests, for
 // measurements and for `ryeford dev`. Each stand-in has faults that a test sets
-// while it runs, by PathFault, and most count what they were asked, by PathRuns.
+// while it runs, by PathFault; engines and services answer with their runs, by PathRuns.
 //
 //   - platform: the table, the object store and the list of VMs, by the protocol of
 //     agentfleet/tableservice.
@@ -34,15 +34,15 @@
 		if err != nil {
 			return err
 		}
-		group.Go(func() error { return listenAndServe(ctx, s.Platform.Address, p) })
+		group.Go(func() error { return listenAndServe(ctx, s.Platform.Address, p.serve) })
 	}
 	for i := range s.Engines {
 		e := newEngine(&s.Engines[i])
-		group.Go(func() error { return listenAndServe(ctx, s.Engines[i].Address, e) })
+		group.Go(func() error { return listenAndServe(ctx, s.Engines[i].Address, e.serve) })
 	}
 	for i := range s.Services {
-		service := newService(&s.Services[i])
-		group.Go(func() error { return listenAndServe(ctx, s.Services[i].Address, service) })
+		service := &service{delay: s.Services[i].Delay}
+		group.Go(func() error { return listenAndServe(ctx, s.Services[i].Address, service.serve) })
 	}
 	for i := range s.Links {
 		link, err := newLink(&s.Links[i])
@@ -50,7 +50,7 @@
 			return err
 		}
 		group.Go(func() error { return link.run(ctx) })
-		group.Go(func() error { return listenAndServe(ctx, s.Links[i].Admin, link) })
+		group.Go(func() error { return listenAndServe(ctx, s.Links[i].Admin, link.serve) })
 	}
 	if s.Emulator != nil {
 		e, err := newEmulator(s.Emulator)
