--- a/agentfleet/agent/drain.go
+++ b/agentfleet/agent/drain.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"time"
+
+	"github.com/ryeford/ryeford/internal/clock"
 )
 
 const (
@@ -27,10 +29,7 @@
 	defer limit.Stop()
 	a.waitUnfinished(ctx, limit.C)
 	a.exportCaches(ctx)
-	select {
-	case <-time.After(drainGrace):
-	case <-ctx.Done():
-	}
+	clock.Sleep(ctx, drainGrace)
 	a.decisions.Record("", "decision", "drained", "unfinished", a.attempts.unfinished())
 	return nil
 }
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -8,6 +8,7 @@
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/answer"
 	"github.com/ryeford/ryeford/agentfleet/claim"
+	"github.com/ryeford/ryeford/internal/clock"
 	"github.com/ryeford/ryeford/retry"
 )
 
@@ -168,9 +169,7 @@
 		if time.Now().After(x.request.deadline) {
 			return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Spread(time.Until(record.Expires))}
 		}
-		select {
-		case <-time.After(peekInterval):
-		case <-ctx.Done():
+		if !clock.Sleep(ctx, peekInterval) {
 			return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning}
 		}
 	}
--- a/agentfleet/router/connect.go
+++ b/agentfleet/router/connect.go
@@ -7,6 +7,7 @@
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/agentfleet/wire"
+	"github.com/ryeford/ryeford/internal/clock"
 )
 
 const (
@@ -49,10 +50,7 @@
 		if ctx.Err() == nil {
 			r.decisions.Record("", "decision", "agent_lost", "vm", vm.ID, "failure_domain", vm.FailureDomain, "redial", wait, "err", err)
 		}
-		select {
-		case <-time.After(jitter(wait)):
-		case <-ctx.Done():
-		}
+		clock.Sleep(ctx, jitter(wait))
 	}
 }
 
--- a/agentfleet/router/join.go
+++ b/agentfleet/router/join.go
@@ -8,6 +8,7 @@
 	"github.com/ryeford/ryeford/agentfleet/claim"
 	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/agentfleet/wire"
+	"github.com/ryeford/ryeford/internal/clock"
 )
 
 const (
@@ -46,9 +47,7 @@
 			unknown.Reason = ryeford.ReasonIncarnation
 			return unknown
 		}
-		select {
-		case <-time.After(rejoinInterval):
-		case <-ctx.Done():
+		if !clock.Sleep(ctx, rejoinInterval) {
 			return unknown
 		}
 	}
--- a/agentfleet/router/membership.go
+++ b/agentfleet/router/membership.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/internal/clock"
 )
 
 // pollVMs reads the platform's list of VMs, and keeps a connection to each agent on it,
@@ -20,9 +21,7 @@
 		} else if ctx.Err() == nil {
 			_ = r.log.Log("msg", "list of VMs not read", "err", err)
 		}
-		select {
-		case <-time.After(jitter(r.settings.Polls.VMList)):
-		case <-ctx.Done():
+		if !clock.Sleep(ctx, jitter(r.settings.Polls.VMList)) {
 			return nil
 		}
 	}
--- a/agentfleet/router/planner.go
+++ b/agentfleet/router/planner.go
@@ -9,6 +9,7 @@
 
 	"github.com/ryeford/ryeford/agentfleet/lease"
 	"github.com/ryeford/ryeford/agentfleet/placement"
+	"github.com/ryeford/ryeford/internal/clock"
 )
 
 const leaseName = "planner"
@@ -38,9 +39,7 @@
 		return nil
 	}
 	for {
-		select {
-		case <-time.After(jitter(p.router.settings.Planner.Interval)):
-		case <-ctx.Done():
+		if !clock.Sleep(ctx, jitter(p.router.settings.Planner.Interval)) {
 			return nil
 		}
 		if err := p.round(ctx); err != nil && ctx.Err() == nil {
--- a/agentfleet/router/sync.go
+++ b/agentfleet/router/sync.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford/agentfleet/gossip"
+	"github.com/ryeford/ryeford/internal/clock"
 )
 
 const (
@@ -26,9 +27,7 @@
 		if !r.synced.Load() {
 			wait = syncInterval
 		}
-		select {
-		case <-time.After(wait):
-		case <-ctx.Done():
+		if !clock.Sleep(ctx, wait) {
 			return nil
 		}
 	}
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -11,6 +11,7 @@
 	"github.com/ryeford/ryeford/gateway/freshness"
 	"github.com/ryeford/ryeford/gateway/peers"
 	"github.com/ryeford/ryeford/gateway/watch"
+	"github.com/ryeford/ryeford/internal/clock"
 	"github.com/ryeford/ryeford/internal/telemetry"
 )
 
@@ -93,7 +94,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		watch.Pause(ctx, freshness.PauseAfterRead(answered, c.current() != nil))
+		clock.Sleep(ctx, freshness.PauseAfterRead(answered, c.current() != nil))
 	}
 	return nil
 }
--- a/gateway/watch/watch.go
+++ b/gateway/watch/watch.go
@@ -9,6 +9,8 @@
 import (
 	"context"
 	"time"
+
+	"github.com/ryeford/ryeford/internal/clock"
 )
 
 // A Source is what is followed. Both functions return the newest revision.
@@ -66,7 +68,7 @@
 		}
 		next = next.after(v, revision)
 		if pause := next.pause(v, changed, &options); pause > 0 {
-			Pause(ctx, pause)
+			clock.Sleep(ctx, pause)
 		}
 	}
 }
@@ -104,13 +106,3 @@
 		o.since = time.Time{}
 	}
 }
-
-// Pause waits for d, or until ctx ends.
-func Pause(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-}
--- a/internal/cmd/templatepublish.go
+++ b/internal/cmd/templatepublish.go
@@ -12,6 +12,7 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/internal/clock"
 	"github.com/ryeford/ryeford/operator"
 	"github.com/ryeford/ryeford/settings"
 )
@@ -168,9 +169,7 @@
 		case time.Since(began) > wait:
 			return &InForceError{Revision: revision, Behind: behind}
 		}
-		select {
-		case <-time.After(inForceInterval):
-		case <-ctx.Done():
+		if !clock.Sleep(ctx, inForceInterval) {
 			return ctx.Err()
 		}
 	}
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -18,6 +18,7 @@
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/caller"
+	"github.com/ryeford/ryeford/internal/clock"
 	"github.com/ryeford/ryeford/operator"
 	"github.com/ryeford/ryeford/standin"
 	"github.com/ryeford/ryeford/trace"
@@ -93,9 +94,7 @@
 			continue
 		}
 		due := began.Add(time.Duration(float64(e.AtMS) / p.options.Speed * float64(time.Millisecond)))
-		select {
-		case <-time.After(time.Until(due)):
-		case <-ctx.Done():
+		if !clock.Sleep(ctx, time.Until(due)) {
 			return ctx.Err()
 		}
 		if e.Kind == trace.KindTurn {
--- a/replay/turn.go
+++ b/replay/turn.go
@@ -9,6 +9,7 @@
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/caller"
+	"github.com/ryeford/ryeford/internal/clock"
 	"github.com/ryeford/ryeford/standin"
 	"github.com/ryeford/ryeford/trace"
 )
@@ -80,9 +81,7 @@
 		if answer.Failure != nil && answer.Failure.RetryAfter > 0 {
 			wait = time.Duration(answer.Failure.RetryAfter) * time.Millisecond
 		}
-		select {
-		case <-time.After(wait):
-		case <-ctx.Done():
+		if !clock.Sleep(ctx, wait) {
 			return answer
 		}
 	}
--- a/standin/appserver/serve.go
+++ b/standin/appserver/serve.go
@@ -5,8 +5,8 @@
 	"io"
 	"net/http"
 	"strconv"
-	"time"
 
+	"github.com/ryeford/ryeford/internal/clock"
 	"github.com/ryeford/ryeford/platform/wire"
 )
 
@@ -124,10 +124,5 @@
 // work takes the time of one step, and reports whether the caller is still
 // connected.
 func (s *Server) work(r *http.Request) bool {
-	select {
-	case <-time.After(s.Step):
-		return true
-	case <-r.Context().Done():
-		return false
-	}
+	return clock.Sleep(r.Context(), s.Step)
 }
--- a/standin/enginerun.go
+++ b/standin/enginerun.go
@@ -1,10 +1,10 @@
 package standin
 
 import (
-	"context"
 	"time"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/internal/clock"
 )
 
 // generate runs a request in the batch.
@@ -17,7 +17,7 @@
 	}
 	defer e.slots.release()
 	fault := e.faultOf(r)
-	sleep(r.ctx, time.Duration(fault.DelayMS)*time.Millisecond)
+	clock.Sleep(r.ctx, time.Duration(fault.DelayMS)*time.Millisecond)
 	prompt := promptText(r.request.Messages)
 	usage := e.prefill(r, prompt)
 	e.decode(r, prompt, &fault, usage)
@@ -47,7 +47,7 @@
 	e.mu.Unlock()
 	usage := &ryeford.Usage{PromptTokens: countTokens(prompt), CachedTokens: cached}
 	steps := (usage.PromptTokens - cached + prefillPerStep - 1) / prefillPerStep
-	sleep(r.ctx, time.Duration(steps)*e.step)
+	clock.Sleep(r.ctx, time.Duration(steps)*e.step)
 	return usage
 }
 
@@ -60,7 +60,7 @@
 	tag := answerTag(r.chat, r.request.Messages)
 	text := r.request.Prefix
 	for i := countTokens(text); i < tokens; i++ {
-		sleep(r.ctx, e.step)
+		clock.Sleep(r.ctx, e.step)
 		if endsEarly(r, i, fault, usage) {
 			return
 		}
@@ -92,16 +92,3 @@
 	}
 	return true
 }
-
-// sleep waits for d or until the run is cancelled.
-func sleep(ctx context.Context, d time.Duration) {
-	if d <= 0 {
-		return
-	}
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-}
--- a/standin/rowstore/fault.go
+++ b/standin/rowstore/fault.go
@@ -3,6 +3,8 @@
 import (
 	"net/http"
 	"time"
+
+	"github.com/ryeford/ryeford/internal/clock"
 )
 
 // A Fault is what is wrong with the store. The zero value is a store that works.
@@ -22,9 +24,7 @@
 // serve applies the fault to a call, and reports whether that ended the call.
 func (f Fault) serve(w http.ResponseWriter, r *http.Request) bool {
 	if f.Slow > 0 {
-		select {
-		case <-time.After(f.Slow):
-		case <-r.Context().Done():
+		if !clock.Sleep(r.Context(), f.Slow) {
 			return true
 		}
 	}
