--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -159,3 +159,18 @@
 func (a *Agent) sweep(ctx context.Context) error {
 	return every(ctx, sweepInterval, func() { a.attempts.sweep(time.Now()) })
 }
+
+// every calls do after each interval until ctx ends, one call at a time. It
+// returns nil.
+func every(ctx context.Context, interval time.Duration, do func()) error {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			do()
+		case <-ctx.Done():
+			return nil
+		}
+	}
+}
