--- a/agentfleet/agent/drain.go
+++ b/agentfleet/agent/drain.go
@@ -25,25 +25,19 @@
 	case <-ctx.Done():
 		return nil
 	}
-	limit := time.NewTimer(a.settings.Limits.Drain)
-	defer limit.Stop()
-	a.waitUnfinished(ctx, limit.C)
+	a.awaitIdle(ctx)
 	a.exportCaches(ctx)
 	clock.Sleep(ctx, drainGrace)
 	a.decisions.Record("", "decision", "drained", "unfinished", a.attempts.unfinished())
 	return nil
 }
 
-// waitUnfinished waits until all runs have finished, or until the limit.
-func (a *Agent) waitUnfinished(ctx context.Context, limit <-chan time.Time) {
-	ticker := time.NewTicker(drainCheck)
-	defer ticker.Stop()
+// awaitIdle waits until all runs have finished, for the setting drain at most.
+func (a *Agent) awaitIdle(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, a.settings.Limits.Drain)
+	defer cancel()
 	for a.attempts.unfinished() > 0 {
-		select {
-		case <-ticker.C:
-		case <-limit:
-			return
-		case <-ctx.Done():
+		if !clock.Sleep(ctx, drainCheck) {
 			return
 		}
 	}
--- a/agentfleet/router/readiness.go
+++ b/agentfleet/router/readiness.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"time"
+
+	"github.com/ryeford/ryeford/internal/clock"
 )
 
 // drainCheck is the time between two looks at whether all requests have ended. Not
@@ -31,28 +33,18 @@
 	}
 	r.leaving.Store(true)
 	r.decisions.Record("", "decision", "leave", "in_flight", r.inFlight.Load())
-	notice := time.NewTimer(r.settings.Limits.LeaveNotice)
-	defer notice.Stop()
-	select {
-	case <-notice.C:
+	if clock.Sleep(work, r.settings.Limits.LeaveNotice) {
 		r.awaitIdle(work)
-	case <-work.Done():
 	}
 	return nil
 }
 
 // awaitIdle waits until no request is in flight, for limits.drain at most.
 func (r *Router) awaitIdle(work context.Context) {
-	ticker := time.NewTicker(drainCheck)
-	defer ticker.Stop()
-	limit := time.NewTimer(r.settings.Limits.Drain)
-	defer limit.Stop()
+	work, cancel := context.WithTimeout(work, r.settings.Limits.Drain)
+	defer cancel()
 	for r.inFlight.Load() > 0 {
-		select {
-		case <-ticker.C:
-		case <-limit.C:
-			return
-		case <-work.Done():
+		if !clock.Sleep(work, drainCheck) {
 			return
 		}
 	}
