--- a/agentfleet/admission/gate.go
+++ b/agentfleet/admission/gate.go
@@ -26,7 +26,7 @@
 
 // Admit decides on a request and counts it if it is admitted.
 func (g *Gate) Admit(now time.Time, r *Request) Decision {
-	d := g.Check(r)
+	d := Decide(&g.limits, State{Load: g.load, Held: g.held[r.Account]}, r)
 	if !d.Admitted {
 		d.RetryAfter = g.completions.retryAfter(now, d.Load, d.Bound)
 		return d
@@ -36,11 +36,6 @@
 	return d
 }
 
-// Check decides on a request without counting it.
-func (g *Gate) Check(r *Request) Decision {
-	return Decide(&g.limits, State{Load: g.load, Held: g.held[r.Account]}, r)
-}
-
 // Release removes an admitted request that has ended from the counts.
 func (g *Gate) Release(now time.Time, account ryeford.AccountID) {
 	g.load--
--- a/agentfleet/agent/gossip.go
+++ b/agentfleet/agent/gossip.go
@@ -12,10 +12,11 @@
 // gossip sends the engines' loads and the revision to routers until ctx ends.
 func (a *Agent) gossip(ctx context.Context) error {
 	loop := &gossip.Loop{
-		Interval:  a.settings.Transport.GossipInterval,
-		Book:      a.book,
-		Decisions: a.decisions,
-		Send:      a.sendGossip,
+		Interval:    a.settings.Transport.GossipInterval,
+		Book:        a.book,
+		Decisions:   a.decisions,
+		PlanChanged: func() <-chan struct{} { return nil },
+		Send:        a.sendGossip,
 	}
 	return loop.Run(ctx)
 }
--- a/agentfleet/gossip/gossip.go
+++ b/agentfleet/gossip/gossip.go
@@ -35,8 +35,8 @@
 	Interval  time.Duration // between messages while nothing changes
 	Book      *template.Book
 	Decisions *decision.Log
-	// PlanChanged returns a channel that is closed at the next plan. It is nil in a
-	// process that passes no plans on.
+	// PlanChanged returns a channel that is closed at the next plan, or nil in a process
+	// that passes no plans on.
 	PlanChanged func() <-chan struct{}
 	// Send sends a message to so many random peers.
 	Send func(peers int)
@@ -56,7 +56,7 @@
 			changed = l.Book.Changed()
 			l.Decisions.Record("", "decision", "in_force", "revision", l.Book.Revision())
 			l.Send(fanout)
-		case <-l.planChanged():
+		case <-l.PlanChanged():
 			l.Send(fanout)
 		case <-ctx.Done():
 			return nil
@@ -64,14 +64,6 @@
 	}
 }
 
-// planChanged returns a channel that is closed at the next plan, or nil.
-func (l *Loop) planChanged() <-chan struct{} {
-	if l.PlanChanged == nil {
-		return nil
-	}
-	return l.PlanChanged()
-}
-
 // Sample puts peers in a random order, in place, and returns the first n, or all if
 // there are fewer.
 func Sample[T any](peers []T, n int) []T {
--- a/agentfleet/placement/schedule.go
+++ b/agentfleet/placement/schedule.go
@@ -59,7 +59,7 @@
 			last := slices.MaxFunc(starts, time.Time.Compare)
 			at := slices.Index(starts, last)
 			starts = slices.Delete(starts, at, at+1)
-			start = earlier(start, last.Add(-in.LoadTime))
+			start = slices.MinFunc([]time.Time{start, last.Add(-in.LoadTime)}, time.Time.Compare)
 		}
 		starts = append(starts, start)
 		m.assignment.Start = start
@@ -74,7 +74,7 @@
 	late := 0
 	for _, m := range moves {
 		first := slices.Index(ends, slices.MinFunc(ends, time.Time.Compare))
-		start := later(later(m.assignment.Start, in.Now), ends[first])
+		start := slices.MaxFunc([]time.Time{m.assignment.Start, in.Now, ends[first]}, time.Time.Compare)
 		m.assignment.Start = start
 		ends[first] = start.Add(in.LoadTime)
 		if !m.begin.IsZero() && ends[first].After(m.begin) {
@@ -83,17 +83,3 @@
 	}
 	return late
 }
-
-func earlier(a, b time.Time) time.Time {
-	if b.Before(a) {
-		return b
-	}
-	return a
-}
-
-func later(a, b time.Time) time.Time {
-	if b.After(a) {
-		return b
-	}
-	return a
-}
--- a/agentfleet/template/store.go
+++ b/agentfleet/template/store.go
@@ -60,18 +60,13 @@
 	return nil, last
 }
 
-// newest returns the newest accepted revision.
-func (s *Store) newest(ctx context.Context) (int64, error) {
-	rows, err := s.table.Get(ctx, rowRevision)
-	if err != nil {
-		return 0, err
-	}
-	return parseRevision(rows[0])
-}
-
 // Since returns the newest revision and the templates above another one.
 func (s *Store) Since(ctx context.Context, revision int64) (int64, []ryeford.Template, error) {
-	newest, err := s.newest(ctx)
+	revisionRow, err := s.table.Get(ctx, rowRevision)
+	if err != nil {
+		return revision, nil, err
+	}
+	newest, err := parseRevision(revisionRow[0])
 	if err != nil || newest <= revision {
 		return revision, nil, err
 	}
