--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -27,6 +27,7 @@
 	"github.com/ryeford/ryeford/agentfleet/admission"
 	"github.com/ryeford/ryeford/agentfleet/decision"
 	"github.com/ryeford/ryeford/agentfleet/engine"
+	"github.com/ryeford/ryeford/agentfleet/plan"
 	"github.com/ryeford/ryeford/agentfleet/template"
 	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/internal/telemetry"
@@ -52,6 +53,7 @@
 	backends map[ryeford.EngineID]*backend
 	attempts *attempts
 	book     *template.Book
+	plan     *plan.Current // this VM's part of it
 
 	leaving atomic.Bool
 	leave   chan struct{} // closed when leaving begins
@@ -59,7 +61,6 @@
 	mu      sync.Mutex
 	changed chan struct{}                // closed at the next change of the inventory
 	peers   map[*transport.Conn]struct{} // connected routers
-	plan    *ryeford.Plan                // the newest known, this VM's part of it; nil before the first
 }
 
 // New returns an Agent that listens. Its engines are asked what they serve once
@@ -83,6 +84,7 @@
 		backends:    make(map[ryeford.EngineID]*backend),
 		attempts:    newAttempts(s.Limits.Keep, s.Limits.ClockSkew),
 		book:        template.NewBook(),
+		plan:        plan.NewCurrent(),
 		leave:       make(chan struct{}),
 		changed:     make(chan struct{}),
 		peers:       make(map[*transport.Conn]struct{}),
--- a/agentfleet/agent/gossip.go
+++ b/agentfleet/agent/gossip.go
@@ -30,7 +30,7 @@
 
 // gossipMessage returns the state that the agent sends to its peers.
 func (a *Agent) gossipMessage() *wire.Gossip {
-	epoch, sequence := a.knownPlan()
+	epoch, sequence := a.plan.Version()
 	m := &wire.Gossip{
 		VM:           a.settings.VM,
 		Revision:     a.book.Revision(),
@@ -69,7 +69,7 @@
 		if m.Revision > a.book.Revision() {
 			gossip.PullTemplates(ctx, conn, a.book)
 		}
-		if a.planIsNewer(m.PlanEpoch, m.PlanSequence) {
+		if a.plan.OlderThan(m.PlanEpoch, m.PlanSequence) {
 			a.pullPlan(ctx, conn)
 		}
 	})
--- a/agentfleet/agent/plan.go
+++ b/agentfleet/agent/plan.go
@@ -20,42 +20,15 @@
 	orderTimeout = time.Minute
 )
 
-// knownPlan returns the epoch and sequence of the newest plan.
-func (a *Agent) knownPlan() (epoch, sequence int64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.plan == nil {
-		return 0, 0
-	}
-	return a.plan.Epoch, a.plan.Sequence
-}
-
-// planIsNewer reports whether a plan supersedes the one that is known. A router
-// without a plan names epoch 0.
-func (a *Agent) planIsNewer(epoch, sequence int64) bool {
-	if epoch == 0 {
-		return false
-	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return (&ryeford.Plan{Epoch: epoch, Sequence: sequence}).Newer(a.plan)
-}
-
 // pullPlan reads this VM's part of the plan from a router. After an error the next
 // gossip of a router shows the newer plan again.
 func (a *Agent) pullPlan(ctx context.Context, conn *transport.Conn) {
 	ctx, cancel := context.WithTimeout(ctx, gossip.PullTimeout)
 	defer cancel()
 	m, err := conn.Ask(ctx, &wire.Message{PullPlan: &wire.PullPlan{VM: a.settings.VM}})
-	if err != nil || m.Plan == nil {
-		return
-	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !m.Plan.Newer(a.plan) {
+	if err != nil || m.Plan == nil || !a.plan.Set(m.Plan) {
 		return
 	}
-	a.plan = m.Plan
 	a.decisions.Record("", "decision", "plan", "epoch", m.Plan.Epoch, "sequence", m.Plan.Sequence, "assignments", len(m.Plan.Assignments))
 }
 
@@ -63,9 +36,7 @@
 // One order is under way at a time. A leaving agent gives none.
 func (a *Agent) applyPlan(ctx context.Context) error {
 	return every(ctx, planCheckInterval, func() {
-		a.mu.Lock()
-		plan := a.plan
-		a.mu.Unlock()
+		plan := a.plan.Get()
 		if plan == nil || a.leaving.Load() {
 			return
 		}
--- /dev/null
+++ b/agentfleet/plan/current_test.go
@@ -0,0 +1,58 @@
+package plan
+
+import (
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/ryeford/ryeford"
+)
+
+// TestSupersede checks which plans take the place of the current one, and that only
+// these are announced.
+func TestSupersede(t *testing.T) {
+	for _, test := range []struct {
+		name            string
+		current         *ryeford.Plan
+		epoch, sequence int64
+		want            bool
+	}{
+		{"the first", nil, 1, 1, true},
+		{"a later sequence", &ryeford.Plan{Epoch: 2, Sequence: 3}, 2, 4, true},
+		{"the same", &ryeford.Plan{Epoch: 2, Sequence: 3}, 2, 3, false},
+		{"an earlier sequence", &ryeford.Plan{Epoch: 2, Sequence: 3}, 2, 2, false},
+		{"a later epoch", &ryeford.Plan{Epoch: 2, Sequence: 3}, 3, 4, true},
+		{"an earlier epoch", &ryeford.Plan{Epoch: 2, Sequence: 3}, 1, 9, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := NewCurrent()
+			if test.current != nil {
+				assert.Assert(t, c.Set(test.current))
+			}
+			assert.Assert(t, !c.OlderThan(0, 0), "no plan supersedes one")
+			assert.Equal(t, c.OlderThan(test.epoch, test.sequence), test.want)
+			changed := c.Changed()
+			assert.Equal(t, c.Set(&ryeford.Plan{Epoch: test.epoch, Sequence: test.sequence}), test.want)
+			select {
+			case <-changed:
+				assert.Assert(t, test.want, "announced")
+			default:
+				assert.Assert(t, !test.want, "not announced")
+			}
+		})
+	}
+}
+
+// TestPartOf checks that a VM's part has the plan's version and its assignments alone.
+func TestPartOf(t *testing.T) {
+	c := NewCurrent()
+	assert.DeepEqual(t, c.PartOf("endpoint-1"), &ryeford.Plan{})
+	c.Set(&ryeford.Plan{Epoch: 2, Sequence: 3, Assignments: []ryeford.Assignment{
+		{Engine: "endpoint-1.1", VM: "endpoint-1"},
+		{Engine: "endpoint-2.1", VM: "endpoint-2"},
+	}})
+	assert.DeepEqual(t, c.PartOf("endpoint-1"), &ryeford.Plan{Epoch: 2, Sequence: 3, Assignments: []ryeford.Assignment{
+		{Engine: "endpoint-1.1", VM: "endpoint-1"},
+	}})
+	assert.DeepEqual(t, c.PartOf("endpoint-3"), &ryeford.Plan{Epoch: 2, Sequence: 3})
+}
--- a/agentfleet/router/agentrequests.go
+++ b/agentfleet/router/agentrequests.go
@@ -32,7 +32,7 @@
 		revision, templates := r.book.Since(m.Pull.Revision)
 		stream.Reply(&wire.Message{Delta: &wire.Delta{Revision: revision, Templates: templates}})
 	case m.PullPlan != nil:
-		stream.Reply(&wire.Message{Plan: r.planner.plan.partOf(m.PullPlan.VM)})
+		stream.Reply(&wire.Message{Plan: r.planner.plan.PartOf(m.PullPlan.VM)})
 	case m.Successors != nil:
 		stream.Reply(&wire.Message{Placements: r.successors(m.Successors)})
 	}
--- a/agentfleet/router/gossip.go
+++ b/agentfleet/router/gossip.go
@@ -16,7 +16,7 @@
 		Interval:    r.settings.Transport.GossipInterval,
 		Book:        r.book,
 		Decisions:   r.decisions,
-		PlanChanged: r.planner.plan.changed,
+		PlanChanged: r.planner.plan.Changed,
 		Send:        r.sendGossip,
 	}
 	return loop.Run(ctx)
@@ -42,7 +42,7 @@
 func (r *Router) sendTo(conn *transport.Conn, m *wire.Gossip) {
 	m.VM = r.settings.VM
 	m.Revision = r.book.Revision()
-	m.PlanEpoch, m.PlanSequence = r.planner.plan.version()
+	m.PlanEpoch, m.PlanSequence = r.planner.plan.Version()
 	gossip.Send(r.control, m, conn)
 }
 
--- a/agentfleet/router/planner.go
+++ b/agentfleet/router/planner.go
@@ -9,6 +9,7 @@
 
 	"github.com/ryeford/ryeford/agentfleet/lease"
 	"github.com/ryeford/ryeford/agentfleet/placement"
+	"github.com/ryeford/ryeford/agentfleet/plan"
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
@@ -20,7 +21,7 @@
 	router *Router
 	lease  *lease.Lease
 	recent recentEngines // used by run only
-	plan   currentPlan
+	plan   *plan.Current
 }
 
 // newPlanner returns a planner without a plan.
@@ -29,7 +30,7 @@
 		router: r,
 		lease:  lease.New(r.platform, leaseName, r.settings.VM, uuid.NewString(), r.settings.Planner.Lease),
 		recent: make(recentEngines),
-		plan:   newCurrentPlan(),
+		plan:   plan.NewCurrent(),
 	}
 }
 
@@ -86,7 +87,7 @@
 	s := &p.router.settings.Planner
 	now := time.Now()
 	_, templates := p.router.book.Since(0)
-	connected, leaving := placeable(p.router.fleet.all(), p.plan.get())
+	connected, leaving := placeable(p.router.fleet.all(), p.plan.Get())
 	return &placement.Input{
 		Now:           now,
 		Templates:     templates,
--- a/agentfleet/router/planstore.go
+++ b/agentfleet/router/planstore.go
@@ -39,7 +39,7 @@
 
 // follow reads the plan that a row names, if it is newer than the one known here.
 func (p *planner) follow(ctx context.Context, pointer planPointer) error {
-	if pointer.Object == "" || !(&ryeford.Plan{Epoch: pointer.Epoch, Sequence: pointer.Sequence}).Newer(p.plan.get()) {
+	if !p.plan.OlderThan(pointer.Epoch, pointer.Sequence) {
 		return nil
 	}
 	content, err := p.router.platform.GetObject(ctx, pointer.Object)
@@ -50,14 +50,14 @@
 	if err := json.Unmarshal(content, plan); err != nil {
 		return &PlanError{Op: "read plan " + pointer.Object, Err: err}
 	}
-	p.plan.set(plan)
+	p.plan.Set(plan)
 	return nil
 }
 
 // publish makes a plan, and makes it current if it says something new.
 func (p *planner) publish(ctx context.Context, held *lease.Held, pointer planPointer, version int64) error {
 	out := placement.Plan(p.input())
-	if !worthPublishing(p.plan.get(), out.Assignments) {
+	if !worthPublishing(p.plan.Get(), out.Assignments) {
 		return nil
 	}
 	plan := &ryeford.Plan{Epoch: held.Epoch, Sequence: pointer.Sequence + 1, Assignments: out.Assignments}
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	p.plan.set(plan)
+	p.plan.Set(plan)
 	return nil
 }
 
--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -3,7 +3,7 @@
 // operators.
 //
 // It owns nothing that must last. It holds what agents say of themselves (fleet, loads),
-// the templates in force (template.Book), the current plan (currentPlan) and the
+// the templates in force (template.Book), the current plan (plan.Current) and the
 // accounts' budgets for further dispatches; all of it is read or earned again after a
 // restart. Claims of idempotency keys, templates, plans and the planner's lease are rows
 // and objects of the platform.
--- a/imports_test.go
+++ b/imports_test.go
@@ -81,6 +81,7 @@
 	"agentfleet/engine":       {plumbing, agents},
 	"agentfleet/gossip":       {plumbing, agents},
 	"agentfleet/lease":        {plumbing, agents},
+	"agentfleet/plan":         {plumbing, agents},
 	"agentfleet/tableservice": {plumbing, agents},
 	"agentfleet/template":     {plumbing, agents},
 	"agentfleet/transport":    {plumbing, agents},
