--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -15,8 +15,7 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// TestStrangers checks that what is no well-formed request is refused and runs
-// nowhere.
+// TestStrangers checks that a malformed request is refused and runs nowhere.
 func TestStrangers(t *testing.T) {
 	f := startedFixture(t, nil)
 	const head = "Host: host.example\r\nRyeford-Request-Id: s1\r\nAuthorization: Bearer key-1\r\n"
@@ -46,21 +45,21 @@
 			assert.Assert(t, strings.HasPrefix(line, "HTTP/1.1 "+test.want), line)
 		})
 	}
-	for _, server := range f.servers {
+	for _, server := range f.endpoints {
 		assert.Equal(t, len(server.Received()), 0)
 	}
 }
 
-// TestBodies checks that callers' bodies are bounded in sum: what does not fit is
-// refused with a time, and what was kept is given back.
+// TestBodies checks that callers' bodies are bounded in sum: a request whose body does
+// not fit is refused with a Retry-After, and the memory of a finished one is freed.
 func TestBodies(t *testing.T) {
 	f := startedFixture(t, func(s *settings.Gateway) { s.Memory = 16 }) // 4 MB of bodies
 	f.setFaults(appserver.FaultHang, -1)
-	config := baseConfig()
-	config["version"] = 2
-	config["limits"].(jsonMap)["maxBodyBytes"] = 3 << 20
-	f.setConfig(config)
-	f.eventually(func() bool { return strings.Contains(f.log.String(), "version=2") })
+	config := baseConfiguration()
+	config.Version = 2
+	config.Limits.MaxBodyBytes = 3 << 20
+	f.putConfiguration(config)
+	f.awaitLog("version=2")
 	large := strings.Repeat("x", 3<<20)
 	ctx, cancel := context.WithCancel(context.Background())
 	first := make(chan struct{})
@@ -68,33 +67,37 @@
 		defer close(first)
 		_, _ = f.client.Do(f.request("POST", "/once/a", "key-1", large).WithContext(ctx))
 	}()
-	f.eventually(func() bool { return len(f.servers["p1"].Received())+len(f.servers["p2"].Received()) == 1 })
+	f.await("the first request at an endpoint", func() bool { return len(f.endpoints["p1"].Received())+len(f.endpoints["p2"].Received()) == 1 })
 	got := f.do(f.request("POST", "/once/a", "key-1", large))
 	assert.Equal(t, got.status, 503)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 	cancel()
 	<-first
 	f.setFaults(appserver.FaultNone, 0)
-	f.eventually(func() bool { return f.do(f.request("POST", "/once/a", "key-1", large)).status == 200 })
+	f.await("memory for another body", func() bool { return f.do(f.request("POST", "/once/a", "key-1", large)).status == 200 })
 }
 
-// TestSlowSenders checks that a caller that does not finish a header, or lets a
-// connection idle for too long, is cut off at the operators' times, and that a
-// later configuration changes them.
+// TestSlowSenders checks that the connection of a caller that does not finish a header,
+// or that is idle, is closed after the operators' timeouts, and that a later
+// configuration changes these.
 func TestSlowSenders(t *testing.T) {
-	// below the times that hold if the operators set none
+	// shorter than the timeouts that apply if the operators set none
 	const limit = 8 * time.Second
-	for name, test := range map[string]struct{ limit, sends string }{
-		"header": {"headerTimeoutMs", "GET /safe/a HTTP/1.1\r\nHost: host"},
-		"idle":   {"idleTimeoutMs", "GET /none/a HTTP/1.1\r\nHost: host.example\r\nRyeford-Request-Id: s1\r\n\r\n"},
+	const long, short = 3_600_000, 100 // milliseconds
+	for name, test := range map[string]struct {
+		headerTimeoutMs, idleTimeoutMs float64
+		sends                          string
+	}{
+		"header": {short, long, "GET /safe/a HTTP/1.1\r\nHost: host"},
+		"idle":   {long, short, "GET /none/a HTTP/1.1\r\nHost: host.example\r\nRyeford-Request-Id: s1\r\n\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := startedFixture(t, nil)
-			config := baseConfig()
-			config["version"] = 2
-			config["limits"] = jsonMap{"maxHeaderBytes": 16384, "maxBodyBytes": 65536, "headerTimeoutMs": 3600000, "idleTimeoutMs": 3600000, test.limit: 100}
-			f.setConfig(config)
-			f.eventually(func() bool { return strings.Contains(f.log.String(), "version=2") })
+			config := baseConfiguration()
+			config.Version = 2
+			config.Limits.HeaderTimeoutMs, config.Limits.IdleTimeoutMs = test.headerTimeoutMs, test.idleTimeoutMs
+			f.putConfiguration(config)
+			f.awaitLog("version=2")
 			conn, err := net.Dial("tcp", strings.TrimPrefix(f.base, "http://"))
 			assert.NilError(t, err)
 			defer func() { _ = conn.Close() }()
@@ -107,13 +110,13 @@
 	}
 }
 
-// TestCallerGone checks that a server's work ends once its caller has gone.
+// TestCallerGone checks that an endpoint's work ends once its caller has gone.
 func TestCallerGone(t *testing.T) {
 	f := startedFixture(t, nil)
 	f.setFaults(appserver.FaultHang, -1)
 	working := func() int {
 		n := 0
-		for _, server := range f.servers {
+		for _, server := range f.endpoints {
 			n += server.Working()
 		}
 		return n
@@ -126,15 +129,15 @@
 			defer close(gone)
 			_, _ = f.client.Do(request)
 		}()
-		f.eventually(func() bool { return working() == 1 })
+		f.await("the start of the work", func() bool { return working() == 1 })
 		cancel()
 		<-gone
-		f.eventually(func() bool { return working() == 0 })
+		f.await("the end of the work", func() bool { return working() == 0 })
 	}
 }
 
-// TestRouteTimeout checks that a request is answered once its route's time is
-// over, though its caller would wait.
+// TestRouteTimeout checks that a request is answered 504 after its route's timeout,
+// though its caller would wait for longer.
 func TestRouteTimeout(t *testing.T) {
 	f := startedFixture(t, nil)
 	f.setFaults(appserver.FaultHang, -1)
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -20,6 +20,7 @@
 	"github.com/ryeford/ryeford/internal/freeport"
 	"github.com/ryeford/ryeford/internal/telemetry"
 	"github.com/ryeford/ryeford/platform"
+	"github.com/ryeford/ryeford/platform/wire"
 	"github.com/ryeford/ryeford/settings"
 	"github.com/ryeford/ryeford/standin/appserver"
 	"github.com/ryeford/ryeford/standin/rowstore"
@@ -29,53 +30,53 @@
 // on speed.
 const conditionLimit = 20 * time.Second
 
-// jsonMap is a JSON object of the platform.
-type jsonMap = map[string]any
-
-// A fixture is a gateway among stand-ins, on loopback.
+// A fixture is a gateway among stand-ins, on loopback. It takes the platform's names
+// from platform/wire; tests that check a name spell it out.
 type fixture struct {
-	t       *testing.T
-	store   *rowstore.Store
-	servers map[string]*appserver.Server
-	base    string
-	ready   string
-	client  *http.Client
-	stop    context.CancelFunc
-	done    chan error
-	log     *lockedBuffer
-	next    int
-	// cutOff lets the gateway's calls of the store fail; cut ends those that wait.
-	cutOff atomic.Bool
-	cut    func()
+	t         *testing.T
+	store     *rowstore.Store
+	endpoints map[string]*appserver.Server // by ID
+	base      string                       // URL that callers connect to
+	ready     string                       // URL that is probed
+	client    *http.Client
+	stop      context.CancelFunc // orders the gateway to stop
+	done      chan error         // what Run returned
+	log       *lockedBuffer
+	requests  int // so many were made
+	// storeCutOff makes the gateway's calls of the store fail; closeStoreConns ends
+	// those under way.
+	storeCutOff     atomic.Bool
+	closeStoreConns func()
 }
 
-// newFixture starts a gateway. change may change its settings.
-func newFixture(t *testing.T, config jsonMap, change func(*settings.Gateway)) *fixture {
+// newFixture starts a gateway. config is the operators' configuration, nil for none;
+// change may change the gateway's settings.
+func newFixture(t *testing.T, config *wire.Configuration, change func(*settings.Gateway)) *fixture {
 	t.Helper()
 	return newFixtureAt(t, rowstore.New(), config, change)
 }
 
 // newFixtureAt starts a gateway that shares its store with others.
-func newFixtureAt(t *testing.T, store *rowstore.Store, config jsonMap, change func(*settings.Gateway)) *fixture {
+func newFixtureAt(t *testing.T, store *rowstore.Store, config *wire.Configuration, change func(*settings.Gateway)) *fixture {
 	t.Helper()
 	f := &fixture{
-		t:       t,
-		store:   store,
-		servers: make(map[string]*appserver.Server),
-		client:  &http.Client{Transport: &http.Transport{DisableCompression: true}},
-		done:    make(chan error, 1),
-		log:     &lockedBuffer{},
+		t:         t,
+		store:     store,
+		endpoints: make(map[string]*appserver.Server),
+		client:    &http.Client{Transport: &http.Transport{DisableCompression: true}},
+		done:      make(chan error, 1),
+		log:       &lockedBuffer{},
 	}
 	storeServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if f.cutOff.Load() {
+		if f.storeCutOff.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		f.store.ServeHTTP(w, r)
 	}))
-	f.cut = storeServer.CloseClientConnections
+	f.closeStoreConns = storeServer.CloseClientConnections
 	t.Cleanup(storeServer.Close)
 	if config != nil {
-		f.setConfig(config)
+		f.putConfiguration(config)
 	}
 	s := settings.DefaultGateway()
 	s.VM, s.Region, s.FailureDomain = "router-1", "region", "a"
@@ -111,8 +112,8 @@
 	return f
 }
 
-// awaitStopped probes readiness, as the balancer would, until the gateway has
-// stopped.
+// awaitStopped waits until the gateway has stopped, and probes it meanwhile as the
+// load balancer would: it goes on serving until probes have failed.
 func (f *fixture) awaitStopped() {
 	for {
 		select {
@@ -126,15 +127,22 @@
 	}
 }
 
-// setConfig writes the operators' configuration.
-func (f *fixture) setConfig(config jsonMap) {
+// cutOffStore cuts the gateway off from the store.
+func (f *fixture) cutOffStore() {
+	f.storeCutOff.Store(true)
+	f.closeStoreConns()
+}
+
+// putConfiguration writes the operators' configuration.
+func (f *fixture) putConfiguration(config *wire.Configuration) {
 	f.t.Helper()
-	_, err := f.store.PutJSON("op", "config", config)
+	_, err := f.store.PutJSON(wire.TableOperators, wire.KeyConfig, config)
 	assert.NilError(f.t, err)
 }
 
-// addServer starts a server of a service and enters it into the list.
-func (f *fixture) addServer(service, id string, events int) *appserver.Server {
+// addEndpoint starts an endpoint of a service and writes its row. It answers with so
+// many events, or with a plain body if events is zero.
+func (f *fixture) addEndpoint(service, id string, events int) *appserver.Server {
 	f.t.Helper()
 	server := &appserver.Server{ID: id, Events: events, Step: time.Millisecond}
 	httpServer := httptest.NewServer(server)
@@ -142,24 +150,44 @@
 		httpServer.CloseClientConnections()
 		httpServer.Close()
 	})
-	f.servers[id] = server
-	f.enter(service, id, strings.TrimPrefix(httpServer.URL, "http://"), "ready")
+	f.endpoints[id] = server
+	f.putEndpoint(service, id, strings.TrimPrefix(httpServer.URL, "http://"), wire.StateReady)
 	return server
 }
 
-// enter writes a server's entry.
-func (f *fixture) enter(service, id, address, state string) {
+// putEndpoint writes an endpoint's row.
+func (f *fixture) putEndpoint(service, id, address, state string) {
 	f.t.Helper()
-	_, err := f.store.PutJSON("servers", id, jsonMap{
-		"service": service, "address": address, "zone": "a", "slots": 64, "state": state,
+	_, err := f.store.PutJSON(wire.TableEndpoints, id, wire.Endpoint{
+		Service: service, Address: address, FailureDomain: "a", Slots: 64, State: state,
 	})
 	assert.NilError(f.t, err)
 }
 
-// awaitReady waits until the gateway calls itself ready, or no longer.
+// setFaults makes every endpoint apply a fault to its next n requests, or to all if n
+// is negative.
+func (f *fixture) setFaults(fault appserver.Fault, n int) {
+	for _, server := range f.endpoints {
+		server.SetFault(fault, n)
+	}
+}
+
+// await waits for a condition. what says what is missing if it never comes true.
+func (f *fixture) await(what string, condition func() bool) {
+	f.t.Helper()
+	limit := time.Now().Add(conditionLimit)
+	for !condition() {
+		if time.Now().After(limit) {
+			f.t.Fatal(what + " never came")
+		}
+		time.Sleep(2 * time.Millisecond)
+	}
+}
+
+// awaitReady waits until a readiness probe succeeds, or until one fails.
 func (f *fixture) awaitReady(want bool) {
 	f.t.Helper()
-	f.eventually(func() bool {
+	f.await(fmt.Sprintf("ready=%t", want), func() bool {
 		response, err := http.Get(f.ready + platform.PathReady)
 		if err != nil {
 			return false
@@ -169,16 +197,23 @@
 	})
 }
 
-// eventually waits for a condition.
-func (f *fixture) eventually(condition func() bool) {
+// awaitLog waits until the gateway's log contains a text.
+func (f *fixture) awaitLog(text string) {
 	f.t.Helper()
-	limit := time.Now().Add(conditionLimit)
-	for !condition() {
-		if time.Now().After(limit) {
-			f.t.Fatal("the condition never came")
-		}
-		time.Sleep(2 * time.Millisecond)
-	}
+	f.await(text+" in the log", func() bool { return strings.Contains(f.log.String(), text) })
+}
+
+// awaitEndpoints waits until the gateway's list has n endpoints.
+func (f *fixture) awaitEndpoints(n int) {
+	f.t.Helper()
+	f.awaitLog(fmt.Sprintf("known=%d", n))
+}
+
+// awaitStatus sends requests until one is answered with a status.
+func (f *fixture) awaitStatus(status int, method, path string) {
+	f.t.Helper()
+	what := fmt.Sprintf("status %d of %s %s", status, method, path)
+	f.await(what, func() bool { return f.call(method, path).status == status })
 }
 
 // A reply is an answer as a caller got it.
@@ -191,7 +226,7 @@
 	err    error // the body broke off
 }
 
-// request returns a caller's request.
+// request returns a request of a caller, with a key unless that is empty.
 func (f *fixture) request(method, path, key, body string) *http.Request {
 	f.t.Helper()
 	var reader io.Reader
@@ -200,12 +235,12 @@
 	}
 	request, err := http.NewRequest(method, f.base+path, reader)
 	assert.NilError(f.t, err)
-	f.next++
-	request.Host = "host.example"
-	request.Header.Set("Ryeford-Request-Id", fmt.Sprintf("r%d", f.next))
-	request.Header.Set("Ryeford-Deadline-Ms", "5000")
+	f.requests++
+	request.Host = testHost
+	request.Header.Set(wire.HeaderRequestID, fmt.Sprintf("r%d", f.requests))
+	request.Header.Set(wire.HeaderTimeout, "5000")
 	if key != "" {
-		request.Header.Set("Authorization", "Bearer "+key)
+		request.Header.Set(wire.HeaderAuthorization, "Bearer "+key)
 	}
 	return request
 }
@@ -213,7 +248,7 @@
 // do sends a request and reads its answer.
 func (f *fixture) do(request *http.Request) reply {
 	f.t.Helper()
-	id := request.Header.Get("Ryeford-Request-Id")
+	id := request.Header.Get(wire.HeaderRequestID)
 	response, err := f.client.Do(request)
 	if err != nil {
 		return reply{id: id, err: err}
@@ -229,83 +264,81 @@
 	return f.do(f.request(method, path, "key-1", ""))
 }
 
-// runs returns how often a request has run on all servers together.
+// runs returns how often a request has run at all endpoints together.
 func (f *fixture) runs(id string) int {
 	n := 0
-	for _, server := range f.servers {
+	for _, server := range f.endpoints {
 		n += server.Runs(id)
 	}
 	return n
 }
 
-// baseConfig returns a configuration with one route of each kind.
-func baseConfig() jsonMap {
-	route := func(name, kind, service string, attempts int, more jsonMap) jsonMap {
-		result := jsonMap{
-			"name": name, "host": "host.example", "pathPrefix": "/" + name + "/", "kind": kind, "service": service,
-			"timeoutMs": 4000, "goalMs": 2000, "priority": 1, "maxAttempts": attempts,
-		}
-		for key, value := range more {
-			result[key] = value
+// testHost is the host of all routes.
+const testHost = "host.example"
+
+// The kind of route whose requests run at most once. Any kind will do that is neither
+// wire.KindIdempotent nor wire.KindStream.
+const kindAtMostOnce = "unsafe"
+
+// baseConfiguration returns a configuration with one route of each kind, named as its
+// prefix. "hasty" allows only 200 ms; "open" needs no key.
+func baseConfiguration() *wire.Configuration {
+	route := func(name, kind, service string, maxAttempts int) wire.Route {
+		return wire.Route{
+			Name: name, Host: testHost, Prefix: "/" + name + "/", Kind: kind, Service: service,
+			TimeoutMs: 4000, GoalMs: 2000, Rank: 1, MaxAttempts: maxAttempts,
 		}
-		return result
 	}
-	return jsonMap{
-		"version": 1,
-		"routes": []any{
-			route("once", "unsafe", "plain", 2, nil),
-			route("single", "unsafe", "plain", 1, nil),
-			route("safe", "safe", "plain", 2, nil),
-			route("hasty", "unsafe", "plain", 1, jsonMap{"timeoutMs": 200}),
-			route("open", "safe", "plain", 2, jsonMap{"public": true}),
-			route("stream", "streaming", "model", 1, nil),
-			route("resume", "streaming", "model", 3, jsonMap{"resumable": true}),
+	hasty := route("hasty", kindAtMostOnce, "plain", 1)
+	hasty.TimeoutMs = 200
+	open := route("open", wire.KindIdempotent, "plain", 2)
+	open.Public = true
+	resume := route("resume", wire.KindStream, "model", 3)
+	resume.Resumable = true
+	rank := 3
+	return &wire.Configuration{
+		Version: 1,
+		Routes: []wire.Route{
+			route("once", kindAtMostOnce, "plain", 2),
+			route("single", kindAtMostOnce, "plain", 1),
+			route("safe", wire.KindIdempotent, "plain", 2),
+			hasty,
+			open,
+			route("stream", wire.KindStream, "model", 1),
+			resume,
 		},
-		"services": []any{jsonMap{"name": "plain"}, jsonMap{"name": "model", "engine": jsonMap{"slots": 64, "kvCapacity": 1000}}},
-		"limits":   jsonMap{"maxHeaderBytes": 16384, "maxBodyBytes": 65536, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
-		"tenants": []any{
-			jsonMap{"name": "bank", "apiKeys": []any{"key-1", "key-2"}, "priority": 3},
-			jsonMap{"name": "church", "apiKeys": []any{"key-3"}},
+		Limits: wire.Limits{MaxBodyBytes: 65536, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
+		Accounts: &[]wire.Account{
+			{Name: "bank", Keys: []string{"key-1", "key-2"}, Rank: &rank},
+			{Name: "church", Keys: []string{"key-3"}},
 		},
 	}
 }
 
-// withoutKey returns a later version of baseConfig without a key.
-func withoutKey() jsonMap {
-	config := baseConfig()
-	config["version"] = 2
-	config["tenants"] = []any{jsonMap{"name": "bank", "apiKeys": []any{"key-2"}}}
+// keyRevoked returns version 2 of baseConfiguration, in which key-2 is the only key.
+func keyRevoked() *wire.Configuration {
+	config := baseConfiguration()
+	config.Version = 2
+	config.Accounts = &[]wire.Account{{Name: "bank", Keys: []string{"key-2"}}}
 	return config
 }
 
-// startedFixture returns a ready fixture with two servers of each service.
+// startedFixture returns a fixture that is ready and knows its endpoints: p1 and p2 of
+// service plain, m1 to m3 of service model.
 func startedFixture(t *testing.T, change func(*settings.Gateway)) *fixture {
 	t.Helper()
-	f := newFixture(t, baseConfig(), change)
+	f := newFixture(t, baseConfiguration(), change)
 	for _, id := range []string{"p1", "p2"} {
-		f.addServer("plain", id, 0)
+		f.addEndpoint("plain", id, 0)
 	}
 	for _, id := range []string{"m1", "m2", "m3"} {
-		f.addServer("model", id, 5)
+		f.addEndpoint("model", id, 5)
 	}
 	f.awaitReady(true)
-	f.awaitServers(5)
+	f.awaitEndpoints(5)
 	return f
 }
 
-// awaitServers waits until the gateway knows so many servers.
-func (f *fixture) awaitServers(n int) {
-	f.t.Helper()
-	f.eventually(func() bool { return strings.Contains(f.log.String(), fmt.Sprintf("known=%d", n)) })
-}
-
-// setFaults lets all servers meet a fault on their next n requests each.
-func (f *fixture) setFaults(fault appserver.Fault, n int) {
-	for _, server := range f.servers {
-		server.SetFault(fault, n)
-	}
-}
-
 // events returns the whole stream of n events.
 func events(n int) string {
 	var b bytes.Buffer
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -6,7 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPath plays a request of each kind.
+// TestPath checks the answer to a request of each kind of route, with and without a
+// valid key, and that only an endpoint's answer is signed.
 func TestPath(t *testing.T) {
 	f := startedFixture(t, nil)
 	for _, test := range []struct {
@@ -31,13 +32,14 @@
 	assert.Equal(t, f.call("POST", "/stream/b").body, events(5))
 }
 
-// TestExactForward checks that a server gets what the caller sent, less what is
-// not for it, plus what the system sets.
+// TestExactForward checks that an endpoint gets what the caller sent, without headers
+// that only the system may set or that belong to one connection, and with what the
+// system sets.
 func TestExactForward(t *testing.T) {
-	f := newFixture(t, baseConfig(), nil)
-	server := f.addServer("plain", "p1", 0)
+	f := newFixture(t, baseConfiguration(), nil)
+	server := f.addEndpoint("plain", "p1", 0)
 	f.awaitReady(true)
-	f.awaitServers(1)
+	f.awaitEndpoints(1)
 	request := f.request("POST", "/once/a%2Fb//c?x=%20y&x=2", "key-1", "the body")
 	for name, value := range map[string]string{
 		"X-Own": "kept", "Ryeford-Model": "m", "Ryeford-Token-Count": "10,2", "Ryeford-Length-Hint": "7",
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 	"time"
 
@@ -10,20 +9,21 @@
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/internal/freeport"
+	"github.com/ryeford/ryeford/platform/wire"
 	"github.com/ryeford/ryeford/settings"
 	"github.com/ryeford/ryeford/standin/rowstore"
 )
 
-// newPeers starts n gateways that share a store and gossip, with the time after which
-// a revoked key must not work. change may change the settings of the i-th.
+// newPeers starts n gateways that share a store and gossip. revoke is the time after
+// which a revoked key must not work; change may change the settings of the i-th.
 func newPeers(t *testing.T, n int, revoke time.Duration, change func(i int, s *settings.Gateway)) []*fixture {
 	t.Helper()
 	store := rowstore.New()
 	gateways := make([]*fixture, n)
 	for i := range gateways {
-		var config jsonMap
+		var config *wire.Configuration
 		if i == 0 {
-			config = baseConfig()
+			config = baseConfiguration()
 		}
 		gateways[i] = newFixtureAt(t, store, config, func(s *settings.Gateway) {
 			s.VM = ryeford.VMID(fmt.Sprintf("router-%d", i))
@@ -34,34 +34,33 @@
 			}
 		})
 	}
-	gateways[0].addServer("plain", "p1", 0)
-	gateways[0].addServer("plain", "p2", 0)
+	gateways[0].addEndpoint("plain", "p1", 0)
+	gateways[0].addEndpoint("plain", "p2", 0)
 	for _, f := range gateways {
 		f.awaitReady(true)
-		f.awaitServers(2)
+		f.awaitEndpoints(2)
 	}
 	for _, f := range gateways {
-		f.eventually(func() bool { return strings.Contains(f.log.String(), fmt.Sprintf("decision=peers alive=%d", n-1)) })
+		f.awaitLog(fmt.Sprintf("decision=peers alive=%d", n-1))
 	}
 	return gateways
 }
 
 // TestPeersRenewLease checks that a router that is cut off from the store goes on
-// serving for as long as its peers confirm what it knows, and that a key that is
-// revoked meanwhile stops to work there within its time all the same.
+// serving for as long as its peers confirm the configuration, and that a key that is
+// revoked meanwhile stops working there in time all the same.
 func TestPeersRenewLease(t *testing.T) {
 	const revoke = 1500 * time.Millisecond
 	gateways := newPeers(t, 3, revoke, nil)
 	cut, sound := gateways[0], gateways[1]
-	cut.cutOff.Store(true)
-	cut.cut()
-	cut.eventually(func() bool { return strings.Contains(cut.log.String(), "dependency lost") })
+	cut.cutOffStore()
+	cut.awaitLog("dependency lost")
 	for since := time.Now(); time.Since(since) < 2*revoke; time.Sleep(20 * time.Millisecond) {
 		assert.Equal(t, cut.call("GET", "/safe/a").status, 200)
 	}
-	sound.setConfig(withoutKey())
+	sound.putConfiguration(keyRevoked())
 	acknowledged := time.Now()
-	sound.eventually(func() bool { return sound.call("GET", "/safe/a").status == 401 })
+	sound.awaitStatus(401, "GET", "/safe/a")
 	for {
 		sent := time.Now()
 		got := cut.call("GET", "/safe/a")
@@ -72,8 +71,8 @@
 		assert.Assert(t, sent.Sub(acknowledged) < revoke, "the key worked %s after it was revoked", sent.Sub(acknowledged))
 	}
 	assert.Equal(t, cut.call("GET", "/safe/a").status, 503)
-	cut.cutOff.Store(false)
-	cut.eventually(func() bool { return cut.call("GET", "/safe/a").status == 401 })
+	cut.storeCutOff.Store(false)
+	cut.awaitStatus(401, "GET", "/safe/a")
 }
 
 // TestPeersCutOffTogether checks that routers which all lost the store do not renew
@@ -81,11 +80,10 @@
 func TestPeersCutOffTogether(t *testing.T) {
 	gateways := newPeers(t, 2, 1200*time.Millisecond, nil)
 	for _, f := range gateways {
-		f.cutOff.Store(true)
-		f.cut()
+		f.cutOffStore()
 	}
 	for _, f := range gateways {
-		f.eventually(func() bool { return f.call("GET", "/safe/a").status == 503 })
+		f.awaitStatus(503, "GET", "/safe/a")
 	}
 	for _, f := range gateways {
 		assert.Equal(t, f.call("GET", "/safe/a").status, 503)
@@ -102,6 +100,6 @@
 			s.Routing.LeaseRefresh = never / 4
 		}
 	})
-	gateways[0].setConfig(withoutKey())
-	gateways[1].eventually(func() bool { return gateways[1].call("GET", "/safe/a").status == 401 })
+	gateways[0].putConfiguration(keyRevoked())
+	gateways[1].awaitStatus(401, "GET", "/safe/a")
 }
--- a/gateway/retries_test.go
+++ b/gateway/retries_test.go
@@ -10,16 +10,15 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// promises are the statuses that callers take for the promise that a request has
-// not run.
+// promises are the statuses that promise callers that a request has not run.
 var promises = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// TestAtMostOnce checks, for each way in which a server may fail, that a request
-// that may not be repeated runs at most once, is never answered with success
-// that is not the server's, and is never told not to have run though it has.
+// TestAtMostOnce checks, for each way in which an endpoint may fail, that a request
+// that may not be repeated runs at most once, that no success is answered that is not
+// the endpoint's, and that no status promises that it has not run.
 func TestAtMostOnce(t *testing.T) {
 	for _, fault := range []appserver.Fault{
 		appserver.FaultErrors, appserver.FaultBusy, appserver.FaultReset, appserver.FaultCut,
@@ -30,7 +29,7 @@
 			f.setFaults(fault, -1)
 			for _, path := range []string{"/once/a", "/single/a", "/hasty/a", "/stream/a"} {
 				if fault == appserver.FaultHang && path != "/hasty/a" {
-					continue // it would take the route's whole time
+					continue // it would last for the route's timeout
 				}
 				got := f.call("POST", path)
 				assert.Equal(t, f.runs(got.id), 1, path)
@@ -41,28 +40,29 @@
 	}
 }
 
-// TestNotRunGoesElsewhere checks that a request that a server has not run is sent
-// to another one, as far as its route allows, and refused with a time otherwise.
+// TestNotRunGoesElsewhere checks that a request that an endpoint has not run is sent to
+// another one if its route allows two attempts, and is refused with a Retry-After if
+// not.
 func TestNotRunGoesElsewhere(t *testing.T) {
 	f := startedFixture(t, nil)
-	for _, server := range f.servers {
+	for _, server := range f.endpoints {
 		server.SetFault(appserver.FaultShed, 0)
 	}
-	f.servers["p1"].SetFault(appserver.FaultShed, -1)
+	f.endpoints["p1"].SetFault(appserver.FaultShed, -1)
 	for range 6 {
 		got := f.call("POST", "/once/a")
 		assert.Equal(t, got.status, 200)
 		assert.Equal(t, f.runs(got.id), 1)
 	}
-	f.servers["p2"].SetFault(appserver.FaultShed, -1)
+	f.endpoints["p2"].SetFault(appserver.FaultShed, -1)
 	got := f.call("POST", "/single/a")
 	assert.Equal(t, got.status, 503)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 	assert.Equal(t, f.runs(got.id), 0)
 }
 
-// TestRepeatable checks that a request that may be repeated is answered though
-// one of two servers fails.
+// TestRepeatable checks that an idempotent request is answered though one of two
+// endpoints fails.
 func TestRepeatable(t *testing.T) {
 	for _, fault := range []appserver.Fault{
 		appserver.FaultErrors, appserver.FaultBusy, appserver.FaultReset, appserver.FaultCut,
@@ -70,7 +70,7 @@
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			f := startedFixture(t, nil)
-			f.servers["p1"].SetFault(fault, -1)
+			f.endpoints["p1"].SetFault(fault, -1)
 			for range 4 {
 				got := f.call("GET", "/safe/a")
 				assert.NilError(t, got.err)
@@ -81,14 +81,14 @@
 	}
 }
 
-// TestLastEndpointAgain checks that a request that may be repeated goes to the
-// same endpoint again if that one answered with a failure and there is no
-// other; one that was refused does not.
+// TestLastEndpointAgain checks that an idempotent request goes to the same endpoint
+// again if that one answered with a failure and there is no other; one that was refused
+// does not.
 func TestLastEndpointAgain(t *testing.T) {
-	f := newFixture(t, baseConfig(), nil)
-	only := f.addServer("plain", "p1", 0)
+	f := newFixture(t, baseConfiguration(), nil)
+	only := f.addEndpoint("plain", "p1", 0)
 	f.awaitReady(true)
-	f.awaitServers(1)
+	f.awaitEndpoints(1)
 	only.SetFault(appserver.FaultErrors, 1)
 	got := f.call("GET", "/safe/a")
 	assert.Equal(t, got.status, 200)
@@ -106,19 +106,19 @@
 	assert.Equal(t, only.Runs(got.id), 0)
 }
 
-// TestReusedAddress checks that a request never runs at a server that has taken
-// over another's address.
+// TestReusedAddress checks that a request never runs at an endpoint that has got
+// another one's address.
 func TestReusedAddress(t *testing.T) {
 	f := startedFixture(t, nil)
-	f.servers["p1"].ID = "stranger"
-	f.servers["p2"].ID = "stranger"
+	f.endpoints["p1"].ID = "stranger"
+	f.endpoints["p2"].ID = "stranger"
 	got := f.call("POST", "/single/a")
 	assert.Equal(t, got.status, 503)
 	assert.Equal(t, f.runs(got.id), 0)
 }
 
-// TestForeignAnswers checks that responses in excess, before or after the one that
-// is due, reach no caller.
+// TestForeignAnswers checks that a surplus response, before or after a request's own,
+// reaches no caller.
 func TestForeignAnswers(t *testing.T) {
 	for _, fault := range []appserver.Fault{appserver.FaultExtra, appserver.FaultForeign, appserver.FaultUnframed} {
 		t.Run(string(fault), func(t *testing.T) {
@@ -135,19 +135,19 @@
 	}
 }
 
-// TestResume checks that a stream that may be resumed goes on at another server,
-// each event once, and that one that may not never looks complete.
+// TestResume checks that a resumable stream goes on at another endpoint, each event
+// once, and that any other one that breaks off does not look complete.
 func TestResume(t *testing.T) {
 	f := startedFixture(t, nil)
 	for _, id := range []string{"m1", "m2"} {
-		f.servers[id].SetFault(appserver.FaultCut, -1)
+		f.endpoints[id].SetFault(appserver.FaultCut, -1)
 	}
 	for range 5 {
 		got := f.call("POST", "/resume/a")
 		assert.NilError(t, got.err)
 		assert.Equal(t, got.body, events(5))
 	}
-	f.servers["m3"].SetFault(appserver.FaultCut, -1)
+	f.endpoints["m3"].SetFault(appserver.FaultCut, -1)
 	got := f.call("POST", "/stream/a")
 	assert.Assert(t, got.err != nil)
 	assert.Equal(t, got.body, events(1))
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -12,12 +12,12 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// TestStop checks that a gateway that is ordered to stop turns unready at once, goes
-// on serving open connections, and breaks off no response.
+// TestStop checks that a gateway that is ordered to stop fails its readiness probe at
+// once, goes on serving open connections, and breaks off no response.
 func TestStop(t *testing.T) {
 	f := startedFixture(t, nil)
 	for _, id := range []string{"m1", "m2", "m3"} {
-		f.servers[id].Step = 100 * time.Millisecond
+		f.endpoints[id].Step = 100 * time.Millisecond
 	}
 	request := f.request("POST", "/stream/a", "key-1", "")
 	response, err := f.client.Do(request)
@@ -54,7 +54,7 @@
 	}
 	assert.Assert(t, served > 20, "%d served", served)
 	refused := false
-	f.eventually(func() bool {
+	f.await("a refusal", func() bool {
 		got := f.call("POST", "/stream/a")
 		refused = refused || (got.err == nil && got.status == 503 && got.header.Get("Retry-After") != "")
 		return refused || got.err != nil
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -1,35 +1,35 @@
 package gateway_test
 
 import (
-	"strings"
 	"testing"
 	"time"
 
 	"gotest.tools/v3/assert"
 
+	"github.com/ryeford/ryeford/platform/wire"
 	"github.com/ryeford/ryeford/settings"
 	"github.com/ryeford/ryeford/standin/rowstore"
 )
 
-// TestNoConfiguration checks that a gateway that knows nothing yet says so, and
+// TestNoConfiguration checks that a gateway without a configuration answers 503, and
 // neither 401 nor 404.
 func TestNoConfiguration(t *testing.T) {
 	f := newFixture(t, nil, nil)
 	f.awaitReady(false)
-	f.eventually(func() bool { return f.call("GET", "/safe/a").status == 503 })
+	f.awaitStatus(503, "GET", "/safe/a")
 	got := f.call("GET", "/none/a")
 	assert.Equal(t, got.status, 503)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 }
 
-// TestFirstMoments checks that a request that comes before the router has read
-// the configuration is served once it has.
+// TestFirstMoments checks that a request that comes before the gateway has read the
+// configuration is served once it has.
 func TestFirstMoments(t *testing.T) {
 	store := rowstore.New()
 	store.SetFault(rowstore.Fault{Silent: true})
-	f := newFixtureAt(t, store, baseConfig(), func(s *settings.Gateway) { s.Routing.StartPatience = conditionLimit })
-	f.addServer("plain", "p1", 0)
-	f.eventually(func() bool { return strings.Contains(f.log.String(), "dependency lost") })
+	f := newFixtureAt(t, store, baseConfiguration(), func(s *settings.Gateway) { s.Routing.StartPatience = conditionLimit })
+	f.addEndpoint("plain", "p1", 0)
+	f.awaitLog("dependency lost")
 	time.AfterFunc(50*time.Millisecond, func() { store.SetFault(rowstore.Fault{}) })
 	assert.Equal(t, f.call("GET", "/safe/a").status, 200)
 }
@@ -38,17 +38,16 @@
 // that an older version never comes back.
 func TestNewConfiguration(t *testing.T) {
 	f := startedFixture(t, nil)
-	f.setConfig(withoutKey())
-	f.eventually(func() bool { return f.call("GET", "/safe/a").status == 401 })
-	old := baseConfig()
-	f.setConfig(old)
-	f.eventually(func() bool { return strings.Contains(f.log.String(), "version=1 revision=8") })
+	f.putConfiguration(keyRevoked())
+	f.awaitStatus(401, "GET", "/safe/a")
+	f.putConfiguration(baseConfiguration())
+	f.awaitLog("version=1 revision=8")
 	assert.Equal(t, f.call("GET", "/safe/a").status, 401)
 }
 
-// TestStaleConfiguration checks that a gateway that the store does not answer
-// stops serving keys by itself, whatever is wrong with the store, and that a key
-// that was revoked meanwhile stays revoked.
+// TestStaleConfiguration checks that a gateway without an answer from the store stops
+// serving keys by itself, whatever is wrong with the store, and that a key that was
+// revoked meanwhile stays revoked.
 func TestStaleConfiguration(t *testing.T) {
 	for name, fault := range map[string]rowstore.Fault{
 		"silent": {Silent: true}, "busy": {Status: 503}, "many": {Status: 429}, "slow": {Slow: time.Second},
@@ -57,11 +56,11 @@
 			f := startedFixture(t, func(s *settings.Gateway) { s.Bounds.Revoke = 3 * time.Second })
 			assert.Equal(t, f.call("GET", "/safe/a").status, 200)
 			f.store.SetFault(fault)
-			f.setConfig(withoutKey())
+			f.putConfiguration(keyRevoked())
 			// A read that the store answered before the fault may still renew the lease
 			// on the old configuration. Once a read has failed, none is left.
-			f.eventually(func() bool { return strings.Contains(f.log.String(), "dependency=configuration") })
-			f.eventually(func() bool { return f.call("GET", "/safe/a").status == 503 })
+			f.awaitLog("dependency=configuration")
+			f.awaitStatus(503, "GET", "/safe/a")
 			// From here on the key works nowhere.
 			assert.Equal(t, f.call("GET", "/safe/a").status, 503)
 			assert.Equal(t, f.call("GET", "/none/a").status, 503)
@@ -75,41 +74,41 @@
 	}
 }
 
-// TestDeafFeed checks that a feed that is silent while changes are made, and
-// whose history is then dropped, ends with the newest configuration.
+// TestDeafFeed checks that a gateway whose feed is silent while changes are made, and
+// whose store then drops its history, ends with the newest configuration.
 func TestDeafFeed(t *testing.T) {
 	f := startedFixture(t, nil)
 	f.store.SetFault(rowstore.Fault{DeafFeed: true})
-	f.setConfig(withoutKey())
+	f.putConfiguration(keyRevoked())
 	f.store.ForgetHistory()
 	f.store.SetFault(rowstore.Fault{})
-	f.eventually(func() bool { return f.call("GET", "/safe/a").status == 401 })
+	f.awaitStatus(401, "GET", "/safe/a")
 }
 
-// TestStaleReads checks that reads of the store that are older than what it has
-// answered before confirm nothing: a key that is revoked meanwhile stops to work.
+// TestStaleReads checks that a read that is older than an earlier answer of the store
+// confirms nothing: a key that is revoked meanwhile stops working.
 func TestStaleReads(t *testing.T) {
 	f := startedFixture(t, func(s *settings.Gateway) { s.Bounds.Revoke = 1200 * time.Millisecond })
 	f.store.SetFault(rowstore.Fault{StaleReads: true})
-	f.setConfig(withoutKey())
-	f.enter("plain", "p9", "127.0.0.1:1", "draining") // the feed of the list goes on
-	f.eventually(func() bool { return strings.Contains(f.log.String(), "p9") })
-	f.eventually(func() bool { return f.call("GET", "/safe/a").status == 503 })
+	f.putConfiguration(keyRevoked())
+	f.putEndpoint("plain", "p9", "127.0.0.1:1", wire.StateDraining) // the feed of the list goes on
+	f.awaitLog("p9")
+	f.awaitStatus(503, "GET", "/safe/a")
 	f.store.SetFault(rowstore.Fault{})
-	f.eventually(func() bool { return f.call("GET", "/safe/a").status == 401 })
+	f.awaitStatus(401, "GET", "/safe/a")
 }
 
-// TestLeavingServer checks that a server that is leaving, or gone, gets no new
-// requests, and that its address serves no request for it once another server has it.
+// TestLeavingServer checks that an endpoint that drains, or that is gone, gets no new
+// requests.
 func TestLeavingServer(t *testing.T) {
 	f := startedFixture(t, nil)
-	f.enter("plain", "p1", "127.0.0.1:1", "draining")
-	f.eventually(func() bool { return strings.Contains(f.log.String(), "draining=p1") })
-	before := len(f.servers["p1"].Received())
+	f.putEndpoint("plain", "p1", "127.0.0.1:1", wire.StateDraining)
+	f.awaitLog("draining=p1")
+	before := len(f.endpoints["p1"].Received())
 	for range 8 {
 		assert.Equal(t, f.call("POST", "/once/a").status, 200)
 	}
-	assert.Equal(t, len(f.servers["p1"].Received()), before)
-	f.store.Remove("servers", "p2")
-	f.eventually(func() bool { return f.call("POST", "/once/a").status == 503 })
+	assert.Equal(t, len(f.endpoints["p1"].Received()), before)
+	f.store.Remove(wire.TableEndpoints, "p2")
+	f.awaitStatus(503, "POST", "/once/a")
 }
--- a/imports_test.go
+++ b/imports_test.go
@@ -134,8 +134,8 @@
 	assert.Check(t, known, "%s (%s) imports %s (%s)", from, upper.side, to, lower.side)
 }
 
-// TestPlatformWords checks that only the adapter and the stand-ins use the platform's
-// spelling of its headers, tables and rows.
+// TestPlatformWords checks that only the adapter, the stand-ins and tests use the
+// platform's spelling of its headers, tables and rows.
 func TestPlatformWords(t *testing.T) {
 	const words = modulePath + "/platform/wire"
 	for _, p := range listPackages(t) {
