--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -53,14 +53,14 @@
 // cached parts of the prompt. Either may be nil.
 func (x *exchange) chooseFor(step retry.Step) (to, source *roster.Entry) {
 	to, source = x.choose()
-	if to == nil && step.Reuse {
+	if to == nil && step.AllowTried {
 		clear(x.tried)
 		to, source = x.choose()
 	}
 	return to, source
 }
 
-// next returns what follows an attempt, and takes the repeat that it needs from the
+// next returns what follows an attempt, and takes the retry that it needs from the
 // retry budget.
 func (x *exchange) next(ctx context.Context, end retry.End) retry.Step {
 	over := ctx.Err() != nil
@@ -68,17 +68,17 @@
 		x.history.Unsent++
 	}
 	step := x.policy.Next(end, x.history, over)
-	if step.Budgeted && !x.takeRepeat() {
+	if step.Budgeted && !x.takeRetry() {
 		return retry.Step{}
 	}
 	return step
 }
 
-// takeRepeat takes a repeat from the service's retry budget, and reports whether there
+// takeRetry takes a retry from the service's retry budget, and reports whether there
 // was one.
-func (x *exchange) takeRepeat() bool {
+func (x *exchange) takeRetry() bool {
 	now := time.Now()
-	return x.request.budget.Repeat(now, x.forwarder.sharers(now))
+	return x.request.budget.TakeRetry(now, x.forwarder.sharers(now))
 }
 
 // withholds reports whether an endpoint's response is not passed on, because it is a
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -109,7 +109,7 @@
 	q.setAffinity()
 	q.setService()
 	q.budget = h.budgets.Of(q.service)
-	q.budget.Request(arrived)
+	q.budget.CountRequest(arrived)
 	return q, nil
 }
 
--- a/gateway/outlier/limits.go
+++ b/gateway/outlier/limits.go
@@ -8,7 +8,7 @@
 // difference (docs/design.md, "One constant at a time").
 const (
 	// consecutiveFailures is how many failures in a row eject an endpoint. Three
-	// keep one broken connection, and its repeat, from ejecting it.
+	// keep one broken connection, and the retry after it, from ejecting it.
 	consecutiveFailures = 3
 	// failureShare, from 0 to 1, is the share of failures among the recent
 	// responses that ejects an endpoint whose failures are not in a row.
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -44,9 +44,18 @@
 	EndStopped
 )
 
-// String returns the code of an end in logs and metrics.
+// String returns the code of an end in logs and metrics, of which two stand for two
+// ends each.
 func (e End) String() string {
-	return [...]string{"done", "unsent", "unsent", "not_run", "failed", "failed", "stopped"}[e]
+	return [...]string{
+		EndAnswered: "done",
+		EndUnsent:   "unsent",
+		EndBarred:   "unsent",
+		EndRefused:  "not_run",
+		EndLost:     "failed",
+		EndFailed:   "failed",
+		EndStopped:  "stopped",
+	}[e]
 }
 
 // MayHaveRun reports whether the endpoint may have run the request.
@@ -89,13 +98,13 @@
 type Step struct {
 	// Again says that the request may go to an endpoint not tried yet.
 	Again bool
-	// Budgeted says that this needs one repeat of the service's budget.
+	// Budgeted says that this takes one retry of the service's budget.
 	Budgeted bool
-	// Reuse says that if all endpoints were tried already, they may be tried again.
+	// AllowTried says that if all endpoints were tried already, they may be tried again.
 	// An endpoint that answered at all is better than none: commit 239a43e, after
 	// a day on which the last endpoint of a service answered 500 once. One that
 	// refused or was lost is not asked again at once.
-	Reuse bool
+	AllowTried bool
 }
 
 // Next returns what follows an attempt. History includes that attempt; over says
@@ -122,11 +131,11 @@
 }
 
 // resend returns the Step that sends the request again, if MaxAttempts allows it.
-func (p Policy) resend(h History, reuse bool) Step {
+func (p Policy) resend(h History, allowTried bool) Step {
 	if h.Sent >= p.MaxAttempts {
 		return Step{}
 	}
-	return Step{Again: true, Budgeted: true, Reuse: reuse}
+	return Step{Again: true, Budgeted: true, AllowTried: allowTried}
 }
 
 // PerTryTimeout returns how long the next attempt may wait for the first event of a
--- a/retry/policy_test.go
+++ b/retry/policy_test.go
@@ -15,7 +15,7 @@
 	idempotent := Policy{Idempotent: true, MaxAttempts: 3}
 	another := Step{Again: true}
 	budgeted := Step{Again: true, Budgeted: true}
-	reuse := Step{Again: true, Budgeted: true, Reuse: true}
+	tried := Step{Again: true, Budgeted: true, AllowTried: true}
 	stop := Step{}
 	for _, row := range []struct {
 		rule    string
@@ -39,7 +39,7 @@
 		{"lost, idempotent: another", idempotent, EndLost, History{Sent: 1}, false, budgeted},
 		{"lost: at most MaxAttempts", idempotent, EndLost, History{Sent: 3}, false, stop},
 		{"failed, may have run: not repeated", once, EndFailed, History{Sent: 1}, false, stop},
-		{"failed, idempotent: another, or one that was tried", idempotent, EndFailed, History{Sent: 2}, false, reuse},
+		{"failed, idempotent: another, or one that was tried", idempotent, EndFailed, History{Sent: 2}, false, tried},
 		{"failed: at most MaxAttempts", idempotent, EndFailed, History{Sent: 3}, false, stop},
 		{"the caller stopped reading", idempotent, EndStopped, History{Sent: 1}, false, stop},
 	} {
--- a/retry/share.go
+++ b/retry/share.go
@@ -15,7 +15,7 @@
 )
 
 // Sharers returns among how many routers the Reserve of a Window is divided, so
-// that all of them together keep it without agreeing on each repeat: the live ones
+// that all of them together keep it without agreeing on each retry: the live ones
 // and a quarter more, but at least the configured number, since a router that has
 // lost touch with its peers must not take the whole reserve (commit 94211f1).
 //
--- a/retry/share_test.go
+++ b/retry/share_test.go
@@ -30,17 +30,17 @@
 func TestWindows(t *testing.T) {
 	w := NewWindows(WindowLimits{Span: 10 * time.Second, Ratio: 0.2, Reserve: 10})
 	now := time.Now()
-	spend := func(service string) (repeats int) {
-		for w.Of(service).Repeat(now, 1) {
-			repeats++
+	spend := func(service string) (retries int) {
+		for w.Of(service).TakeRetry(now, 1) {
+			retries++
 		}
-		return repeats
+		return retries
 	}
 	assert.Equal(t, spend("chat"), 9)
 	assert.Equal(t, spend("chat"), 0)
 	assert.Equal(t, spend("plain"), 9)
 	for range 100 {
-		w.Of("chat").Request(now)
+		w.Of("chat").CountRequest(now)
 	}
 	assert.Equal(t, spend("chat"), 18)
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -6,11 +6,11 @@
 )
 
 // windowSlices is how many slices a Window's span is divided into. A request or a
-// repeat counts for up to one slice longer than the span. Not measured.
+// retry counts for up to one slice longer than the span. Not measured.
 const windowSlices = 20
 
 // A Window is one router's retry budget for one service: over a sliding span of
-// time, repeats, which are attempts after a request's first, are at most
+// time, retries, which are attempts after a request's first, are at most
 //
 //	Ratio x requests + Reserve / routers
 //
@@ -27,9 +27,9 @@
 // WindowLimits are the bounds of a Window.
 type WindowLimits struct {
 	Span time.Duration
-	// Ratio is the part of this router's requests that may be repeated.
+	// Ratio is the part of this router's requests that may be sent again.
 	Ratio float64
-	// Reserve is how many repeats all routers together may send beyond the ratio.
+	// Reserve is how many retries all routers together may send beyond the ratio.
 	Reserve float64
 }
 
@@ -37,7 +37,7 @@
 type windowSlice struct {
 	number   int64 // of the slice since the epoch
 	requests int
-	repeats  int
+	retries  int
 }
 
 // NewWindow returns an empty Window.
@@ -45,36 +45,36 @@
 	return &Window{limits: limits, epoch: now}
 }
 
-// Request counts a caller's request.
-func (w *Window) Request(now time.Time) {
+// CountRequest counts a caller's request.
+func (w *Window) CountRequest(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slice(now).requests++
 }
 
-// Repeat reports whether one more repeat is within the budget, given among how many
+// TakeRetry reports whether one more retry is within the budget, given among how many
 // routers the Reserve is divided (Sharers), and if so counts it.
-func (w *Window) Repeat(now time.Time, routers int) bool {
+func (w *Window) TakeRetry(now time.Time, routers int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	current := w.slice(now)
-	requests, repeats := 0, 0
+	requests, retries := 0, 0
 	for i := range w.slices {
 		s := &w.slices[i]
 		if s.number <= current.number-windowSlices-1 || s.number > current.number {
 			continue
 		}
-		repeats += s.repeats
+		retries += s.retries
 		requests += s.requests
 	}
-	if float64(repeats+1) > w.limits.Ratio*float64(requests)+w.limits.Reserve/float64(max(1, routers)) {
+	if float64(retries+1) > w.limits.Ratio*float64(requests)+w.limits.Reserve/float64(max(1, routers)) {
 		return false
 	}
-	current.repeats++
+	current.retries++
 	return true
 }
 
-// slice returns the slice in which a request or repeat of a moment counts. A request
+// slice returns the slice in which a request or retry of a moment counts. A request
 // is counted by its arrival, but only once it is admitted: what came before the first
 // slice counts in that one, and what came so long ago that its slice is used anew
 // counts in the newer one.
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -8,27 +8,27 @@
 	"pgregory.net/rapid"
 )
 
-// TestWindowBound checks that in no span, wherever it begins, repeats exceed what
+// TestWindowBound checks that in no span, wherever it begins, retries exceed what
 // the requests of that span and of the one before it allow.
 func TestWindowBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := WindowLimits{Span: 10 * time.Second, Ratio: 0.18, Reserve: 5}
 		now := time.Unix(1000, 0)
 		w := NewWindow(now, limits)
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "gap")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				w.Request(now)
+				w.CountRequest(now)
 				requests = append(requests, now)
 			}
 			for range rapid.IntRange(0, 5).Draw(t, "tries") {
-				if w.Repeat(now, 1) {
-					repeats = append(repeats, now)
+				if w.TakeRetry(now, 1) {
+					retries = append(retries, now)
 				}
 			}
 		}
-		for _, from := range repeats {
+		for _, from := range retries {
 			in := func(times []time.Time, from, to time.Time) (n int) {
 				for _, at := range times {
 					if !at.Before(from) && at.Before(to) {
@@ -38,22 +38,22 @@
 				return n
 			}
 			to := from.Add(limits.Span)
-			got := in(repeats, from, to)
+			got := in(retries, from, to)
 			allowed := limits.Ratio*float64(in(requests, from.Add(-limits.Span), to)) + limits.Reserve
-			assert.Assert(t, float64(got) <= allowed, "%d repeats, %f allowed", got, allowed)
+			assert.Assert(t, float64(got) <= allowed, "%d retries, %f allowed", got, allowed)
 		}
 	})
 }
 
-// TestWindowForgets checks that repeats are allowed again once old ones have left
+// TestWindowForgets checks that retries are allowed again once old ones have left
 // the span.
 func TestWindowForgets(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Reserve: 2})
-	assert.Assert(t, w.Repeat(now, 1))
-	assert.Assert(t, w.Repeat(now, 1))
-	assert.Assert(t, !w.Repeat(now.Add(9*time.Second), 1))
-	assert.Assert(t, w.Repeat(now.Add(11*time.Second), 1))
+	assert.Assert(t, w.TakeRetry(now, 1))
+	assert.Assert(t, w.TakeRetry(now, 1))
+	assert.Assert(t, !w.TakeRetry(now.Add(9*time.Second), 1))
+	assert.Assert(t, w.TakeRetry(now.Add(11*time.Second), 1))
 }
 
 // TestWindowShares checks that routers that divide a reserve keep it together,
@@ -61,14 +61,14 @@
 func TestWindowShares(t *testing.T) {
 	const routers = 26
 	now := time.Unix(1000, 0)
-	repeats := 0
+	retries := 0
 	for range routers {
 		w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Ratio: 0.2, Reserve: 84})
-		for w.Repeat(now, routers) {
-			repeats++
+		for w.TakeRetry(now, routers) {
+			retries++
 		}
 	}
-	assert.Assert(t, repeats <= 84 && repeats > 84/2, "%d repeats", repeats)
+	assert.Assert(t, retries <= 84 && retries > 84/2, "%d retries", retries)
 }
 
 // TestWindowEarlyRequest checks that a request may be counted that came before its
@@ -76,19 +76,19 @@
 func TestWindowEarlyRequest(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Ratio: 1})
-	w.Request(now.Add(-600 * time.Millisecond))
-	assert.Assert(t, w.Repeat(now, 1), "the request counts")
-	assert.Assert(t, !w.Repeat(now, 1))
+	w.CountRequest(now.Add(-600 * time.Millisecond))
+	assert.Assert(t, w.TakeRetry(now, 1), "the request counts")
+	assert.Assert(t, !w.TakeRetry(now, 1))
 }
 
 // TestWindowLateCount checks that a request that is counted long after it came, since
-// its body was slow, takes back no repeat.
+// its body was slow, takes back no retry.
 func TestWindowLateCount(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Reserve: 2})
 	now = now.Add(30 * time.Second)
-	assert.Assert(t, w.Repeat(now, 1))
-	assert.Assert(t, w.Repeat(now, 1))
-	w.Request(now.Add(-10*time.Second - 500*time.Millisecond))
-	assert.Assert(t, !w.Repeat(now, 1))
+	assert.Assert(t, w.TakeRetry(now, 1))
+	assert.Assert(t, w.TakeRetry(now, 1))
+	w.CountRequest(now.Add(-10*time.Second - 500*time.Millisecond))
+	assert.Assert(t, !w.TakeRetry(now, 1))
 }
