--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -22,7 +22,7 @@
 	whereClause = regexp.MustCompile(`(?s)\*\*Where\*\*.*?(?:\n\n|\*\*Given\*\*|$)`)
 	// namedCode matches a name in backquotes that may be declared in the code.
 	namedCode = regexp.MustCompile("`(?:[A-Za-z]+\\.)?([A-Za-z]+)`")
-	// tableFunction matches a function in the table of questions of OPERATIONS.md.
+	// tableFunction matches a function in a table of questions.
 	tableFunction = regexp.MustCompile("`([A-Za-z.]+)` in `")
 )
 
@@ -30,7 +30,7 @@
 // names exists. A file without its folder may be in any.
 func TestNamedFiles(t *testing.T) {
 	code := readCode(t)
-	for _, page := range []string{"../README.md", "architecture.md", "OPERATIONS.md", "decisions.md", "platform.md"} {
+	for _, page := range []string{"../README.md", "architecture.md", "OPERATIONS.md", "decisions.md", "platform.md", "operators.md"} {
 		content, err := os.ReadFile(page)
 		assert.NilError(t, err)
 		for _, match := range fileName.FindAllStringSubmatch(string(content), -1) {
@@ -43,8 +43,8 @@
 }
 
 // TestNamedFunctions checks that each function, type and field that docs/decisions.md
-// names as the place of a rule, and each function in the table of questions of
-// docs/OPERATIONS.md, is declared.
+// names as the place of a rule, and each function in the tables of questions of
+// docs/OPERATIONS.md and docs/operators.md, is declared.
 func TestNamedFunctions(t *testing.T) {
 	code := readCode(t)
 	decisions, err := os.ReadFile("decisions.md")
@@ -56,14 +56,16 @@
 			}
 		}
 	}
-	operations, err := os.ReadFile("OPERATIONS.md")
-	assert.NilError(t, err)
-	found := tableFunction.FindAllStringSubmatch(string(operations), -1)
-	assert.Assert(t, len(found) > 0)
-	for _, match := range found {
-		name := match[1][strings.LastIndexByte(match[1], '.')+1:]
-		if !code.declared[name] {
-			t.Errorf("OPERATIONS.md: nothing is called %s", match[1])
+	for _, page := range []string{"OPERATIONS.md", "operators.md"} {
+		content, err := os.ReadFile(page)
+		assert.NilError(t, err)
+		found := tableFunction.FindAllStringSubmatch(string(content), -1)
+		assert.Assert(t, len(found) > 0, page)
+		for _, match := range found {
+			name := match[1][strings.LastIndexByte(match[1], '.')+1:]
+			if !code.declared[name] {
+				t.Errorf("%s: nothing is called %s", page, match[1])
+			}
 		}
 	}
 }
