--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -27,8 +27,8 @@
 	sweepInterval = 500 * time.Millisecond
 )
 
-// A memory is something that the router remembers of each endpoint.
-type memory interface {
+// A forgetter keeps something of each endpoint, which ends with the endpoint.
+type forgetter interface {
 	Forget(id ryeford.EndpointID)
 }
 
@@ -42,7 +42,7 @@
 	revision     *revision // the newest of the store, on any of its tables
 	roster       *roster.Roster
 	pool         *endpoint.Pool
-	memories     []memory // dropped with each endpoint
+	forgetters   []forgetter // forget an endpoint that is gone
 	outage       watch.Outage
 	onUpdate     func() // called after each update
 	log          log.Logger
@@ -88,6 +88,8 @@
 	change := l.roster.Apply(time.Now(), &update, afterOutage)
 	l.onUpdate()
 	if !change.Empty() {
+		// troubled says that this is the first answer after an outage, and doubted
+		// names the endpoints that have become suspect: the log keeps its old keys.
 		_ = l.log.Log("decision", "endpoints", "revision", revision, "whole", update.Snapshot, "troubled", afterOutage,
 			"added", join(change.Added), "draining", join(change.Drained), "dropped", join(change.Dropped), "doubted", join(change.Suspected), "departed", join(change.Departed), "known", l.roster.Len())
 		for _, id := range change.Dropped {
@@ -100,8 +102,8 @@
 // forget drops all that is known of an endpoint.
 func (l *endpointList) forget(id ryeford.EndpointID) {
 	l.pool.CloseIdle(id)
-	for _, m := range l.memories {
-		m.Forget(id)
+	for _, f := range l.forgetters {
+		f.Forget(id)
 	}
 }
 
--- a/gateway/endpointlist_test.go
+++ b/gateway/endpointlist_test.go
@@ -47,12 +47,12 @@
 	return answer.update, answer.err
 }
 
-// A forgottenMemory is a memory that keeps only what was forgotten.
+// A forgottenMemory is a forgetter that keeps only what was forgotten.
 type forgottenMemory struct {
 	forgotten []ryeford.EndpointID
 }
 
-// Forget implements memory.
+// Forget implements forgetter.
 func (m *forgottenMemory) Forget(id ryeford.EndpointID) { m.forgotten = append(m.forgotten, id) }
 
 // snapshot returns an answer that lists some endpoints whole.
@@ -78,15 +78,15 @@
 				snapshot(2, "a", "b"),
 				{update: ryeford.EndpointUpdate{Revision: 3, Removed: []ryeford.EndpointID{"b"}}},
 			}},
-			wait:     time.Second,
-			settle:   50 * time.Millisecond,
-			revision: &revision{},
-			roster:   roster.New(roster.DefaultTTLs()),
-			pool:     endpoint.New(nil),
-			memories: []memory{m},
-			outage:   newOutage("endpoints", func() time.Duration { return 0 }, log.NewNopLogger(), telemetry.NewSet()),
-			onUpdate: func() { updates++ },
-			log:      log.NewNopLogger(),
+			wait:       time.Second,
+			settle:     50 * time.Millisecond,
+			revision:   &revision{},
+			roster:     roster.New(roster.DefaultTTLs()),
+			pool:       endpoint.New(nil),
+			forgetters: []forgetter{m},
+			outage:     newOutage("endpoints", func() time.Duration { return 0 }, log.NewNopLogger(), telemetry.NewSet()),
+			onUpdate:   func() { updates++ },
+			log:        log.NewNopLogger(),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = l.run(ctx) }()
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -20,7 +20,7 @@
 )
 
 // A gossip sends this router's state to its peers over UDP, and merges theirs.
-// What is sent when, and what a message counts for, package peers says.
+// Package peers decides what is sent when, and what a message counts for.
 //
 // A datagram that is lost is not repeated: the next one replaces it.
 type gossip struct {
@@ -51,64 +51,64 @@
 )
 
 // drop counts a datagram that was dropped.
-func (p *gossip) drop(reason string) { p.metrics.Count("ryeford_gossip_dropped_total", reason) }
+func (g *gossip) drop(reason string) { g.metrics.Count("ryeford_gossip_dropped_total", reason) }
 
 // addPrompt adds a prompt to the next message.
-func (p *gossip) addPrompt(endpoint ryeford.EndpointID, parts []ryeford.PromptPart) {
+func (g *gossip) addPrompt(endpoint ryeford.EndpointID, parts []ryeford.PromptPart) {
 	prompt := peers.Prompt{Endpoint: endpoint}
 	for _, part := range parts {
 		prompt.Parts = append(prompt.Parts, part.ID)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.prompts) < peers.MaxPrompts {
-		p.prompts = append(p.prompts, prompt)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if len(g.prompts) < peers.MaxPrompts {
+		g.prompts = append(g.prompts, prompt)
 	}
 }
 
 // takePrompts returns the prompts of the next message and forgets them.
-func (p *gossip) takePrompts() []peers.Prompt {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	prompts := p.prompts
-	p.prompts = nil
+func (g *gossip) takePrompts() []peers.Prompt {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	prompts := g.prompts
+	g.prompts = nil
 	return prompts
 }
 
 // run exchanges messages with the peers until ctx ends. A failure is a
 // *ListenError.
-func (p *gossip) run(ctx context.Context) error {
-	if !p.self.IsValid() {
+func (g *gossip) run(ctx context.Context) error {
+	if !g.self.IsValid() {
 		return nil
 	}
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(p.self))
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(g.self))
 	if err != nil {
-		return &ListenError{Address: p.self, Err: err}
+		return &ListenError{Address: g.self, Err: err}
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	// Closing ends the read that receive waits in; its error changes nothing then.
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	group.Go(func() error { return p.receive(ctx, conn) })
-	group.Go(func() error { return p.send(ctx, conn) })
-	group.Go(func() error { return p.lookUp(ctx) })
+	group.Go(func() error { return g.receive(ctx, conn) })
+	group.Go(func() error { return g.send(ctx, conn) })
+	group.Go(func() error { return g.lookUp(ctx) })
 	return group.Wait()
 }
 
 // lookUp registers this router in the platform's list of routers, and adds the
 // others to the table of peers, whenever that is due.
-func (p *gossip) lookUp(ctx context.Context) error {
+func (g *gossip) lookUp(ctx context.Context) error {
 	var registered time.Time
 	ticker := time.NewTicker(peers.LookupInterval)
 	defer ticker.Stop()
 	for {
 		now := time.Now()
-		if peers.LookupDue(now, registered, p.table.Alive(now)) {
-			addresses, err := p.routers.Register(ctx, p.vm, p.self)
-			_ = p.log.Log("decision", "look_up_peers", "found", len(addresses), "err", err)
+		if peers.LookupDue(now, registered, g.table.Alive(now)) {
+			addresses, err := g.routers.Register(ctx, g.vm, g.self)
+			_ = g.log.Log("decision", "look_up_peers", "found", len(addresses), "err", err)
 			if err == nil {
 				registered = now
-				p.table.Add(time.Now(), addresses)
+				g.table.Add(time.Now(), addresses)
 			}
 		}
 		select {
@@ -120,7 +120,7 @@
 }
 
 // receive merges the peers' messages until ctx ends.
-func (p *gossip) receive(ctx context.Context, conn *net.UDPConn) error {
+func (g *gossip) receive(ctx context.Context, conn *net.UDPConn) error {
 	buffer := make([]byte, peers.MaxMessage)
 	for {
 		n, _, err := conn.ReadFromUDPAddrPort(buffer)
@@ -130,53 +130,53 @@
 		if err != nil {
 			// The socket reports an earlier datagram that found no receiver, or the
 			// like. Gossip must not end by that, nor must the process.
-			p.drop(droppedRead)
+			g.drop(droppedRead)
 			continue
 		}
 		var message peers.Message
 		if err := cbor.Unmarshal(buffer[:n], &message); err != nil {
-			p.drop(droppedFormat)
+			g.drop(droppedFormat)
 			continue
 		}
-		p.merge(time.Now(), &message)
+		g.merge(time.Now(), &message)
 	}
 }
 
 // merge merges one message, unless it is older than what is known.
-func (p *gossip) merge(now time.Time, message *peers.Message) {
-	if !p.table.Receive(now, message) {
+func (g *gossip) merge(now time.Time, message *peers.Message) {
+	if !g.table.Receive(now, message) {
 		return
 	}
 	if message.Confirmed {
-		p.configuration.confirmedByPeer(now, message.Version, message.ConfirmedAt)
+		g.configuration.confirmedByPeer(now, message.Version, message.ConfirmedAt)
 	}
 	for _, prompt := range message.Prompts {
-		if !p.roster.Knows(prompt.Endpoint) {
+		if !g.roster.Knows(prompt.Endpoint) {
 			continue
 		}
 		parts := make([]ryeford.PromptPart, 0, len(prompt.Parts))
 		for _, id := range prompt.Parts {
 			parts = append(parts, ryeford.PromptPart{ID: id})
 		}
-		p.prefixes.Add(now, prompt.Endpoint, parts)
+		g.prefixes.Add(now, prompt.Endpoint, parts)
 	}
 }
 
 // send sends a message every peers.Interval until ctx ends.
-func (p *gossip) send(ctx context.Context, conn *net.UDPConn) error {
+func (g *gossip) send(ctx context.Context, conn *net.UDPConn) error {
 	ticker := time.NewTicker(peers.Interval)
 	defer ticker.Stop()
 	known, size := 0, 0
 	budget := peers.NewBudget(time.Now(), peers.BytesPerSecond)
 	for sequence := uint64(1); ; sequence++ {
 		now := time.Now()
-		if alive := p.table.Alive(now); alive != known {
-			_ = p.log.Log("decision", "peers", "alive", alive, "before", known)
+		if alive := g.table.Alive(now); alive != known {
+			_ = g.log.Log("decision", "peers", "alive", alive, "before", known)
 			known = alive
 		}
-		targets := p.table.Targets(now, budget.Sends(now, size, peers.Fanout))
+		targets := g.table.Targets(now, budget.Sends(now, size, peers.Fanout))
 		if len(targets) > 0 {
-			size = p.sendTo(conn, targets, p.message(now, sequence), budget, size)
+			size = g.sendTo(conn, targets, g.message(now, sequence), budget, size)
 		}
 		select {
 		case <-ctx.Done():
@@ -188,17 +188,17 @@
 
 // sendTo sends a message to some peers and returns the size of its datagrams, or
 // last if there are none.
-func (p *gossip) sendTo(conn *net.UDPConn, targets []netip.AddrPort, message *peers.Message, budget *peers.Budget, last int) int {
+func (g *gossip) sendTo(conn *net.UDPConn, targets []netip.AddrPort, message *peers.Message, budget *peers.Budget, last int) int {
 	content, err := cbor.Marshal(message)
 	if err != nil {
-		p.drop(droppedEncode)
+		g.drop(droppedEncode)
 		return last
 	}
 	size := peers.DatagramSize(len(content))
 	for _, target := range targets {
 		budget.Spend(size)
 		if _, err := conn.WriteToUDPAddrPort(content, target); err != nil {
-			p.drop(droppedSend)
+			g.drop(droppedSend)
 		}
 	}
 	return size
@@ -206,24 +206,24 @@
 
 // message returns the message of a sequence number, with all prompts that were not
 // sent yet.
-func (p *gossip) message(now time.Time, sequence uint64) *peers.Message {
-	// The confirmation is read before the version: a version that comes in force in
+func (g *gossip) message(now time.Time, sequence uint64) *peers.Message {
+	// The confirmation is read before the version: a version that takes effect in
 	// between was not yet the newest then, which is harmless, while an older one no
 	// longer was.
-	confirmedAt, confirmed := p.configuration.confirmed()
+	confirmedAt, confirmed := g.configuration.confirmed()
 	var members []netip.AddrPort
 	if n := peers.MembersToName(sequence); n > 0 {
-		members = p.table.Members(now, n)
+		members = g.table.Members(now, n)
 	}
 	return &peers.Message{
 		ConfirmedAt: confirmedAt,
 		Confirmed:   confirmed,
-		Version:     p.configuration.version(),
-		Sender:      p.self,
-		Started:     p.started,
+		Version:     g.configuration.version(),
+		Sender:      g.self,
+		Started:     g.started,
 		Sequence:    sequence,
 		Members:     members,
-		Loads:       p.loads.Own(),
-		Prompts:     p.takePrompts(),
+		Loads:       g.loads.Own(),
+		Prompts:     g.takePrompts(),
 	}
 }
--- a/gateway/wiring.go
+++ b/gateway/wiring.go
@@ -28,16 +28,16 @@
 // addEndpoints adds what follows the list of endpoints.
 func (g *Gateway) addEndpoints() {
 	g.endpoints = &endpointList{
-		source:   g.platform.Endpoints,
-		wait:     g.settings.WaitForEndpoints(),
-		settle:   g.settings.SettleEndpoints(),
-		revision: g.revision,
-		roster:   g.roster,
-		pool:     g.pool,
-		memories: []memory{g.detector, g.loads, g.prefixes},
-		outage:   newOutage("endpoints", g.configuration.leaseLeft, g.log, g.metrics),
-		onUpdate: g.checkSynced,
-		log:      g.log,
+		source:     g.platform.Endpoints,
+		wait:       g.settings.WaitForEndpoints(),
+		settle:     g.settings.SettleEndpoints(),
+		revision:   g.revision,
+		roster:     g.roster,
+		pool:       g.pool,
+		forgetters: []forgetter{g.detector, g.loads, g.prefixes},
+		outage:     newOutage("endpoints", g.configuration.leaseLeft, g.log, g.metrics),
+		onUpdate:   g.checkSynced,
+		log:        g.log,
 	}
 }
 
