--- a/gateway/catalog/current.go
+++ b/gateway/catalog/current.go
@@ -11,7 +11,7 @@
 // Get returns the catalog in force, or nil if none is known yet.
 func (c *Current) Get() *Catalog { return c.catalog.Load() }
 
-// Put brings a catalog in force and reports true, unless one of the same or a later
+// Put puts a catalog in force and reports true, unless one of the same or a later
 // version is in force.
 func (c *Current) Put(next *Catalog) bool {
 	for {
--- a/gateway/choice/affinity.go
+++ b/gateway/choice/affinity.go
@@ -2,7 +2,7 @@
 
 import "github.com/ryeford/ryeford/route"
 
-// Both were set by the panels of docs/design.md ("the first counts as if it held the
+// Both were set by the runs in docs/design.md ("the first counts as if it held the
 // prompt, 300 and 300"; 4fd8662): 150 and 300 left more skew, and with the first
 // endpoint's own missing tokens counted, 300 and 300, 1000 and 600, and 300 and 0
 // read and moved more.
--- a/gateway/choice/bound.go
+++ b/gateway/choice/bound.go
@@ -1,10 +1,10 @@
 package choice
 
 // capOffset is how many requests an endpoint may have beyond CapFactor times the
-// mean. It keeps endpoints from being full while the mean is near zero. The users
-// allow 3 (their page of bounds); a router learns of the others' requests late, so
-// it stays one below. The value is part of each row of docs/design.md from "full
-// at 2 x mean + 2" on; 1 made no clear difference ("One constant at a time").
+// mean. It keeps endpoints from being full while the mean is near zero. The platform's
+// bound is 3; a router learns of the others' requests late, so it stays one below. The
+// value is part of each row of docs/design.md from "full at 2 x mean + 2" on; 1 made
+// no clear difference ("One constant at a time").
 const capOffset = 2.0
 
 // meanLoad returns the mean load, in requests, of the candidates that accept
--- a/gateway/choice/source.go
+++ b/gateway/choice/source.go
@@ -22,7 +22,7 @@
 // source. But the index forgets, and a router that started late has missed most: if
 // it knows only a beginning, and the chosen endpoint is probably not where earlier
 // requests with this prompt went, the alternate is, and more likely has it all. Set
-// by the panels of docs/design.md ("who is known to hold the parts is the source",
+// by the runs in docs/design.md ("who is known to hold the parts is the source",
 // 2a0751d; "fetching from the best other of the order", a37ab61).
 func SourceOf(chosen *Choice, indexed, shared int, joined bool) Source {
 	if chosen.Alternate < 0 || indexed >= shared {
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -80,11 +80,11 @@
 // false if there is none.
 func (c *configuration) confirmed() (time.Duration, bool) { return c.lease.Confirmed() }
 
-// run reads the configuration, whenever it is this router's time to, until ctx
-// ends.
+// run reads the configuration whenever this router is due to (freshness.ReadAge),
+// until ctx ends.
 //
-// It reads it whole each time: a feed of changes may be deaf for a while, and would
-// be silent then.
+// It reads it whole each time. A feed that delivers nothing may have lost its
+// changes, so its silence would confirm nothing.
 func (c *configuration) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if wait := c.untilRead(time.Now()); wait > 0 && !c.awaitNewer(ctx, wait) {
@@ -141,8 +141,7 @@
 	return true
 }
 
-// apply brings a configuration in force, unless it is already, and renews the
-// lease. known is the newest revision that was known when the read was sent.
+// apply puts a configuration in force, unless it is already, and renews the lease. known is the newest revision that was known when the read was sent.
 func (c *configuration) apply(update *ryeford.ConfigurationUpdate, known int64, sent, answered time.Time) {
 	if !freshness.Confirms(update.Revision, known) {
 		c.metrics.Count("ryeford_stale_answers_total", "")
@@ -174,10 +173,10 @@
 	}
 }
 
-// readSoon lets run read the configuration at once.
+// readSoon makes run read the configuration at once.
 func (c *configuration) readSoon() {
 	select {
 	case c.newer <- struct{}{}:
-	default: // it is to already
+	default: // run is to read already
 	}
 }
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -13,7 +13,7 @@
 )
 
 // A drain stops a gateway: it serves on until callers go elsewhere, and then waits
-// for what is in flight. When each step is taken, package shutdown says. It is safe
+// for what is in flight. Package shutdown decides when it takes each step. It is safe
 // for concurrent use.
 type drain struct {
 	grace    time.Duration // from the order to stop to the end of the process
@@ -50,6 +50,7 @@
 	d.awaitQuiet(closeBy)
 	limit, cancel := context.WithDeadline(context.WithoutCancel(work), closeBy)
 	defer cancel()
+	// polls are the readiness probes that failed: operators know the log by that name.
 	_ = d.log.Log("msg", "closing idle connections", "in_flight", d.inFlight.Load(), "polls", d.failedProbes.Load())
 	// Shutdown closes the listener and idle connections, and waits for the busy ones.
 	if err := callers.http.Shutdown(limit); err != nil {
--- a/gateway/freshness/lease.go
+++ b/gateway/freshness/lease.go
@@ -18,17 +18,17 @@
 // read may be this router's own or a peer's.
 //
 // Why: the time counts from before the read was sent since the source may have
-// answered at any moment after that. A process that was cut off, paused or frozen
-// finds its lease ended by itself, whatever it missed. A feed that is silent renews
-// nothing: it may be deaf (commit 01ef1b5).
+// answered at any moment after that. The lease of a process that was cut off, paused or frozen
+// ends by itself, whatever the process missed. A feed that delivers nothing renews
+// nothing: it may have lost its changes (commit 01ef1b5).
 
 // leaseMargin is left between the end of a lease and the time after which a revoked
 // key must not work: for the way of a request to the endpoint, after the check.
 // Not measured.
 const leaseMargin = 500 * time.Millisecond
 
-// Term returns how long a confirmed configuration may be relied on if a revoked key
-// must not work any more after the time revoke.
+// Term returns how long a confirmed configuration may be relied on. revoke is the time
+// from a key's revocation after which no request with it may run (bounds.revoke).
 func Term(revoke time.Duration) time.Duration { return revoke - leaseMargin }
 
 // A Lease says until when a confirmed state may be relied on. It is safe for
--- a/gateway/freshness/refresh.go
+++ b/gateway/freshness/refresh.go
@@ -10,10 +10,10 @@
 // it to the others, who then need not read. A router that learns that a peer has a
 // newer version reads at once.
 //
-// Why: calls of the source were the dearest price on large sites (commit eea61c1:
+// Why: calls of the source cost more than anything else on large sites (commit eea61c1:
 // 4,612 -> 1,747 calls). The order follows from the source's clock, so that routers
 // agree on it without asking each other, and the work goes round. The second is
-// there for a first that is down or cut off; if it is, too, every router reads by
+// there in case the first is down or cut off; if both are, every router reads by
 // itself as it would without peers.
 
 const (
@@ -24,7 +24,7 @@
 	// and the second router of a shift read. Set with shiftLength.
 	firstPart  = 0.5
 	secondPart = 0.75
-	// minReadPause is the least time between two reads of a router. Not measured.
+	// minReadPause is the minimum time between two reads of a router. Not measured.
 	minReadPause = 60 * time.Millisecond
 	// slowReadPause is the pause after a read that failed or that found that the
 	// operators have set no configuration yet. Set by: the trial of commit 2868148
@@ -51,7 +51,7 @@
 	return refresh
 }
 
-// PauseAfterRead returns the least time until a router's next read. answered says
+// PauseAfterRead returns the minimum time until a router's next read. answered says
 // that the read was answered, configured that a configuration is in force.
 func PauseAfterRead(answered, configured bool) time.Duration {
 	if !answered || !configured {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -5,8 +5,8 @@
 //
 // A Gateway wires its parts together (wiring.go) and runs them. Each part owns one
 // piece of state: configuration, endpointList, gossip, drain, probeHandler, and
-// server for the HTTP servers. A request's life begins in handler.go. What the parts
-// decide, the packages below this one say.
+// server for the HTTP servers. A request's life begins in handler.go. The packages below
+// this one hold the rules by which the parts decide.
 //
 // The package knows no header and no call of the platform: it is given those as
 // ryeford.Protocol, ryeford.ConfigurationSource and ryeford.EndpointSource.
--- a/gateway/outlier/limits.go
+++ b/gateway/outlier/limits.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// The limits by which the gateway ejects endpoints. No run of their own set any
-// of them: they date from the first version of the gateway (7d4c5e4), whose
-// scores and hunts they were part of. Other values of four of them made no clear
-// difference (docs/design.md, "One constant at a time").
+// The limits by which the gateway ejects endpoints. None was measured by itself: they
+// date from the first version of the gateway (7d4c5e4) and were part of its runs. Other
+// values of four of them made no clear difference (docs/design.md, "One constant at a
+// time").
 const (
 	// consecutiveFailures is how many failures in a row eject an endpoint. Three
 	// keep one broken connection, and the retry after it, from ejecting it.
--- a/gateway/peers/count.go
+++ b/gateway/peers/count.go
@@ -10,7 +10,7 @@
 //
 // Why: in a large fleet the budget of bytes lets a router send to only a few peers
 // a second, so that some loads are always too old to be added up. Leaving those
-// peers out would underestimate every endpoint alike and let it be overrun.
+// peers out would underestimate every endpoint's load alike and overload it.
 //
 // Of a peer's messages only the newest counts: a datagram may be duplicated,
 // overtaken by a later one, or come from before the peer was started anew.
--- a/gateway/peers/table.go
+++ b/gateway/peers/table.go
@@ -101,7 +101,7 @@
 }
 
 // Targets returns at most k peers to send to, drawn at random. Peers that have
-// only been named by others are among them: they get to know this router so.
+// only been named by others are among them, so that they learn of this router.
 func (t *Table) Targets(now time.Time, k int) []netip.AddrPort {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/gateway/prefixcache/index.go
+++ b/gateway/prefixcache/index.go
@@ -16,7 +16,7 @@
 )
 
 // The limits of the gateway's index. Not measured when they were set: they date from
-// 2a0751d, whose panels measured the index as a whole (docs/design.md, "who is known
+// 2a0751d, whose runs measured the index as a whole (docs/design.md, "who is known
 // to hold the parts is the source").
 const (
 	// maxParts is how many parts of prompts are indexed. It bounds memory.
--- a/gateway/roster/roster.go
+++ b/gateway/roster/roster.go
@@ -108,7 +108,7 @@
 	r.entries[endpoint.ID] = entry
 }
 
-// drop gives an endpoint that the list names no longer its new status.
+// drop gives its new status to an endpoint that the list no longer names.
 func (r *Roster) drop(now time.Time, id ryeford.EndpointID, afterOutage bool, change *Change) {
 	entry := r.entries[id]
 	if entry == nil {
--- a/gateway/roster/status.go
+++ b/gateway/roster/status.go
@@ -13,9 +13,9 @@
 	// on trouble-1 seed 280933027115 (a37ab61, docs/findings.md).
 	suspectTTL = 2 * time.Second
 	// departedTTL is how long an endpoint that left the list without draining may
-	// still serve cached prefixes to others: it drains for as long as one that did
-	// say so, and its address is not given to another endpoint sooner. Set by the
-	// panels of dcd1a11 (docs/design.md, "stay sources for 1.8 s"): no other value
+	// still serve cached prefixes to others: it drains for as long as one that
+	// announced it, and its address is not given to another endpoint sooner. Set by
+	// the runs of dcd1a11 (docs/design.md, "stay sources for 1.8 s"): no other value
 	// was tried.
 	departedTTL = 1800 * time.Millisecond
 )
@@ -70,12 +70,12 @@
 	return StatusReady
 }
 
-// droppedStatus returns the status of an endpoint that the list names no longer.
+// droppedStatus returns the status of an endpoint that the list no longer names.
 // afterOutage says that this is the first list since the store was out of reach.
 //
-// An endpoint that said that it drains is gone with its entry. A ready one becomes
+// An endpoint that announced that it drains is gone with its entry. A ready one becomes
 // suspect after an outage, and departed at any other time. A suspect one that a
-// later list, too, says is gone is gone.
+// later list lacks, too, is gone.
 func droppedStatus(status Status, afterOutage bool) Status {
 	switch {
 	case status == StatusDraining || status == StatusDeparted:
--- a/gateway/shutdown/shutdown.go
+++ b/gateway/shutdown/shutdown.go
@@ -19,7 +19,7 @@
 
 const (
 	// minProbes is how many readiness probes in a row must fail before the balancer
-	// sends no new connections. Set by: the page of the protocol.
+	// sends no new connections. Set by: the platform's PROTOCOL page.
 	minProbes = 2
 	// NoticeMargin is how long the balancer may take to act after Noticed. Not
 	// measured.
--- a/reason.go
+++ b/reason.go
@@ -20,7 +20,7 @@
 // The reasons of the gateway.
 const (
 	ReasonStaleConfiguration Reason = "stale_configuration" // the configuration may be out of date
-	ReasonKeyRevoked         Reason = "key_taken"           // the key was revoked after the request came
+	ReasonKeyRevoked         Reason = "key_taken"           // the key was revoked after the request came (codes never change)
 )
 
 // The reasons of the fleet with agents.
