--- a/settings/errors.go
+++ b/settings/errors.go
@@ -97,9 +97,9 @@
 	case "ltfield":
 		return "must be less than " + e.Param()
 	case "excludesall":
-		return "must not contain any of " + strings.TrimSpace(e.Param()) + " or spaces"
+		return "must not contain any of " + strings.ReplaceAll(e.Param(), " ", " or spaces")
 	}
-	return "must satisfy " + e.Tag() + " " + e.Param()
+	return "must satisfy " + strings.TrimSpace(e.Tag()+" "+e.Param())
 }
 
 // lineOf returns the line of a key such as limits.floor, or zero.
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"path/filepath"
+	"strings"
 	"testing"
 	"time"
 
@@ -41,6 +42,18 @@
 	}
 }
 
+// TestAllowed checks what an error says of characters that a text may not have.
+func TestAllowed(t *testing.T) {
+	agent := "vm: r\nregion: n\nfailure_domain: d\nlisten: 127.0.0.1:1\nmetrics: 127.0.0.1:2\nplatform: 127.0.0.1:3\n" +
+		"tls: {authority: a, certificate: b, key: c}\nservices: [{id: i, name: a/b, address: 127.0.0.1:4}]\n"
+	assert.Error(t, Parse([]byte(agent), DefaultAgent()), "line 8: services[0].name: must not contain any of /")
+	const template = "account: a\nname: n\nmodel: m\nshare: 1\n"
+	err := Parse([]byte("account: a b\nname: n\nmodel: m\nshare: 1\n"), DefaultTemplate())
+	assert.Error(t, err, "line 1: account: must not contain any of / or spaces")
+	hash := "key_hashes: [" + strings.Repeat("x", 64) + "]\n"
+	assert.Error(t, Parse([]byte(template+hash), DefaultTemplate()), "line 5: key_hashes[0]: must satisfy hexadecimal")
+}
+
 const valid = `vm: r
 region: n
 failure_domain: d
