--- a/internal/cmd/callcmd.go
+++ b/internal/cmd/callcmd.go
@@ -91,10 +91,10 @@
 		if err := json.NewEncoder(c.Root().Writer).Encode(answer); err != nil {
 			return err
 		}
-	} else if c.String("service") != "" && answer.Failure == nil {
-		fmt.Fprint(c.Root().Writer, answer.Text)
-	}
-	if !c.Bool("json") {
+	} else {
+		if c.String("service") != "" && answer.Failure == nil {
+			fmt.Fprint(c.Root().Writer, answer.Text)
+		}
 		fmt.Fprintln(c.Root().Writer)
 	}
 	switch {
--- a/operator/client.go
+++ b/operator/client.go
@@ -43,83 +43,70 @@
 
 // Publish publishes a template.
 func (c *Client) Publish(ctx context.Context, t *ryeford.Template) (*ryeford.Template, error) {
-	published := &ryeford.Template{}
-	err := c.call(ctx, http.MethodPost, router.PathTemplates, t, published)
-	return published, err
+	return call[*ryeford.Template](ctx, c, http.MethodPost, router.PathTemplates, t)
 }
 
 // Templates returns all templates.
 func (c *Client) Templates(ctx context.Context) ([]ryeford.Template, error) {
-	var templates []ryeford.Template
-	err := c.call(ctx, http.MethodGet, router.PathTemplates, nil, &templates)
-	return templates, err
+	return call[[]ryeford.Template](ctx, c, http.MethodGet, router.PathTemplates, nil)
 }
 
 // Template returns one template, ACCOUNT/NAME.
 func (c *Client) Template(ctx context.Context, name string) (*ryeford.Template, error) {
-	t := &ryeford.Template{}
-	err := c.call(ctx, http.MethodGet, router.PathTemplates+"/"+name, nil, t)
-	return t, err
+	return call[*ryeford.Template](ctx, c, http.MethodGet, router.PathTemplates+"/"+name, nil)
 }
 
 // History returns the versions of a template, the oldest first.
 func (c *Client) History(ctx context.Context, name string) ([]ryeford.Template, error) {
-	var templates []ryeford.Template
-	err := c.call(ctx, http.MethodGet, router.PathHistory+name, nil, &templates)
-	return templates, err
+	return call[[]ryeford.Template](ctx, c, http.MethodGet, router.PathHistory+name, nil)
 }
 
 // StopVM begins a planned stop of a VM.
 func (c *Client) StopVM(ctx context.Context, vm ryeford.VMID) (*ryeford.VM, error) {
-	stopped := &ryeford.VM{}
-	err := c.call(ctx, http.MethodPost, router.PathVMs+string(vm)+"/stop", nil, stopped)
-	return stopped, err
+	return call[*ryeford.VM](ctx, c, http.MethodPost, router.PathVMs+string(vm)+"/stop", nil)
 }
 
 // Status returns the router's own state and the agents that it reaches.
 func (c *Client) Status(ctx context.Context) (*router.Status, error) {
-	s := &router.Status{}
-	err := c.call(ctx, http.MethodGet, router.PathStatus, nil, s)
-	return s, err
+	return call[*router.Status](ctx, c, http.MethodGet, router.PathStatus, nil)
 }
 
 // Explain returns the decisions on a request.
 func (c *Client) Explain(ctx context.Context, request ryeford.RequestID) (*router.Explanation, error) {
-	e := &router.Explanation{}
-	err := c.call(ctx, http.MethodGet, router.PathExplain+string(request), nil, e)
-	return e, err
+	return call[*router.Explanation](ctx, c, http.MethodGet, router.PathExplain+string(request), nil)
 }
 
-// call makes one call.
-func (c *Client) call(ctx context.Context, method, path string, request, answer any) error {
+// call makes one call and decodes its answer. A nil request has no body.
+func call[T any](ctx context.Context, c *Client, method, path string, request any) (T, error) {
+	var answer T
 	var body []byte
 	if request != nil {
 		var err error
 		if body, err = json.Marshal(request); err != nil {
-			return &Error{Address: c.address, Err: err}
+			return answer, &Error{Address: c.address, Err: err}
 		}
 	}
-	call, err := http.NewRequestWithContext(ctx, method, "http://"+c.address.String()+path, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, method, "http://"+c.address.String()+path, bytes.NewReader(body))
 	if err != nil {
-		return &Error{Address: c.address, Err: err}
+		return answer, &Error{Address: c.address, Err: err}
 	}
-	call.Header.Set("Authorization", "Bearer "+c.key)
-	response, err := c.http.Do(call)
+	httpRequest.Header.Set("Authorization", "Bearer "+c.key)
+	response, err := c.http.Do(httpRequest)
 	if err != nil {
-		return &Error{Address: c.address, Err: err}
+		return answer, &Error{Address: c.address, Err: err}
 	}
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
 	if err != nil {
-		return &Error{Address: c.address, Err: err}
+		return answer, &Error{Address: c.address, Err: err}
 	}
 	if response.StatusCode != http.StatusOK {
-		return newStatusError(c.address, response.StatusCode, content)
+		return answer, newStatusError(c.address, response.StatusCode, content)
 	}
-	if err := json.Unmarshal(content, answer); err != nil {
-		return &Error{Address: c.address, Err: err}
+	if err := json.Unmarshal(content, &answer); err != nil {
+		return answer, &Error{Address: c.address, Err: err}
 	}
-	return nil
+	return answer, nil
 }
 
 // An Error is a call that failed.
--- a/standin/promptcache.go
+++ b/standin/promptcache.go
@@ -35,12 +35,8 @@
 
 // cached returns how many tokens of a chat's prompt are cached.
 func (c *promptCache) cached(chat ryeford.ChatID, prompt string) int {
-	element, ok := c.chats[chat]
-	if !ok {
-		return 0
-	}
-	text := element.Value.(cacheEntry).text
-	if !strings.HasPrefix(prompt, text) {
+	text, ok := c.text(chat)
+	if !ok || !strings.HasPrefix(prompt, text) {
 		return 0
 	}
 	return countTokens(text)
