--- a/agentfleet/engine/eventreader.go
+++ b/agentfleet/engine/eventreader.go
@@ -1,54 +1,37 @@
 package engine
 
 import (
-	"bufio"
 	"encoding/json"
 	"io"
-	"strings"
 
 	"github.com/ryeford/ryeford"
-)
-
-const (
-	// firstEventBuffer and maxEventSize bound one line of a stream, in bytes. Not
-	// measured.
-	firstEventBuffer = 4096
-	maxEventSize     = 1 << 20
+	"github.com/ryeford/ryeford/internal/eventstream"
 )
 
 // An eventReader is a ryeford.ChunkReader of server-sent events.
 type eventReader struct {
-	body    io.ReadCloser
-	scanner *bufio.Scanner
+	body   io.ReadCloser
+	events *eventstream.Reader
 }
 
 // newEventReader returns an eventReader of a response body.
 func newEventReader(body io.ReadCloser) *eventReader {
-	scanner := bufio.NewScanner(body)
-	scanner.Buffer(make([]byte, 0, firstEventBuffer), maxEventSize)
-	return &eventReader{body: body, scanner: scanner}
+	return &eventReader{body: body, events: eventstream.NewReader(body)}
 }
 
 // Close implements ryeford.ChunkReader.
 func (r *eventReader) Close() error { return r.body.Close() }
 
-// Next implements ryeford.ChunkReader. Only doneMarker ends a stream with io.EOF: a
-// stream that just stops is broken.
+// Next implements ryeford.ChunkReader. Only the end marker ends a stream with
+// io.EOF: a stream that just stops is broken.
 func (r *eventReader) Next() (ryeford.Chunk, error) {
-	var id string
-	for r.scanner.Scan() {
-		name, value, _ := strings.Cut(r.scanner.Text(), ":")
-		value = strings.TrimPrefix(value, " ")
-		switch {
-		case name == "id":
-			id = value
-		case name == "data" && value == doneMarker:
-			return ryeford.Chunk{}, io.EOF
-		case name == "data":
-			return parseChunk(id, value)
-		}
+	if r.events.Next() {
+		return parseChunk(r.events.ID, r.events.Data)
+	}
+	if r.events.Complete {
+		return ryeford.Chunk{}, io.EOF
 	}
-	if err := r.scanner.Err(); err != nil {
+	if err := r.events.Err(); err != nil {
 		return ryeford.Chunk{}, &Error{Op: "read stream", Err: err}
 	}
 	return ryeford.Chunk{}, &Error{Op: "read stream", Err: io.ErrUnexpectedEOF}
--- a/agentfleet/engine/eventreader_test.go
+++ b/agentfleet/engine/eventreader_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/internal/eventstream"
 )
 
 func TestEventReader(t *testing.T) {
@@ -49,7 +50,7 @@
 		"id: a1\ndata: {}\n",  // no offset
 		"id: :1\ndata: {}\n",  // no attempt
 		"id: a1:1\ndata: {\n", // no JSON
-		"id: a1:1\ndata: " + strings.Repeat("x", maxEventSize) + "\n",
+		"id: a1:1\ndata: " + strings.Repeat("x", eventstream.MaxLine) + "\n",
 	} {
 		_, err := newEventReader(io.NopCloser(strings.NewReader(body))).Next()
 		assert.Assert(t, err != nil && !errors.Is(err, io.EOF), "%.40s", body)
--- a/agentfleet/engine/protocol.go
+++ b/agentfleet/engine/protocol.go
@@ -60,9 +60,6 @@
 	Message string `json:"message"`
 }
 
-// doneMarker is the data of the event that ends a stream.
-const doneMarker = "[DONE]"
-
 // EventID returns the event id of a chunk: ATTEMPT:OFFSET.
 func EventID(attempt ryeford.AttemptID, offset int64) string {
 	return string(attempt) + ":" + strconv.FormatInt(offset, 10)
--- a/caller/events.go
+++ b/caller/events.go
@@ -1,25 +1,21 @@
 package caller
 
 import (
-	"bufio"
 	"encoding/json"
 	"io"
 	"strings"
 	"time"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/internal/eventstream"
 )
 
-// maxEventSize is the longest line of an event stream, in bytes. Not measured.
-const maxEventSize = 1 << 20
-
 // An eventReader reads server-sent events into an Answer.
 type eventReader struct {
 	client *Client
 	answer *Answer
 	last   time.Time
 	text   strings.Builder
-	id     string
 }
 
 // An eventBody is the data of one event.
@@ -37,27 +33,18 @@
 // read reads all events.
 func (r *eventReader) read(body io.Reader) error {
 	defer func() { r.answer.Text = r.text.String() }()
-	scanner := bufio.NewScanner(body)
-	scanner.Buffer(nil, maxEventSize)
-	for scanner.Scan() {
-		name, value, _ := strings.Cut(scanner.Text(), ": ")
-		switch {
-		case name == "id":
-			r.id = value
-		case name == "data" && value == "[DONE]":
-			r.answer.Complete = r.answer.Finish != ""
-			return nil
-		case name == "data":
-			if err := r.take(value); err != nil {
-				return err
-			}
+	events := eventstream.NewReader(body)
+	for events.Next() {
+		if err := r.take(events.ID, events.Data); err != nil {
+			return err
 		}
 	}
-	return scanner.Err()
+	r.answer.Complete = events.Complete && r.answer.Finish != ""
+	return events.Err()
 }
 
 // take adds the data of one event to the answer.
-func (r *eventReader) take(data string) error {
+func (r *eventReader) take(id, data string) error {
 	var body eventBody
 	if err := json.Unmarshal([]byte(data), &body); err != nil {
 		return err
@@ -66,9 +53,9 @@
 		r.answer.Failure = body.Error
 		return nil
 	}
-	r.answer.LastEvent = r.id
+	r.answer.LastEvent = id
 	if r.client.OnEvent != nil {
-		r.client.OnEvent(r.id)
+		r.client.OnEvent(id)
 	}
 	if body.Usage != nil {
 		r.answer.Usage = *body.Usage
--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -1,4 +1,4 @@
-// Package eventstream writes responses of the media type text/event-stream, in the
+// Package eventstream writes and reads responses of the media type text/event-stream, in the
 // form that chat completions use: each event is JSON, and the last line of a complete
 // response is "data: [DONE]". It owns the bytes that are encoded and not read yet; what
 // the events are, and when there are more, is its caller's business.
@@ -9,8 +9,8 @@
 	"encoding/json"
 )
 
-// done is the end marker. A response without it was cut.
-const done = "data: [DONE]\n\n"
+// doneData is the data of the end marker. A response without it was cut.
+const doneData = "[DONE]"
 
 // An Event is one server-sent event. An empty ID or Name is left out.
 type Event struct {
@@ -53,7 +53,7 @@
 }
 
 // WriteDone appends the end marker of a complete response.
-func (b *Buffer) WriteDone() { b.WriteString(done) }
+func (b *Buffer) WriteDone() { b.WriteString("data: " + doneData + "\n\n") }
 
 // ReadOrFill reads from b as an io.Reader does. While b is empty it calls fill, which
 // is to append to b or to return an error: io.EOF after the last event, any other error
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -1,9 +1,11 @@
 package eventstream
 
 import (
+	"bufio"
 	"errors"
 	"io"
 	"math"
+	"strings"
 	"testing"
 
 	"gotest.tools/v3/assert"
@@ -77,3 +79,34 @@
 
 // Read implements io.Reader.
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
+
+// TestReader checks which events are read, and how the end of a stream is told: by its
+// end marker, by the body alone, or by an error.
+func TestReader(t *testing.T) {
+	tooLong := "data: " + strings.Repeat("x", MaxLine) + "\n"
+	for _, test := range []struct {
+		name     string
+		body     string
+		want     []string // ID and data of each event
+		complete bool
+		err      error
+	}{
+		{"with IDs", "id: 1\ndata: a\n\nid: 2\ndata: b\n\ndata: [DONE]\n\n", []string{"1 a", "2 b"}, true, nil},
+		{"an ID is of one event only", "id: 1\ndata: a\n\ndata: b\n\n", []string{"1 a", " b"}, false, nil},
+		{"nothing is read after the end marker", "data: [DONE]\n\n", nil, true, nil},
+		{"other lines are skipped", ": ping\nevent: error\nretry: 5\ndata: a\n\n", []string{" a"}, false, nil},
+		{"the body just ends", "", nil, false, nil},
+		{"a line that is too long", tooLong, nil, false, bufio.ErrTooLong},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			r := NewReader(strings.NewReader(test.body))
+			var got []string
+			for r.Next() {
+				got = append(got, r.ID+" "+r.Data)
+			}
+			assert.DeepEqual(t, got, test.want)
+			assert.Equal(t, r.Complete, test.complete)
+			assert.Equal(t, r.Err(), test.err)
+		})
+	}
+}
