--- a/standin/engine.go
+++ b/standin/engine.go
@@ -72,7 +72,7 @@
 	case path == engine.PathServing:
 		e.order(ctx)
 	case strings.HasPrefix(path, engine.PathCache):
-		e.cacheContent(ctx, strings.TrimPrefix(path, engine.PathCache))
+		e.cacheContent(ctx, ryeford.ChatID(strings.TrimPrefix(path, engine.PathCache)))
 	case path == engine.PathCompletions && ctx.IsPost():
 		e.complete(ctx)
 	case strings.HasPrefix(path, engine.PathCompletions+"/"):
--- a/standin/enginecache.go
+++ b/standin/enginecache.go
@@ -1,7 +1,6 @@
 package standin
 
 import (
-	"net/url"
 	"strconv"
 
 	"github.com/valyala/fasthttp"
@@ -22,19 +21,14 @@
 }
 
 // cacheContent exports or imports a chat's KV cache.
-func (e *engineServer) cacheContent(ctx *fasthttp.RequestCtx, escaped string) {
-	name, err := url.PathUnescape(escaped)
-	if err != nil {
-		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
-		return
-	}
+func (e *engineServer) cacheContent(ctx *fasthttp.RequestCtx, chat ryeford.ChatID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if ctx.IsPut() {
-		e.cache.store(ryeford.ChatID(name), string(ctx.PostBody()))
+		e.cache.store(chat, string(ctx.PostBody()))
 		return
 	}
-	text, ok := e.cache.text(ryeford.ChatID(name))
+	text, ok := e.cache.text(chat)
 	if !ok {
 		ctx.Error("not cached", fasthttp.StatusNotFound)
 		return
--- a/standin/platformobjects.go
+++ b/standin/platformobjects.go
@@ -1,20 +1,13 @@
 package standin
 
 import (
-	"net/url"
 	"slices"
 
 	"github.com/valyala/fasthttp"
 )
 
-// object serves the object store: a write or a read of the object whose escaped
-// name ends the path.
-func (p *platformServer) object(ctx *fasthttp.RequestCtx, escaped string) {
-	name, err := url.PathUnescape(escaped)
-	if err != nil {
-		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
-		return
-	}
+// object serves the object store: a write or a read of the named object.
+func (p *platformServer) object(ctx *fasthttp.RequestCtx, name string) {
 	if ctx.IsPut() {
 		p.putObject(ctx, name)
 		return
