--- a/internal/cmd/replaycmd.go
+++ b/internal/cmd/replaycmd.go
@@ -56,7 +56,7 @@
 		}
 		entries = append(entries, *outcome)
 	}
-	options, err := replayOptions(c, entries)
+	options, err := replayOptions(c)
 	if err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 }
 
 // replayOptions returns the options that the flags give.
-func replayOptions(c *cli.Command, entries []trace.Entry) (*replay.Options, error) {
+func replayOptions(c *cli.Command) (*replay.Options, error) {
 	o := &replay.Options{
 		Speed:    c.Float("speed"),
 		Retries:  c.Int("retries"),
@@ -129,7 +129,7 @@
 			fmt.Fprintf(c.Root().ErrWriter, "%s: %d of %d turns\n", time.Since(began).Round(time.Second), done, total)
 		}
 	}
-	o.Keys = accountKeys(c.StringSlice("account"), entries)
+	o.Key = accountKeys(c.StringSlice("account"))
 	o.SetFault = faultSetter(c.StringSlice("target"))
 	if engines := c.StringSlice("engines"); len(engines) > 0 {
 		o.Runs = func(ctx context.Context) ([][]standin.RunRecord, error) { return engineRuns(ctx, engines) }
@@ -168,8 +168,9 @@
 	return all, nil
 }
 
-// accountKeys returns the key of each account of a trace.
-func accountKeys(given []string, entries []trace.Entry) map[ryeford.AccountID]string {
+// accountKeys returns a function that returns an account's key, from keys that are
+// given as ACCOUNT=KEY or PREFIX.
+func accountKeys(given []string) func(ryeford.AccountID) string {
 	named := make(map[ryeford.AccountID]string)
 	other := ""
 	for _, text := range given {
@@ -180,14 +181,10 @@
 		}
 		named[ryeford.AccountID(account)] = key
 	}
-	keys := make(map[ryeford.AccountID]string)
-	for i := range entries {
-		account := entries[i].Account
+	return func(account ryeford.AccountID) string {
 		if key, ok := named[account]; ok {
-			keys[account] = key
-		} else {
-			keys[account] = other + string(account)
+			return key
 		}
+		return other + string(account)
 	}
-	return keys
 }
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -28,7 +28,8 @@
 type Options struct {
 	Routers   []netip.AddrPort // for callers
 	Operators []*operator.Client
-	Keys      map[ryeford.AccountID]string // of the client accounts
+	// Key returns the key of a client account.
+	Key func(account ryeford.AccountID) string
 	// SetFault sets a fault of a named stand-in.
 	SetFault func(ctx context.Context, target string, fault []byte) error
 	// Speed is how many seconds of the trace pass in one second.
@@ -63,11 +64,12 @@
 		report:  newReport(entries),
 		chats:   make(map[ryeford.ChatID]*chat),
 	}
-	balanceCtx, stopBalancer := context.WithCancel(ctx)
-	defer stopBalancer()
-	p.balance = newBalancer(balanceCtx, o.Routers)
-	stopProgress := p.showProgress()
-	defer stopProgress()
+	playing, stop := context.WithCancel(ctx)
+	defer stop()
+	p.balance = newBalancer(playing, o.Routers)
+	if o.Progress != nil {
+		go p.showProgress(playing)
+	}
 	began := time.Now()
 	if err := p.playAll(ctx, entries, began); err != nil {
 		return nil, err
@@ -108,27 +110,17 @@
 	return nil
 }
 
-// showProgress calls Progress each second, until the function that it returns is
-// called.
-func (p *player) showProgress() func() {
-	if p.options.Progress == nil {
-		return func() {}
-	}
+// showProgress calls Progress each second until ctx ends.
+func (p *player) showProgress(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
-	done := make(chan struct{})
-	go func() {
-		for {
-			select {
-			case <-ticker.C:
-				p.options.Progress(p.report.done(), p.report.Turns)
-			case <-done:
-				return
-			}
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			p.options.Progress(p.report.done(), p.report.Turns)
+		case <-ctx.Done():
+			return
 		}
-	}()
-	return func() {
-		ticker.Stop()
-		close(done)
 	}
 }
 
--- a/replay/turn.go
+++ b/replay/turn.go
@@ -37,7 +37,7 @@
 	defer c.mu.Unlock()
 	messages := append(c.messages, ryeford.Message{Role: "user", Content: prompt(e, len(c.messages))})
 	t := &caller.Turn{
-		Key:           p.options.Keys[e.Account],
+		Key:           p.options.Key(e.Account),
 		Chat:          e.Chat,
 		Model:         e.Model,
 		Messages:      messages,
