--- a/caller/turn.go
+++ b/caller/turn.go
@@ -34,7 +34,6 @@
 	Stream    bool              `json:"stream"`
 }
 
-// body returns the JSON body of the turn.
 func (t *Turn) body() ([]byte, error) {
 	return json.Marshal(&completionBody{
 		MaxTokens: t.MaxTokens,
@@ -55,7 +54,6 @@
 	return request, nil
 }
 
-// setHeaders sets the headers of a turn.
 func (t *Turn) setHeaders(header http.Header) {
 	header.Set("Authorization", "Bearer "+t.Key)
 	header.Set("Content-Type", "application/json")
--- a/internal/cmd/agentcmd.go
+++ b/internal/cmd/agentcmd.go
@@ -9,7 +9,6 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// newAgentCommand returns the command that runs an agent.
 func newAgentCommand() *cli.Command {
 	agents := role[settings.Agent]{
 		name:  "agent",
--- a/internal/cmd/callcmd.go
+++ b/internal/cmd/callcmd.go
@@ -12,7 +12,6 @@
 	"github.com/ryeford/ryeford/caller"
 )
 
-// newCallCommand returns the command that sends one request as a caller does.
 func newCallCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "call",
@@ -37,7 +36,6 @@
 	}
 }
 
-// call sends one request.
 func call(ctx context.Context, c *cli.Command) error {
 	address, err := addressFlag(c, "callers")
 	if err != nil {
--- a/internal/cmd/certcmd.go
+++ b/internal/cmd/certcmd.go
@@ -11,7 +11,6 @@
 	"github.com/ryeford/ryeford/agentfleet/transport"
 )
 
-// newCertCommand returns the command that makes certificates for a trial.
 func newCertCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "cert",
--- a/internal/cmd/checkcmd.go
+++ b/internal/cmd/checkcmd.go
@@ -9,7 +9,6 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// newCheckCommand returns the command that checks settings.
 func newCheckCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "check",
--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -34,7 +34,6 @@
 	return exitCode(err)
 }
 
-// newRootCommand returns the program's command.
 func newRootCommand() *cli.Command {
 	return &cli.Command{
 		Name:                  "ryeford",
@@ -62,7 +61,6 @@
 	}
 }
 
-// jsonFlag returns the flag that asks for JSON.
 func jsonFlag() cli.Flag {
 	return &cli.BoolFlag{Name: "json", Usage: "print JSON in place of text"}
 }
--- a/internal/cmd/devfleet.go
+++ b/internal/cmd/devfleet.go
@@ -36,7 +36,6 @@
 	logger  log.Logger
 }
 
-// newDevFleet returns the settings of a dev fleet.
 func newDevFleet(callers, operators netip.AddrPort) *devFleet {
 	f := &devFleet{
 		logger: log.NewNopLogger(),
--- a/internal/cmd/exit.go
+++ b/internal/cmd/exit.go
@@ -38,7 +38,6 @@
 // Error returns the text of e.
 func (e *MissedError) Error() string { return "missed: " + strings.Join(e.Missed, "; ") }
 
-// exitCode returns the exit code of a failure.
 func exitCode(err error) int {
 	var usage *UsageError
 	var settingsErr *settings.Error
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -12,7 +12,6 @@
 	"github.com/ryeford/ryeford/agentfleet/router"
 )
 
-// newExplainCommand returns the command that explains a request.
 func newExplainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
--- a/internal/cmd/operators.go
+++ b/internal/cmd/operators.go
@@ -69,7 +69,6 @@
 	return addresses, nil
 }
 
-// addressFlag returns the address that a flag names.
 func addressFlag(c *cli.Command, name string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(c.String(name))
 	if err != nil {
--- a/internal/cmd/replaycmd.go
+++ b/internal/cmd/replaycmd.go
@@ -18,7 +18,6 @@
 	"github.com/ryeford/ryeford/trace"
 )
 
-// newReplayCommand returns the command that plays a trace.
 func newReplayCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "replay",
@@ -92,7 +91,6 @@
 	return outcome, nil
 }
 
-// readTrace reads a trace file.
 func readTrace(name string) ([]trace.Entry, error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -106,7 +104,6 @@
 	return entries, nil
 }
 
-// replayOptions returns the options that the flags give.
 func replayOptions(c *cli.Command) (*replay.Options, error) {
 	o := &replay.Options{
 		Speed:    c.Float("speed"),
--- a/internal/cmd/role.go
+++ b/internal/cmd/role.go
@@ -58,7 +58,6 @@
 // Run implements runner.
 func (f runnerFunc) Run(ctx context.Context) error { return f(ctx) }
 
-// command returns the command of the role.
 func (r *role[S]) command() *cli.Command {
 	flag := &cli.StringFlag{Name: "settings", Usage: "the settings `FILE`, in YAML (docs/settings.md)", Required: true}
 	if r.variable != "" {
--- a/internal/cmd/routercmd.go
+++ b/internal/cmd/routercmd.go
@@ -9,7 +9,6 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// newRouterCommand returns the command that runs a router of the fleet with agents.
 func newRouterCommand() *cli.Command {
 	routers := role[settings.Router]{
 		name:  "router",
--- a/internal/cmd/standincmd.go
+++ b/internal/cmd/standincmd.go
@@ -18,7 +18,6 @@
 	"github.com/ryeford/ryeford/standin"
 )
 
-// newStandinCommand returns the commands on stand-ins.
 func newStandinCommand() *cli.Command {
 	standins := role[settings.Standin]{
 		name:    "run",
@@ -54,12 +53,10 @@
 	}
 }
 
-// newStandins returns the stand-ins of a settings file.
 func newStandins(p *startup[settings.Standin]) (runner, error) {
 	return runnerFunc(func(ctx context.Context) error { return standin.Run(ctx, p.settings, p.logger) }), nil
 }
 
-// setFault posts a fault to a stand-in.
 func setFault(ctx context.Context, c *cli.Command) error {
 	if c.NArg() != 2 {
 		return &UsageError{Problem: "want two arguments: IP:PORT JSON"}
@@ -95,7 +92,6 @@
 	return &ryeford.NotFoundError{Kind: "VM", Name: c.Args().Get(1)}
 }
 
-// printRuns prints what a stand-in counted.
 func printRuns(ctx context.Context, c *cli.Command) error {
 	address, err := oneArg(c, "IP:PORT")
 	if err != nil {
--- a/internal/cmd/statuscmd.go
+++ b/internal/cmd/statuscmd.go
@@ -11,7 +11,6 @@
 	"github.com/ryeford/ryeford/agentfleet/router"
 )
 
-// newStatusCommand returns the command that shows the fleet.
 func newStatusCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "status",
@@ -21,7 +20,6 @@
 	}
 }
 
-// showStatus prints each router's status.
 func showStatus(ctx context.Context, c *cli.Command) error {
 	clients, err := operatorClients(c)
 	if err != nil {
--- a/internal/cmd/templatecmd.go
+++ b/internal/cmd/templatecmd.go
@@ -46,7 +46,6 @@
 	}
 }
 
-// getTemplate prints a template.
 func getTemplate(ctx context.Context, c *cli.Command) error {
 	name, err := oneArg(c, "ACCOUNT/NAME")
 	if err != nil {
@@ -61,7 +60,6 @@
 	})
 }
 
-// listTemplates lists all templates.
 func listTemplates(ctx context.Context, c *cli.Command) error {
 	return firstOperator(c, func(client *operator.Client) error {
 		templates, err := client.Templates(ctx)
--- a/internal/cmd/templatepublish.go
+++ b/internal/cmd/templatepublish.go
@@ -21,7 +21,6 @@
 // Not measured.
 const inForceInterval = 100 * time.Millisecond
 
-// newTemplatePublishCommand returns the command that publishes a template file.
 func newTemplatePublishCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "publish",
@@ -35,7 +34,6 @@
 	}
 }
 
-// newTemplateRollbackCommand returns the command that publishes an earlier version.
 func newTemplateRollbackCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "rollback",
@@ -53,7 +51,6 @@
 	return &cli.DurationFlag{Name: "wait", Usage: "wait up to `TIME` until the version is in force at the routers of --operators and their agents"}
 }
 
-// publishTemplate publishes a template file.
 func publishTemplate(ctx context.Context, c *cli.Command) error {
 	file, err := oneArg(c, "FILE")
 	if err != nil {
--- a/internal/cmd/tracecmd.go
+++ b/internal/cmd/tracecmd.go
@@ -8,7 +8,6 @@
 	"github.com/ryeford/ryeford/trace"
 )
 
-// newTraceCommand returns the commands on traces.
 func newTraceCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "trace",
@@ -31,7 +30,6 @@
 	}
 }
 
-// makeTrace draws a trace.
 func makeTrace(_ context.Context, c *cli.Command) error {
 	name, err := oneArg(c, "skriptorij|nordlytt")
 	if err != nil {
--- a/internal/cmd/versioncmd.go
+++ b/internal/cmd/versioncmd.go
@@ -8,7 +8,6 @@
 	"github.com/urfave/cli/v3"
 )
 
-// newVersionCommand returns the command that prints the version.
 func newVersionCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "version",
--- a/internal/cmd/vmcmd.go
+++ b/internal/cmd/vmcmd.go
@@ -10,7 +10,6 @@
 	"github.com/ryeford/ryeford/operator"
 )
 
-// newVMCommand returns the commands on VMs.
 func newVMCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "vm",
@@ -25,7 +24,6 @@
 	}
 }
 
-// stopVM begins a planned stop of a VM.
 func stopVM(ctx context.Context, c *cli.Command) error {
 	id, err := oneArg(c, "VM")
 	if err != nil {
--- a/operator/client.go
+++ b/operator/client.go
@@ -130,7 +130,6 @@
 // Unwrap returns the cause of e.
 func (e *Error) Unwrap() error { return e.Err }
 
-// newStatusError returns the Error of an answer.
 func newStatusError(address netip.AddrPort, status int, content []byte) *Error {
 	failure := caller.DecodeFailure(content)
 	if failure == nil {
--- a/replay/report.go
+++ b/replay/report.go
@@ -70,7 +70,6 @@
 	first    *hdrhistogram.Histogram
 }
 
-// newReport returns the empty Report of a trace.
 func newReport(entries []trace.Entry) *Report {
 	r := &Report{
 		chats:    make(map[ryeford.ChatID]*chatOutcome),
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -46,7 +46,6 @@
 	serving  ryeford.Order
 }
 
-// newEngine returns an engineServer.
 func newEngine(s *settings.StandinEngine) *engineServer {
 	return &engineServer{
 		step:     cmp.Or(s.Step, defaultStep),
--- a/standin/eventstream.go
+++ b/standin/eventstream.go
@@ -84,7 +84,6 @@
 	return s.write(s.run.attempt, s.index-1, earlier[0])
 }
 
-// write writes one server-sent event.
 func (s *eventStream) write(attempt ryeford.AttemptID, index int, event engine.CompletionChunk) error {
 	return s.buf.WriteEvent(eventstream.Event{ID: engine.EventID(attempt, int64(index)), Data: &event})
 }
--- a/standin/link.go
+++ b/standin/link.go
@@ -38,7 +38,6 @@
 	callers map[netip.AddrPort]*net.UDPConn
 }
 
-// newLink returns a link that listens.
 func newLink(s *settings.StandinLink) (*link, error) {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.Address.AddrPort))
 	if err != nil {
@@ -142,7 +141,6 @@
 	}
 }
 
-// close closes all sockets.
 func (l *link) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/platformobjects.go
+++ b/standin/platformobjects.go
@@ -15,7 +15,6 @@
 	p.getObject(ctx, name)
 }
 
-// putObject writes an object.
 func (p *platformServer) putObject(ctx *fasthttp.RequestCtx, name string) {
 	if !allow(ctx, p.writes) {
 		return
@@ -27,7 +26,6 @@
 	p.answerWrite(ctx, struct{}{})
 }
 
-// getObject answers with an object.
 func (p *platformServer) getObject(ctx *fasthttp.RequestCtx, name string) {
 	if !allow(ctx, p.reads) {
 		return
--- a/standin/run.go
+++ b/standin/run.go
@@ -25,7 +25,6 @@
 	changed chan struct{}
 }
 
-// newRun returns a run that has not begun.
 func newRun(attempt ryeford.AttemptID, chat ryeford.ChatID, request engine.CompletionRequest) *run {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &run{
