--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -86,14 +86,14 @@
 	if err := admit.CheckSend(sending); err != nil {
 		return err
 	}
-	return nil
+	return nil // not CheckSend's nil pointer, which as an error would not be nil
 }
 
 // endUnanswered ends an attempt that brought no response, or none that may be used.
 func (x *exchange) endUnanswered(ctx, attemptCtx context.Context, to *roster.Entry, err error) (retry.End, error) {
 	end := endOf(err)
 	if end.MayHaveRun() {
-		x.countSent(end)
+		x.countSent(true)
 	}
 	over := ctx.Err() != nil
 	var withdrawn *ryeford.NotRunError // by checkSend
@@ -129,7 +129,7 @@
 
 // endRefused ends an attempt that the endpoint states not to have run.
 func (x *exchange) endRefused(to *roster.Entry, response *endpoint.Response) (retry.End, error) {
-	x.countSent(retry.EndRefused)
+	x.countSent(false)
 	// The body is read only so that the connection can be used again; if that fails,
 	// it is closed.
 	_, _ = response.ReadAll(maxWholeBody)
@@ -141,7 +141,7 @@
 
 // receive passes a response on, as far as it may be.
 func (x *exchange) receive(ctx, attemptCtx context.Context, to *roster.Entry, response *endpoint.Response) (retry.End, error) {
-	x.countSent(retry.EndLost) // until the whole response is there
+	x.countSent(true)
 	x.recordPrompt(to, response.Status)
 	end, err := x.relay.pass(attemptCtx, response, x.withholds(response.Status))
 	over := ctx.Err() != nil
@@ -157,10 +157,11 @@
 	return end, err
 }
 
-// countSent counts an attempt that was sent and, as far as is known yet, ended so.
-func (x *exchange) countSent(end retry.End) {
+// countSent counts an attempt that was sent. mayHaveRun is false if the endpoint has
+// stated that it did not run the request.
+func (x *exchange) countSent(mayHaveRun bool) {
 	x.history.Sent++
-	x.mayHaveRun = x.mayHaveRun || end.MayHaveRun()
+	x.mayHaveRun = x.mayHaveRun || mayHaveRun
 }
 
 // recordPrompt remembers, and tells the peers, that an endpoint that accepted the request
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -64,7 +64,7 @@
 // retry budget.
 func (x *exchange) next(ctx context.Context, end retry.End) retry.Step {
 	over := ctx.Err() != nil
-	if end == retry.EndUnsent && !over {
+	if end == retry.EndUnsent && !over { // else the end of ctx may have stopped it
 		x.history.Unsent++
 	}
 	step := x.policy.Next(end, x.history, over)
--- a/gateway/outlier/limits.go
+++ b/gateway/outlier/limits.go
@@ -44,22 +44,16 @@
 	MisdirectedEjection = 5 * time.Second
 )
 
-// Limits say when an endpoint is ejected and for how long.
+// Limits say when an endpoint is ejected and for how long. The constants of the same
+// names, which are the gateway's, say what each one is.
 type Limits struct {
-	// ConsecutiveFailures is how many failures in a row eject an endpoint.
 	ConsecutiveFailures int
-	// FailureShare is the share of failures that ejects an endpoint, once its
-	// recent responses weigh MinResponses.
-	FailureShare float64
-	MinResponses float64
-	// HalfLife is the time after which a response weighs half.
-	HalfLife time.Duration
-	// BaseEjection is how long the first ejection lasts; it doubles up to
-	// MaxEjection.
-	BaseEjection time.Duration
-	MaxEjection  time.Duration
-	// MaxSilence is how long an endpoint that has a request may send nothing.
-	MaxSilence time.Duration
+	FailureShare        float64
+	MinResponses        float64
+	HalfLife            time.Duration
+	BaseEjection        time.Duration
+	MaxEjection         time.Duration
+	MaxSilence          time.Duration
 }
 
 // DefaultLimits returns the limits of the gateway.
