--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -30,7 +30,7 @@
 // names exists. A file without its folder may be in any.
 func TestNamedFiles(t *testing.T) {
 	code := readCode(t)
-	for _, page := range []string{"../README.md", "architecture.md", "OPERATIONS.md", "decisions.md", "platform.md", "operators.md"} {
+	for _, page := range []string{"../README.md", "architecture.md", "OPERATIONS.md", "decisions.md", "platform.md", "operators.md", "proofs.md"} {
 		content, err := os.ReadFile(page)
 		assert.NilError(t, err)
 		for _, match := range fileName.FindAllStringSubmatch(string(content), -1) {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -164,8 +164,8 @@
 	x.mayHaveRun = x.mayHaveRun || mayHaveRun
 }
 
-// recordPrompt remembers, and tells the peers, that an endpoint that accepted the request
-// now holds the shared parts of its prompt.
+// recordPrompt records, for this router and its peers, that an endpoint that accepted the
+// request now holds the shared parts of its prompt.
 func (x *exchange) recordPrompt(to *roster.Entry, status int) {
 	if !x.request.shared || status >= http.StatusMultipleChoices {
 		return
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// minFeedPause is the longest pause after a first failure of the list's source;
-	// it doubles with each failure in a row up to maxFeedPause. Pauses of 120 ms were
+	// minFeedPause is the pause after a first failure of the list's source, before
+	// jitter; it doubles with each failure in a row up to maxFeedPause. Pauses of 120 ms were
 	// within noise (commit d07ba95).
 	minFeedPause = 60 * time.Millisecond
 	// maxFeedPause bounds the pause after a failure. 0.5 s noticed the return of a
--- a/gateway/peers/count.go
+++ b/gateway/peers/count.go
@@ -31,7 +31,7 @@
 type Limits struct {
 	// LoadTTL is how long the loads in a peer's message count.
 	LoadTTL time.Duration
-	// PeerTTL is how long a peer is kept after it was last heard of.
+	// PeerTTL is how long a peer is kept after it was last seen.
 	PeerTTL time.Duration
 	// MaxPeers is how many peers are kept at most.
 	MaxPeers int
--- a/gateway/peers/table.go
+++ b/gateway/peers/table.go
@@ -32,7 +32,7 @@
 
 // A member is one peer.
 type member struct {
-	lastSeen    time.Time // when it, or another peer on its behalf, was last heard of
+	lastSeen    time.Time // when its last message came or, without one, when it was added
 	lastMessage time.Time // zero if only other peers have named it
 	version     version   // of its last message
 	loads       []Load    // of its last message
@@ -194,7 +194,7 @@
 	return m
 }
 
-// expire forgets the peers that were last heard of too long ago.
+// expire forgets the peers that were last seen too long ago.
 func (t *Table) expire(now time.Time) {
 	for address, m := range t.members {
 		if !t.limits.alive(now.Sub(m.lastSeen)) {
--- a/gateway/watch/watch.go
+++ b/gateway/watch/watch.go
@@ -29,8 +29,9 @@
 	// Settle is the pause after an answer that holds a change, so that changes in
 	// a row come in one answer.
 	Settle time.Duration
-	// MinPause is the longest pause after a first failure; it doubles with each
-	// failure in a row up to MaxPause.
+	// MinPause is the pause after a first failure, before jitter takes off up to half
+	// of it; it doubles with each failure in a row up to MaxPause. It is also the pause
+	// after a stale answer.
 	MinPause time.Duration
 	MaxPause time.Duration
 }
