--- a/configuration.go
+++ b/configuration.go
@@ -28,7 +28,7 @@
 	// default.
 	Timeout time.Duration
 	// Goal is the latency objective: the time within which a response, or a stream's
-	// first event, earns its full worth. Zero stands for none.
+	// first event, is to come. Zero stands for none.
 	Goal time.Duration
 	// MaxAttempts is the greatest number of endpoints that one request may be sent
 	// to, including the first; it is 1 or more.
--- a/gateway/endpoint/connection.go
+++ b/gateway/endpoint/connection.go
@@ -99,6 +99,6 @@
 	}
 }
 
-// close closes the connection for good. Its error is dropped: it could only say that
+// close closes the connection. Its error is dropped: it could only say that
 // the connection was broken before.
 func (c *connection) close() { _ = c.Close() }
--- a/gateway/watch/next.go
+++ b/gateway/watch/next.go
@@ -21,7 +21,7 @@
 //	             in a row, and with no wait until the source answers:
 //	             that it is back is to be noticed at once
 
-// A verdict is what an answer of a source is worth.
+// A verdict says what an answer of a source is good for.
 type verdict int
 
 const (
