--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -89,8 +89,8 @@
 		loads:     newLoads(),
 		suspects:  newSuspects(),
 		claims:    claim.New(platform),
-		overflow:  retry.NewBudget(retry.Limits{PerSuccess: s.Limits.OverflowPerAnswer, Reserve: s.Limits.OverflowReserve}),
-		retries:   retry.NewBudget(retry.Limits{PerSuccess: s.Limits.RetryPerAnswer, Reserve: s.Limits.RetryReserve}),
+		overflow:  retry.NewBudget(retry.BudgetLimits{PerSuccess: s.Limits.OverflowPerAnswer, Reserve: s.Limits.OverflowReserve}),
+		retries:   retry.NewBudget(retry.BudgetLimits{PerSuccess: s.Limits.RetryPerAnswer, Reserve: s.Limits.RetryReserve}),
 	}
 	r.planner = newPlanner(r)
 	r.addMetrics()
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -6,8 +6,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// Limits are the bounds on attempts after the first.
-type Limits struct {
+// BudgetLimits are the bounds of a Budget.
+type BudgetLimits struct {
 	// PerSuccess is how many further attempts an answered request earns.
 	PerSuccess float64
 	// Reserve is what an account starts with, and the most it can hold.
@@ -18,14 +18,14 @@
 // the first are at most Reserve + PerSuccess x its answered requests. Its methods
 // may be called concurrently.
 type Budget struct {
-	limits Limits
+	limits BudgetLimits
 
 	mu     sync.Mutex
 	tokens map[ryeford.AccountID]float64
 }
 
 // NewBudget returns a full Budget.
-func NewBudget(limits Limits) *Budget {
+func NewBudget(limits BudgetLimits) *Budget {
 	return &Budget{
 		limits: limits,
 		tokens: make(map[ryeford.AccountID]float64),
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -9,7 +9,7 @@
 // TestOutage checks the stated multiple: with no answer, an account's further
 // attempts are at most its reserve, however many requests come.
 func TestOutage(t *testing.T) {
-	b := NewBudget(Limits{PerSuccess: 0.1, Reserve: 16})
+	b := NewBudget(BudgetLimits{PerSuccess: 0.1, Reserve: 16})
 	tries := 0
 	for range 10_000 {
 		if b.Spend("bank") {
