--- a/internal/cmd/templatepublish.go
+++ b/internal/cmd/templatepublish.go
@@ -1,6 +1,7 @@
 package cmd
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -61,10 +62,7 @@
 		return err
 	}
 	t := s.Publishable()
-	t.Change = c.String("change")
-	if t.Change == "" {
-		t.Change = uuid.NewString()
-	}
+	t.Change = cmp.Or(c.String("change"), uuid.NewString())
 	return firstOperator(c, func(client *operator.Client) error {
 		t.Sequence = c.Int64("based-on")
 		if t.Sequence < 0 {
