--- a/standin/record.go
+++ b/standin/record.go
@@ -14,7 +14,7 @@
 	End time.Time `json:"end,omitzero"`
 }
 
-// EngineCounts are what an engine counts of itself.
+// EngineCounts are the runs of an engine, the oldest first, as it answers at PathRuns.
 type EngineCounts struct {
 	Runs []RunRecord `json:"runs"`
 }
