--- a/agentfleet/admission/admission.go
+++ b/agentfleet/admission/admission.go
@@ -1,7 +1,7 @@
 // Package admission decides at an engine whether it takes one more request, and
 // when a refused caller should come back.
 //
-// It owns the counts of what one engine runs (Gate) and the rule (Decide). It
+// It owns the counts of what one engine runs (Gate) and the rule (decide). It
 // relies on the caller for the mean load of the engines with the same model, for
 // the account's share and for the time; it does no I/O.
 package admission
@@ -50,10 +50,10 @@
 	PoolMean float64
 }
 
-// A State is what the engine runs at the moment of the decision.
-type State struct {
-	Load int // requests of all accounts
-	Held int // requests of the account that asks
+// A state is what the engine runs at the moment of the decision.
+type state struct {
+	load int // requests of all accounts
+	held int // requests of the account that asks
 }
 
 // A Decision is the outcome, with the numbers that decided it.
@@ -67,7 +67,7 @@
 	RetryAfter time.Duration
 }
 
-// Decide admits a request unless, with it, the engine's load passes the bound for
+// decide admits a request unless, with it, the engine's load passes the bound for
 // the request's priority, or passes the load from which shares are enforced while
 // the account holds its share of the bound already.
 //
@@ -77,11 +77,11 @@
 // The gateway's bounded load (package choice) only looks the same: there a router
 // chooses between endpoints by estimates, and excess spills to the next one. Here
 // the engine's own exact counts decide, and a refusal is final.
-func Decide(limits *Limits, s State, r *Request) Decision {
+func decide(limits *Limits, s state, r *Request) Decision {
 	d := Decision{
-		Load:  float64(s.Load),
-		Bound: limits.Bound(r.PoolMean),
-		Held:  s.Held,
+		Load:  float64(s.load),
+		Bound: limits.bound(r.PoolMean),
+		Held:  s.held,
 	}
 	load, held := d.Load+1, float64(d.Held+1) // if it is admitted
 	switch {
@@ -95,8 +95,8 @@
 	return d
 }
 
-// Bound returns the highest load, in requests, that a mean load allows.
-func (l *Limits) Bound(poolMean float64) float64 {
+// bound returns the highest load, in requests, that a mean load allows.
+func (l *Limits) bound(poolMean float64) float64 {
 	return min(max(l.PoolFactor*poolMean, l.Floor), l.Capacity)
 }
 
--- a/agentfleet/admission/gate.go
+++ b/agentfleet/admission/gate.go
@@ -26,7 +26,7 @@
 
 // Admit decides on a request and counts it if it is admitted.
 func (g *Gate) Admit(now time.Time, r *Request) Decision {
-	d := Decide(&g.limits, State{Load: g.load, Held: g.held[r.Account]}, r)
+	d := decide(&g.limits, state{load: g.load, held: g.held[r.Account]}, r)
 	if !d.Admitted {
 		d.RetryAfter = g.completions.retryAfter(now, d.Load, d.Bound)
 		return d
--- a/agentfleet/agent/admit.go
+++ b/agentfleet/agent/admit.go
@@ -27,7 +27,7 @@
 // life of this process, the VM is leaving, the engine is not one of this VM's,
 // another engine holds the chat's prefix (overflows), the attempt may not be
 // admitted (mayAdmit), the engine has not loaded the model, or it is at its bound
-// or the account's share (admission.Decide).
+// or the account's share (package admission).
 func (a *Agent) admit(d *wire.Dispatch) (*run, *wire.Refused) {
 	now := time.Now()
 	b, ok := a.backends[d.Engine]
--- a/agentfleet/agent/inventory.go
+++ b/agentfleet/agent/inventory.go
@@ -41,7 +41,7 @@
 	for {
 		inv, changed := a.inventory()
 		if stream.Send(&wire.Message{Inventory: inv}) != nil {
-			return
+			return // the connection is lost; the router asks again on a new one
 		}
 		select {
 		case <-changed:
--- a/agentfleet/engine/client.go
+++ b/agentfleet/engine/client.go
@@ -38,7 +38,7 @@
 // *ryeford.FenceError.
 type Client struct {
 	base    string       // the engine's URL without a path
-	http    *http.Client // for streams: a new connection for each
+	streams *http.Client // for streamed answers: a new connection for each
 	control *http.Client // for the short calls: keeps its connections
 }
 
@@ -49,7 +49,7 @@
 	transport := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	return &Client{
 		base:    "http://" + address.String(),
-		http:    &http.Client{Transport: transport},
+		streams: &http.Client{Transport: transport},
 		control: &http.Client{Transport: &http.Transport{DisableCompression: true}},
 	}
 }
@@ -124,12 +124,12 @@
 	}
 	request.GetBody = nil // so that no transport can send it again
 	request.Header = header
-	response, err := c.http.Do(request)
+	response, err := c.streams.Do(request)
 	if err != nil {
 		return nil, &Error{Op: path, Err: err}
 	}
 	if response.StatusCode != http.StatusOK {
-		_ = response.Body.Close()
+		_ = response.Body.Close() // nothing of it is read
 		return nil, statusError(path, response.StatusCode)
 	}
 	return newEventReader(response.Body), nil
@@ -166,7 +166,7 @@
 	if err != nil {
 		return nil, &Error{Op: path, Err: err}
 	}
-	defer func() { _ = response.Body.Close() }()
+	defer func() { _ = response.Body.Close() }() // all that counts of it has been read
 	if response.StatusCode != http.StatusOK {
 		return nil, statusError(path, response.StatusCode)
 	}
