--- a/agentfleet/agent/admit_test.go
+++ b/agentfleet/agent/admit_test.go
@@ -41,7 +41,7 @@
 		{"the dispatch came too late", func() { d.Expires = now.Add(-time.Minute) }, ryeford.ReasonExpired},
 		{"the attempt was given up", func() { a.attempts.tombstones[d.Attempt] = now.Add(time.Hour) }, ryeford.ReasonTombstone},
 		{"or was admitted before", func() { a.attempts.admitted[d.Attempt] = now.Add(time.Hour) }, ryeford.ReasonDuplicate},
-		{"another engine holds the prefix", func() { b.noteOverflow(now, &wire.Overflow{Chat: d.ChatKey(), Engine: "endpoint-2.1"}) }, ryeford.ReasonRedirect},
+		{"another engine holds the prefix", func() { b.addOverflow(now, &wire.Overflow{Chat: d.ChatKey(), Engine: "endpoint-2.1"}) }, ryeford.ReasonRedirect},
 		{"the engine is not of this VM", func() { d.Engine = "endpoint-9.1" }, ryeford.ReasonNotServing},
 		{"the VM is leaving", func() { a.leaving.Store(true) }, ryeford.ReasonLeaving},
 		{"the agent restarted", func() { d.Incarnation = "life-1" }, ryeford.ReasonIncarnation},
--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -47,7 +47,7 @@
 	log         log.Logger
 	decisions   *decision.Log
 	metrics     *telemetry.Set
-	control     *transport.Control
+	control     *transport.ControlLimiter
 	listener    *transport.Listener
 
 	backends map[ryeford.EngineID]*backend
@@ -79,7 +79,7 @@
 		log:         logger,
 		decisions:   decision.NewLog(logger),
 		metrics:     metrics,
-		control:     transport.NewControl(s.Transport.ControlBytesPerSecond, metrics.ControlSent),
+		control:     transport.NewControlLimiter(s.Transport.ControlBytesPerSecond, metrics.ControlSent),
 		listener:    listener,
 		backends:    make(map[ryeford.EngineID]*backend),
 		attempts:    newAttempts(s.Limits.Keep, s.Limits.ClockSkew),
--- a/agentfleet/agent/backend.go
+++ b/agentfleet/agent/backend.go
@@ -105,8 +105,8 @@
 	return b.overflow.holder(now, d.ChatKey())
 }
 
-// noteOverflow records that another engine served a chat whose home b is.
-func (b *backend) noteOverflow(now time.Time, o *wire.Overflow) {
+// addOverflow records that another engine served a chat whose home b is.
+func (b *backend) addOverflow(now time.Time, o *wire.Overflow) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.overflow.add(now, o.Chat, o.Engine)
--- a/agentfleet/agent/chatmemory_test.go
+++ b/agentfleet/agent/chatmemory_test.go
@@ -39,7 +39,7 @@
 	}
 	middle := heapBytes()
 	for i := range chats {
-		served.noteOverflow(time.Now(), &wire.Overflow{Chat: testChat(i), Engine: "endpoint-2.1"})
+		served.addOverflow(time.Now(), &wire.Overflow{Chat: testChat(i), Engine: "endpoint-2.1"})
 	}
 	after := heapBytes()
 	for i := 0; b.Loop(); i++ {
--- a/agentfleet/agent/gossip.go
+++ b/agentfleet/agent/gossip.go
@@ -63,7 +63,7 @@
 		now := time.Now()
 		for i := range m.Overflows {
 			if b, ok := a.backends[m.Overflows[i].Home]; ok {
-				b.noteOverflow(now, &m.Overflows[i])
+				b.addOverflow(now, &m.Overflows[i])
 			}
 		}
 		if m.Revision > a.book.Revision() {
--- a/agentfleet/gossip/gossip.go
+++ b/agentfleet/gossip/gossip.go
@@ -74,7 +74,7 @@
 // Send sends a message to peers, as far as the budget of control traffic allows.
 // Messages that are not sent are not counted as lost: the next one says the same, and a
 // connection that is lost is noticed by its streams.
-func Send(control *transport.Control, m *wire.Gossip, peers ...*transport.Conn) {
+func Send(control *transport.ControlLimiter, m *wire.Gossip, peers ...*transport.Conn) {
 	data, err := wire.Marshal(m)
 	if err != nil {
 		return // not possible: a Gossip holds numbers and strings
--- a/agentfleet/load/probes.go
+++ b/agentfleet/load/probes.go
@@ -35,8 +35,8 @@
 	estimate.Add(now, value)
 }
 
-// Saturated says that all candidates that there are have refused the request.
-func (p *Probes) Saturated() { p.saturated = true }
+// MarkSaturated says that all candidates that there are have refused the request.
+func (p *Probes) MarkSaturated() { p.saturated = true }
 
 // Mean returns the mean load, in requests, that the next candidate is to admit against.
 func (p *Probes) Mean(now time.Time, estimate *Mean) float64 {
--- a/agentfleet/router/attempt.go
+++ b/agentfleet/router/attempt.go
@@ -10,7 +10,7 @@
 )
 
 // forgetAfter is how long an agent must remember an attempt without a claim, which is
-// asked after for rejoinTime at most. Not measured: above the dispatch time and
+// asked about for rejoinTime at most. Not measured: above the dispatch time and
 // rejoinTime together.
 const forgetAfter = 30 * time.Second
 
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -90,14 +90,14 @@
 	err := x.dispatchQueue(ctx)
 	var notRun *ryeford.NotRunError
 	if errors.As(err, &notRun) {
-		go x.router.release(context.WithoutCancel(ctx), x.request.id, key, held)
+		go x.router.releaseClaim(context.WithoutCancel(ctx), x.request.id, key, held)
 	}
 	return err
 }
 
-// release gives up a claim whose attempt did not run. A claim that stays costs the
-// caller's next request with the key the questions of joinFirst, and nothing else.
-func (r *Router) release(ctx context.Context, request ryeford.RequestID, key claim.Key, held *claim.Claim) {
+// releaseClaim gives up a claim whose attempt did not run. A claim that stays costs the
+// caller's next request with the key the joins of joinFirst, and nothing else.
+func (r *Router) releaseClaim(ctx context.Context, request ryeford.RequestID, key claim.Key, held *claim.Claim) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	if err := r.claims.Release(ctx, key, held); err != nil {
--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -129,7 +129,7 @@
 	if !anotherRound(last, x.rounds) {
 		return false
 	}
-	x.probes.Saturated()
+	x.probes.MarkSaturated()
 	x.queue = append(x.queue, x.first)
 	return true
 }
--- a/agentfleet/router/fleet.go
+++ b/agentfleet/router/fleet.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// setState takes what the platform's list says of a VM.
-func (f *fleet) setState(vm ryeford.VM) {
+// setVM takes what the platform's list says of a VM.
+func (f *fleet) setVM(vm ryeford.VM) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if a, ok := f.agents[vm.ID]; ok && a.vm != vm {
--- a/agentfleet/router/fleet_test.go
+++ b/agentfleet/router/fleet_test.go
@@ -29,7 +29,7 @@
 		{"leaving by the list", func(f *fleet, a *agent) {
 			vm := a.vm
 			vm.State = ryeford.VMLeaving
-			f.setState(vm)
+			f.setVM(vm)
 		}, false, true},
 		{"connection lost", func(f *fleet, a *agent) { f.remove(a.vm.ID, first) }, false, false},
 		{"an earlier connection lost", func(f *fleet, a *agent) {
--- a/agentfleet/router/join.go
+++ b/agentfleet/router/join.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// rejoinTime is how long an agent is asked after an attempt whose stream was lost.
+	// rejoinTime is how long an agent is asked about an attempt whose stream was lost.
 	// Not measured.
 	rejoinTime = 5 * time.Second
 
-	// rejoinInterval is the time between such questions. Not measured: short against a
+	// rejoinInterval is the time between two such joins. Not measured: short against a
 	// caller's wait, long against a connection's round trip.
 	rejoinInterval = 25 * time.Millisecond
 )
--- a/agentfleet/router/membership.go
+++ b/agentfleet/router/membership.go
@@ -45,7 +45,7 @@
 		w, ok := watches[vm.ID]
 		if ok && w.vm.Address == vm.Address {
 			w.vm = vm
-			r.fleet.setState(vm)
+			r.fleet.setVM(vm)
 			continue
 		}
 		if ok {
--- a/agentfleet/router/publish.go
+++ b/agentfleet/router/publish.go
@@ -84,7 +84,7 @@
 	if err := r.platform.PutVM(ctx, vm); err != nil {
 		return nil, err
 	}
-	r.fleet.setState(vm)
+	r.fleet.setVM(vm)
 	if a, ok := r.fleet.vm(id); ok {
 		_, err = a.conn.Ask(ctx, &wire.Message{Leave: &wire.Leave{}})
 	}
--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -50,7 +50,7 @@
 	log       log.Logger
 	decisions *decision.Log
 	metrics   *telemetry.Set
-	control   *transport.Control
+	control   *transport.ControlLimiter
 	dialer    *transport.Dialer
 
 	book      *template.Book
@@ -81,7 +81,7 @@
 		log:       logger,
 		decisions: decision.NewLog(logger),
 		metrics:   metrics,
-		control:   transport.NewControl(s.Transport.ControlBytesPerSecond, metrics.ControlSent),
+		control:   transport.NewControlLimiter(s.Transport.ControlBytesPerSecond, metrics.ControlSent),
 		dialer:    dialer,
 		book:      template.NewBook(),
 		templates: template.NewStore(platform),
--- a/agentfleet/router/status.go
+++ b/agentfleet/router/status.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// queryTimeout bounds one agent's answer to an operator's question. Not measured.
+	// queryTimeout bounds one agent's answer to an operator's query. Not measured.
 	queryTimeout = time.Second
 
 	// maxQueries is how many agents are asked at once. Not measured: it bounds the
-	// streams that one operator's question opens.
+	// streams that one operator's query opens.
 	maxQueries = 32
 )
 
--- a/agentfleet/transport/control.go
+++ b/agentfleet/transport/controllimiter.go
@@ -10,24 +10,24 @@
 // at once. Not measured.
 const controlBurst = 4
 
-// A Control bounds and counts the control traffic that a process sends: gossip. Its
+// A ControlLimiter bounds and counts the control traffic that a process sends: gossip. Its
 // methods may be called concurrently.
-type Control struct {
+type ControlLimiter struct {
 	limiter *rate.Limiter
 	count   func(bytes int)
 }
 
-// NewControl returns a Control of so many bytes a second. It calls count with the
+// NewControlLimiter returns a ControlLimiter of so many bytes a second. It calls count with the
 // bytes that may be sent, each time.
-func NewControl(bytesPerSecond int, count func(bytes int)) *Control {
-	return &Control{
+func NewControlLimiter(bytesPerSecond int, count func(bytes int)) *ControlLimiter {
+	return &ControlLimiter{
 		limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), controlBurst*bytesPerSecond),
 		count:   count,
 	}
 }
 
 // Allow takes bytes from the budget, or reports false if too few are left.
-func (c *Control) Allow(bytes int) bool {
+func (c *ControlLimiter) Allow(bytes int) bool {
 	if !c.limiter.AllowN(time.Now(), bytes) {
 		return false
 	}
--- a/agentfleet/transport/transport_test.go
+++ b/agentfleet/transport/transport_test.go
@@ -104,7 +104,7 @@
 // TestControlBudget checks that no more control bytes are sent than allowed.
 func TestControlBudget(t *testing.T) {
 	sent := 0
-	c := NewControl(1000, func(n int) { sent += n })
+	c := NewControlLimiter(1000, func(n int) { sent += n })
 	for range 1000 {
 		c.Allow(100)
 	}
