--- a/agentfleet/admission/admission.go
+++ b/agentfleet/admission/admission.go
@@ -30,7 +30,7 @@
 	PoolFactor float64
 	// Floor is the load, in requests, that is allowed whatever the mean is.
 	Floor float64
-	// Capacity is the most requests that the engine may run.
+	// Capacity is the largest number of requests that the engine may run.
 	Capacity float64
 	// ShareFrom is the part of the capacity above which shares are enforced.
 	// Below it, only the last tenth of the bound is kept for accounts within their
@@ -53,7 +53,7 @@
 // A state is what the engine runs at the moment of the decision.
 type state struct {
 	load int // requests of all accounts
-	held int // requests of the account that asks
+	held int // requests of the account whose request it is
 }
 
 // A Decision is the outcome, with the numbers that decided it.
@@ -113,8 +113,8 @@
 	return min(l.Capacity*l.ShareFrom, bound-math.Floor(bound*shareReserve))
 }
 
-// entitled returns how many requests an account may hold where shares are
-// enforced: its share of the bound, and at least one.
+// entitled returns how many requests an account may hold while shares are enforced:
+// its share of the bound, and at least one.
 func entitled(bound, share float64) float64 {
 	return max(1, share*bound)
 }
--- a/agentfleet/admission/retryafter.go
+++ b/agentfleet/admission/retryafter.go
@@ -7,7 +7,7 @@
 	// spacingWindow scales the weight of a gap between two completions in their
 	// average spacing: a gap of this length or more replaces the average.
 	spacingWindow = 2 * time.Second
-	// minGapWeight is the least weight of a gap, without unit: a burst of short
+	// minGapWeight is the smallest weight of a gap, without unit: a burst of short
 	// gaps moves the average too.
 	minGapWeight = 0.1
 	// retryFill is the part of the bound to which the load is to fall before a
--- a/agentfleet/agent/backend.go
+++ b/agentfleet/agent/backend.go
@@ -88,8 +88,8 @@
 	return b.chats.has(d.ChatKey())
 }
 
-// release removes a run that has ended from the counts, and lets the first
-// dispatch in the queue ask again.
+// release removes a run that has ended from the counts, and wakes the first
+// dispatch in the queue.
 func (b *backend) release(now time.Time, account ryeford.AccountID) {
 	b.mu.Lock()
 	b.gate.Release(now, account)
--- a/agentfleet/agent/queue.go
+++ b/agentfleet/agent/queue.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// wake removes the first waiter and lets it ask again.
+// wake removes the first waiter, which tries again to be admitted.
 func (q *queue) wake() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/agentfleet/engine/service.go
+++ b/agentfleet/engine/service.go
@@ -11,7 +11,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// serviceChunkSize is the most bytes of a body in one chunk. Not measured.
+// serviceChunkSize is the largest number of bytes of a body in one chunk. Not measured.
 const serviceChunkSize = 16 << 10
 
 // A ServiceClient is a ryeford.Service. Its errors are *Error.
--- a/agentfleet/router/errors.go
+++ b/agentfleet/router/errors.go
@@ -6,7 +6,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A ProtocolError says that an agent answered something that fits no question.
+// A ProtocolError says that an agent's message is no reply to what it was sent.
 type ProtocolError struct{}
 
 // Error returns the text of e.
--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -23,10 +23,10 @@
 	request *request
 
 	home       ryeford.EngineID  // the first in the chat's rendezvous order
-	first      claim.Candidate   // the first that was asked, not counting a redirect
-	queue      []claim.Candidate // still to be asked
+	first      claim.Candidate   // the first dispatched to, not counting a redirect
+	queue      []claim.Candidate // not dispatched to yet
 	dispatches int               // so far
-	rounds     int               // that all candidates were asked
+	rounds     int               // in which all candidates had a dispatch
 
 	attempt    attempt
 	candidate  claim.Candidate // where the attempt is
@@ -93,8 +93,8 @@
 	return x.dispatchQueue(ctx)
 }
 
-// dispatchQueue asks the queue's engines in turn until the first chunk is there. What
-// follows a failure is decided by afterFailure.
+// dispatchQueue dispatches to the queue's engines in turn until the first chunk is
+// there. What follows a failure is decided by afterFailure.
 func (x *exchange) dispatchQueue(ctx context.Context) error {
 	var last error
 	step := stepFree
--- a/agentfleet/router/loads.go
+++ b/agentfleet/router/loads.go
@@ -74,8 +74,8 @@
 	return m
 }
 
-// skew returns the busiest engine's load over the mean of its model, of the model where
-// that is highest, and zero if there are no loads.
+// skew returns the load of a model's busiest engine over the mean of its engines, for the
+// model with the highest such ratio, and zero if there are no loads.
 func (l *loads) skew(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agentfleet/router/planner.go
+++ b/agentfleet/router/planner.go
@@ -49,8 +49,9 @@
 	}
 }
 
-// round tries once to hold the lease, reads the current plan, and plans if the lease is
-// held. A router that is leaving, or has not read the templates yet, makes no plan.
+// round acquires or renews the lease if it can, reads the current plan, and plans if the
+// lease is held. A router that is leaving, or has not read the templates yet, makes no
+// plan.
 func (p *planner) round(ctx context.Context) error {
 	held, err := p.acquire(ctx)
 	if err != nil {
--- a/agentfleet/router/retry.go
+++ b/agentfleet/router/retry.go
@@ -32,9 +32,9 @@
 
 const (
 	stepGiveUp   nextStep = iota
-	stepFree              // ask the next engine, at no cost
-	stepOverflow          // ask the next engine, for one of the overflow budget
-	stepRetry             // ask the next engine, for one of the retry budget
+	stepFree              // dispatch to the next engine, at no cost
+	stepOverflow          // dispatch to the next engine, for one of the overflow budget
+	stepRetry             // dispatch to the next engine, for one of the retry budget
 )
 
 // afterFailure returns what follows a dispatch that failed with err, for a request that
@@ -63,8 +63,8 @@
 	return errors.As(err, &unknown)
 }
 
-// anotherRound reports whether the first candidate is asked again once all were asked
-// so many times: the last refused for its load, so the fleet is saturated.
+// anotherRound reports whether the first candidate gets another dispatch after so many
+// rounds over all: the last refused for its load, so the fleet is saturated.
 func anotherRound(last error, rounds int) bool {
 	return reasonOf(last) == ryeford.ReasonOverload && rounds < maxRounds
 }
--- a/agentfleet/router/suspects.go
+++ b/agentfleet/router/suspects.go
@@ -8,7 +8,7 @@
 	"github.com/ryeford/ryeford/agentfleet/claim"
 )
 
-// suspectedFor is how long a VM that left a dispatch unanswered is asked last. Not
+// suspectedFor is how long a VM that left a dispatch unanswered is tried last. Not
 // measured: the time is a multiple of a dispatch's (2.25 s with its grace), so that a
 // frozen VM costs few requests that wait; freeze.txtar passes with it.
 const suspectedFor = 5 * time.Second
--- a/agentfleet/transport/identity.go
+++ b/agentfleet/transport/identity.go
@@ -21,7 +21,7 @@
 	// How long certificates are valid. Not measured.
 	authorityYears  = 10
 	certificateDays = 365
-	// clockSkewAllowed is how far a VM's clock may be behind that of the process that
+	// clockSkewAllowed is by how much a VM's clock may lag that of the process that
 	// makes a certificate. Not measured.
 	clockSkewAllowed = time.Hour
 	// serialBits is the length of a random serial number.
--- a/agentfleet/transport/tls.go
+++ b/agentfleet/transport/tls.go
@@ -22,7 +22,7 @@
 	return TLSConfig(contents[0], KeyPair{Certificate: contents[1], Key: contents[2]})
 }
 
-// TLSConfig returns the TLS settings of a process: it shows its certificate and
+// TLSConfig returns the TLS settings of a process: it presents its certificate and
 // accepts peers only with one of the same authority.
 func TLSConfig(authority []byte, pair KeyPair) (*tls.Config, error) {
 	cert, err := tls.X509KeyPair(pair.Certificate, pair.Key)
