--- a/agentfleet/load/load_test.go
+++ b/agentfleet/load/load_test.go
@@ -61,10 +61,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			p := Probes{saturated: test.saturated}
 			for _, value := range test.probes {
-				p.sum += value
-				p.count++
+				p.Add(value)
 			}
-			assert.Equal(t, p.mean(test.known, test.samples), test.want)
+			assert.Equal(t, p.Mean(test.known, test.samples), test.want)
 		})
 	}
 }
--- a/agentfleet/load/probes.go
+++ b/agentfleet/load/probes.go
@@ -1,7 +1,5 @@
 package load
 
-import "time"
-
 const (
 	// enoughSamples is from how many samples on the estimate is trusted alone. Without
 	// unit. Set by: commit 835dc06, whose runs tried the rule, not other values of it.
@@ -28,29 +26,26 @@
 	saturated bool
 }
 
-// Add adds the load that a candidate had before the request, here and to the estimate.
-func (p *Probes) Add(now time.Time, estimate *Mean, value float64) {
+// Add adds the load that a candidate had before the request.
+func (p *Probes) Add(value float64) {
 	p.sum += value
 	p.count++
-	estimate.Add(now, value)
 }
 
 // MarkSaturated says that all candidates that there are have refused the request.
 func (p *Probes) MarkSaturated() { p.saturated = true }
 
-// Mean returns the mean load, in requests, that the next candidate is to admit against.
-func (p *Probes) Mean(now time.Time, estimate *Mean) float64 {
-	return p.mean(estimate.Value(now), estimate.Count(now))
-}
-
-// mean is the rule: the mean is the estimate, known, while it rests on enough samples
-// and the request has few probes. Otherwise it is what the probes reported, if that is
-// higher. They are no fair sample: probes go on because the candidates refused, and so
-// these are the loaded ones. A good estimate is therefore raised by maxRaise at most.
+// Mean returns the mean load, in requests, that the next candidate is to admit against,
+// given the model's estimate, known, and the number of samples that it rests on.
+//
+// It is the estimate, while that rests on enough samples and the request has few probes.
+// Otherwise it is what the probes reported, if that is higher. They are no fair sample:
+// probes go on because the candidates refused, and so these are the loaded ones. A good
+// estimate is therefore raised by maxRaise at most.
 //
 // Without the raise a fleet that is full at a small bound stays there: its mean is a
 // little below the bound, and the bound, in whole requests, does not grow.
-func (p *Probes) mean(known float64, samples int) float64 {
+func (p *Probes) Mean(known float64, samples int) float64 {
 	enough := samples >= enoughSamples
 	if p.count == 0 || (enough && p.count < saturatedProbes && !p.saturated) {
 		return known
--- a/agentfleet/router/loads.go
+++ b/agentfleet/router/loads.go
@@ -52,7 +52,8 @@
 func (l *loads) addProbe(now time.Time, model string, engine ryeford.EngineID, probes *load.Probes, value float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	probes.Add(now, l.mean(model), value)
+	probes.Add(value)
+	l.mean(model).Add(now, value)
 	l.last[engine] = engineLoad{at: now, model: model, load: value}
 }
 
@@ -61,7 +62,8 @@
 func (l *loads) probedMean(now time.Time, model string, probes *load.Probes) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return probes.Mean(now, l.mean(model))
+	estimate := l.mean(model)
+	return probes.Mean(estimate.Value(now), estimate.Count(now))
 }
 
 // mean returns the estimate of a model's mean load.
