--- a/replay/runs.go
+++ b/replay/runs.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/caller"
 	"github.com/ryeford/ryeford/standin"
 )
 
@@ -17,12 +16,13 @@
 // A chatOutcome counts the turns of a chat.
 type chatOutcome struct {
 	turns         int
-	notRun        int // whose last answer says that they have not run
+	notRun        int // whose every answer says that they have not run
 	notRepeatable int // that must not run more than once
 }
 
-// addChat adds how a turn of a chat ended.
-func (r *Report) addChat(chat ryeford.ChatID, notRepeatable bool, answer *caller.Answer) {
+// addChat adds how a turn of a chat ended. notRun says that every answer to it stated
+// that it had not run: after one that did not, it may have run all the same.
+func (r *Report) addChat(chat ryeford.ChatID, notRepeatable, notRun bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o := getOrAdd(r.chats, chat, func() *chatOutcome { return &chatOutcome{} })
@@ -30,7 +30,7 @@
 	if notRepeatable {
 		o.notRepeatable++
 	}
-	if answer.NotRun() {
+	if notRun {
 		o.notRun++
 	}
 }
--- a/replay/turn.go
+++ b/replay/turn.go
@@ -49,11 +49,11 @@
 	if e.Priority != nil {
 		t.Priority = fmt.Sprint(*e.Priority)
 	}
-	answer := p.send(ctx, t)
+	answer, notRun := p.send(ctx, t)
 	key := chatKey(e)
 	right := answer.Text == standin.Answer(key, messages, max(e.AnswerTokens, 1))
 	p.report.addTurn(e.Account, answer, right, c.answered > 0)
-	p.report.addChat(key, e.NotRepeatable, answer)
+	p.report.addChat(key, e.NotRepeatable, notRun)
 	if answer.Complete {
 		c.messages = append(messages, ryeford.Message{Role: "assistant", Content: answer.Text})
 		c.answered++
@@ -61,31 +61,33 @@
 }
 
 // send sends a turn until it is answered, must not be sent again, or its retries
-// are spent.
-func (p *player) send(ctx context.Context, t *caller.Turn) *caller.Answer {
-	var answer *caller.Answer
+// are spent. It returns the last answer, and whether every answer said that the turn had
+// not run.
+func (p *player) send(ctx context.Context, t *caller.Turn) (answer *caller.Answer, notRun bool) {
+	notRun = true
 	for range p.options.Retries + 1 {
 		var err error
 		answer, err = p.client.Complete(ctx, p.balance.router(), t)
 		if err != nil && answer.LastEvent != "" {
 			answer = p.resume(ctx, t, answer)
 		}
+		notRun = notRun && answer.NotRun()
 		if answer.Complete || ctx.Err() != nil {
-			return answer
+			return answer, notRun
 		}
 		p.report.addFailedAttempt(answer)
 		if !maySendAgain(t, answer) {
-			return answer
+			return answer, notRun
 		}
 		wait := retryPause
 		if answer.Failure != nil && answer.Failure.RetryAfter > 0 {
 			wait = time.Duration(answer.Failure.RetryAfter) * time.Millisecond
 		}
 		if !clock.Sleep(ctx, wait) {
-			return answer
+			return answer, notRun
 		}
 	}
-	return answer
+	return answer, notRun
 }
 
 // maySendAgain reports whether a turn may be sent again: it did not run, or it
