--- a/gateway/request.go
+++ b/gateway/request.go
@@ -21,7 +21,7 @@
 	deadline time.Time
 	catalog  *catalog.Catalog // in force when the request was admitted
 	rule     *ryeford.RouteRule
-	account  *ryeford.AccountRule // nil on public routes
+	account  *ryeford.AccountRule // nil on public routes, and if requests carry no keys
 	service  string
 	budget   *retry.Window // of the service
 	body     []byte
