--- a/gateway/balancer_test.go
+++ b/gateway/balancer_test.go
@@ -33,8 +33,9 @@
 	return b
 }
 
-// TestBalancer states where a request goes, and from where its prompt is fetched,
-// as what the router knows changes. The home of the prompt is endpoint home.
+// TestBalancer checks to which endpoint a request goes, and from which one its prompt is
+// fetched, each row after one change of what the router knows. The prompt's home is
+// endpoint home.
 func TestBalancer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	query := &endpointQuery{service: "s", shared: []ryeford.PromptPart{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}}, affinity: 7}
@@ -49,7 +50,7 @@
 		{"nothing is known", func(*balancer) {}, home, other, choice.ReasonHome},
 		{"another endpoint was sent the beginning", func(b *balancer) { b.prefixes.Add(now, other, query.shared[:1]) },
 			home, other, choice.ReasonHome},
-		{"home drains: it takes nothing and is the source", func(b *balancer) {
+		{"home drains: it is sent nothing and is the source", func(b *balancer) {
 			b.roster.Apply(now, &ryeford.EndpointUpdate{Revision: 2, Present: []ryeford.Endpoint{{ID: home, Service: "s", State: ryeford.EndpointDraining}}}, false)
 		}, other, home, choice.ReasonHome},
 		{"home left without draining: it is the source for a time", func(b *balancer) {
@@ -82,7 +83,7 @@
 }
 
 // TestBalancerTried checks that an endpoint that was tried is not chosen again, and
-// that none is when all were.
+// that none is chosen once all were tried.
 func TestBalancerTried(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := newTestBalancer(now)
--- a/gateway/choose_bench_test.go
+++ b/gateway/choose_bench_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// benchExchange returns an exchange of a router that knows so many endpoints and
-// peers, each with requests at some of the endpoints.
-func benchExchange(endpoints, heard int) *exchange {
+// benchExchange returns an exchange of a router that knows so many endpoints, and so
+// many peers of which each has requests at some of the endpoints.
+func benchExchange(endpoints, alive int) *exchange {
 	const loadsEach = 20
 	g := New(settings.DefaultGateway(), Platform{Protocol: platform.Protocol{}}, log.NewNopLogger(), telemetry.NewSet())
 	now := time.Now()
@@ -43,7 +43,7 @@
 		update.Present = append(update.Present, ryeford.Endpoint{ID: ryeford.EndpointID(fmt.Sprintf("i-%08x", i*7919)), Service: "s", Slots: 64})
 	}
 	g.roster.Apply(now, update, false)
-	for i := range heard {
+	for i := range alive {
 		message := &peers.Message{Sender: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000), Started: 1, Sequence: 1}
 		for j := range min(loadsEach, endpoints) {
 			message.Loads = append(message.Loads, peers.Load{Endpoint: update.Present[(i*31+j*17)%endpoints].ID, Requests: 1 + j%3})
--- a/gateway/configuration_test.go
+++ b/gateway/configuration_test.go
@@ -37,7 +37,7 @@
 	return update, s.err
 }
 
-// A configurationFixture is a configuration on its own.
+// A configurationFixture is a configuration without a gateway.
 type configurationFixture struct {
 	*configuration
 	source  *configurationStandIn
@@ -61,8 +61,8 @@
 	return f
 }
 
-// counts reports whether the metrics hold a line.
-func (f *configurationFixture) counts(line string) bool {
+// hasMetric reports whether the metrics have a line.
+func (f *configurationFixture) hasMetric(line string) bool {
 	return strings.Contains(string(f.metrics.Write()), line+"\n")
 }
 
@@ -84,7 +84,7 @@
 		assert.Assert(t, f.current() == nil)
 		assert.Equal(t, f.version(), int64(0))
 		assert.Equal(t, f.updates, 0)
-		assert.Assert(t, !f.reliable(time.Now()), "nothing is known that could be relied on")
+		assert.Assert(t, !f.reliable(time.Now()), "there is no configuration")
 
 		f.source.version, f.source.reads = 1, nil
 		f.runFor(t, 2500*time.Millisecond)
@@ -107,8 +107,8 @@
 		assert.Equal(t, f.leaseLeft(), 100*time.Millisecond)
 		f.runFor(t, 100*time.Millisecond)
 		assert.Assert(t, !f.reliable(time.Now()))
-		assert.Equal(t, f.version(), int64(1), "it stays in force, unreliable as it is")
-		assert.Assert(t, f.counts(`ryeford_dependency_lost_total{reason="configuration"} 1`))
+		assert.Equal(t, f.version(), int64(1), "it stays in force, though unreliable")
+		assert.Assert(t, f.hasMetric(`ryeford_dependency_lost_total{reason="configuration"} 1`))
 		f.source.err = nil
 		f.runFor(t, 500*time.Millisecond)
 		assert.Assert(t, f.reliable(time.Now()))
@@ -125,13 +125,13 @@
 		assert.Assert(t, f.current() == nil)
 		assert.Assert(t, !f.reliable(time.Now()))
 		assert.Equal(t, f.updates, 0)
-		assert.Assert(t, f.counts("ryeford_stale_answers_total 1"))
+		assert.Assert(t, f.hasMetric("ryeford_stale_answers_total 1"))
 	})
 }
 
 // TestConfigurationOfPeer checks what a peer's confirmation does: of the same version
-// it renews the lease, of a newer one it lets the router read at once, of an older
-// one it does nothing.
+// it renews the lease, of a newer one it makes the router read at once, of an older one
+// it does nothing.
 func TestConfigurationOfPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -43,7 +43,7 @@
 		d.recordConnection(nil, http.StateNew)
 		time.AfterFunc(400*time.Millisecond, func() { d.recordConnection(nil, http.StateActive) })
 		d.awaitQuiet(began.Add(5 * time.Second))
-		assert.Equal(t, time.Since(began), 550*time.Millisecond, "a known connection is no new one")
+		assert.Equal(t, time.Since(began), 550*time.Millisecond, "a request on an open connection is no new connection")
 
 		began = time.Now()
 		stop := make(chan struct{})
--- a/gateway/endpointlist_test.go
+++ b/gateway/endpointlist_test.go
@@ -47,7 +47,7 @@
 	return answer.update, answer.err
 }
 
-// A forgottenMemory is a forgetter that keeps only what was forgotten.
+// A forgottenMemory is a forgetter that records which endpoints were forgotten.
 type forgottenMemory struct {
 	forgotten []ryeford.EndpointID
 }
--- a/gateway/freshness/sharedlease_test.go
+++ b/gateway/freshness/sharedlease_test.go
@@ -33,12 +33,12 @@
 	assert.Assert(t, age < 1200*time.Millisecond, "%s", age)
 	passedOn, _ := other.Confirmed()
 	assert.Equal(t, passedOn, confirmed)
-	assert.Assert(t, !other.RenewFromPeer(now, confirmed), "no news")
+	assert.Assert(t, !other.RenewFromPeer(now, confirmed), "known already")
 	assert.Assert(t, !other.RenewFromPeer(now, confirmed-time.Millisecond), "older")
 }
 
-// TestSharedBeforeOwnRead checks that a process that has never read the source
-// itself, and so can't tell the age of anything, takes no peer's confirmation.
+// TestSharedBeforeOwnRead checks that a process that has never read the source itself,
+// and so doesn't know the age of a confirmation, ignores a peer's.
 func TestSharedBeforeOwnRead(t *testing.T) {
 	l := NewSharedLease(term)
 	assert.Assert(t, !l.RenewFromPeer(start, time.Second))
@@ -54,8 +54,8 @@
 	assert.Assert(t, l.RenewFromPeer(start.Add(time.Second), 51*time.Second))
 }
 
-// TestSharedFrozen checks that a process that was frozen with a message in its
-// socket takes it for as old as it is.
+// TestSharedFrozen checks that the age of a message counts from the read that it
+// confirms, though the process that receives it was frozen meanwhile.
 func TestSharedFrozen(t *testing.T) {
 	l := NewSharedLease(term)
 	l.RenewRead(start, start, 50*time.Second)
--- a/gateway/giveup/giveup_test.go
+++ b/gateway/giveup/giveup_test.go
@@ -10,8 +10,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestStatusOf checks that a caller is told that its request has not run only if
-// that is known: not if the last attempt did not run, but an earlier one may have.
+// TestStatusOf checks that an error's status promises that the request has not run only
+// if that is known: not if the last attempt did not run, but an earlier one may have.
 func TestStatusOf(t *testing.T) {
 	notRun := &ryeford.NotRunError{Reason: ryeford.ReasonOverload, RetryAfter: time.Second}
 	for name, test := range map[string]struct {
@@ -20,7 +20,7 @@
 		reason string
 	}{
 		"not run":                  {notRun, http.StatusServiceUnavailable, "overload"},
-		"an earlier try may have":  {&ryeford.MayHaveRunError{Reason: ryeford.ReasonOverload, Err: notRun}, http.StatusBadGateway, "overload"},
+		"an earlier one may have":  {&ryeford.MayHaveRunError{Reason: ryeford.ReasonOverload, Err: notRun}, http.StatusBadGateway, "overload"},
 		"an earlier one, too late": {&ryeford.MayHaveRunError{Reason: ryeford.ReasonDeadline, Err: notRun}, http.StatusGatewayTimeout, "deadline"},
 		"no such route":            {&ryeford.InputError{Field: "path", Status: http.StatusNotFound}, http.StatusNotFound, "input"},
 	} {
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestDecide checks how requests end.
+// TestDecide checks how a request ends that gets no response from an endpoint.
 func TestDecide(t *testing.T) {
 	lost := &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost}
 	for _, row := range []struct {
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestNotRun checks when callers are told to come back.
+// TestNotRun checks the least Retry-After of each reason.
 func TestNotRun(t *testing.T) {
 	for reason, want := range map[ryeford.Reason]time.Duration{
 		ryeford.ReasonNotReady:           300 * time.Millisecond,
--- a/gateway/handler_test.go
+++ b/gateway/handler_test.go
@@ -48,7 +48,8 @@
 	return h
 }
 
-// TestRefusals checks what a caller that is refused gets, and what the log says.
+// TestRefusals checks the response to a request that is refused, its line in the log,
+// and that it no longer counts as in flight.
 func TestRefusals(t *testing.T) {
 	fresh := func(h *handler) { h.configuration.lease.Renew(time.Now()) }
 	stop := func(h *handler) {
--- a/gateway/initialsync_test.go
+++ b/gateway/initialsync_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAwaitLearned checks that requests wait for what the router has to know, in
-// its first moments and no longer.
+// TestAwaitLearned checks that requests of a router that has just started wait until its
+// initial sync is complete, until its patience ends, or until their callers are gone.
 func TestAwaitLearned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const patience = time.Second
@@ -24,14 +24,14 @@
 		s.await(t.Context())
 		assert.Equal(t, time.Since(began), patience/4)
 		s.await(t.Context())
-		assert.Equal(t, time.Since(began), patience/4, "it is known")
+		assert.Equal(t, time.Since(began), patience/4, "already complete")
 
 		never := newInitialSync(patience)
 		began = time.Now()
 		never.await(t.Context())
 		assert.Equal(t, time.Since(began), patience)
 		never.await(t.Context())
-		assert.Equal(t, time.Since(began), patience, "the first moments are over")
+		assert.Equal(t, time.Since(began), patience, "the patience is over")
 
 		gone, cancel := context.WithCancel(t.Context())
 		cancel()
--- a/gateway/loads/loads_test.go
+++ b/gateway/loads/loads_test.go
@@ -10,9 +10,9 @@
 	"github.com/ryeford/ryeford/gateway/peers"
 )
 
-// TestEstimate states what an endpoint's load is taken to be: this router's
-// requests, and those of the others as the peers say, or else as the endpoint said
-// last.
+// TestEstimate checks the estimate of an endpoint's load: this router's requests, and
+// those of other routers, which are known from the peers or else from the endpoint's
+// last report.
 func TestEstimate(t *testing.T) {
 	const id = "a"
 	for _, test := range []struct {
@@ -29,7 +29,7 @@
 		{name: "own requests only", reported: -1, own: 3, want: 3},
 		{name: "own and peers' requests", reported: -1, own: 3, peers: 4.5, peersKnown: true, want: 7.5},
 		{name: "peers overrule the report", reported: 90, own: 3, peers: 4.5, peersKnown: true, want: 7.5},
-		{name: "peers that have none there", reported: 90, own: 3, peersKnown: true, want: 3},
+		{name: "peers without requests there", reported: 90, own: 3, peersKnown: true, want: 3},
 		{name: "without peers, the report", reported: 8, own: 0, want: 8},
 		{name: "the report counts own requests too", ownThen: 2, reported: 8, own: 2, want: 8},
 		{name: "own requests have ended since", ownThen: 2, reported: 8, own: 0, want: 6},
--- a/gateway/peers/table_test.go
+++ b/gateway/peers/table_test.go
@@ -17,15 +17,18 @@
 	self   = address(0)
 )
 
+// address returns the address of router n.
 func address(n byte) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7000)
 }
 
-func message(from byte, started int64, sequence uint64, requests int) *Message {
-	return &Message{Sender: address(from), Started: started, Sequence: sequence, Loads: []Load{{Endpoint: "e", Requests: requests}}}
+// message returns a message of a peer with requests at endpoint e.
+func message(from byte, started int64, sequence uint64, count int) *Message {
+	return &Message{Sender: address(from), Started: started, Sequence: sequence, Loads: []Load{{Endpoint: "e", Requests: count}}}
 }
 
-func others(t *Table, now time.Time) float64 {
+// requests returns the peers' requests at endpoint e.
+func requests(t *Table, now time.Time) float64 {
 	n, _ := t.Requests(now, "e")
 	return n
 }
@@ -38,22 +41,22 @@
 	assert.Assert(t, !known)
 	assert.Assert(t, table.Receive(start, message(1, 1, 5, 3)))
 	assert.Assert(t, table.Receive(start, message(2, 1, 1, 4)))
-	assert.Equal(t, others(table, start), 7.0)
+	assert.Equal(t, requests(table, start), 7.0)
 	assert.Assert(t, !table.Receive(start, message(1, 1, 4, 9)), "overtaken")
-	assert.Assert(t, !table.Receive(start, message(1, 1, 5, 9)), "doubled")
+	assert.Assert(t, !table.Receive(start, message(1, 1, 5, 9)), "duplicated")
 	assert.Assert(t, !table.Receive(start, message(0, 1, 1, 9)), "its own")
 	assert.Assert(t, table.Receive(start, message(1, 2, 1, 1)), "a new process")
 	assert.Assert(t, !table.Receive(start, message(1, 1, 6, 9)), "an earlier process")
-	assert.Equal(t, others(table, start), 5.0)
+	assert.Equal(t, requests(table, start), 5.0)
 	later := start.Add(limits.LoadTTL + 1)
 	assert.Assert(t, table.Receive(later, message(2, 1, 2, 4)))
-	assert.Equal(t, others(table, later), 8.0, "one of two live peers has 4, and its loads alone count")
+	assert.Equal(t, requests(table, later), 8.0, "one of two live peers has 4, and its loads alone count")
 	assert.Equal(t, table.Alive(later), 2)
 	assert.Equal(t, table.Alive(start.Add(limits.PeerTTL+1)), 1)
 }
 
-// TestMembers checks that peers are learned from others, that those which never send
-// a message are forgotten, and that their number is bounded.
+// TestMembers checks that the peers that another names are added, that those which never
+// send a message are dropped, and that their number is bounded.
 func TestMembers(t *testing.T) {
 	table := New(self, limits)
 	assert.Equal(t, len(table.Targets(start, 8)), 0)
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -52,15 +52,15 @@
 func TestPeersRenewLease(t *testing.T) {
 	const revoke = 1500 * time.Millisecond
 	gateways := newPeers(t, 3, revoke, nil)
-	cut, sound := gateways[0], gateways[1]
+	cut, connected := gateways[0], gateways[1]
 	cut.cutOffStore()
 	cut.awaitLog("dependency lost")
 	for since := time.Now(); time.Since(since) < 2*revoke; time.Sleep(20 * time.Millisecond) {
 		assert.Equal(t, cut.call("GET", "/safe/a").status, 200)
 	}
-	sound.putConfiguration(keyRevoked())
+	connected.putConfiguration(keyRevoked())
 	acknowledged := time.Now()
-	sound.awaitStatus(401, "GET", "/safe/a")
+	connected.awaitStatus(401, "GET", "/safe/a")
 	for {
 		sent := time.Now()
 		got := cut.call("GET", "/safe/a")
--- a/gateway/prefixcache/index_test.go
+++ b/gateway/prefixcache/index_test.go
@@ -1,6 +1,7 @@
 package prefixcache
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -22,22 +23,17 @@
 	return result
 }
 
-func best(m *Index, now time.Time, prompt []ryeford.PromptPart, without ...ryeford.EndpointID) (ryeford.EndpointID, int) {
-	return m.Longest(now, prompt, func(id ryeford.EndpointID) bool {
-		for _, other := range without {
-			if id == other {
-				return false
-			}
-		}
-		return true
-	})
+// longest returns who holds the longest beginning of a prompt, some endpoints apart, and
+// of how many parts that is.
+func longest(m *Index, now time.Time, prompt []ryeford.PromptPart, without ...ryeford.EndpointID) (ryeford.EndpointID, int) {
+	return m.Longest(now, prompt, func(id ryeford.EndpointID) bool { return !slices.Contains(without, id) })
 }
 
-// TestBest checks that the longest part of a prompt that anyone holds wins, and
-// among its holders the latest.
+// TestBest checks that the holder of the longest beginning of a prompt is found, and of
+// several holders the latest.
 func TestBest(t *testing.T) {
 	m := New(limits)
-	id, depth := best(m, start, parts(1, 2))
+	id, depth := longest(m, start, parts(1, 2))
 	assert.Equal(t, id, ryeford.EndpointID(""))
 	assert.Equal(t, depth, 0)
 	m.Add(start, "a", parts(1, 2))
@@ -54,24 +50,25 @@
 		{parts(1, 2), "a", "b", 1},
 		{parts(5, 6), "", "", 0},
 	} {
-		id, depth := best(m, start, test.prompt, test.without)
+		id, depth := longest(m, start, test.prompt, test.without)
 		assert.Equal(t, id, test.id)
 		assert.Equal(t, depth, test.depth)
 	}
 }
 
-// TestForgetting checks that time, endpoints that go and the bounds are kept.
+// TestForgetting checks that entries are dropped after their TTL, with their endpoint,
+// and beyond the limits.
 func TestForgetting(t *testing.T) {
 	m := New(limits)
 	m.Add(start, "a", parts(1))
-	_, depth := best(m, start.Add(limits.TTL+1), parts(1))
+	_, depth := longest(m, start.Add(limits.TTL+1), parts(1))
 	assert.Equal(t, depth, 0)
 	m.Add(start, "b", parts(1))
 	m.Add(start, "c", parts(1)) // pushes out a, the oldest
-	id, _ := best(m, start, parts(1), "b", "c")
+	id, _ := longest(m, start, parts(1), "b", "c")
 	assert.Equal(t, id, ryeford.EndpointID(""))
 	m.Forget("c")
-	id, _ = best(m, start, parts(1))
+	id, _ = longest(m, start, parts(1))
 	assert.Equal(t, id, ryeford.EndpointID("b"))
 	for i := range uint64(100) {
 		m.Add(start, "d", parts(i))
@@ -79,8 +76,8 @@
 	assert.Assert(t, len(m.parts) <= limits.Parts)
 }
 
-// TestHeld checks that an endpoint holds as many tokens as the longest beginning
-// of the prompt that it was sent.
+// TestHeld checks how many tokens an endpoint holds: those of the longest beginning of
+// the prompt that it was sent.
 func TestHeld(t *testing.T) {
 	m := New(limits)
 	prompt := []ryeford.PromptPart{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 20}}
--- a/gateway/probe_test.go
+++ b/gateway/probe_test.go
@@ -14,8 +14,9 @@
 	"github.com/ryeford/ryeford/gateway/roster"
 )
 
-// TestProbes checks that a readiness probe is answered as the rule says, and that
-// failed probes count once the gateway was ordered to stop.
+// TestProbes checks that a readiness probe fails until the configuration and the list
+// are known, and again once the gateway was ordered to stop; and that failed probes
+// count from that order on.
 func TestProbes(t *testing.T) {
 	h := &probeHandler{
 		path:          "/ready",
--- a/gateway/request_test.go
+++ b/gateway/request_test.go
@@ -9,7 +9,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestSetDeadline checks how long a request is served.
+// TestSetDeadline checks which of the caller's and the route's timeouts sets a request's
+// deadline.
 func TestSetDeadline(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	for _, row := range []struct {
@@ -17,11 +18,11 @@
 		route, caller time.Duration
 		want          time.Duration
 	}{
-		{"the caller is sooner", 4 * time.Second, time.Second, time.Second},
-		{"the route is sooner", 4 * time.Second, time.Minute, 4 * time.Second},
-		{"the caller says nothing", 4 * time.Second, 0, 4 * time.Second},
-		{"the route says nothing", 0, time.Minute, 30 * time.Second},
-		{"neither says anything", 0, 0, 30 * time.Second},
+		{"the caller's timeout is shorter", 4 * time.Second, time.Second, time.Second},
+		{"the route's timeout is shorter", 4 * time.Second, time.Minute, 4 * time.Second},
+		{"the caller sets no timeout", 4 * time.Second, 0, 4 * time.Second},
+		{"the route sets no timeout", 0, time.Minute, 30 * time.Second},
+		{"neither sets one", 0, 0, 30 * time.Second},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
 			q := &request{
--- a/gateway/shutdown/shutdown_test.go
+++ b/gateway/shutdown/shutdown_test.go
@@ -14,7 +14,7 @@
 	assert.Equal(t, CloseBy(ordered, 8*time.Second), ordered.Add(7300*time.Millisecond))
 }
 
-// TestNoticed checks when the balancer has noticed, or is no longer waited for.
+// TestNoticed checks when the load balancer counts as having noticed the order to stop.
 func TestNoticed(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -25,14 +25,14 @@
 		{"just ordered", 0, 0, false},
 		{"one probe failed", 900 * time.Millisecond, 1, false},
 		{"two probes failed", time.Second, 2, true},
-		{"the balancer probes no more", 3*time.Second - 1, 1, false},
+		{"one probe failed, and almost long enough", 3*time.Second - 1, 1, false},
 		{"waited for long enough", 3 * time.Second, 0, true},
 	} {
 		assert.Equal(t, Noticed(test.sinceOrder, test.failedProbes), test.want, test.name)
 	}
 }
 
-// TestQuiet checks when callers have stopped to connect.
+// TestQuiet checks when callers have stopped connecting.
 func TestQuiet(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestLeavesTimeFor checks which requests a stopping process still takes.
+// TestLeavesTimeFor checks which requests a stopping process still accepts.
 func TestLeavesTimeFor(t *testing.T) {
 	for _, test := range []struct {
 		left, slowest time.Duration
--- a/gateway/watch/next_test.go
+++ b/gateway/watch/next_test.go
@@ -15,7 +15,7 @@
 // 7 and has failed twice.
 func TestNext(t *testing.T) {
 	options := &Options{Wait: time.Second, Settle: 300 * time.Millisecond, MinPause: 10 * time.Millisecond, MaxPause: 100 * time.Millisecond}
-	asked := poll{revision: 7, failures: 2}
+	last := poll{revision: 7, failures: 2}
 	for _, test := range []struct {
 		name     string
 		answered int64
@@ -34,9 +34,9 @@
 		{"failed", 0, errors.New("out"), false, failed, poll{revision: 7, failures: 3}, 0, 40 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			v, revision := judge(asked.revision, test.answered, test.err)
+			v, revision := judge(last.revision, test.answered, test.err)
 			assert.Equal(t, v, test.verdict)
-			next := asked.after(v, revision)
+			next := last.after(v, revision)
 			assert.Equal(t, next, test.next)
 			assert.Equal(t, next.wait(options), test.wait)
 			pause := next.pause(v, test.changed, options)
--- a/gateway/watch/watch_test.go
+++ b/gateway/watch/watch_test.go
@@ -12,124 +12,113 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A script answers a watch's polls one after the other and then ends it.
-type script struct {
-	steps  []step
-	asked  []asked
-	at     []time.Time
-	cancel context.CancelFunc
-}
+// settle is the pause after a change in these tests.
+const settle = 300 * time.Millisecond
 
+// A step is how the source answers one poll.
 type step struct {
 	revision int64
 	err      error
 	takes    time.Duration
 }
 
-// An asked is one poll as the source got it.
-type asked struct {
+// A receivedPoll is one poll as the source got it.
+type receivedPoll struct {
 	whole bool
 	since int64
 	wait  time.Duration
 }
 
-// TestSettle checks that changes in a row are asked for together: a watch waits
-// after an answer with a change, and not after one without.
-func TestSettle(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		s, applied, _, _ := playSteps(step{revision: 1}, step{revision: 2}, step{revision: 2}, step{revision: 5})
-		assert.DeepEqual(t, applied, []int64{1, 2, 2, 5})
-		assert.DeepEqual(t, s.times(began), []time.Duration{0, 0, settle, settle, 2 * settle})
-	})
-}
-
-func (s *script) next(q asked) (string, int64, error) {
-	s.asked = append(s.asked, q)
-	s.at = append(s.at, time.Now())
-	if len(s.asked) > len(s.steps) {
-		s.cancel()
-		return "", 0, context.Canceled
-	}
-	now := s.steps[len(s.asked)-1]
-	time.Sleep(now.takes)
-	return "update", now.revision, now.err
-}
-
-// times returns when each poll was sent.
-func (s *script) times(began time.Time) []time.Duration {
-	var times []time.Duration
-	for _, at := range s.at {
-		times = append(times, at.Sub(began))
-	}
-	return times
-}
-
-// settle is the pause after a change in these tests.
-const settle = 300 * time.Millisecond
-
-// play plays a script and returns the revisions that were applied.
-func play(t *testing.T, steps ...step) (s *script, applied []int64, lost, regained int) {
-	synctest.Test(t, func(*testing.T) { s, applied, lost, regained = playSteps(steps...) })
-	return s, applied, lost, regained
+// A recording is what a watch did.
+type recording struct {
+	polls          []receivedPoll
+	times          []time.Duration // of the polls, since the watch began
+	applied        []int64         // revisions
+	lost, regained int             // calls of the handler
 }
 
-// playSteps plays a script within a bubble of time.
-func playSteps(steps ...step) (s *script, applied []int64, lost, regained int) {
-	ctx, cancel := context.WithCancel(context.Background())
-	s = &script{steps: steps, cancel: cancel}
-	source := Source[string]{
-		Read: func(context.Context) (string, int64, error) { return s.next(asked{whole: true}) },
-		Since: func(_ context.Context, since int64, wait time.Duration) (string, int64, error) {
-			return s.next(asked{since: since, wait: wait})
-		},
-	}
-	Run(ctx, source, Options{Wait: time.Second, MinPause: 10 * time.Millisecond, MaxPause: 100 * time.Millisecond, Settle: settle}, Handler[string]{
-		Apply: func(_ string, revision int64) bool {
-			applied = append(applied, revision)
-			return len(applied) > 1 && applied[len(applied)-2] < revision
-		},
-		Lost:     func(error) { lost++ },
-		Regained: func(time.Duration) { regained++ },
+// play runs a watch on a source that answers by steps, one after the other. The poll
+// after the last step ends it.
+func play(t *testing.T, steps ...step) *recording {
+	t.Helper()
+	r := &recording{}
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		began := time.Now()
+		answer := func(p receivedPoll) (string, int64, error) {
+			r.polls = append(r.polls, p)
+			r.times = append(r.times, time.Since(began))
+			if len(r.polls) > len(steps) {
+				cancel()
+				return "", 0, context.Canceled
+			}
+			now := steps[len(r.polls)-1]
+			time.Sleep(now.takes)
+			return "update", now.revision, now.err
+		}
+		source := Source[string]{
+			Read: func(context.Context) (string, int64, error) { return answer(receivedPoll{whole: true}) },
+			Since: func(_ context.Context, since int64, wait time.Duration) (string, int64, error) {
+				return answer(receivedPoll{since: since, wait: wait})
+			},
+		}
+		options := Options{Wait: time.Second, MinPause: 10 * time.Millisecond, MaxPause: 100 * time.Millisecond, Settle: settle}
+		Run(ctx, source, options, Handler[string]{
+			Apply: func(_ string, revision int64) bool {
+				r.applied = append(r.applied, revision)
+				return len(r.applied) > 1 && r.applied[len(r.applied)-2] < revision
+			},
+			Lost:     func(error) { r.lost++ },
+			Regained: func(time.Duration) { r.regained++ },
+		})
 	})
-	return s, applied, lost, regained
+	return r
 }
 
 // TestFollow checks that a watch reads the whole once and then the changes.
 func TestFollow(t *testing.T) {
-	s, applied, _, _ := play(t, step{revision: 3, takes: time.Millisecond}, step{revision: 3, takes: time.Second}, step{revision: 7})
-	assert.DeepEqual(t, applied, []int64{3, 3, 7})
-	assert.Equal(t, s.asked[0], asked{whole: true})
-	assert.Equal(t, s.asked[1], asked{since: 3, wait: time.Second})
-	assert.Equal(t, s.asked[3], asked{since: 7, wait: time.Second})
+	r := play(t, step{revision: 3, takes: time.Millisecond}, step{revision: 3, takes: time.Second}, step{revision: 7})
+	assert.DeepEqual(t, r.applied, []int64{3, 3, 7})
+	assert.Equal(t, r.polls[0], receivedPoll{whole: true})
+	assert.Equal(t, r.polls[1], receivedPoll{since: 3, wait: time.Second})
+	assert.Equal(t, r.polls[3], receivedPoll{since: 7, wait: time.Second})
+}
+
+// TestSettle checks that changes in a row are read together: a watch waits after an
+// answer with a change, and not after one without.
+func TestSettle(t *testing.T) {
+	r := play(t, step{revision: 1}, step{revision: 2}, step{revision: 2}, step{revision: 5})
+	assert.DeepEqual(t, r.applied, []int64{1, 2, 2, 5})
+	assert.DeepEqual(t, r.times, []time.Duration{0, 0, settle, settle, 2 * settle})
 }
 
-// TestStale checks that an answer older than what is known is neither applied nor
-// taken for a confirmation.
+// TestStale checks that an answer older than what is known is not applied and confirms
+// nothing.
 func TestStale(t *testing.T) {
-	_, applied, _, _ := play(t, step{revision: 9}, step{revision: 4}, step{revision: 9})
-	assert.DeepEqual(t, applied, []int64{9, 9})
+	r := play(t, step{revision: 9}, step{revision: 4}, step{revision: 9})
+	assert.DeepEqual(t, r.applied, []int64{9, 9})
 }
 
-// TestHistoryLost checks that the whole is read again once changes are no longer kept.
+// TestHistoryLost checks that the whole is read again once the source no longer has the
+// changes.
 func TestHistoryLost(t *testing.T) {
-	s, applied, lost, _ := play(t, step{revision: 9}, step{err: &ryeford.HistoryLostError{Revision: 9}}, step{revision: 12})
-	assert.DeepEqual(t, applied, []int64{9, 12})
-	assert.Equal(t, s.asked[2], asked{whole: true})
-	assert.Equal(t, lost, 0)
+	r := play(t, step{revision: 9}, step{err: &ryeford.HistoryLostError{Revision: 9}}, step{revision: 12})
+	assert.DeepEqual(t, r.applied, []int64{9, 12})
+	assert.Equal(t, r.polls[2], receivedPoll{whole: true})
+	assert.Equal(t, r.lost, 0)
 }
 
-// TestOutage checks that a source that is out is asked without a wait, so that
-// its return is noticed at once, and that it is lost and regained once.
+// TestOutage checks that a source that fails is polled without a wait, so that its
+// return is noticed at once, and that an outage is reported once, as is its end.
 func TestOutage(t *testing.T) {
 	out := step{err: errors.New("out")}
-	s, applied, lost, regained := play(t, step{revision: 2}, out, out, out, step{revision: 2})
-	assert.DeepEqual(t, applied, []int64{2, 2})
-	assert.Equal(t, lost, 1)
-	assert.Equal(t, regained, 1)
-	assert.Equal(t, s.asked[1].wait, time.Second)
-	for _, q := range s.asked[2:5] {
-		assert.Equal(t, q, asked{since: 2})
+	r := play(t, step{revision: 2}, out, out, out, step{revision: 2})
+	assert.DeepEqual(t, r.applied, []int64{2, 2})
+	assert.Equal(t, r.lost, 1)
+	assert.Equal(t, r.regained, 1)
+	assert.Equal(t, r.polls[1].wait, time.Second)
+	for _, p := range r.polls[2:5] {
+		assert.Equal(t, p, receivedPoll{since: 2})
 	}
-	assert.Equal(t, s.asked[5].wait, time.Second)
+	assert.Equal(t, r.polls[5].wait, time.Second)
 }
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -6,23 +6,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOutage checks the stated multiple: with no answer, an account's further
-// attempts are at most its reserve, however many requests come.
+// TestOutage checks that without successes an account's further attempts are at most
+// its reserve, however many requests come, and that each account has its own.
 func TestOutage(t *testing.T) {
 	b := NewBudget(BudgetLimits{PerSuccess: 0.1, Reserve: 16})
-	tries := 0
+	attempts := 0
 	for range 10_000 {
 		if b.Spend("bank") {
-			tries++
+			attempts++
 		}
 	}
-	assert.Equal(t, tries, 16)
+	assert.Equal(t, attempts, 16)
 	for range 100 {
 		b.Earn("bank")
 	}
 	for b.Spend("bank") {
-		tries++
+		attempts++
 	}
-	assert.Assert(t, tries <= 16+10, "%d tries", tries)
-	assert.Assert(t, b.Spend("church"), "an account pays for another")
+	assert.Assert(t, attempts <= 16+10, "%d attempts", attempts)
+	assert.Assert(t, b.Spend("church"), "another account has its own reserve")
 }
