--- a/internal/cmd/platform_test.go
+++ b/internal/cmd/platform_test.go
@@ -1,20 +1,25 @@
 package cmd
 
 import (
+	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
-	"os"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"sync"
+	"sync/atomic"
 
 	"github.com/rogpeppe/go-internal/testscript"
+
+	"github.com/ryeford/ryeford/platform/wire"
 )
 
-// platformConfig is the operators' configuration of the scenarios, in the
-// platform's JSON. Scenarios change it by replacing text.
+// streamEvents is how many events a stream of the emulator has.
+const streamEvents = 20
+
+// platformConfig is the operators' configuration of the scenarios. It is spelled out as
+// operators write it, so that the scenarios also check the platform's spelling.
 const platformConfig = `{"version":1,
 "routes":[
 {"name":"once","host":"h.example","pathPrefix":"/once/","kind":"unsafe","service":"plain","timeoutMs":4000,"goalMs":1000,"priority":1,"maxAttempts":2},
@@ -25,8 +30,8 @@
 "tenants":[{"name":"bank","apiKeys":["bank-key"]},{"name":"church","apiKeys":["church-key"]}]}`
 
 // cmdPlatform writes the settings files of an emulator and of so many gateways:
-// emulator.yaml, gateway-1.yaml and so on. Each address is in the environment, as
-// in $gateway_1_callers, $gateway_1_ready and $emulator.
+// emulator.yaml, gateway-1.yaml and so on. It sets each address in the environment, as
+// $emulator, $gateway_1_callers, $gateway_1_ready and so on.
 func cmdPlatform(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: platform GATEWAYS")
@@ -40,7 +45,7 @@
 	for _, id := range []string{"p1", "p2", "m1", "m2", "m3"} {
 		service, events := "plain", 0
 		if strings.HasPrefix(id, "m") {
-			service, events = "model", 20
+			service, events = "model", streamEvents
 		}
 		fmt.Fprintf(&servers, "    - {id: %s, service: %s, address: %s, failure_domain: a, events: %d, step: 5ms}\n",
 			id, service, f.address(id), events)
@@ -60,55 +65,52 @@
 	}
 }
 
-// cmdRequest sends one request and checks its answer's status and, where given,
-// that its body contains a text:
+// cmdRequest sends one request and checks its response's status and, if TEXT is given,
+// that its body contains it:
 //
 //	request STATUS METHOD http://IP:PORT/PATH KEY [TEXT]
 func cmdRequest(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 4 {
 		ts.Fatalf("usage: request STATUS METHOD URL KEY [TEXT]")
 	}
-	status, body, err := platformRequest(args[1], args[2], args[3], "request-"+strconv.FormatInt(requestNumber(), 10))
+	wantStatus, method, url, key := args[0], args[1], args[2], args[3]
+	status, body, err := platformRequest(method, url, key, newRequestID("request"))
 	ts.Check(err)
-	if strconv.Itoa(status) != args[0] {
-		ts.Fatalf("%s %s: status %d, want %s: %s", args[1], args[2], status, args[0], body)
+	if strconv.Itoa(status) != wantStatus {
+		ts.Fatalf("%s %s: status %d, want %s: %s", method, url, status, wantStatus, body)
 	}
 	if len(args) > 4 && !strings.Contains(body, args[4]) {
-		ts.Fatalf("%s %s: %q lacks %q", args[1], args[2], body, args[4])
+		ts.Fatalf("%s %s: %q lacks %q", method, url, body, args[4])
 	}
 }
 
-var (
-	requestMu    sync.Mutex
-	requestCount int64
-)
+// requestCount counts the IDs of requests.
+var requestCount atomic.Int64
 
-// requestNumber returns a number that no other request has.
-func requestNumber() int64 {
-	requestMu.Lock()
-	defer requestMu.Unlock()
-	requestCount++
-	return requestCount
+// newRequestID returns an ID that no other request has.
+func newRequestID(prefix string) string {
+	return fmt.Sprintf("%s-%d", prefix, requestCount.Add(1))
 }
 
-// platformRequest sends one request as a caller of the platform does.
-func platformRequest(method, url, key, id string) (int, string, error) {
+// platformRequest sends one request as a caller of the platform does, on a connection of
+// its own.
+func platformRequest(method, url, key, id string) (status int, body string, err error) {
 	request, err := http.NewRequest(method, url, nil)
 	if err != nil {
 		return 0, "", err
 	}
 	request.Host = "h.example"
-	request.Header.Set("Ryeford-Request-Id", id)
-	request.Header.Set("Ryeford-Deadline-Ms", "10000")
-	request.Header.Set("Authorization", "Bearer "+key)
+	request.Header.Set(wire.HeaderRequestID, id)
+	request.Header.Set(wire.HeaderTimeout, "10000")
+	request.Header.Set(wire.HeaderAuthorization, "Bearer "+key)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(request)
 	if err != nil {
 		return 0, "", err
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(response.Body)
-	return response.StatusCode, string(body), err
+	content, err := io.ReadAll(response.Body)
+	return response.StatusCode, string(content), err
 }
 
 // cmdAwait sends requests until one is answered with a status:
@@ -118,43 +120,40 @@
 	if neg || len(args) != 4 {
 		ts.Fatalf("usage: await STATUS METHOD URL KEY")
 	}
+	wantStatus, method, url, key := args[0], args[1], args[2], args[3]
 	last := ""
 	if !eventually(func() bool {
-		status, body, err := platformRequest(args[1], args[2], args[3], "await-"+strconv.FormatInt(requestNumber(), 10))
+		status, body, err := platformRequest(method, url, key, newRequestID("await"))
 		last = fmt.Sprintf("%d %s %v", status, body, err)
-		return err == nil && strconv.Itoa(status) == args[0]
+		return err == nil && strconv.Itoa(status) == wantStatus
 	}) {
 		ts.Fatalf("%s never came: %s", strings.Join(args, " "), last)
 	}
 }
 
-// cmdLoad sends so many requests at once to several gateways, and checks what
-// holds of each answer: one that is not a success is not one that looks whole,
-// and the last line of a stream is there. It prints a count by status:
+// loadPrefix begins the ID of each request that cmdLoad sends.
+const loadPrefix = "load"
+
+// cmdLoad sends so many requests at once, to several gateways by turns, and prints how
+// many ended in each way, as OUTCOME COUNT. An outcome is a status, or what outcomeOf
+// found wrong:
 //
 //	load REQUESTS METHOD PATH KEY IP:PORT...
 func cmdLoad(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 5 {
 		ts.Fatalf("usage: load REQUESTS METHOD PATH KEY IP:PORT...")
 	}
+	method, path, key, gateways := args[1], args[2], args[3], args[4:]
 	n, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	counts := make(map[string]int)
 	for i := range n {
-		id := "load-" + strconv.FormatInt(requestNumber(), 10)
+		id := newRequestID(loadPrefix)
 		group.Go(func() {
-			status, body, err := platformRequest(args[1], "http://"+args[4+i%(len(args)-4)]+args[2], args[3], id)
-			outcome := strconv.Itoa(status)
-			switch {
-			case err != nil:
-				outcome = "broken"
-			case status == http.StatusOK && strings.HasPrefix(args[2], "/stream") && strings.Count(body, "data: ") != 20:
-				outcome = "short"
-			case status == http.StatusOK && !strings.HasPrefix(args[2], "/stream") && !strings.HasPrefix(body, "answer to "+id+" of "):
-				outcome = "foreign"
-			}
+			status, body, err := platformRequest(method, "http://"+gateways[i%len(gateways)]+path, key, id)
+			outcome := outcomeOf(path, id, status, body, err)
 			mu.Lock()
 			defer mu.Unlock()
 			counts[outcome]++
@@ -166,17 +165,41 @@
 	}
 }
 
-// cmdOnce checks that an emulator has run no request more than once, but for
-// those whose path may be repeated: their requests are not sent by load.
+// outcomeOf returns a response's status, or "broken" for one that did not end, "short"
+// for a stream that ended without an error before its last event, and "foreign" for a
+// success whose body answers another request.
+func outcomeOf(path, id string, status int, body string, err error) string {
+	isStream := strings.HasPrefix(path, "/stream")
+	switch {
+	case err != nil:
+		return "broken"
+	case status == http.StatusOK && isStream && strings.Count(body, "data: ") != streamEvents:
+		return "short"
+	case status == http.StatusOK && !isStream && !strings.HasPrefix(body, "answer to "+id+" of "):
+		return "foreign"
+	}
+	return strconv.Itoa(status)
+}
+
+// cmdOnce checks that the requests of load have run once each, by an emulator's count of
+// runs. Those of request and await may be repeated.
 func cmdOnce(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: once RUNS")
 	}
-	content, err := os.ReadFile(filepath.Join(ts.MkAbs("."), args[0]))
-	ts.Check(err)
-	for field := range strings.SplitSeq(strings.Trim(strings.TrimSpace(string(content)), "{}"), ",") {
-		if name, count, _ := strings.Cut(field, ":"); count != "1" && strings.HasPrefix(name, `"load-`) {
-			ts.Fatalf("%s ran %s times", name, count)
+	runs := make(map[string]int)
+	ts.Check(json.Unmarshal([]byte(ts.ReadFile(args[0])), &runs))
+	checked := 0
+	for id, count := range runs {
+		if !strings.HasPrefix(id, loadPrefix+"-") {
+			continue
 		}
+		checked++
+		if count != 1 {
+			ts.Fatalf("%s ran %d times", id, count)
+		}
+	}
+	if checked == 0 {
+		ts.Fatalf("%s names no request of load", args[0])
 	}
 }
--- a/internal/cmd/script_test.go
+++ b/internal/cmd/script_test.go
@@ -17,8 +17,8 @@
 	"github.com/ryeford/ryeford/standin"
 )
 
-// eventuallyLimit bounds how long a scenario waits on a condition. It decides
-// no verdict on speed: it ends a run whose condition never comes.
+// eventuallyLimit bounds how long a scenario waits for a condition. It decides no verdict
+// on speed: it ends a run whose condition never comes true.
 const eventuallyLimit = 20 * time.Second
 
 func TestMain(m *testing.M) {
@@ -54,41 +54,41 @@
 	})
 }
 
-// cmdEventually runs a command again and again until it succeeds and, where
-// -out PATTERN is given, prints text that contains it.
+// cmdEventually runs a command again and again until it succeeds and, if -out TEXT is
+// given, prints output that contains it.
 func cmdEventually(ts *testscript.TestScript, neg bool, args []string) {
-	pattern := ""
+	text := ""
 	if len(args) > 2 && args[0] == "-out" {
-		pattern, args = args[1], args[2:]
+		text, args = args[1], args[2:]
 	}
 	if neg || len(args) == 0 {
 		ts.Fatalf("usage: eventually [-out TEXT] COMMAND...")
 	}
-	limit := time.Now().Add(eventuallyLimit)
-	for {
-		cmd := exec.Command(args[0], args[1:]...)
-		cmd.Dir = ts.MkAbs(".")
-		cmd.Env = []string{"PATH=" + ts.Getenv("PATH"), "HOME=" + ts.Getenv("HOME")}
-		for _, name := range []string{"RYEFORD_OPERATORS", "RYEFORD_OPERATOR_KEY", "RYEFORD_KEY", "RYEFORD_CALLERS"} {
-			if value := ts.Getenv(name); value != "" {
-				cmd.Env = append(cmd.Env, name+"="+value)
-			}
-		}
-		if path, err := exec.LookPath(args[0]); err == nil {
-			cmd.Path = path
-		}
-		out, err := cmd.CombinedOutput()
-		if err == nil && strings.Contains(string(out), pattern) {
-			return
-		}
-		if time.Now().After(limit) {
-			ts.Fatalf("%s: never came true: %v\n%s", strings.Join(args, " "), err, out)
+	var out []byte
+	var err error
+	if !eventually(func() bool {
+		out, err = scriptCommand(ts, args).CombinedOutput()
+		return err == nil && strings.Contains(string(out), text)
+	}) {
+		ts.Fatalf("%s: never came true: %v\n%s", strings.Join(args, " "), err, out)
+	}
+}
+
+// scriptCommand returns a command that runs in a script's directory, with the variables
+// of its environment that programs read.
+func scriptCommand(ts *testscript.TestScript, args []string) *exec.Cmd {
+	cmd := exec.Command(args[0], args[1:]...)
+	cmd.Dir = ts.MkAbs(".")
+	cmd.Env = []string{"PATH=" + ts.Getenv("PATH"), "HOME=" + ts.Getenv("HOME")}
+	for _, name := range []string{"RYEFORD_OPERATORS", "RYEFORD_OPERATOR_KEY", "RYEFORD_KEY", "RYEFORD_CALLERS"} {
+		if value := ts.Getenv(name); value != "" {
+			cmd.Env = append(cmd.Env, name+"="+value)
 		}
-		time.Sleep(20 * time.Millisecond)
 	}
+	return cmd
 }
 
-// eventually waits for a condition, and reports whether it came.
+// eventually waits for a condition, and reports whether it came true.
 func eventually(condition func() bool) bool {
 	limit := time.Now().Add(eventuallyLimit)
 	for !condition() {
@@ -101,8 +101,8 @@
 }
 
 // cmdSignal sends STOP, CONT, TERM, KILL or HUP to the background process that was
-// started with a settings file. Behind a KILL it waits until the process is gone,
-// and its ports with it.
+// started with a settings file. After a KILL it waits until the process is gone, and its
+// ports with it.
 func cmdSignal(ts *testscript.TestScript, neg bool, args []string) {
 	signals := map[string]syscall.Signal{
 		"STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT, "TERM": syscall.SIGTERM, "KILL": syscall.SIGKILL, "HUP": syscall.SIGHUP,
@@ -117,18 +117,15 @@
 		if err := cmd.Process.Signal(signals[args[0]]); !errors.Is(err, os.ErrProcessDone) {
 			ts.Check(err)
 		}
-		limit := time.Now().Add(eventuallyLimit)
-		for args[0] == "KILL" && !errors.Is(cmd.Process.Signal(syscall.Signal(0)), os.ErrProcessDone) {
-			if time.Now().After(limit) {
-				ts.Fatalf("%s: killed, but not gone", args[1])
-			}
-			time.Sleep(time.Millisecond)
+		gone := func() bool { return errors.Is(cmd.Process.Signal(syscall.Signal(0)), os.ErrProcessDone) }
+		if args[0] == "KILL" && !eventually(gone) {
+			ts.Fatalf("%s: killed, but not gone", args[1])
 		}
 	}
 }
 
-// cmdStarts checks that two prints of an engine's runs hold the same runs, or
-// with a ! that they do not.
+// cmdStarts checks that two prints of an engine's runs have equally many runs, or with a
+// ! that they do not.
 func cmdStarts(ts *testscript.TestScript, neg bool, args []string) {
 	if len(args) != 2 {
 		ts.Fatalf("usage: [!] starts BEFORE AFTER")
