--- a/retry/share_test.go
+++ b/retry/share_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestWindows checks that each service has a budget of its own, of which a router
-// uses nine tenths.
+// TestWindows checks that each service has a budget of its own, and that a router uses
+// nine tenths of it.
 func TestWindows(t *testing.T) {
 	w := NewWindows(WindowLimits{Span: 10 * time.Second, Ratio: 0.2, Reserve: 10})
 	now := time.Now()
--- a/retry/spread_test.go
+++ b/retry/spread_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSpread checks that refused callers are not told to come back together.
+// TestSpread checks that the Retry-After of refused callers differ: each is at least the
+// minimum, and less than twice it.
 func TestSpread(t *testing.T) {
 	seen := make(map[time.Duration]bool)
 	for range 100 {
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestWindowBound checks that in no span, wherever it begins, retries exceed what
-// the requests of that span and of the one before it allow.
+// TestWindowBound checks that in no span, whenever it begins, retries exceed what the
+// requests of that span and of the one before it allow.
 func TestWindowBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := WindowLimits{Span: 10 * time.Second, Ratio: 0.18, Reserve: 5}
@@ -22,7 +22,7 @@
 				w.CountRequest(now)
 				requests = append(requests, now)
 			}
-			for range rapid.IntRange(0, 5).Draw(t, "tries") {
+			for range rapid.IntRange(0, 5).Draw(t, "attempts") {
 				if w.TakeRetry(now, 1) {
 					retries = append(retries, now)
 				}
@@ -82,7 +82,7 @@
 }
 
 // TestWindowLateCount checks that a request that is counted long after it came, since
-// its body was slow, takes back no retry.
+// its body was slow, does not change how many retries were counted.
 func TestWindowLateCount(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Reserve: 2})
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -11,6 +11,7 @@
 	"github.com/ryeford/ryeford"
 )
 
+// testTargets returns n targets in seven failure domains, four of them in a row in each.
 func testTargets(n int) []Target {
 	targets := make([]Target, n)
 	for i := range targets {
@@ -19,8 +20,8 @@
 	return targets
 }
 
-// TestRankMovesLittle checks that the loss of one engine moves only the chats
-// whose first candidate it was, and that these go to their second.
+// TestRankMovesLittle checks that the loss of one engine moves only the chats whose first
+// candidate it was.
 func TestRankMovesLittle(t *testing.T) {
 	targets := testTargets(40)
 	all, fewer := NewSet(targets), NewSet(targets[1:])
@@ -59,6 +60,7 @@
 	}
 }
 
+// BenchmarkRank measures the ranking of a chat's candidates among n engines.
 func BenchmarkRank(b *testing.B) {
 	for _, n := range []int{40, 583, 3500} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
@@ -72,8 +74,8 @@
 	}
 }
 
-// TestRankSecond states which of a chat's targets get the first two places, by
-// their failure domains in the order of their scores.
+// TestRankSecond checks which of a chat's targets get the first places: the best, then
+// the best of another failure domain, then the others in the order of their scores.
 func TestRankSecond(t *testing.T) {
 	const chat = 12345
 	for _, test := range []struct {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// examples is the folder of the annotated examples.
 const examples = "../docs/examples"
 
 // TestExamples checks that the annotated examples are accepted.
@@ -33,8 +34,8 @@
 		{"vm: r\noperators: nowhere\n", "line 2: operators: want an IP address and port such as 10.0.0.1:7000"},
 		{"vm: r\nlimits:\n  first_token: 5\n", "line 3: first_token: want a duration with its unit, such as 250ms or 2s"},
 		{"vm: r\n", "region: missing; it must be given"},
-		{valid + "limits: {max_body: 3}\n", "line 9: limits.max_body: must be at least 1024"},
-		{valid + "transport: {keep_alive: 20s}\n", "line 9: transport.keep_alive: must be less than IdleTimeout"},
+		{validRouter + "limits: {max_body: 3}\n", "line 9: limits.max_body: must be at least 1024"},
+		{validRouter + "transport: {keep_alive: 20s}\n", "line 9: transport.keep_alive: must be less than IdleTimeout"},
 		{"operator_key: [s3cret\n", "line 1: operator_key: sequence end token ']' not found"},
 	} {
 		err := Parse([]byte(test.content), DefaultRouter())
@@ -54,7 +55,8 @@
 	assert.Error(t, Parse([]byte(template+hash), DefaultTemplate()), "line 5: key_hashes[0]: must satisfy hexadecimal")
 }
 
-const valid = `vm: r
+// validRouter is the settings of a router that lack nothing.
+const validRouter = `vm: r
 region: n
 failure_domain: d
 callers: 127.0.0.1:1
@@ -64,9 +66,9 @@
 tls: {authority: a, certificate: b, key: c}
 `
 
-// FuzzParse checks that no text crashes the reader.
+// FuzzParse checks that no text crashes the parser.
 func FuzzParse(f *testing.F) {
-	f.Add(valid)
+	f.Add(validRouter)
 	f.Add("limits: {first_token: 5}")
 	f.Add("a: &a [*a]")
 	f.Fuzz(func(_ *testing.T, content string) {
@@ -75,8 +77,8 @@
 	})
 }
 
-// TestDerived checks that what a gateway derives from the users' bounds keeps
-// within them, and that a value that is set counts.
+// TestDerived checks that the times that a gateway derives from the users' bounds are
+// within them, and that one that is set is used instead.
 func TestDerived(t *testing.T) {
 	for _, contact := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second} {
 		for _, bound := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 9 * time.Second} {
