--- a/internal/cmd/platform_test.go
+++ b/internal/cmd/platform_test.go
@@ -113,19 +113,24 @@
 	return response.StatusCode, string(content), err
 }
 
-// cmdAwait sends requests until one is answered with a status:
+// cmdAwait sends requests until one is answered with a status and, if TEXT is given, with
+// a body that contains it:
 //
-//	await STATUS METHOD URL KEY
+//	await STATUS METHOD URL KEY [TEXT]
 func cmdAwait(ts *testscript.TestScript, neg bool, args []string) {
-	if neg || len(args) != 4 {
-		ts.Fatalf("usage: await STATUS METHOD URL KEY")
+	if neg || len(args) < 4 {
+		ts.Fatalf("usage: await STATUS METHOD URL KEY [TEXT]")
+	}
+	text := ""
+	if len(args) > 4 {
+		text = args[4]
 	}
 	wantStatus, method, url, key := args[0], args[1], args[2], args[3]
 	last := ""
 	if !eventually(func() bool {
 		status, body, err := platformRequest(method, url, key, newRequestID("await"))
 		last = fmt.Sprintf("%d %s %v", status, body, err)
-		return err == nil && strconv.Itoa(status) == wantStatus
+		return err == nil && strconv.Itoa(status) == wantStatus && strings.Contains(body, text)
 	}) {
 		ts.Fatalf("%s never came: %s", strings.Join(args, " "), last)
 	}
