--- a/gateway/admit/admit_test.go
+++ b/gateway/admit/admit_test.go
@@ -35,7 +35,7 @@
 	return failure{}
 }
 
-// TestCheck checks which failure stands for which gap.
+// TestCheck checks which requests are refused, and with what.
 func TestCheck(t *testing.T) {
 	ready := State{Configured: true, Listed: true, Reliable: true, RouteFound: true, NeedsKey: true, KeyFound: true}
 	for _, row := range []struct {
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestCheckSend checks what may have changed between admission and sending.
+// TestCheckSend checks which changes after admission keep a request from being sent.
 func TestCheckSend(t *testing.T) {
 	ready := Sending{EndpointServes: true, NeedsKey: true, Reliable: true, KeyFound: true}
 	for _, row := range []struct {
@@ -93,7 +93,7 @@
 	}
 }
 
-// TestBody checks the limits of bodies, and the failures of those beyond them.
+// TestBody checks the limits of bodies, and how those beyond them are refused.
 func TestBody(t *testing.T) {
 	assert.Equal(t, MaxBody(65536), int64(65536))
 	assert.Equal(t, MaxBody(0), int64(4<<20), "the configuration is not known yet")
@@ -106,11 +106,11 @@
 	assert.Equal(t, failureOf(t, BodyFailure(errors.New("reset"))), failure{status: 400})
 }
 
-// TestStartWait checks how long requests wait for a router that has just started.
+// TestStartWait checks for how long requests of a router that has just started wait.
 func TestStartWait(t *testing.T) {
 	const patience = 500 * time.Millisecond
 	assert.Equal(t, StartWait(0, patience), patience)
 	assert.Equal(t, StartWait(400*time.Millisecond, patience), 100*time.Millisecond)
-	assert.Assert(t, StartWait(patience, patience) <= 0, "the first moments are over")
+	assert.Assert(t, StartWait(patience, patience) <= 0, "the patience is over")
 	assert.Assert(t, StartWait(time.Hour, patience) <= 0)
 }
--- a/gateway/catalog/catalog_test.go
+++ b/gateway/catalog/catalog_test.go
@@ -63,7 +63,8 @@
 	})
 }
 
-// TestAccounts checks the difference between no accounts and none left.
+// TestAccounts checks that without accounts no keys are needed, and that with an empty
+// list of them keys are.
 func TestAccounts(t *testing.T) {
 	open := New(&ryeford.Configuration{})
 	assert.Assert(t, !open.Keyed())
@@ -74,7 +75,8 @@
 	assert.Assert(t, New(&ryeford.Configuration{Accounts: []ryeford.AccountRule{}}).Keyed())
 }
 
-// TestCurrentNeverReverts puts versions in force from many goroutines at once.
+// TestCurrentNeverReverts checks that no older version comes into force, though many
+// goroutines put versions in force at once.
 func TestCurrentNeverReverts(t *testing.T) {
 	var current Current
 	var group sync.WaitGroup
--- a/gateway/endpoint/endpoint_test.go
+++ b/gateway/endpoint/endpoint_test.go
@@ -46,8 +46,10 @@
 	return err == nil && n > 0
 }
 
+// answer is a whole response to request r.
 const answer = "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
 
+// send sends request r to an endpoint and returns the body of the response.
 func send(ctx context.Context, pool *endpoint.Pool, to *ryeford.Endpoint) (string, error) {
 	got, err := pool.Send(ctx, to, &endpoint.Request{ID: "r", Method: "POST", Target: "/", Host: "h", Header: http.Header{}}, func() error { return nil })
 	if err != nil {
@@ -88,8 +90,8 @@
 	assert.Equal(t, count.Load(), int64(3))
 }
 
-// TestUnsent checks that a request that never reached an endpoint is distinguished
-// from one whose answer is lost.
+// TestUnsent checks that a request that cannot have reached its endpoint ends with an
+// UnsentError, and one whose response is lost, broken or not its own with a LostError.
 func TestUnsent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -121,7 +123,7 @@
 	}
 }
 
-// TestKeepAlive checks that a connection is not idle for longer than its
+// TestKeepAlive checks that a connection is not used after the idle time that its
 // endpoint allows.
 func TestKeepAlive(t *testing.T) {
 	to, count := listen(t, func(conn net.Conn) {
--- a/gateway/eventstream_test.go
+++ b/gateway/eventstream_test.go
@@ -43,24 +43,33 @@
 	}
 }
 
-// TestReadLargeEvent checks that an event is not read without end.
+// TestReadLargeEvent checks that an event beyond the limit of its size is an error.
 func TestReadLargeEvent(t *testing.T) {
 	_, err := readEvent(bufio.NewReader(strings.NewReader("data: " + strings.Repeat("x", maxEvent))))
 	var tooLarge *endpoint.TooLargeError
 	assert.Assert(t, errors.As(err, &tooLarge), "%v", err)
 }
 
-// TestEventIDs checks which events of a continued stream the caller has already.
+// TestEventIDs checks the ID of an event, and which events of a resumed stream the caller
+// does not have yet.
 func TestEventIDs(t *testing.T) {
 	assert.Equal(t, eventID([]byte("id: 7\ndata: x\n\n")), "7")
 	assert.Equal(t, eventID([]byte("data: x\nid:8\n\n")), "8")
 	assert.Equal(t, eventID([]byte("data: id: 9\n\n")), "")
-	assert.Assert(t, follows("7", "8"))
-	assert.Assert(t, follows("9", "10"), "by their numbers")
-	assert.Assert(t, !follows("7", "7"))
-	assert.Assert(t, !follows("8", "7"))
-	assert.Assert(t, follows("a", "b"), "not comparable")
-	assert.Assert(t, follows("", "1"), "the first")
+	for _, row := range []struct {
+		rule       string
+		last, next string
+		want       bool
+	}{
+		{"the next", "7", "8", true},
+		{"compared as numbers", "9", "10", true},
+		{"the same", "7", "7", false},
+		{"an earlier one", "8", "7", false},
+		{"not numbers: passed on", "a", "b", true},
+		{"the first", "", "1", true},
+	} {
+		assert.Equal(t, follows(row.last, row.next), row.want, row.rule)
+	}
 }
 
 // TestIsEventStream checks which responses are passed on event by event.
--- a/gateway/outlier/limits_test.go
+++ b/gateway/outlier/limits_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEjects states which records eject an endpoint under the gateway's limits.
+// TestEjects checks which records eject an endpoint under the gateway's limits.
 func TestEjects(t *testing.T) {
 	limits := DefaultLimits()
 	for _, test := range []struct {
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestTerm states how long successive ejections last.
+// TestTerm checks how long successive ejections last.
 func TestTerm(t *testing.T) {
 	limits := DefaultLimits()
 	for _, test := range []struct {
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestSilent states when an endpoint that was sent a request counts as silent.
+// TestSilent checks when an endpoint that was sent a request counts as silent.
 func TestSilent(t *testing.T) {
 	limits := DefaultLimits()
 	now := time.Unix(1000, 0)
--- a/gateway/peers/count_test.go
+++ b/gateway/peers/count_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCount checks for how long after its last message a peer is alive, and its
-// loads count.
+// TestCount checks for how long after its last message a peer is alive, and for how long
+// its loads count.
 func TestCount(t *testing.T) {
 	l := DefaultLimits()
 	for _, test := range []struct {
--- a/gateway/roster/roster_test.go
+++ b/gateway/roster/roster_test.go
@@ -14,16 +14,19 @@
 	ttls  = TTLs{Suspect: time.Second, Departed: 2 * time.Second}
 )
 
+// ready returns an endpoint that is ready.
 func ready(id string) ryeford.Endpoint {
 	return ryeford.Endpoint{ID: ryeford.EndpointID(id), Service: "s"}
 }
 
+// draining returns an endpoint that drains.
 func draining(id string) ryeford.Endpoint {
 	e := ready(id)
 	e.State = ryeford.EndpointDraining
 	return e
 }
 
+// serving returns the IDs of the endpoints that accept requests, in one text.
 func serving(r *Roster) string {
 	names := ""
 	for _, entry := range r.Serving("s") {
--- a/gateway/roster/status_test.go
+++ b/gateway/roster/status_test.go
@@ -6,8 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDroppedStatus states what becomes of an endpoint that the list names no
-// longer.
+// TestDroppedStatus checks the status of an endpoint that is no longer on the list.
 func TestDroppedStatus(t *testing.T) {
 	for _, test := range []struct {
 		status      Status
@@ -27,7 +26,7 @@
 	}
 }
 
-// TestStatus states what each status allows, and for how long it lasts.
+// TestStatus checks which statuses accept requests, which expire, and after how long.
 func TestStatus(t *testing.T) {
 	for _, test := range []struct {
 		status           Status
--- a/internal/cmd/fleet_bench_test.go
+++ b/internal/cmd/fleet_bench_test.go
@@ -58,7 +58,8 @@
 // startFleet starts a fleet of one router, agents and engines, and waits until
 // it serves.
 func startFleet(b *testing.B, agents, engines int) *testFleet {
-	f := &testFleet{defaults: true, dir: b.TempDir(), named: make(map[string]string)}
+	f := newTestFleet(b.TempDir())
+	f.defaults = true
 	assert.NilError(b, f.write(1, agents, engines))
 	certs := exec.Command(os.Args[0], append([]string{"cert"}, f.vms...)...)
 	certs.Args[0] = "ryeford"
@@ -88,17 +89,17 @@
 	time.Sleep(2 * time.Second)
 	router := f.named["router_1_callers"]
 	idle := time.Now()
-	idleBefore := process(b, router)
-	agentIdleBefore := processes(b, f, agents)
+	idleBefore := usageOf(b, router)
+	agentIdleBefore := usageOfAgents(b, f, agents)
 	time.Sleep(8 * time.Second)
-	idleAfter := process(b, router)
-	agentIdleAfter := processes(b, f, agents)
+	idleAfter := usageOf(b, router)
+	agentIdleAfter := usageOfAgents(b, f, agents)
 	idleTook := time.Since(idle).Seconds()
-	agentBefore := processes(b, f, agents)
-	routerBefore := process(b, router)
+	agentBefore := usageOfAgents(b, f, agents)
+	routerBefore := usageOf(b, router)
 	through := load(b, netip.MustParseAddrPort(router), tokens, nil)
-	routerAfter := process(b, router)
-	agentAfter := processes(b, f, agents)
+	routerAfter := usageOf(b, router)
+	agentAfter := usageOfAgents(b, f, agents)
 	direct := load(b, netip.AddrPort{}, tokens, f)
 	turns := float64(len(through))
 	b.ReportMetric(0, "ns/op")
@@ -110,12 +111,12 @@
 	b.ReportMetric(routerAfter.memory/1e6, "router-MB")
 	b.ReportMetric(agentAfter.memory/agents/1e6, "agent-MB")
 	b.ReportMetric(turns/benchRate/benchSeconds, "answered")
-	b.ReportMetric(ms(through, 50)-ms(direct, 50), "added-p50-ms")
-	b.ReportMetric(ms(through, 99)-ms(direct, 99), "added-p99-ms")
+	b.ReportMetric(percentile(through, 50)-percentile(direct, 50), "added-p50-ms")
+	b.ReportMetric(percentile(through, 99)-percentile(direct, 99), "added-p99-ms")
 }
 
-// ms returns a percentile of times, in milliseconds.
-func ms(times []time.Duration, percent int) float64 {
+// percentile returns a percentile of times, in milliseconds.
+func percentile(times []time.Duration, percent int) float64 {
 	slices.Sort(times)
 	return float64(times[len(times)*percent/100].Microseconds()) / 1000
 }
@@ -186,13 +187,17 @@
 }
 
 // A usage is what a process has used, by its own metrics.
-type usage struct{ cpu, memory, control float64 }
+type usage struct {
+	cpu     float64 // seconds
+	memory  float64 // resident bytes
+	control float64 // bytes of gossip that it has sent
+}
 
-// processes returns what all agents have used.
-func processes(b *testing.B, f *testFleet, agents int) usage {
+// usageOfAgents returns what all agents together have used.
+func usageOfAgents(b *testing.B, f *testFleet, agents int) usage {
 	var sum usage
 	for i := 1; i <= agents; i++ {
-		u := process(b, f.named[fmt.Sprintf("endpoint_%d_metrics", i)])
+		u := usageOf(b, f.named[fmt.Sprintf("endpoint_%d_metrics", i)])
 		sum.cpu += u.cpu
 		sum.memory += u.memory
 		sum.control += u.control
@@ -200,8 +205,8 @@
 	return sum
 }
 
-// process returns what a process has used.
-func process(b *testing.B, address string) usage {
+// usageOf returns what the process with a metrics address has used.
+func usageOf(b *testing.B, address string) usage {
 	response, err := http.Get("http://" + address + "/metrics")
 	assert.NilError(b, err)
 	defer func() { _, _ = io.Copy(io.Discard, response.Body); _ = response.Body.Close() }()
--- a/internal/cmd/fleet_test.go
+++ b/internal/cmd/fleet_test.go
@@ -9,21 +9,27 @@
 	"github.com/ryeford/ryeford/internal/freeport"
 )
 
+// testOperatorKey is the key of all routers' operators.
 const testOperatorKey = "operator-key"
 
-// A testFleet is the settings files of a small fleet on free ports. Agents are
-// reached through links, and the first has a plain service.
+// A testFleet is the settings files of a small fleet with agents, or on the platform, on
+// free ports. Agents are reached through links, and the first has a plain service.
 type testFleet struct {
 	// defaults leaves intervals as they are by default; scenarios shorten them.
 	defaults bool
 
 	dir       string
-	named     map[string]string // addresses
-	vms       []string
-	operators []string
+	named     map[string]string // addresses, by the names that scripts use
+	vms       []string          // in need of a certificate
+	operators []string          // addresses
 
 	platform string
-	list     strings.Builder
+	list     strings.Builder // of the platform stand-in's VMs
+}
+
+// newTestFleet returns a fleet whose files lie in a folder.
+func newTestFleet(dir string) *testFleet {
+	return &testFleet{dir: dir, named: make(map[string]string)}
 }
 
 // write writes the settings files of a fleet.
@@ -107,6 +113,7 @@
 	return f.writeFile(fmt.Sprintf("engines-%d.yaml", number), standins)
 }
 
+// testDomain returns the failure domain of the VM with a number: one of three by turns.
 func testDomain(number int) string { return fmt.Sprintf("zone-%d", (number-1)%3+1) }
 
 // address picks an address that is free for TCP and UDP, and names it.
--- a/internal/cmd/platform_test.go
+++ b/internal/cmd/platform_test.go
@@ -38,7 +38,7 @@
 	}
 	gateways, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	f := &testFleet{dir: ts.MkAbs("."), named: make(map[string]string)}
+	f := newTestFleet(ts.MkAbs("."))
 	store, admin := f.address("store"), f.address("emulator")
 	ts.Check(f.writeFile("config.json", platformConfig))
 	var servers strings.Builder
--- a/internal/cmd/script_test.go
+++ b/internal/cmd/script_test.go
@@ -149,7 +149,7 @@
 	if _, err := fmt.Sscan(strings.Join(args, " "), &routers, &agents, &engines); err != nil || neg {
 		ts.Fatalf("usage: fleet ROUTERS AGENTS ENGINES")
 	}
-	f := &testFleet{dir: ts.MkAbs("."), named: make(map[string]string)}
+	f := newTestFleet(ts.MkAbs("."))
 	ts.Check(f.write(routers, agents, engines))
 	for name, address := range f.named {
 		ts.Setenv(name, address)
