--- a/docs/decisions_test.go
+++ b/docs/decisions_test.go
@@ -3,13 +3,9 @@
 
 import (
 	"go/ast"
-	"go/parser"
 	"go/printer"
 	"go/token"
-	"io/fs"
 	"os"
-	"path"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
@@ -30,7 +26,7 @@
 	for _, match := range constantRow.FindAllStringSubmatch(string(page), -1) {
 		folder, name, want := match[1], match[2], match[3]
 		if folders[folder] == nil {
-			folders[folder] = constants(t, filepath.Join("..", filepath.FromSlash(folder)))
+			folders[folder] = constants(t, folder)
 		}
 		got, ok := folders[folder][name]
 		if !ok {
@@ -48,22 +44,14 @@
 func constants(t *testing.T, folder string) map[string]string {
 	t.Helper()
 	result := make(map[string]string)
-	files, err := fs.Glob(os.DirFS(folder), "*.go")
-	assert.NilError(t, err)
-	for _, name := range files {
-		if strings.HasSuffix(name, "_test.go") {
-			continue
-		}
-		set := token.NewFileSet()
-		file, err := parser.ParseFile(set, path.Join(folder, name), nil, parser.SkipObjectResolution)
-		assert.NilError(t, err)
-		for _, declaration := range file.Decls {
+	for _, file := range goFiles(t, folder) {
+		for _, declaration := range file.syntax.Decls {
 			group, ok := declaration.(*ast.GenDecl)
 			if !ok || group.Tok != token.CONST {
 				continue
 			}
 			for _, spec := range group.Specs {
-				addConstants(t, result, set, spec.(*ast.ValueSpec))
+				addConstants(t, result, file.set, spec.(*ast.ValueSpec))
 			}
 		}
 	}
--- a/docs/glossary_test.go
+++ b/docs/glossary_test.go
@@ -2,10 +2,7 @@
 
 import (
 	"go/ast"
-	"go/parser"
-	"go/token"
 	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
@@ -59,20 +56,11 @@
 	if folder == rootFolder {
 		folder = "."
 	}
-	files, err := filepath.Glob(filepath.Join("..", filepath.FromSlash(folder), "*.go"))
-	assert.NilError(t, err)
 	var text strings.Builder
 	identifiers := make(map[string]bool)
-	for _, name := range files {
-		if strings.HasSuffix(name, "_test.go") {
-			continue
-		}
-		content, err := os.ReadFile(name)
-		assert.NilError(t, err)
-		text.Write(content)
-		file, err := parser.ParseFile(token.NewFileSet(), name, content, parser.SkipObjectResolution)
-		assert.NilError(t, err)
-		ast.Inspect(file, func(node ast.Node) bool {
+	for _, file := range goFiles(t, folder) {
+		text.Write(file.content)
+		ast.Inspect(file.syntax, func(node ast.Node) bool {
 			if identifier, ok := node.(*ast.Ident); ok {
 				identifiers[identifier.Name] = true
 			}
