--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -1,10 +1,8 @@
 package gateway_test
 
 import (
-	"bytes"
 	"context"
 	"fmt"
-	"io"
 	"net/http"
 	"net/http/httptest"
 	"net/netip"
@@ -112,6 +110,22 @@
 	return f
 }
 
+// startedFixture returns a fixture that is ready and knows its endpoints: p1 and p2 of
+// service plain, m1 to m3 of service model.
+func startedFixture(t *testing.T, change func(*settings.Gateway)) *fixture {
+	t.Helper()
+	f := newFixture(t, baseConfiguration(), change)
+	for _, id := range []string{"p1", "p2"} {
+		f.addEndpoint("plain", id, 0)
+	}
+	for _, id := range []string{"m1", "m2", "m3"} {
+		f.addEndpoint("model", id, 5)
+	}
+	f.awaitReady(true)
+	f.awaitEndpoints(5)
+	return f
+}
+
 // awaitStopped waits until the gateway has stopped, and probes it meanwhile as the
 // load balancer would: it goes on serving until probes have failed.
 func (f *fixture) awaitStopped() {
@@ -215,135 +229,3 @@
 	what := fmt.Sprintf("status %d of %s %s", status, method, path)
 	f.await(what, func() bool { return f.call(method, path).status == status })
 }
-
-// A reply is an answer as a caller got it.
-type reply struct {
-	id     string
-	status int
-	header http.Header
-	body   string
-	close  bool  // the connection ends after the response
-	err    error // the body broke off
-}
-
-// request returns a request of a caller, with a key unless that is empty.
-func (f *fixture) request(method, path, key, body string) *http.Request {
-	f.t.Helper()
-	var reader io.Reader
-	if body != "" {
-		reader = strings.NewReader(body)
-	}
-	request, err := http.NewRequest(method, f.base+path, reader)
-	assert.NilError(f.t, err)
-	f.requests++
-	request.Host = testHost
-	request.Header.Set(wire.HeaderRequestID, fmt.Sprintf("r%d", f.requests))
-	request.Header.Set(wire.HeaderTimeout, "5000")
-	if key != "" {
-		request.Header.Set(wire.HeaderAuthorization, "Bearer "+key)
-	}
-	return request
-}
-
-// do sends a request and reads its answer.
-func (f *fixture) do(request *http.Request) reply {
-	f.t.Helper()
-	id := request.Header.Get(wire.HeaderRequestID)
-	response, err := f.client.Do(request)
-	if err != nil {
-		return reply{id: id, err: err}
-	}
-	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(response.Body)
-	return reply{id: id, status: response.StatusCode, header: response.Header, body: string(body), close: response.Close, err: err}
-}
-
-// call sends a request with a valid key.
-func (f *fixture) call(method, path string) reply {
-	f.t.Helper()
-	return f.do(f.request(method, path, "key-1", ""))
-}
-
-// runs returns how often a request has run at all endpoints together.
-func (f *fixture) runs(id string) int {
-	n := 0
-	for _, server := range f.endpoints {
-		n += server.Runs(id)
-	}
-	return n
-}
-
-// testHost is the host of all routes.
-const testHost = "host.example"
-
-// The kind of route whose requests run at most once. Any kind will do that is neither
-// wire.KindIdempotent nor wire.KindStream.
-const kindAtMostOnce = "unsafe"
-
-// baseConfiguration returns a configuration with one route of each kind, named as its
-// prefix. "hasty" allows only 200 ms; "open" needs no key.
-func baseConfiguration() *wire.Configuration {
-	route := func(name, kind, service string, maxAttempts int) wire.Route {
-		return wire.Route{
-			Name: name, Host: testHost, Prefix: "/" + name + "/", Kind: kind, Service: service,
-			TimeoutMs: 4000, GoalMs: 2000, Rank: 1, MaxAttempts: maxAttempts,
-		}
-	}
-	hasty := route("hasty", kindAtMostOnce, "plain", 1)
-	hasty.TimeoutMs = 200
-	open := route("open", wire.KindIdempotent, "plain", 2)
-	open.Public = true
-	resume := route("resume", wire.KindStream, "model", 3)
-	resume.Resumable = true
-	rank := 3
-	return &wire.Configuration{
-		Version: 1,
-		Routes: []wire.Route{
-			route("once", kindAtMostOnce, "plain", 2),
-			route("single", kindAtMostOnce, "plain", 1),
-			route("safe", wire.KindIdempotent, "plain", 2),
-			hasty,
-			open,
-			route("stream", wire.KindStream, "model", 1),
-			resume,
-		},
-		Limits: wire.Limits{MaxBodyBytes: 65536, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
-		Accounts: &[]wire.Account{
-			{Name: "bank", Keys: []string{"key-1", "key-2"}, Rank: &rank},
-			{Name: "church", Keys: []string{"key-3"}},
-		},
-	}
-}
-
-// keyRevoked returns version 2 of baseConfiguration, in which key-2 is the only key.
-func keyRevoked() *wire.Configuration {
-	config := baseConfiguration()
-	config.Version = 2
-	config.Accounts = &[]wire.Account{{Name: "bank", Keys: []string{"key-2"}}}
-	return config
-}
-
-// startedFixture returns a fixture that is ready and knows its endpoints: p1 and p2 of
-// service plain, m1 to m3 of service model.
-func startedFixture(t *testing.T, change func(*settings.Gateway)) *fixture {
-	t.Helper()
-	f := newFixture(t, baseConfiguration(), change)
-	for _, id := range []string{"p1", "p2"} {
-		f.addEndpoint("plain", id, 0)
-	}
-	for _, id := range []string{"m1", "m2", "m3"} {
-		f.addEndpoint("model", id, 5)
-	}
-	f.awaitReady(true)
-	f.awaitEndpoints(5)
-	return f
-}
-
-// events returns the whole stream of n events.
-func events(n int) string {
-	var b bytes.Buffer
-	for i := 1; i <= n; i++ {
-		fmt.Fprintf(&b, "id: %d\ndata: event %d\n\n", i, i)
-	}
-	return b.String()
-}
