--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -21,7 +21,7 @@
 type configuration struct {
 	configurationOptions
 	inForce catalog.Current
-	lease   *freshness.SharedLease
+	lease   *freshness.Lease
 	newer   chan struct{} // holds one entry if a peer has a newer configuration
 	outage  watch.Outage  // only run uses it
 }
@@ -47,7 +47,7 @@
 func newConfiguration(options configurationOptions) *configuration {
 	c := &configuration{
 		configurationOptions: options,
-		lease:                freshness.NewSharedLease(options.term),
+		lease:                freshness.NewLease(options.term),
 		newer:                make(chan struct{}, 1),
 	}
 	c.outage = newOutage("configuration", c.leaseLeft, options.log, options.metrics)
@@ -76,10 +76,6 @@
 	return c.lease.Left(time.Now()).Round(time.Millisecond)
 }
 
-// confirmed returns the newest confirmation, by the source's steady clock, and
-// false if there is none.
-func (c *configuration) confirmed() (time.Duration, bool) { return c.lease.Confirmed() }
-
 // run reads the configuration whenever this router is due to (freshness.ReadAge),
 // until ctx ends.
 //
--- a/gateway/configuration_test.go
+++ b/gateway/configuration_test.go
@@ -141,7 +141,7 @@
 		assert.Equal(t, f.leaseLeft(), 1990*time.Millisecond, "an older version")
 		f.confirmedByPeer(time.Now(), 1, 2*time.Second)
 		assert.Equal(t, f.leaseLeft(), 3990*time.Millisecond, "the same version, confirmed 10 ms ago")
-		confirmed, _ := f.confirmed()
+		confirmed, _ := f.lease.Confirmed()
 		assert.Equal(t, confirmed, 2*time.Second, "it is passed on")
 		reads := len(f.source.reads)
 		f.confirmedByPeer(time.Now(), 2, 2*time.Second)
--- a/gateway/freshness/lease.go
+++ b/gateway/freshness/lease.go
@@ -7,6 +7,7 @@
 package freshness
 
 import (
+	"sync"
 	"sync/atomic"
 	"time"
 )
@@ -31,12 +32,16 @@
 // from a key's revocation after which no request with it may run (bounds.revoke).
 func Term(revoke time.Duration) time.Duration { return revoke - leaseMargin }
 
-// A Lease says until when a confirmed state may be relied on. It is safe for
-// concurrent use.
+// A Lease says until when a state of the source may be relied on that was confirmed by
+// a read of this process or of another one. It is safe for concurrent use.
 type Lease struct {
 	term    time.Duration
 	started time.Time
 	until   atomic.Int64 // nanoseconds since started
+
+	mu        sync.Mutex
+	clock     sourceClock
+	confirmed time.Duration // of the source's clock; set once that is known
 }
 
 // NewLease returns an expired Lease. A term of zero or less never renews it.
@@ -46,9 +51,45 @@
 	return l
 }
 
-// Renew renews the lease by a confirmed read that was sent at a time. An older read
+// RenewRead renews the lease by a read of this process: when it was sent and
+// answered, and what the source's clock showed in between.
+func (l *Lease) RenewRead(sent, answered time.Time, clock time.Duration) {
+	l.renew(sent)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.clock.observe(sent, clock)
+	// The state is as new as the moment of sending, when the source's clock
+	// showed at least this.
+	l.confirmed = clock - answered.Sub(sent)
+}
+
+// RenewFromPeer renews the lease by a read of another process, at which the
+// source's clock showed at least confirmed. It reports whether that was newer than
+// what was known. Before the first read of this process it does nothing: without
+// one it can't bound the source's clock.
+func (l *Lease) RenewFromPeer(now time.Time, confirmed time.Duration) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	latest, ok := l.clock.latest(now)
+	if !ok || confirmed > latest || confirmed <= l.confirmed {
+		return false
+	}
+	l.confirmed = confirmed
+	l.renew(now.Add(confirmed - latest))
+	return true
+}
+
+// Confirmed returns what the source's clock showed at the newest confirmation, and
+// false if there is none.
+func (l *Lease) Confirmed() (time.Duration, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.confirmed, l.clock.known
+}
+
+// renew renews the lease by a confirmed read that was sent at a time. An older read
 // than the last one changes nothing.
-func (l *Lease) Renew(sent time.Time) {
+func (l *Lease) renew(sent time.Time) {
 	until := int64(sent.Sub(l.started) + l.term)
 	for {
 		now := l.until.Load()
--- a/gateway/freshness/lease_test.go
+++ b/gateway/freshness/lease_test.go
@@ -18,7 +18,7 @@
 		assert.Assert(t, !confirmed)
 		sent := time.Now()
 		time.Sleep(700 * time.Millisecond) // the answer is slow
-		l.Renew(sent)
+		l.renew(sent)
 		age, _ := l.Age(time.Now())
 		assert.Equal(t, age, 700*time.Millisecond)
 		assert.Assert(t, l.Valid(time.Now()))
@@ -30,8 +30,8 @@
 		late := time.Now()
 		_, confirmed = l.Age(time.Now())
 		assert.Assert(t, confirmed)
-		l.Renew(late)
-		l.Renew(sent) // an answer that was held up
+		l.renew(late)
+		l.renew(sent) // an answer that was held up
 		assert.Equal(t, l.Left(time.Now()), time.Second)
 	})
 }
@@ -42,7 +42,7 @@
 		l := NewLease(time.Second)
 		sent := time.Now()
 		time.Sleep(5 * time.Second) // frozen before the answer is read
-		l.Renew(sent)
+		l.renew(sent)
 		assert.Assert(t, !l.Valid(time.Now()))
 	})
 }
--- /dev/null
+++ b/gateway/freshness/sourceclock.go
@@ -0,0 +1,46 @@
+package freshness
+
+import "time"
+
+// How old a peer's confirmation is.
+//
+// Rule: it is as old as the difference between what the source's steady clock
+// showed when the source was read and the most that it may show now.
+//
+// Why: a message may take any time and pass through any number of routers, and
+// clocks of routers differ. The source sends its steady clock with each answer, so
+// that each router can bound by its own reads what that clock shows now, and never
+// takes a confirmation for younger than it is.
+
+const (
+	// clockDrift is by how much two steady clocks may differ in speed: the part of
+	// the elapsed time that is added for safety. Not measured.
+	clockDrift = 1e-4
+	// clockRestart is how much later than expected a source's clock must read to
+	// be taken for one that has started anew. Not measured.
+	clockRestart = 10 * time.Second
+)
+
+// A sourceClock bounds what a source's steady clock shows.
+type sourceClock struct {
+	shown time.Duration
+	at    time.Time // no later than when the clock showed shown
+	known bool
+}
+
+// observe takes what the clock showed in the answer to a read that was sent at a
+// time.
+func (c *sourceClock) observe(sent time.Time, shown time.Duration) {
+	bound, ok := c.latest(sent)
+	if ok && shown >= bound && shown-bound < clockRestart {
+		return // the answer was slow: what is known bounds the clock better
+	}
+	c.shown, c.at, c.known = shown, sent, true
+}
+
+// latest returns the most that the clock may show now, and false if nothing is
+// known of it.
+func (c *sourceClock) latest(now time.Time) (time.Duration, bool) {
+	elapsed := now.Sub(c.at)
+	return c.shown + elapsed + time.Duration(clockDrift*float64(elapsed)), c.known
+}
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -210,7 +210,7 @@
 	// The confirmation is read before the version: a version that takes effect in
 	// between was not yet the newest then, which is harmless, while an older one no
 	// longer was.
-	confirmedAt, confirmed := g.configuration.confirmed()
+	confirmedAt, confirmed := g.configuration.lease.Confirmed()
 	var members []netip.AddrPort
 	if n := peers.MembersToName(sequence); n > 0 {
 		members = g.table.Members(now, n)
--- a/gateway/handler_test.go
+++ b/gateway/handler_test.go
@@ -51,7 +51,7 @@
 // TestRefusals checks the response to a request that is refused, its line in the log,
 // and that it no longer counts as in flight.
 func TestRefusals(t *testing.T) {
-	fresh := func(h *handler) { h.configuration.lease.Renew(time.Now()) }
+	fresh := func(h *handler) { h.configuration.lease.RenewRead(time.Now(), time.Now(), 0) }
 	stop := func(h *handler) {
 		fresh(h)
 		now := time.Now()
