--- a/errors.go
+++ b/errors.go
@@ -80,6 +80,15 @@
 // Unwrap returns the cause of e.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
+// A StatusError says that a service of the platform or an endpoint answered with an
+// HTTP status other than a success.
+type StatusError struct {
+	Status int
+}
+
+// Error returns the text of e.
+func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
+
 // A NotFoundError says that a named thing does not exist.
 type NotFoundError struct {
 	Kind string // of thing, such as "VM"
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -159,13 +159,5 @@
 // newStatusError returns the error of an attempt whose response was not passed on
 // because of its status.
 func newStatusError(status int) error {
-	return &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineError, Err: &StatusError{Status: status}}
+	return &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineError, Err: &ryeford.StatusError{Status: status}}
 }
-
-// A StatusError says that an endpoint's response had a status that is not passed on.
-type StatusError struct {
-	Status int
-}
-
-// Error returns the text of e.
-func (e *StatusError) Error() string { return "status " + strconv.Itoa(e.Status) }
