--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -86,12 +86,11 @@
 	candidates := make([]choice.Candidate, 0, len(entries))
 	for i, entry := range entries {
 		others, known := b.peers.Requests(now, entry.ID)
-		load, hash := b.loads.Estimate(now, entry.ID, others, known)
 		candidates = append(candidates, choice.Candidate{
 			ID:            entry.ID,
 			Domain:        entry.FailureDomain,
-			Hash:          hash,
-			Load:          load,
+			Hash:          entry.Hash,
+			Load:          b.loads.Estimate(now, entry.ID, others, known),
 			Slots:         entry.Slots,
 			Tried:         query.tried[entry.ID],
 			Unhealthy:     !b.detector.Healthy(now, entry.ID),
--- a/gateway/loads/loads.go
+++ b/gateway/loads/loads.go
@@ -12,7 +12,6 @@
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/gateway/peers"
-	"github.com/ryeford/ryeford/route"
 )
 
 const (
@@ -35,8 +34,7 @@
 }
 
 type state struct {
-	hash uint64 // of the ID
-	own  int    // this router's requests under way
+	own int // this router's requests under way
 	report
 }
 
@@ -54,7 +52,7 @@
 func (t *Table) get(id ryeford.EndpointID) *state {
 	s := t.states[id]
 	if s == nil {
-		s = &state{hash: route.NameHash(string(id))}
+		s = &state{}
 		t.states[id] = s
 	}
 	return s
@@ -87,17 +85,17 @@
 	s.report = report{requests: float64(load.Running + load.Waiting), ownThen: s.own, at: now}
 }
 
-// Estimate returns the estimated number of requests at an endpoint, and the uniform
-// hash of its ID. peers is the estimated number of the other routers' requests
-// there; peersKnown says whether any of them has reported lately.
-func (t *Table) Estimate(now time.Time, id ryeford.EndpointID, peers float64, peersKnown bool) (load float64, hash uint64) {
+// Estimate returns the estimated number of requests at an endpoint. peers is the
+// estimated number of the other routers' requests there; peersKnown says whether any
+// of them has reported lately.
+func (t *Table) Estimate(now time.Time, id ryeford.EndpointID, peers float64, peersKnown bool) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.get(id)
 	if peersKnown {
-		return peers + float64(s.own), s.hash
+		return peers + float64(s.own)
 	}
-	return s.others(now) + float64(s.own), s.hash
+	return s.others(now) + float64(s.own)
 }
 
 // others estimates how many requests the other routers have at the endpoint, by its
--- a/gateway/loads/loads_test.go
+++ b/gateway/loads/loads_test.go
@@ -53,7 +53,7 @@
 		for range test.own {
 			table.Begin(id)
 		}
-		load, _ := table.Estimate(now, id, test.peers, test.peersKnown)
+		load := table.Estimate(now, id, test.peers, test.peersKnown)
 		assert.Equal(t, load, test.want, test.name)
 	}
 }
--- a/gateway/roster/roster.go
+++ b/gateway/roster/roster.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/route"
 )
 
 // An Entry is one endpoint of a Roster.
@@ -22,6 +23,8 @@
 	ryeford.Endpoint
 	// Status is what the router believes of it.
 	Status Status
+	// Hash is the uniform hash of the ID.
+	Hash uint64
 	// FirstSeen is when the router first saw the endpoint on the list. It is zero
 	// if the first list had it: such an endpoint may have served for long.
 	FirstSeen time.Time
@@ -92,7 +95,7 @@
 // put enters an endpoint that the list names.
 func (r *Roster) put(now time.Time, endpoint ryeford.Endpoint, change *Change) {
 	old := r.entries[endpoint.ID]
-	entry := &Entry{Endpoint: endpoint, Status: listedStatus(endpoint.State)}
+	entry := &Entry{Endpoint: endpoint, Status: listedStatus(endpoint.State), Hash: route.NameHash(string(endpoint.ID))}
 	switch {
 	case old != nil:
 		entry.FirstSeen = old.FirstSeen
