--- a/gateway/choice/affinity.go
+++ b/gateway/choice/affinity.go
@@ -10,7 +10,8 @@
 	// requestTokens is how many tokens that an endpoint lacks weigh as much as one
 	// request of load.
 	requestTokens = 300
-	// minGain, in tokens, keeps requests from moving for a small difference.
+	// minGain is how many tokens the second endpoint by affinity has to gain over the
+	// first, so that requests do not move for a small difference.
 	minGain = 300
 )
 
--- a/gateway/choice/choice.go
+++ b/gateway/choice/choice.go
@@ -33,22 +33,15 @@
 // usable reports whether a candidate is to be considered first.
 func (c *Candidate) usable() bool { return !c.Draining && !c.Tried && !c.Unhealthy }
 
-// Limits are the parameters of a choice.
+// Limits are the parameters of a choice. The constants of the same names, which are
+// the gateway's, say what each one is.
 type Limits struct {
-	// CapFactor and CapOffset: an endpoint is full above CapFactor times the mean
-	// load plus CapOffset requests.
-	CapFactor float64
-	CapOffset float64
-	// Domain is the failure domain of the router.
-	Domain string
-	// DomainPenalty is how many requests of load another failure domain costs.
+	CapFactor     float64 // times the mean load, plus CapOffset: above that an endpoint is full
+	CapOffset     float64
+	Domain        string // the router's failure domain
 	DomainPenalty float64
-	// RequestTokens is how many missing tokens weigh as much as one request of
-	// load.
 	RequestTokens float64
-	// MinGain is how many tokens the second endpoint by affinity has to gain over
-	// the first.
-	MinGain float64
+	MinGain       float64
 }
 
 // DefaultLimits returns the limits of a gateway in a failure domain, with the cap
--- a/gateway/peers/count.go
+++ b/gateway/peers/count.go
@@ -27,13 +27,11 @@
 	maxPeers = 1024
 )
 
-// Limits bound a Table.
+// Limits bound a Table. The constants of the same names, which are the gateway's, say
+// what each one is.
 type Limits struct {
-	// LoadTTL is how long the loads in a peer's message count.
-	LoadTTL time.Duration
-	// PeerTTL is how long a peer is kept after it was last seen.
-	PeerTTL time.Duration
-	// MaxPeers is how many peers are kept at most.
+	LoadTTL  time.Duration
+	PeerTTL  time.Duration
 	MaxPeers int
 }
 
--- a/gateway/prefixcache/index.go
+++ b/gateway/prefixcache/index.go
@@ -29,15 +29,12 @@
 	holderTTL = time.Minute
 )
 
-// Limits bound an Index.
+// Limits bound an Index: maxParts, maxHolders and holderTTL, which are the gateway's,
+// say what each one is.
 type Limits struct {
-	// Parts is how many parts are indexed.
-	Parts int
-	// Holders is how many endpoints are kept for each part.
+	Parts   int
 	Holders int
-	// TTL is the time after which an endpoint that was sent a part is no longer
-	// believed to hold it.
-	TTL time.Duration
+	TTL     time.Duration
 }
 
 // DefaultLimits returns the limits of the gateway.
