--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -54,18 +54,8 @@
 
 // run follows the list of endpoints until ctx ends.
 func (l *endpointList) run(ctx context.Context) error {
-	source := watch.Source[ryeford.EndpointUpdate]{
-		Read: func(ctx context.Context) (ryeford.EndpointUpdate, int64, error) {
-			update, err := l.source.Endpoints(ctx)
-			return update, update.Revision, err
-		},
-		Since: func(ctx context.Context, revision int64, wait time.Duration) (ryeford.EndpointUpdate, int64, error) {
-			update, err := l.source.EndpointsSince(ctx, revision, wait)
-			return update, update.Revision, err
-		},
-	}
 	options := watch.Options{Wait: l.wait, Settle: l.settle, MinPause: minFeedPause, MaxPause: maxFeedPause}
-	watch.Run(ctx, source, options, watch.Handler[ryeford.EndpointUpdate]{
+	watch.Run(ctx, l.source, options, watch.Handler{
 		Apply: l.apply,
 		Lost:  l.outage.Lost,
 		Regained: func(after time.Duration) {
@@ -81,16 +71,16 @@
 // An endpoint that the first answer after an outage lacks may be alive: the list
 // drops endpoints that could not reach it either. One that a later answer lacks is
 // gone.
-func (l *endpointList) apply(update ryeford.EndpointUpdate, revision int64) bool {
+func (l *endpointList) apply(update *ryeford.EndpointUpdate) bool {
 	l.revision.raise(update.Revision)
 	afterOutage := l.afterOutage
 	l.afterOutage = false
-	change := l.roster.Apply(time.Now(), &update, afterOutage)
+	change := l.roster.Apply(time.Now(), update, afterOutage)
 	l.onUpdate()
 	if !change.Empty() {
 		// troubled says that this is the first answer after an outage, and doubted
 		// names the endpoints that have become suspect: the log keeps its old keys.
-		_ = l.log.Log("decision", "endpoints", "revision", revision, "whole", update.Snapshot, "troubled", afterOutage,
+		_ = l.log.Log("decision", "endpoints", "revision", update.Revision, "whole", update.Snapshot, "troubled", afterOutage,
 			"added", join(change.Added), "draining", join(change.Drained), "dropped", join(change.Dropped), "doubted", join(change.Suspected), "departed", join(change.Departed), "known", l.roster.Len())
 		for _, id := range change.Dropped {
 			l.forget(id)
--- a/gateway/watch/watch.go
+++ b/gateway/watch/watch.go
@@ -1,7 +1,7 @@
-// Package watch follows a source that can be read whole and then asked, with a
-// wait, for what has changed since.
+// Package watch follows the list of endpoints, which can be read whole and then asked,
+// with a wait, for what has changed since.
 //
-// It owns the newest revision that the source has answered. What is polled next, and
+// It owns the newest revision that the list's source has answered. What is polled next, and
 // when, depends on the last answer (next.go); the package relies on the source to
 // return once the wait is over.
 package watch
@@ -10,18 +10,10 @@
 	"context"
 	"time"
 
+	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
-// A Source is what is followed. Both functions return the newest revision.
-type Source[U any] struct {
-	// Read returns the whole.
-	Read func(ctx context.Context) (U, int64, error)
-	// Since returns the changes after a revision, as soon as there are any or once
-	// wait is over.
-	Since func(ctx context.Context, revision int64, wait time.Duration) (U, int64, error)
-}
-
 // Options are how a source is followed.
 type Options struct {
 	// Wait is how long the source waits for a change before it answers a poll.
@@ -37,9 +29,9 @@
 }
 
 // A Handler is called with what a watch finds, from one goroutine.
-type Handler[U any] struct {
+type Handler struct {
 	// Apply takes an answer and reports whether it holds any change.
-	Apply func(update U, revision int64) bool
+	Apply func(update *ryeford.EndpointUpdate) bool
 	// Lost is called at the first failure after an answer, Regained at the first
 	// answer after failures.
 	Lost     func(err error)
@@ -47,21 +39,21 @@
 }
 
 // Run follows a source until ctx ends.
-func Run[U any](ctx context.Context, source Source[U], options Options, handler Handler[U]) {
+func Run(ctx context.Context, source ryeford.EndpointSource, options Options, handler Handler) {
 	next := poll{whole: true}
 	outage := Outage{Lost: handler.Lost, Regained: handler.Regained}
 	for ctx.Err() == nil {
 		sent := time.Now()
-		update, answered, err := send(ctx, source, next, &options)
+		update, err := send(ctx, source, next, &options)
 		if ctx.Err() != nil {
 			return
 		}
-		v, revision := judge(next.revision, answered, err)
+		v, revision := judge(next.revision, update.Revision, err)
 		changed := false
 		switch v {
 		case current:
 			outage.Answered()
-			changed = handler.Apply(update, revision)
+			changed = handler.Apply(&update)
 		case stale:
 			outage.Answered()
 		case failed:
@@ -75,11 +67,11 @@
 }
 
 // send sends a poll to a source.
-func send[U any](ctx context.Context, source Source[U], p poll, options *Options) (U, int64, error) {
+func send(ctx context.Context, source ryeford.EndpointSource, p poll, options *Options) (ryeford.EndpointUpdate, error) {
 	if p.whole {
-		return source.Read(ctx)
+		return source.Endpoints(ctx)
 	}
-	return source.Since(ctx, p.revision, p.wait(options))
+	return source.EndpointsSince(ctx, p.revision, p.wait(options))
 }
 
 // An Outage follows whether a source answers. The zero Outage is of one that does.
--- a/gateway/watch/watch_test.go
+++ b/gateway/watch/watch_test.go
@@ -37,6 +37,19 @@
 	lost, regained int             // calls of the handler
 }
 
+// A sourceStandIn answers each poll of a watch.
+type sourceStandIn func(receivedPoll) (ryeford.EndpointUpdate, error)
+
+// Endpoints implements ryeford.EndpointSource.
+func (answer sourceStandIn) Endpoints(context.Context) (ryeford.EndpointUpdate, error) {
+	return answer(receivedPoll{whole: true})
+}
+
+// EndpointsSince implements ryeford.EndpointSource.
+func (answer sourceStandIn) EndpointsSince(_ context.Context, since int64, wait time.Duration) (ryeford.EndpointUpdate, error) {
+	return answer(receivedPoll{since: since, wait: wait})
+}
+
 // play runs a watch on a source that answers by steps, one after the other. The poll
 // after the last step ends it.
 func play(t *testing.T, steps ...step) *recording {
@@ -45,28 +58,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		began := time.Now()
-		answer := func(p receivedPoll) (string, int64, error) {
+		answer := func(p receivedPoll) (ryeford.EndpointUpdate, error) {
 			r.polls = append(r.polls, p)
 			r.times = append(r.times, time.Since(began))
 			if len(r.polls) > len(steps) {
 				cancel()
-				return "", 0, context.Canceled
+				return ryeford.EndpointUpdate{}, context.Canceled
 			}
 			now := steps[len(r.polls)-1]
 			time.Sleep(now.takes)
-			return "update", now.revision, now.err
-		}
-		source := Source[string]{
-			Read: func(context.Context) (string, int64, error) { return answer(receivedPoll{whole: true}) },
-			Since: func(_ context.Context, since int64, wait time.Duration) (string, int64, error) {
-				return answer(receivedPoll{since: since, wait: wait})
-			},
+			return ryeford.EndpointUpdate{Revision: now.revision}, now.err
 		}
 		options := Options{Wait: time.Second, MinPause: 10 * time.Millisecond, MaxPause: 100 * time.Millisecond, Settle: settle}
-		Run(ctx, source, options, Handler[string]{
-			Apply: func(_ string, revision int64) bool {
-				r.applied = append(r.applied, revision)
-				return len(r.applied) > 1 && r.applied[len(r.applied)-2] < revision
+		Run(ctx, sourceStandIn(answer), options, Handler{
+			Apply: func(update *ryeford.EndpointUpdate) bool {
+				r.applied = append(r.applied, update.Revision)
+				return len(r.applied) > 1 && r.applied[len(r.applied)-2] < update.Revision
 			},
 			Lost:     func(error) { r.lost++ },
 			Regained: func(time.Duration) { r.regained++ },
