--- a/gateway/callerconn.go
+++ b/gateway/callerconn.go
@@ -26,15 +26,7 @@
 	defaultHeader = 10 * time.Second
 )
 
-// callerTimeouts are the limits in force on callers' connections.
-type callerTimeouts interface {
-	// idleTimeout returns how long a caller's connection may be idle.
-	idleTimeout() time.Duration
-	// headerTimeout returns how long a caller may take to send a request's header.
-	headerTimeout() time.Duration
-}
-
-// idleTimeout implements callerTimeouts.
+// idleTimeout returns how long a caller's connection may be idle.
 func (c *configuration) idleTimeout() time.Duration {
 	if current := c.current(); current != nil && current.Limits().IdleTimeout > 0 {
 		return current.Limits().IdleTimeout
@@ -42,7 +34,7 @@
 	return defaultIdle
 }
 
-// headerTimeout implements callerTimeouts.
+// headerTimeout returns how long a caller may take to send a request's header.
 func (c *configuration) headerTimeout() time.Duration {
 	if current := c.current(); current != nil && current.Limits().HeaderTimeout > 0 {
 		return current.Limits().HeaderTimeout
@@ -53,7 +45,7 @@
 // A callerListener accepts callers' connections.
 type callerListener struct {
 	net.Listener
-	timeouts callerTimeouts
+	configuration *configuration
 }
 
 // Accept implements net.Listener.
@@ -62,13 +54,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &callerConn{Conn: conn, timeouts: l.timeouts}, nil
+	return &callerConn{Conn: conn, configuration: l.configuration}, nil
 }
 
 // A callerConn is a caller's connection.
 type callerConn struct {
 	net.Conn
-	timeouts callerTimeouts
+	configuration *configuration
 }
 
 // SetReadDeadline implements net.Conn.
@@ -76,9 +68,9 @@
 	switch left := time.Until(t); {
 	case t.IsZero():
 	case left > headerPlaceholder-placeholderMargin:
-		t = time.Now().Add(c.timeouts.headerTimeout())
+		t = time.Now().Add(c.configuration.headerTimeout())
 	case left > idlePlaceholder-placeholderMargin:
-		t = time.Now().Add(c.timeouts.idleTimeout())
+		t = time.Now().Add(c.configuration.idleTimeout())
 	}
 	return c.Conn.SetReadDeadline(t)
 }
--- a/gateway/callerconn_test.go
+++ b/gateway/callerconn_test.go
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newConfiguration(configurationOptions{})
 		conn := &deadlineConn{}
-		caller := &callerConn{Conn: conn, timeouts: c}
+		caller := &callerConn{Conn: conn, configuration: c}
 		left := func(timeout time.Duration) time.Duration {
 			assert.NilError(t, caller.SetReadDeadline(time.Now().Add(timeout)))
 			return time.Until(conn.deadline)
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -23,7 +23,7 @@
 
 // newServer returns a server that is bound to its address. Requests inherit the
 // context base. A failure is a *ListenError.
-func newServer(base context.Context, address netip.AddrPort, handler http.Handler, timeouts callerTimeouts, logger log.Logger) (*server, error) {
+func newServer(base context.Context, address netip.AddrPort, handler http.Handler, configuration *configuration, logger log.Logger) (*server, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
 		return nil, &ListenError{Address: address, Err: err}
@@ -31,7 +31,7 @@
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return &server{
-		listener: &callerListener{Listener: listener, timeouts: timeouts},
+		listener: &callerListener{Listener: listener, configuration: configuration},
 		http: &http.Server{
 			Handler:           handler,
 			ReadHeaderTimeout: headerPlaceholder,
