--- a/doc.go
+++ b/doc.go
@@ -4,8 +4,8 @@
 //
 // The gateway, which runs on the users' platform, uses configuration.go, endpoint.go,
 // protocol.go and source.go. The fleet with agents uses chunk.go, completion.go,
-// engine.go, objectstore.go, plan.go, pool.go, table.go, template.go, vm.go and
-// vmlist.go. Both use ids.go, priority.go, reason.go and errors.go.
+// engine.go, objectstore.go, plan.go, pool.go, table.go, template.go and vm.go.
+// Both use ids.go, priority.go, reason.go and errors.go.
 //
 // Fields with tags are sent or stored in that form. Values are not checked here: the
 // package that reads them from outside does that.
--- a/gateway/admit/admit.go
+++ b/gateway/admit/admit.go
@@ -9,12 +9,13 @@
 // this one a moment later, may serve the request.
 //
 // The package also bounds what callers may send (body.go) and how long requests
-// wait for a router that has just started (start.go). It owns no state and does no
+// wait for a router that has just started (StartWait). It owns no state and does no
 // I/O; it relies on package giveup for the failures.
 package admit
 
 import (
 	"net/http"
+	"time"
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/gateway/giveup"
@@ -84,3 +85,16 @@
 	}
 	return nil
 }
+
+// StartWait returns how long a request may wait for the first configuration and the
+// first list of endpoints: until patience has passed since the process started. Zero or
+// less means that it may not wait.
+//
+// When a whole fleet starts at once, all callers come back as soon as the routers listen
+// again, some 30 ms before the configuration is read (commit 7ad34e2, incident
+// inc-762f: 14 requests refused in the worst window before, none after). Later on, a
+// router that knows nothing refuses at once, so that requests are not held through an
+// outage of the store.
+func StartWait(sinceStart, patience time.Duration) time.Duration {
+	return patience - sinceStart
+}
--- a/vm.go
+++ b/vm.go
@@ -1,6 +1,9 @@
 package ryeford
 
-import "net/netip"
+import (
+	"context"
+	"net/netip"
+)
 
 // A Role is what a VM does in the fleet.
 type Role string
@@ -29,3 +32,12 @@
 	Address       netip.AddrPort `json:"address"`
 	State         VMState        `json:"state"`
 }
+
+// A VMList is the platform's list of VMs. It lags behind the truth. A failure is an
+// *UnavailableError.
+type VMList interface {
+	// VMs returns the VMs that the platform knows.
+	VMs(ctx context.Context) ([]VM, error)
+	// PutVM adds a VM, or changes its entry.
+	PutVM(ctx context.Context, vm VM) error
+}
