--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -78,7 +78,8 @@
 // was one.
 func (x *exchange) takeRetry() bool {
 	now := time.Now()
-	return x.request.budget.TakeRetry(now, x.forwarder.sharers(now))
+	routers := x.forwarder.peers.Alive(now) + 1
+	return x.request.budget.TakeRetry(now, retry.Sharers(x.forwarder.minSharers, routers))
 }
 
 // withholds reports whether an endpoint's response is not passed on, because it is a
--- a/gateway/forwarder.go
+++ b/gateway/forwarder.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-	"time"
 
 	"github.com/go-kit/log"
 
@@ -57,8 +56,3 @@
 	}
 	return x
 }
-
-// sharers returns among how many routers the reserve of a retry budget is divided.
-func (f *forwarder) sharers(now time.Time) int {
-	return retry.Sharers(f.minSharers, f.peers.Alive(now)+1)
-}
