--- a/gateway/attempt_test.go
+++ b/gateway/attempt_test.go
@@ -24,7 +24,7 @@
 		{"the configuration went stale", &endpoint.UnsentError{Err: giveup.NotRun(ryeford.ReasonStaleConfiguration)}, retry.EndBarred},
 		{"the key was revoked", &endpoint.UnsentError{Err: giveup.NotRun(ryeford.ReasonKeyRevoked)}, retry.EndBarred},
 		{"the connection broke", &endpoint.LostError{Err: errors.New("reset")}, retry.EndLost},
-		{"the response is another request's", &endpoint.LostError{Err: &endpoint.MismatchedResponseError{}}, retry.EndLost},
+		{"the response is another request's", &endpoint.LostError{Err: &endpoint.UnusableResponseError{}}, retry.EndLost},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
 			assert.Equal(t, endOf(row.err), row.want)
--- a/gateway/endpoint/errors.go
+++ b/gateway/endpoint/errors.go
@@ -24,19 +24,14 @@
 // Unwrap returns the cause of e.
 func (e *LostError) Unwrap() error { return e.Err }
 
-// A MismatchedResponseError says that a response belongs to another request, or to
-// none.
-type MismatchedResponseError struct{}
-
-// Error returns the text of e.
-func (e *MismatchedResponseError) Error() string { return "the answer is another request's" }
-
-// An UnverifiedResponseError says that a success lacks the endpoint's signature, or
-// that a body is encoded and thus not the endpoint's own bytes.
-type UnverifiedResponseError struct{}
+// An UnusableResponseError says that a response came that is not provably this
+// endpoint's to this request.
+type UnusableResponseError struct {
+	Problem string
+}
 
 // Error returns the text of e.
-func (e *UnverifiedResponseError) Error() string { return "the answer is not the endpoint's own" }
+func (e *UnusableResponseError) Error() string { return "the answer is " + e.Problem }
 
 // A TooLargeError says that a response is larger than the reader's limit.
 type TooLargeError struct{}
--- a/gateway/endpoint/send.go
+++ b/gateway/endpoint/send.go
@@ -76,7 +76,7 @@
 			break
 		}
 	}
-	return nil, &LostError{Err: &MismatchedResponseError{}}
+	return nil, &LostError{Err: &UnusableResponseError{Problem: "another request's"}}
 }
 
 // provablyUnsent reports whether a write that failed after some bytes proves that the
@@ -91,7 +91,7 @@
 func (p *Pool) accept(c *connection, head *http.Response, meta ryeford.ResponseMeta, written bool) (*Response, error) {
 	success := head.StatusCode >= 200 && head.StatusCode < 300
 	if meta.Encoded || (success && !meta.Signed) {
-		return nil, &LostError{Err: &UnverifiedResponseError{}}
+		return nil, &LostError{Err: &UnusableResponseError{Problem: "not the endpoint's own"}}
 	}
 	c.readKeepAlive(head.Header)
 	return &Response{
