--- a/gateway/callerconn.go
+++ b/gateway/callerconn.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"io"
 	"net"
 	"time"
 )
@@ -74,11 +73,3 @@
 	}
 	return c.Conn.SetReadDeadline(t)
 }
-
-// ReadFrom implements io.ReaderFrom: the connection may copy without a buffer.
-func (c *callerConn) ReadFrom(r io.Reader) (int64, error) {
-	if readerFrom, ok := c.Conn.(io.ReaderFrom); ok {
-		return readerFrom.ReadFrom(r)
-	}
-	return io.Copy(struct{ io.Writer }{c.Conn}, r)
-}
