--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -137,7 +137,8 @@
 	return true
 }
 
-// apply puts a configuration in force, unless it is already, and renews the lease. known is the newest revision that was known when the read was sent.
+// apply puts a configuration in force, unless it is already, and renews the lease.
+// known is the newest revision that was known when the read was sent.
 func (c *configuration) apply(update *ryeford.ConfigurationUpdate, known int64, sent, answered time.Time) {
 	if !freshness.Confirms(update.Revision, known) {
 		c.metrics.Count("ryeford_stale_answers_total", "")
