--- a/agentfleet/router/answers.go
+++ b/agentfleet/router/answers.go
@@ -16,8 +16,8 @@
 func (r *Router) writeAnswer(work context.Context, cancel context.CancelFunc, ctx *fasthttp.RequestCtx, x *exchange) {
 	header := &ctx.Response.Header
 	header.Set(HeaderRequest, string(x.request.id))
-	header.Set(HeaderEngine, string(x.candidate.Engine))
-	header.Set(HeaderTries, strconv.Itoa(x.dispatches))
+	header.Set(HeaderEngine, string(x.stream.candidate.Engine))
+	header.Set(HeaderTries, strconv.Itoa(x.history.dispatches))
 	body := &answerStream{router: r, exchange: x, ctx: work, cancel: cancel}
 	switch {
 	case x.request.call != nil:
--- a/agentfleet/router/answerstream.go
+++ b/agentfleet/router/answerstream.go
@@ -41,8 +41,8 @@
 	s.once.Do(func() {
 		x := s.exchange
 		if !s.ended {
-			s.router.decisions.Record(x.request.id, "decision", "caller_gone", "request", x.request.id, "offset", x.next)
-			x.cancel()
+			s.router.decisions.Record(x.request.id, "decision", "caller_gone", "request", x.request.id, "offset", x.delivered.next)
+			x.stream.cancel()
 		}
 		s.router.finish(x, s.cancel)
 	})
@@ -73,7 +73,7 @@
 	req := s.exchange.request
 	s.router.metrics.Count("ryeford_interrupted_total", string(reasonOf(err)))
 	s.router.decisions.Record(req.id, "decision", "interrupt", "request", req.id, "account", req.account, "chat", req.chat,
-		"engine", s.exchange.candidate.Engine, "offset", s.exchange.next, "reason", reasonOf(err), "err", err)
+		"engine", s.exchange.stream.candidate.Engine, "offset", s.exchange.delivered.next, "reason", reasonOf(err), "err", err)
 }
 
 // encodeData passes the bytes of a chunk on.
@@ -89,7 +89,7 @@
 		return
 	}
 	x := s.exchange
-	id := eventID{candidate: x.candidate, attempt: chunk.Attempt, offset: chunk.Offset}
+	id := eventID{candidate: x.stream.candidate, attempt: chunk.Attempt, offset: chunk.Offset}
 	choice := answerChoice{Delta: &answerDelta{Content: string(chunk.Data)}}
 	var last *ryeford.Chunk
 	if chunk.Finish != "" {
--- a/agentfleet/router/callers.go
+++ b/agentfleet/router/callers.go
@@ -89,26 +89,26 @@
 	r.inFlight.Add(1)
 	began := time.Now()
 	work, cancel := context.WithDeadline(context.Background(), req.deadline)
-	x := r.newExchange(req)
+	x := r.forwarder.newExchange(req)
 	if err := x.start(work); err != nil {
-		r.logGivenUp(x, err)
+		x.logGivenUp(err)
 		r.finish(x, cancel)
 		writeError(ctx, req.id, err)
 		return
 	}
-	r.logRouted(x, time.Since(began))
+	x.logRouted(time.Since(began))
 	r.writeAnswer(work, cancel, ctx, x)
 }
 
 // finish ends an exchange.
 func (r *Router) finish(x *exchange, cancel context.CancelFunc) {
-	x.close()
+	x.stream.close()
 	cancel()
 	r.inFlight.Add(-1)
 }
 
 // serveResume goes on with an answer that the caller has a part of. It asks the one
-// agent that the event id names, and rejoins no further: the caller can come again.
+// agent that the event id names.
 func (r *Router) serveResume(ctx *fasthttp.RequestCtx) {
 	req := &request{
 		stream:     true,
@@ -127,14 +127,7 @@
 	}
 	r.inFlight.Add(1)
 	work, cancel := context.WithDeadline(context.Background(), req.deadline)
-	x := &exchange{
-		router:    r,
-		request:   req,
-		attempt:   attempt{id: last.attempt},
-		candidate: last.candidate,
-		next:      last.offset + 1,
-		rejoins:   maxRejoins,
-	}
+	x := r.forwarder.resumeExchange(req, last)
 	found, err := x.joinAt(work, last.candidate, false)
 	if !found && err == nil {
 		err = &ryeford.NotRunError{Reason: ryeford.ReasonTombstone}
@@ -145,29 +138,6 @@
 		return
 	}
 	r.decisions.Record(req.id, "decision", "resume", "request", req.id, "account", req.account,
-		"vm", last.candidate.VM, "attempt", last.attempt, "offset", x.next)
+		"vm", last.candidate.VM, "attempt", last.attempt, "offset", x.delivered.next)
 	r.writeAnswer(work, cancel, ctx, x)
 }
-
-// logRouted logs which engine serves a request.
-func (r *Router) logRouted(x *exchange, took time.Duration) {
-	req := x.request
-	r.metrics.Count("ryeford_requests_total", "routed")
-	r.metrics.Observe("ryeford_first_chunk_seconds", took.Seconds())
-	warm := "cold"
-	if x.warm {
-		warm = "warm"
-	}
-	r.metrics.Count("ryeford_turns_total", warm)
-	r.decisions.Record(req.id, "decision", "route", "request", req.id, "attempt", x.attempt.id, "account", req.account, "chat", req.chat,
-		"engine", x.candidate.Engine, "vm", x.candidate.VM, "failure_domain", r.fleet.domain(x.candidate.VM), "home", x.home,
-		"try", x.dispatches, "mean", x.poolMean(), "warm", x.warm, "first_chunk", took)
-}
-
-// logGivenUp logs why a request was not served.
-func (r *Router) logGivenUp(x *exchange, err error) {
-	req := x.request
-	r.metrics.Count("ryeford_requests_total", string(reasonOf(err)))
-	r.decisions.Record(req.id, "decision", "give_up", "request", req.id, "account", req.account, "chat", req.chat,
-		"tries", x.dispatches, "reason", reasonOf(err), "mean", x.poolMean(), "err", err)
-}
--- a/agentfleet/router/callers_test.go
+++ b/agentfleet/router/callers_test.go
@@ -26,6 +26,7 @@
 		metrics:   telemetry.NewSet(),
 		decisions: decision.NewLog(log.NewNopLogger()),
 	}
+	r.forwarder = r.newForwarder()
 	r.synced.Store(true)
 	r.book.Apply(0, 1, []ryeford.Template{{
 		Account: "bank", Name: "calls", Model: "lira", Priority: 5, Share: 1, Revision: 1,
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/agentfleet/answer"
 	"github.com/ryeford/ryeford/agentfleet/claim"
 	"github.com/ryeford/ryeford/internal/clock"
 	"github.com/ryeford/ryeford/retry"
@@ -60,7 +59,7 @@
 // none.
 func (x *exchange) startClaimed(ctx context.Context) error {
 	key := claim.Key{Account: x.request.account, Key: x.request.key}
-	held, err := x.router.claims.Claim(ctx, key, x.newRecord())
+	held, err := x.forwarder.claims.Claim(ctx, key, x.newRecord())
 	if err != nil {
 		return x.claimFailed(err)
 	}
@@ -74,12 +73,12 @@
 	if found || err != nil {
 		return err
 	}
-	replaced, err := x.router.claims.Replace(ctx, key, held, x.newRecord())
+	replaced, err := x.forwarder.claims.Replace(ctx, key, held, x.newRecord())
 	if err != nil {
 		return x.claimFailed(err)
 	}
 	if !replaced.Mine {
-		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Spread(x.router.settings.Limits.Dispatch)}
+		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Spread(x.forwarder.limits.Dispatch)}
 	}
 	return x.dispatchClaimed(ctx, key, replaced)
 }
@@ -90,31 +89,31 @@
 	err := x.dispatchQueue(ctx)
 	var notRun *ryeford.NotRunError
 	if errors.As(err, &notRun) {
-		go x.router.releaseClaim(context.WithoutCancel(ctx), x.request.id, key, held)
+		go x.forwarder.releaseClaim(context.WithoutCancel(ctx), x.request.id, key, held)
 	}
 	return err
 }
 
 // releaseClaim gives up a claim whose attempt did not run. A claim that stays costs the
 // caller's next request with the key the joins of joinFirst, and nothing else.
-func (r *Router) releaseClaim(ctx context.Context, request ryeford.RequestID, key claim.Key, held *claim.Claim) {
+func (f *forwarder) releaseClaim(ctx context.Context, request ryeford.RequestID, key claim.Key, held *claim.Claim) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	if err := r.claims.Release(ctx, key, held); err != nil {
-		_ = r.log.Log("msg", "claim not released", "request", request, "account", key.Account, "err", err)
+	if err := f.claims.Release(ctx, key, held); err != nil {
+		_ = f.log.Log("msg", "claim not released", "request", request, "account", key.Account, "err", err)
 	}
 }
 
 // newRecord names a new attempt and returns the record that claims it.
 func (x *exchange) newRecord() claim.Record {
-	x.attempt = newAttempt(time.Now(), &x.router.settings.Limits, true)
+	x.attempt = newAttempt(time.Now(), x.forwarder.limits, true)
 	return claim.Record{
 		Attempt:    x.attempt.id,
 		Request:    x.request.id,
 		Digest:     x.request.digest,
 		Expires:    x.attempt.expires,
 		Forget:     x.attempt.forget,
-		Candidates: x.queue,
+		Candidates: x.candidates.queue,
 	}
 }
 
@@ -122,7 +121,7 @@
 // Nothing was dispatched.
 func (x *exchange) claimFailed(err error) error {
 	req := x.request
-	x.router.decisions.Record(req.id, "decision", "refuse", "request", req.id, "account", req.account,
+	x.forwarder.decisions.Record(req.id, "decision", "refuse", "request", req.id, "account", req.account,
 		"chat", req.chat, "reason", ryeford.ReasonStoreUnavailable, "err", err)
 	return &ryeford.NotRunError{Reason: ryeford.ReasonStoreUnavailable, RetryAfter: retry.Spread(storeRetryAfter)}
 }
@@ -151,7 +150,7 @@
 	}
 	x.attempt = own
 	if unanswered > 0 {
-		return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, RetryAfter: retry.Spread(x.router.settings.Limits.Dispatch)}
+		return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, RetryAfter: retry.Spread(x.forwarder.limits.Dispatch)}
 	}
 	return false, nil
 }
@@ -179,16 +178,14 @@
 // joinAt joins the attempt at one candidate. It reports whether the attempt was found
 // there; an error says that this is not known.
 func (x *exchange) joinAt(ctx context.Context, c claim.Candidate, peek bool) (bool, error) {
-	limit := time.Now().Add(x.router.settings.Limits.Dispatch)
+	limit := time.Now().Add(x.forwarder.limits.Dispatch)
 	reply, stream, err := x.join(ctx, c, peek, limit)
 	if err != nil {
 		return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: err}
 	}
 	if reply.Admitted != nil {
-		x.candidate = c
-		x.request.id = reply.Admitted.Request
-		x.stream = stream
-		x.asm = answer.NewAssembler(x.attempt.id, x.next)
+		x.stream.candidate, x.stream.conn = c, stream
+		x.beginAnswer(reply.Admitted)
 		return true, nil
 	}
 	stream.Close()
--- a/agentfleet/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -26,7 +26,7 @@
 // dispatch sends the attempt to an engine's agent and waits until it is admitted or
 // refused. What was not sent did not run; if the reply is lost, resolveLost finds out.
 func (x *exchange) dispatch(ctx context.Context, c claim.Candidate) error {
-	a, ok := x.router.fleet.vm(c.VM)
+	a, ok := x.forwarder.fleet.vm(c.VM)
 	if !ok || a.inventory.Incarnation != c.Incarnation {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonUnreachable}
 	}
@@ -36,17 +36,17 @@
 	if err != nil { // the connection is going: keepConnected logs why
 		return &ryeford.NotRunError{Reason: ryeford.ReasonUnreachable}
 	}
-	x.stream = stream
+	x.stream.conn = stream
 	stream.SetReadDeadline(x.attempt.expires.Add(dispatchGrace))
 	if err := stream.Send(&wire.Message{Dispatch: x.dispatchMessage(c)}); err != nil {
 		return x.resolveLost(ctx, err)
 	}
 	m, err := stream.Receive()
 	if err != nil {
-		x.router.suspects.add(time.Now(), c.VM)
+		x.forwarder.suspects.add(time.Now(), c.VM)
 		return x.resolveLost(ctx, err)
 	}
-	x.router.suspects.clear(c.VM)
+	x.forwarder.suspects.clear(c.VM)
 	return x.handleReply(m)
 }
 
@@ -66,11 +66,11 @@
 		Expires:     x.attempt.expires,
 		Forget:      x.attempt.forget,
 		PoolMean:    x.poolMean(),
-		MayRedirect: mayRedirect(req, c.Engine == x.home, x.dispatches),
-		Offset:      x.next,
+		MayRedirect: mayRedirect(req, c.Engine == x.candidates.home, x.history.dispatches),
+		Offset:      x.delivered.next,
 	}
-	if mayWait(x.rounds, x.dispatches) {
-		d.Wait = x.router.settings.Limits.WarmWait
+	if mayWait(x.history.rounds, x.history.dispatches) {
+		d.Wait = x.forwarder.limits.WarmWait
 	}
 	if req.call != nil {
 		call := *req.call
@@ -80,7 +80,7 @@
 	}
 	completion := *req.completion
 	completion.Attempt = x.attempt.id
-	completion.Prefix = string(x.text)
+	completion.Prefix = string(x.delivered.text)
 	d.Completion = &completion
 	return d
 }
@@ -98,19 +98,13 @@
 	return rounds == 0 && dispatches <= maxWaitingDispatches
 }
 
-// poolMean returns the mean load that an engine is to admit against.
-func (x *exchange) poolMean() float64 {
-	return x.router.loads.probedMean(time.Now(), x.request.model, &x.probes)
-}
-
 // handleReply takes the agent's reply to a dispatch or a join.
 func (x *exchange) handleReply(m *wire.Message) error {
 	switch {
 	case m.Admitted != nil && m.Admitted.Attempt == x.attempt.id:
 		x.addProbe(m.Admitted.Load)
-		x.warm = m.Admitted.Warm
-		x.request.id = m.Admitted.Request
-		x.asm = answer.NewAssembler(x.attempt.id, x.next)
+		x.history.warm = m.Admitted.Warm
+		x.beginAnswer(m.Admitted)
 		return nil
 	case m.Refused != nil && m.Refused.Attempt == x.attempt.id:
 		return x.handleRefusal(m.Refused)
@@ -118,6 +112,14 @@
 	return &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: &ProtocolError{}}
 }
 
+// beginAnswer makes the stream ready for the answer of an admitted attempt, from the
+// caller's next offset on. An attempt that another request began is answered under that
+// one's id.
+func (x *exchange) beginAnswer(admitted *wire.Admitted) {
+	x.request.id = admitted.Request
+	x.stream.asm = answer.NewAssembler(x.attempt.id, x.delivered.next)
+}
+
 // handleRefusal takes a refusal, and returns it as an error.
 func (x *exchange) handleRefusal(refused *wire.Refused) error {
 	if refused.Unknown {
@@ -126,33 +128,12 @@
 	switch refused.Reason {
 	case ryeford.ReasonOverload, ryeford.ReasonShare:
 		x.addProbe(refused.Load)
-		if x.retryAfter == 0 || refused.RetryAfter < x.retryAfter {
-			x.retryAfter = refused.RetryAfter
+		if x.history.retryAfter == 0 || refused.RetryAfter < x.history.retryAfter {
+			x.history.retryAfter = refused.RetryAfter
 		}
 	case ryeford.ReasonRedirect:
-		target, ok := x.router.candidate(refused.Engine)
-		x.queue = redirected(x.queue, x.candidate, refused.Engine, target, ok)
+		target, ok := x.forwarder.fleet.candidate(refused.Engine)
+		x.candidates.queue = redirected(x.candidates.queue, x.stream.candidate, refused.Engine, target, ok)
 	}
 	return &ryeford.NotRunError{Reason: refused.Reason, RetryAfter: refused.RetryAfter}
 }
-
-// redirected returns the queue after a home pointed to an engine: that engine first, if
-// it is connected and so has a candidate, the home next, then the others.
-func redirected(queue []claim.Candidate, home claim.Candidate, engine ryeford.EngineID, target claim.Candidate, connected bool) []claim.Candidate {
-	next := make([]claim.Candidate, 0, len(queue)+2)
-	if connected {
-		next = append(next, target)
-	}
-	next = append(next, home)
-	for _, c := range queue {
-		if c.Engine != engine {
-			next = append(next, c)
-		}
-	}
-	return next
-}
-
-// addProbe takes the load that a candidate reported.
-func (x *exchange) addProbe(value float64) {
-	x.router.loads.addProbe(time.Now(), x.request.model, x.candidate.Engine, &x.probes, value)
-}
--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -5,13 +5,9 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/agentfleet/answer"
 	"github.com/ryeford/ryeford/agentfleet/claim"
 	"github.com/ryeford/ryeford/agentfleet/load"
-	"github.com/ryeford/ryeford/agentfleet/transport"
-	"github.com/ryeford/ryeford/agentfleet/wire"
 	"github.com/ryeford/ryeford/retry"
-	"github.com/ryeford/ryeford/route"
 )
 
 // An exchange serves one request: it dispatches it to engines until one has admitted
@@ -19,72 +15,29 @@
 //
 // An exchange must not be used by two goroutines at once.
 type exchange struct {
-	router  *Router
-	request *request
-
-	home       ryeford.EngineID  // the first in the chat's rendezvous order
-	first      claim.Candidate   // the first dispatched to, not counting a redirect
-	queue      []claim.Candidate // not dispatched to yet
-	dispatches int               // so far
-	rounds     int               // in which all candidates had a dispatch
-
+	forwarder  *forwarder
+	request    *request
+	candidates candidates
+	history    history
+	probes     load.Probes // of the candidates so far
 	attempt    attempt
-	candidate  claim.Candidate // where the attempt is
-	mayHaveRun bool            // an earlier attempt may have run
-	probes     load.Probes
-	retryAfter time.Duration // the shortest that a refusal named
-
-	stream  *transport.Stream
-	asm     *answer.Assembler
-	ready   []ryeford.Chunk // received and not yet passed on
-	next    int64           // the caller's next offset
-	text    []byte          // what the caller has of a repeatable completion
-	warm    bool            // the engine has the chat's prefix cached
-	rejoins int             // that were used up after lost connections
+	stream     agentStream
+	delivered  delivered
 }
 
-// newExchange returns an exchange with the candidates of a request.
-func (r *Router) newExchange(req *request) *exchange {
-	x := &exchange{router: r, request: req}
-	queue := r.candidates(req)
-	if len(queue) > 0 {
-		x.home = queue[0].Engine
-		x.queue = r.suspects.last(time.Now(), queue)
-	}
-	return x
-}
-
-// candidates returns the engines that can serve a request, in its chat's rendezvous
-// order, limits.candidates at most. Those of agents that are not connected are left out.
-func (r *Router) candidates(req *request) []claim.Candidate {
-	set := r.targets(req)
-	if set == nil {
-		return nil
-	}
-	var ranking route.Ranking
-	set.Rank(route.ChatHash(req.account, req.chat), r.settings.Limits.Candidates, &ranking)
-	var candidates []claim.Candidate
-	for _, index := range ranking.Index[:ranking.Len] {
-		target := set.Target(int(index))
-		if c, ok := r.candidate(target.Engine); ok {
-			candidates = append(candidates, c)
-		}
-	}
-	return candidates
-}
-
-// candidate returns an engine as a candidate, if its agent is connected.
-func (r *Router) candidate(engine ryeford.EngineID) (claim.Candidate, bool) {
-	a, ok := r.fleet.engine(engine)
-	if !ok {
-		return claim.Candidate{}, false
-	}
-	return claim.Candidate{Engine: engine, VM: a.vm.ID, Incarnation: a.inventory.Incarnation}, true
+// A history is what an exchange has done so far, as the rules are given it.
+type history struct {
+	dispatches int
+	rounds     int           // in which all candidates had a dispatch
+	rejoins    int           // that were used up after lost connections
+	mayHaveRun bool          // a dispatch that failed may have run
+	retryAfter time.Duration // the shortest that a refusal named
+	warm       bool          // the engine that admitted last had the chat's prefix cached
 }
 
 // start dispatches the request until the first chunk of an answer is there.
 func (x *exchange) start(ctx context.Context) error {
-	if len(x.queue) == 0 {
+	if len(x.candidates.queue) == 0 {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(unavailableRetryAfter)}
 	}
 	if x.request.claimed() {
@@ -98,64 +51,46 @@
 func (x *exchange) dispatchQueue(ctx context.Context) error {
 	var last error
 	step := stepFree
-	for len(x.queue) > 0 || x.startRound(last) {
+	for step != stepGiveUp && (len(x.candidates.queue) > 0 || x.startRound(last)) {
 		if time.Now().After(x.request.deadline) {
 			last = &ryeford.NotRunError{Reason: ryeford.ReasonDeadline}
 			break
 		}
-		if !x.pay(step) {
+		if !x.forwarder.budgets.pay(x.request.account, step) {
 			last = &ryeford.NotRunError{Reason: ryeford.ReasonRetryBudget}
 			break
 		}
-		c := x.queue[0]
-		x.queue = x.queue[1:]
-		last = x.dispatchTo(ctx, c)
-		if last == nil {
+		if last = x.dispatchTo(ctx, x.candidates.next()); last == nil {
 			return nil
 		}
-		x.logFailed(c, last)
-		x.mayHaveRun = x.mayHaveRun || mayHaveRun(last)
+		x.logFailed(last)
+		x.history.mayHaveRun = x.history.mayHaveRun || mayHaveRun(last)
 		step = afterFailure(last, x.request.repeatable)
-		if step == stepGiveUp {
-			break
-		}
 	}
-	return finalError(last, x.mayHaveRun, retry.Spread(x.retryAfter))
+	return finalError(last, x.history.mayHaveRun, retry.Spread(x.history.retryAfter))
 }
 
 // startRound puts the first candidate into the queue again if anotherRound says so.
 func (x *exchange) startRound(last error) bool {
-	x.rounds++
-	if !anotherRound(last, x.rounds) {
+	x.history.rounds++
+	if !anotherRound(last, x.history.rounds) {
 		return false
 	}
 	x.probes.MarkSaturated()
-	x.queue = append(x.queue, x.first)
-	return true
-}
-
-// pay takes what a step costs from the account's budgets, and reports whether the
-// account had it.
-func (x *exchange) pay(step nextStep) bool {
-	switch step {
-	case stepOverflow:
-		return x.router.overflow.Spend(x.request.account)
-	case stepRetry:
-		return x.router.retries.Spend(x.request.account)
-	}
+	x.candidates.queue = append(x.candidates.queue, x.candidates.first)
 	return true
 }
 
 // dispatchTo dispatches the request to one engine and waits for the first chunk.
 func (x *exchange) dispatchTo(ctx context.Context, c claim.Candidate) error {
-	x.close()
-	x.dispatches++
-	x.candidate = c
-	if x.dispatches == 1 || c.Engine == x.home {
-		x.first = c
+	x.stream.close()
+	x.stream.candidate = c
+	x.history.dispatches++
+	if x.history.dispatches == 1 || c.Engine == x.candidates.home {
+		x.candidates.first = c
 	}
 	if !x.request.claimed() {
-		x.attempt = newAttempt(time.Now(), &x.router.settings.Limits, false)
+		x.attempt = newAttempt(time.Now(), x.forwarder.limits, false)
 	}
 	if err := x.dispatch(ctx, c); err != nil {
 		return err
@@ -163,32 +98,45 @@
 	return x.awaitFirst(ctx)
 }
 
-// close gives up the stream of the last dispatch.
-func (x *exchange) close() {
-	if x.stream != nil {
-		x.stream.Close()
-		x.stream = nil
-	}
-	x.ready = nil
+// poolMean returns the mean load that an engine is to admit against.
+func (x *exchange) poolMean() float64 {
+	return x.forwarder.loads.probedMean(time.Now(), x.request.model, &x.probes)
 }
 
-// cancel sends the agent that the caller is gone. If that can't be sent, the
-// connection is lost, and the agent stops the run itself once nobody has read its
-// answer for a while.
-func (x *exchange) cancel() {
-	if x.stream == nil {
-		return
-	}
-	_ = x.stream.Send(&wire.Message{Cancel: &wire.Cancel{}})
-	x.stream.CloseSend()
+// addProbe takes the load that a candidate reported.
+func (x *exchange) addProbe(value float64) {
+	x.forwarder.loads.addProbe(time.Now(), x.request.model, x.stream.candidate.Engine, &x.probes, value)
 }
 
 // logFailed logs a dispatch that failed.
-func (x *exchange) logFailed(c claim.Candidate, err error) {
-	req := x.request
-	x.router.metrics.Count("ryeford_tries_failed_total", string(reasonOf(err)))
-	x.router.decisions.Record(req.id,
+func (x *exchange) logFailed(err error) {
+	f, req, c := x.forwarder, x.request, x.stream.candidate
+	f.metrics.Count("ryeford_tries_failed_total", string(reasonOf(err)))
+	f.decisions.Record(req.id,
 		"decision", "try", "request", req.id, "attempt", x.attempt.id, "account", req.account, "chat", req.chat,
-		"engine", c.Engine, "vm", c.VM, "failure_domain", x.router.fleet.domain(c.VM), "try", x.dispatches,
-		"reason", reasonOf(err), "mean", x.poolMean(), "left", len(x.queue), "err", err)
+		"engine", c.Engine, "vm", c.VM, "failure_domain", f.fleet.domain(c.VM), "try", x.history.dispatches,
+		"reason", reasonOf(err), "mean", x.poolMean(), "left", len(x.candidates.queue), "err", err)
+}
+
+// logRouted logs which engine serves a request.
+func (x *exchange) logRouted(took time.Duration) {
+	f, req, c := x.forwarder, x.request, x.stream.candidate
+	f.metrics.Count("ryeford_requests_total", "routed")
+	f.metrics.Observe("ryeford_first_chunk_seconds", took.Seconds())
+	warm := "cold"
+	if x.history.warm {
+		warm = "warm"
+	}
+	f.metrics.Count("ryeford_turns_total", warm)
+	f.decisions.Record(req.id, "decision", "route", "request", req.id, "attempt", x.attempt.id, "account", req.account, "chat", req.chat,
+		"engine", c.Engine, "vm", c.VM, "failure_domain", f.fleet.domain(c.VM), "home", x.candidates.home,
+		"try", x.history.dispatches, "mean", x.poolMean(), "warm", x.history.warm, "first_chunk", took)
+}
+
+// logGivenUp logs why a request was not served.
+func (x *exchange) logGivenUp(err error) {
+	req := x.request
+	x.forwarder.metrics.Count("ryeford_requests_total", string(reasonOf(err)))
+	x.forwarder.decisions.Record(req.id, "decision", "give_up", "request", req.id, "account", req.account, "chat", req.chat,
+		"tries", x.history.dispatches, "reason", reasonOf(err), "mean", x.poolMean(), "err", err)
 }
--- a/agentfleet/router/failure_test.go
+++ b/agentfleet/router/failure_test.go
@@ -14,8 +14,8 @@
 // may have run is never said not to have run, whatever refused the last one.
 func TestUnknownIsNeverNotRun(t *testing.T) {
 	refused := &ryeford.NotRunError{Reason: ryeford.ReasonOverload, RetryAfter: time.Second}
-	x := &exchange{request: &request{repeatable: true}, mayHaveRun: true}
-	verdict := finalError(refused, x.mayHaveRun, time.Second)
+	x := &exchange{request: &request{repeatable: true}, history: history{mayHaveRun: true}}
+	verdict := finalError(refused, x.history.mayHaveRun, time.Second)
 	body, status := newErrorBody("r", verdict)
 	assert.Equal(t, body.Error.Ran, "unknown")
 	assert.Equal(t, status, 502)
@@ -25,8 +25,8 @@
 	body, _ = newErrorBody("r", &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: refused})
 	assert.Equal(t, body.Error.Ran, "unknown")
 
-	x.mayHaveRun = false
-	body, _ = newErrorBody("r", finalError(refused, x.mayHaveRun, time.Second))
+	x.history.mayHaveRun = false
+	body, _ = newErrorBody("r", finalError(refused, x.history.mayHaveRun, time.Second))
 	assert.Equal(t, body.Error.Ran, "not_run")
 }
 
--- a/agentfleet/router/fleet.go
+++ b/agentfleet/router/fleet.go
@@ -6,6 +6,7 @@
 	"sync"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/claim"
 	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/agentfleet/wire"
 	"github.com/ryeford/ryeford/route"
@@ -136,6 +137,15 @@
 	return a, ok
 }
 
+// candidate returns an engine as a candidate, if its agent is connected.
+func (f *fleet) candidate(id ryeford.EngineID) (claim.Candidate, bool) {
+	a, ok := f.engine(id)
+	if !ok {
+		return claim.Candidate{}, false
+	}
+	return claim.Candidate{Engine: id, VM: a.vm.ID, Incarnation: a.inventory.Incarnation}, true
+}
+
 // vm returns the agent of a VM.
 func (f *fleet) vm(id ryeford.VMID) (*agent, bool) {
 	f.mu.RLock()
--- a/agentfleet/router/join.go
+++ b/agentfleet/router/join.go
@@ -30,20 +30,20 @@
 	if x.request.repeatable || ctx.Err() != nil {
 		return unknown
 	}
-	x.close()
-	x.rejoins++
+	x.stream.close()
+	x.history.rejoins++
 	limit := time.Now().Add(rejoinTime)
 	if x.request.deadline.Before(limit) {
 		limit = x.request.deadline
 	}
 	for time.Now().Before(limit) {
-		reply, stream, err := x.join(ctx, x.candidate, false, limit)
+		reply, stream, err := x.join(ctx, x.stream.candidate, false, limit)
 		if err == nil {
-			x.stream = stream
+			x.stream.conn = stream
 			return x.handleReply(reply)
 		}
 		// The agent can't be asked yet; the first failure, cause, says more than this one.
-		if a, ok := x.router.fleet.vm(x.candidate.VM); ok && a.inventory.Incarnation != x.candidate.Incarnation {
+		if a, ok := x.forwarder.fleet.vm(x.stream.candidate.VM); ok && a.inventory.Incarnation != x.stream.candidate.Incarnation {
 			unknown.Reason = ryeford.ReasonIncarnation
 			return unknown
 		}
@@ -58,7 +58,7 @@
 // on. Unless peek is set, an agent that has not admitted the attempt never will after
 // it was asked.
 func (x *exchange) join(ctx context.Context, c claim.Candidate, peek bool, limit time.Time) (*wire.Message, *transport.Stream, error) {
-	a, ok := x.router.fleet.vm(c.VM)
+	a, ok := x.forwarder.fleet.vm(c.VM)
 	if !ok {
 		return nil, nil, &ryeford.NotFoundError{Kind: "VM", Name: string(c.VM)}
 	}
@@ -73,7 +73,7 @@
 		Account:     x.request.account,
 		Attempt:     x.attempt.id,
 		Incarnation: c.Incarnation,
-		Offset:      x.next,
+		Offset:      x.delivered.next,
 		Expires:     x.attempt.expires,
 		Forget:      x.attempt.forget,
 		Peek:        peek,
--- a/agentfleet/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -60,7 +60,7 @@
 		reported:   errors.As(cause, &reported),
 		repeatable: x.request.repeatable,
 		call:       x.request.call != nil,
-		rejoins:    x.rejoins,
+		rejoins:    x.history.rejoins,
 	}
 	switch afterLostStream(lost) {
 	case recoverTooLate:
@@ -86,25 +86,15 @@
 
 // continueElsewhere goes on at another engine than the lost one.
 func (x *exchange) continueElsewhere(ctx context.Context, cause error) error {
-	x.router.metrics.Count("ryeford_continued_total", "")
-	x.mayHaveRun = true
-	x.refill()
-	if !x.pay(stepRetry) {
-		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonRetryBudget, RetryAfter: retry.Spread(x.retryAfter), Err: cause}
+	x.forwarder.metrics.Count("ryeford_continued_total", "")
+	x.history.mayHaveRun = true
+	ranked := x.forwarder.suspects.last(time.Now(), x.forwarder.rank(x.request))
+	x.candidates.refill(ranked, x.stream.candidate.Engine)
+	if !x.forwarder.budgets.pay(x.request.account, stepRetry) {
+		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonRetryBudget, RetryAfter: retry.Spread(x.history.retryAfter), Err: cause}
 	}
-	if len(x.queue) == 0 {
-		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(x.retryAfter), Err: cause}
+	if len(x.candidates.queue) == 0 {
+		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(x.history.retryAfter), Err: cause}
 	}
 	return x.dispatchQueue(ctx)
 }
-
-// refill fills the queue anew, without the engine that was lost.
-func (x *exchange) refill() {
-	lost := x.candidate.Engine
-	x.queue = nil
-	for _, c := range x.router.suspects.last(time.Now(), x.router.candidates(x.request)) {
-		if c.Engine != lost {
-			x.queue = append(x.queue, c)
-		}
-	}
-}
--- a/agentfleet/router/request.go
+++ b/agentfleet/router/request.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
-	"github.com/ryeford/ryeford/route"
 )
 
 // A request is one request of a caller: a chat completion, a call of a plain service,
@@ -33,12 +32,3 @@
 // claimed reports whether the request needs a claim on its key: it may not run twice,
 // and its caller may send it again.
 func (req *request) claimed() bool { return !req.repeatable && req.key != "" }
-
-// targets returns the engines, or the service's instances, that can serve a request, or
-// nil if there are none.
-func (r *Router) targets(req *request) *route.Set {
-	if req.call != nil {
-		return r.fleet.service(req.service)
-	}
-	return r.fleet.pool(req.completion.Pool)
-}
--- a/agentfleet/router/retry.go
+++ b/agentfleet/router/retry.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/retry"
+	"github.com/ryeford/ryeford/settings"
 )
 
 // What follows a dispatch that failed.
@@ -37,6 +39,39 @@
 	stepRetry             // dispatch to the next engine, for one of the retry budget
 )
 
+// budgets are what the accounts may spend on further dispatches. Each answer that is
+// passed on whole earns some of both.
+type budgets struct {
+	overflow *retry.Budget // dispatches after a refusal
+	retries  *retry.Budget // dispatches after a failure
+}
+
+// newBudgets returns budgets with the reserves that the limits give.
+func newBudgets(limits *settings.RouterLimits) budgets {
+	return budgets{
+		overflow: retry.NewBudget(retry.BudgetLimits{PerSuccess: limits.OverflowPerAnswer, Reserve: limits.OverflowReserve}),
+		retries:  retry.NewBudget(retry.BudgetLimits{PerSuccess: limits.RetryPerAnswer, Reserve: limits.RetryReserve}),
+	}
+}
+
+// pay takes what a step costs from an account's budget, and reports whether the account
+// had it.
+func (b *budgets) pay(account ryeford.AccountID, step nextStep) bool {
+	switch step {
+	case stepOverflow:
+		return b.overflow.Spend(account)
+	case stepRetry:
+		return b.retries.Spend(account)
+	}
+	return true
+}
+
+// earn adds to an account's budgets what a whole answer earns.
+func (b *budgets) earn(account ryeford.AccountID) {
+	b.overflow.Earn(account)
+	b.retries.Earn(account)
+}
+
 // afterFailure returns what follows a dispatch that failed with err, for a request that
 // is repeatable or not.
 func afterFailure(err error, repeatable bool) nextStep {
--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -32,7 +32,6 @@
 	"github.com/ryeford/ryeford/agentfleet/template"
 	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/internal/telemetry"
-	"github.com/ryeford/ryeford/retry"
 	"github.com/ryeford/ryeford/settings"
 )
 
@@ -60,8 +59,7 @@
 	loads     *loads
 	suspects  *suspects
 	claims    *claim.Claims
-	overflow  *retry.Budget // dispatches after a refusal
-	retries   *retry.Budget // dispatches after a failure
+	forwarder *forwarder
 	planner   *planner
 
 	leaving  atomic.Bool
@@ -89,14 +87,29 @@
 		loads:     newLoads(),
 		suspects:  newSuspects(),
 		claims:    claim.New(platform),
-		overflow:  retry.NewBudget(retry.BudgetLimits{PerSuccess: s.Limits.OverflowPerAnswer, Reserve: s.Limits.OverflowReserve}),
-		retries:   retry.NewBudget(retry.BudgetLimits{PerSuccess: s.Limits.RetryPerAnswer, Reserve: s.Limits.RetryReserve}),
 	}
 	r.planner = newPlanner(r)
+	r.forwarder = r.newForwarder()
 	r.addMetrics()
 	return r, nil
 }
 
+// newForwarder returns what the exchanges of callers' requests share.
+func (r *Router) newForwarder() *forwarder {
+	return &forwarder{
+		limits:       &r.settings.Limits,
+		fleet:        r.fleet,
+		loads:        r.loads,
+		suspects:     r.suspects,
+		claims:       r.claims,
+		budgets:      newBudgets(&r.settings.Limits),
+		sendOverflow: r.sendOverflow,
+		decisions:    r.decisions,
+		log:          r.log,
+		metrics:      r.metrics,
+	}
+}
+
 // Run serves until ctx ends, and then until what is in flight has ended.
 func (r *Router) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
