--- a/agentfleet/router/membership.go
+++ b/agentfleet/router/agentlist.go
@@ -5,23 +5,40 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/go-kit/log"
+
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/decision"
+	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
-// pollVMs reads the platform's list of VMs, and keeps a connection to each agent on it,
-// until ctx ends. The list only says which VMs there are: whether one can serve is seen
-// from its connection.
-func (r *Router) pollVMs(ctx context.Context) error {
+// An agentList follows the platform's list of VMs, and keeps a connection to each agent
+// on it. The list only says which VMs there are: whether one can serve is seen from its
+// connection.
+type agentList struct {
+	vm        ryeford.VMID // of this router
+	vms       ryeford.VMList
+	interval  time.Duration // between reads of the list, before jitter
+	dialer    *transport.Dialer
+	fleet     *fleet
+	gossip    *agentGossip
+	requests  *agentRequests
+	decisions *decision.Log
+	log       log.Logger
+}
+
+// run reads the list until ctx ends.
+func (l *agentList) run(ctx context.Context) error {
 	watches := make(map[ryeford.VMID]*watch)
 	for {
-		vms, err := r.platform.VMs(ctx)
+		vms, err := l.vms.VMs(ctx)
 		if err == nil {
-			r.updateWatches(ctx, watches, vms)
+			l.updateWatches(ctx, watches, vms)
 		} else if ctx.Err() == nil {
-			_ = r.log.Log("msg", "list of VMs not read", "err", err)
+			_ = l.log.Log("msg", "list of VMs not read", "err", err)
 		}
-		if !clock.Sleep(ctx, jitter(r.settings.Polls.VMList)) {
+		if !clock.Sleep(ctx, jitter(l.interval)) {
 			return nil
 		}
 	}
@@ -35,7 +52,7 @@
 
 // updateWatches starts and stops watches as the list says. An agent whose address has
 // changed gets a new one.
-func (r *Router) updateWatches(ctx context.Context, watches map[ryeford.VMID]*watch, vms []ryeford.VM) {
+func (l *agentList) updateWatches(ctx context.Context, watches map[ryeford.VMID]*watch, vms []ryeford.VM) {
 	listed := make(map[ryeford.VMID]bool)
 	for _, vm := range vms {
 		if vm.Role != ryeford.RoleAgent {
@@ -45,7 +62,7 @@
 		w, ok := watches[vm.ID]
 		if ok && w.vm.Address == vm.Address {
 			w.vm = vm
-			r.fleet.setVM(vm)
+			l.fleet.setVM(vm)
 			continue
 		}
 		if ok {
@@ -53,7 +70,7 @@
 		}
 		watchCtx, stop := context.WithCancel(ctx)
 		watches[vm.ID] = &watch{vm: vm, stop: stop}
-		go r.keepConnected(watchCtx, vm)
+		go l.keepConnected(watchCtx, vm)
 	}
 	for id, w := range watches {
 		if !listed[id] {
--- a/agentfleet/router/callers.go
+++ b/agentfleet/router/callers.go
@@ -62,7 +62,7 @@
 
 // serveReady answers the load balancer's readiness probe.
 func (r *Router) serveReady(ctx *fasthttp.RequestCtx) {
-	if r.Ready() {
+	if r.readiness.ready() {
 		ctx.SetBodyString("ready\n")
 		return
 	}
@@ -73,7 +73,7 @@
 // serveRequest parses a request, serves it and writes the answer.
 func (r *Router) serveRequest(ctx *fasthttp.RequestCtx, parse func(*fasthttp.RequestCtx, *request) error) {
 	req := &request{id: ryeford.RequestID(uuid.NewString())}
-	if !r.synced.Load() {
+	if !r.readiness.synced.Load() {
 		writeError(ctx, req.id, &ryeford.NotRunError{Reason: ryeford.ReasonNotReady, RetryAfter: retry.Spread(unavailableRetryAfter)})
 		return
 	}
@@ -86,7 +86,7 @@
 		writeError(ctx, req.id, err)
 		return
 	}
-	r.inFlight.Add(1)
+	r.drain.inFlight.Add(1)
 	began := time.Now()
 	work, cancel := context.WithDeadline(context.Background(), req.deadline)
 	x := r.forwarder.newExchange(req)
@@ -104,7 +104,7 @@
 func (r *Router) finish(x *exchange, cancel context.CancelFunc) {
 	x.stream.close()
 	cancel()
-	r.inFlight.Add(-1)
+	r.drain.inFlight.Add(-1)
 }
 
 // serveResume goes on with an answer that the caller has a part of. It asks the one
@@ -125,7 +125,7 @@
 		writeError(ctx, req.id, err)
 		return
 	}
-	r.inFlight.Add(1)
+	r.drain.inFlight.Add(1)
 	work, cancel := context.WithDeadline(context.Background(), req.deadline)
 	x := r.forwarder.resumeExchange(req, last)
 	found, err := x.joinAt(work, last.candidate, false)
--- a/agentfleet/router/callers_test.go
+++ b/agentfleet/router/callers_test.go
@@ -17,17 +17,18 @@
 
 // newTestRouter returns a router with one account and no engine.
 func newTestRouter() *Router {
+	fleet := newFleet()
 	r := &Router{
 		settings:  settings.DefaultRouter(),
 		book:      template.NewBook(),
-		fleet:     newFleet(),
+		fleet:     fleet,
 		loads:     newLoads(),
-		suspects:  newSuspects(),
+		readiness: &readiness{fleet: fleet},
 		metrics:   telemetry.NewSet(),
 		decisions: decision.NewLog(log.NewNopLogger()),
 	}
-	r.forwarder = r.newForwarder()
-	r.synced.Store(true)
+	r.addCallers()
+	r.readiness.synced.Store(true)
 	r.book.Apply(0, 1, []ryeford.Template{{
 		Account: "bank", Name: "calls", Model: "lira", Priority: 5, Share: 1, Revision: 1,
 		KeyHashes: []string{ryeford.HashKey("bank-key")},
--- a/agentfleet/router/connect.go
+++ b/agentfleet/router/connect.go
@@ -41,14 +41,14 @@
 }
 
 // keepConnected connects to an agent, again and again, until ctx ends.
-func (r *Router) keepConnected(ctx context.Context, vm ryeford.VM) {
+func (l *agentList) keepConnected(ctx context.Context, vm ryeford.VM) {
 	var backoff redial
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := r.connect(ctx, vm)
+		err := l.connect(ctx, vm)
 		wait := backoff.next(time.Since(began))
 		if ctx.Err() == nil {
-			r.decisions.Record("", "decision", "agent_lost", "vm", vm.ID, "failure_domain", vm.FailureDomain, "redial", wait, "err", err)
+			l.decisions.Record("", "decision", "agent_lost", "vm", vm.ID, "failure_domain", vm.FailureDomain, "redial", wait, "err", err)
 		}
 		clock.Sleep(ctx, jitter(wait))
 	}
@@ -56,8 +56,8 @@
 
 // connect connects to an agent and follows its inventory until the connection is lost.
 // It always returns an error.
-func (r *Router) connect(ctx context.Context, vm ryeford.VM) error {
-	conn, err := r.dial(ctx, vm)
+func (l *agentList) connect(ctx context.Context, vm ryeford.VM) error {
+	conn, err := l.dial(ctx, vm)
 	if err != nil {
 		return err
 	}
@@ -68,10 +68,10 @@
 	}
 	stop := context.AfterFunc(ctx, func() { conn.Close("no longer listed") })
 	defer stop()
-	defer r.fleet.remove(vm.ID, conn)
-	go r.receiveGossip(ctx, conn)
-	go r.acceptStreams(ctx, conn)
-	if err := stream.Send(&wire.Message{Watch: &wire.Watch{Router: r.settings.VM}}); err != nil {
+	defer l.fleet.remove(vm.ID, conn)
+	go l.gossip.receive(ctx, conn)
+	go l.requests.serve(ctx, conn)
+	if err := stream.Send(&wire.Message{Watch: &wire.Watch{Router: l.vm}}); err != nil {
 		return err
 	}
 	for {
@@ -80,16 +80,16 @@
 			return err
 		}
 		if m.Inventory != nil {
-			r.updateInventory(vm, conn, m.Inventory)
+			l.updateInventory(vm, conn, m.Inventory)
 		}
 	}
 }
 
 // dial returns a connection to the VM, whose certificate must name it.
-func (r *Router) dial(ctx context.Context, vm ryeford.VM) (*transport.Conn, error) {
+func (l *agentList) dial(ctx context.Context, vm ryeford.VM) (*transport.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := r.dialer.Dial(ctx, vm.Address)
+	conn, err := l.dialer.Dial(ctx, vm.Address)
 	if err != nil {
 		return nil, err
 	}
@@ -101,10 +101,10 @@
 }
 
 // updateInventory takes an agent's description of itself.
-func (r *Router) updateInventory(vm ryeford.VM, conn *transport.Conn, inv *wire.Inventory) {
-	r.fleet.put(&agent{vm: vm, conn: conn, inventory: inv})
-	r.sendTo(conn, &wire.Gossip{}) // so that a new agent need not wait until it is drawn
-	r.decisions.Record("", "decision", "agent", "vm", vm.ID, "failure_domain", inv.FailureDomain,
+func (l *agentList) updateInventory(vm ryeford.VM, conn *transport.Conn, inv *wire.Inventory) {
+	l.fleet.put(&agent{vm: vm, conn: conn, inventory: inv})
+	l.gossip.sendTo(conn, &wire.Gossip{}) // so that a new agent need not wait until it is drawn
+	l.decisions.Record("", "decision", "agent", "vm", vm.ID, "failure_domain", inv.FailureDomain,
 		"incarnation", inv.Incarnation, "leaving", inv.Leaving, "engines", len(inv.Engines))
 }
 
--- a/agentfleet/router/forwarder.go
+++ b/agentfleet/router/forwarder.go
@@ -5,10 +5,8 @@
 
 	"github.com/go-kit/log"
 
-	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/claim"
 	"github.com/ryeford/ryeford/agentfleet/decision"
-	"github.com/ryeford/ryeford/agentfleet/wire"
 	"github.com/ryeford/ryeford/internal/telemetry"
 	"github.com/ryeford/ryeford/route"
 	"github.com/ryeford/ryeford/settings"
@@ -17,16 +15,16 @@
 // A forwarder is what all exchanges share: what is known of the engines, the
 // connections to their agents, and the accounts' budgets. It owns nothing.
 type forwarder struct {
-	limits       *settings.RouterLimits
-	fleet        *fleet
-	loads        *loads
-	suspects     *suspects
-	claims       *claim.Claims
-	budgets      budgets
-	sendOverflow func(home, engine ryeford.EngineID, chat wire.ChatKey)
-	decisions    *decision.Log
-	log          log.Logger
-	metrics      *telemetry.Set
+	limits    *settings.RouterLimits
+	fleet     *fleet
+	loads     *loads
+	suspects  *suspects
+	claims    *claim.Claims
+	budgets   budgets
+	gossip    *agentGossip
+	decisions *decision.Log
+	log       log.Logger
+	metrics   *telemetry.Set
 }
 
 // newExchange returns the exchange that serves a request.
--- a/agentfleet/router/gossip.go
+++ b/agentfleet/router/gossip.go
@@ -5,56 +5,72 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/decision"
 	"github.com/ryeford/ryeford/agentfleet/gossip"
+	"github.com/ryeford/ryeford/agentfleet/plan"
+	"github.com/ryeford/ryeford/agentfleet/template"
 	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// gossip sends the revision and the plan to agents until ctx ends.
-func (r *Router) gossip(ctx context.Context) error {
+// An agentGossip exchanges datagrams with the agents: it sends them the revision of the
+// templates, the plan's version, and where a chat went, and takes their loads.
+type agentGossip struct {
+	vm        ryeford.VMID  // of this router
+	interval  time.Duration // between datagrams while nothing changes
+	book      *template.Book
+	plan      *plan.Current
+	fleet     *fleet
+	loads     *loads
+	control   *transport.ControlLimiter
+	decisions *decision.Log
+}
+
+// run sends the revision and the plan to agents until ctx ends.
+func (g *agentGossip) run(ctx context.Context) error {
 	loop := &gossip.Loop{
-		Interval:    r.settings.Transport.GossipInterval,
-		Book:        r.book,
-		Decisions:   r.decisions,
-		PlanChanged: r.planner.plan.Changed,
-		Send:        r.sendGossip,
+		Interval:    g.interval,
+		Book:        g.book,
+		Decisions:   g.decisions,
+		PlanChanged: g.plan.Changed,
+		Send:        g.send,
 	}
 	return loop.Run(ctx)
 }
 
-// sendGossip sends a datagram to n random agents.
-func (r *Router) sendGossip(n int) {
-	for _, a := range gossip.Sample(r.fleet.all(), n) {
-		r.sendTo(a.conn, &wire.Gossip{})
+// send sends a datagram to n random agents.
+func (g *agentGossip) send(n int) {
+	for _, a := range gossip.Sample(g.fleet.all(), n) {
+		g.sendTo(a.conn, &wire.Gossip{})
 	}
 }
 
 // sendOverflow sends a chat's home the engine that served the chat.
-func (r *Router) sendOverflow(home, engine ryeford.EngineID, chat wire.ChatKey) {
-	a, ok := r.fleet.engine(home)
+func (g *agentGossip) sendOverflow(home, engine ryeford.EngineID, chat wire.ChatKey) {
+	a, ok := g.fleet.engine(home)
 	if !ok {
 		return
 	}
-	r.sendTo(a.conn, &wire.Gossip{Overflows: []wire.Overflow{{Home: home, Chat: chat, Engine: engine}}})
+	g.sendTo(a.conn, &wire.Gossip{Overflows: []wire.Overflow{{Home: home, Chat: chat, Engine: engine}}})
 }
 
 // sendTo sends one datagram, with the revision and the plan that are known here.
-func (r *Router) sendTo(conn *transport.Conn, m *wire.Gossip) {
-	m.VM = r.settings.VM
-	m.Revision = r.book.Revision()
-	m.PlanEpoch, m.PlanSequence = r.planner.plan.Version()
-	gossip.Send(r.control, m, conn)
+func (g *agentGossip) sendTo(conn *transport.Conn, m *wire.Gossip) {
+	m.VM = g.vm
+	m.Revision = g.book.Revision()
+	m.PlanEpoch, m.PlanSequence = g.plan.Version()
+	gossip.Send(g.control, m, conn)
 }
 
-// receiveGossip takes an agent's datagrams until the connection ends.
-func (r *Router) receiveGossip(ctx context.Context, conn *transport.Conn) {
+// receive takes an agent's datagrams until the connection ends.
+func (g *agentGossip) receive(ctx context.Context, conn *transport.Conn) {
 	gossip.Receive(ctx, conn, func(m *wire.Gossip) {
 		now := time.Now()
 		for _, l := range m.Loads {
-			r.loads.add(now, l.Model, l.Load)
+			g.loads.add(now, l.Model, l.Load)
 		}
-		if m.Revision > r.book.Revision() {
-			gossip.PullTemplates(ctx, conn, r.book)
+		if m.Revision > g.book.Revision() {
+			gossip.PullTemplates(ctx, conn, g.book)
 		}
 	})
 }
--- a/agentfleet/router/operators.go
+++ b/agentfleet/router/operators.go
@@ -81,7 +81,7 @@
 	case isExplain:
 		return r.explain(work, ryeford.RequestID(request)), nil
 	case path == PathPlan:
-		if plan := r.planner.plan.Get(); plan != nil {
+		if plan := r.plan.Get(); plan != nil {
 			return plan, nil
 		}
 		return &ryeford.Plan{}, nil
--- a/agentfleet/router/planner.go
+++ b/agentfleet/router/planner.go
@@ -5,12 +5,16 @@
 	"errors"
 	"time"
 
-	"github.com/google/uuid"
+	"github.com/go-kit/log"
 
+	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/decision"
 	"github.com/ryeford/ryeford/agentfleet/lease"
 	"github.com/ryeford/ryeford/agentfleet/placement"
 	"github.com/ryeford/ryeford/agentfleet/plan"
+	"github.com/ryeford/ryeford/agentfleet/template"
 	"github.com/ryeford/ryeford/internal/clock"
+	"github.com/ryeford/ryeford/settings"
 )
 
 const leaseName = "planner"
@@ -18,33 +22,30 @@
 // A planner keeps the current plan. On the router that holds the lease, it also makes
 // it.
 type planner struct {
-	router *Router
-	lease  *lease.Lease
-	recent recentEngines // used by run only
-	plan   *plan.Current
-}
-
-// newPlanner returns a planner without a plan.
-func newPlanner(r *Router) *planner {
-	return &planner{
-		router: r,
-		lease:  lease.New(r.platform, leaseName, r.settings.VM, uuid.NewString(), r.settings.Planner.Lease),
-		recent: make(recentEngines),
-		plan:   plan.NewCurrent(),
-	}
+	settings  *settings.Planner
+	table     ryeford.Table
+	objects   ryeford.ObjectStore
+	lease     *lease.Lease
+	book      *template.Book
+	fleet     *fleet
+	readiness *readiness
+	recent    recentEngines // used by run only
+	plan      *plan.Current
+	decisions *decision.Log
+	log       log.Logger
 }
 
 // run plans, or follows another router's plan, until ctx ends.
 func (p *planner) run(ctx context.Context) error {
-	if !p.router.settings.Planner.Enabled {
+	if !p.settings.Enabled {
 		return nil
 	}
 	for {
-		if !clock.Sleep(ctx, jitter(p.router.settings.Planner.Interval)) {
+		if !clock.Sleep(ctx, jitter(p.settings.Interval)) {
 			return nil
 		}
 		if err := p.round(ctx); err != nil && ctx.Err() == nil {
-			_ = p.router.log.Log("msg", "no planning", "err", err)
+			_ = p.log.Log("msg", "no planning", "err", err)
 		}
 	}
 }
@@ -64,7 +65,7 @@
 	if err := p.follow(ctx, pointer); err != nil {
 		return err
 	}
-	if held == nil || !p.router.synced.Load() || p.router.leaving.Load() {
+	if held == nil || !p.readiness.synced.Load() || p.readiness.leaving.Load() {
 		return nil
 	}
 	return p.publish(ctx, held, pointer, version)
@@ -72,7 +73,7 @@
 
 // acquire returns the lease, or nil if another router holds it or this one is leaving.
 func (p *planner) acquire(ctx context.Context) (*lease.Held, error) {
-	if p.router.leaving.Load() {
+	if p.readiness.leaving.Load() {
 		return nil, nil
 	}
 	held, err := p.lease.Acquire(ctx)
@@ -85,10 +86,10 @@
 
 // input returns what the next plan depends on.
 func (p *planner) input() *placement.Input {
-	s := &p.router.settings.Planner
+	s := p.settings
 	now := time.Now()
-	_, templates := p.router.book.Since(0)
-	connected, leaving := placeable(p.router.fleet.all(), p.plan.Get())
+	_, templates := p.book.Since(0)
+	connected, leaving := placeable(p.fleet.all(), p.plan.Get())
 	return &placement.Input{
 		Now:           now,
 		Templates:     templates,
--- a/agentfleet/router/planner_test.go
+++ b/agentfleet/router/planner_test.go
@@ -9,18 +9,11 @@
 
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/placement"
+	"github.com/ryeford/ryeford/agentfleet/plan"
 	"github.com/ryeford/ryeford/agentfleet/wire"
-	"github.com/ryeford/ryeford/internal/memtable"
+	"github.com/ryeford/ryeford/settings"
 )
 
-// A testPlatform is a platform whose table is in memory; its other services are
-// not called here.
-type testPlatform struct {
-	*memtable.Table
-	ryeford.ObjectStore
-	ryeford.VMList
-}
-
 // testAgent returns an agent with one engine.
 func testAgent(vm ryeford.VMID, model string) *agent {
 	return &agent{
@@ -35,32 +28,36 @@
 // then for longer.
 func TestFlappingMovesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newTestRouter()
-		r.platform = &testPlatform{Table: memtable.New(nil)}
-		p := newPlanner(r)
+		p := &planner{
+			settings: &settings.DefaultRouter().Planner,
+			book:     newTestRouter().book,
+			fleet:    newFleet(),
+			recent:   make(recentEngines),
+			plan:     plan.NewCurrent(),
+		}
 		lost := testAgent("endpoint-1", "lira")
-		r.fleet.put(lost)
-		r.fleet.put(testAgent("endpoint-2", "lira"))
+		p.fleet.put(lost)
+		p.fleet.put(testAgent("endpoint-2", "lira"))
 		engines := func() int { return len(p.input().Engines) }
 		assert.Equal(t, engines(), 2)
 		for range 2 {
-			r.fleet.remove("endpoint-1", nil)
+			p.fleet.remove("endpoint-1", nil)
 			time.Sleep(20 * time.Second)
 			assert.Equal(t, engines(), 2)
-			r.fleet.put(lost)
+			p.fleet.put(lost)
 			assert.Equal(t, engines(), 2)
 		}
 		assert.Equal(t, placement.Plan(p.input()).Moves, 0)
-		r.fleet.remove("endpoint-1", nil)
+		p.fleet.remove("endpoint-1", nil)
 		time.Sleep(31 * time.Second)
 		assert.Equal(t, engines(), 1)
 
 		// One that is leaving loses its place at once.
 		leaving := *lost
 		leaving.inventory = &wire.Inventory{VM: "endpoint-1", Leaving: true, Engines: lost.inventory.Engines}
-		r.fleet.put(lost)
+		p.fleet.put(lost)
 		assert.Equal(t, engines(), 2)
-		r.fleet.put(&leaving)
+		p.fleet.put(&leaving)
 		assert.Equal(t, engines(), 1)
 	})
 }
--- a/agentfleet/router/planstore.go
+++ b/agentfleet/router/planstore.go
@@ -27,7 +27,7 @@
 // readPointer returns the row that names the current plan, and its version.
 func (p *planner) readPointer(ctx context.Context) (planPointer, int64, error) {
 	var pointer planPointer
-	rows, err := p.router.platform.Get(ctx, rowPlan)
+	rows, err := p.table.Get(ctx, rowPlan)
 	if err != nil || rows[0].Version == 0 {
 		return pointer, 0, err
 	}
@@ -42,7 +42,7 @@
 	if !p.plan.OlderThan(pointer.Epoch, pointer.Sequence) {
 		return nil
 	}
-	content, err := p.router.platform.GetObject(ctx, pointer.Object)
+	content, err := p.objects.GetObject(ctx, pointer.Object)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 		return err
 	}
 	err = p.makeCurrent(ctx, held, planPointer{Epoch: plan.Epoch, Sequence: plan.Sequence, Object: object}, version)
-	p.router.decisions.Record("", "decision", "place", "epoch", plan.Epoch, "sequence", plan.Sequence,
+	p.decisions.Record("", "decision", "place", "epoch", plan.Epoch, "sequence", plan.Sequence,
 		"assignments", len(plan.Assignments), "moves", out.Moves, "late", out.Late, "accepted", err == nil, "err", err)
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 		return "", &PlanError{Op: "write plan", Err: err}
 	}
 	object := fmt.Sprintf(planObjectName, plan.Epoch, plan.Sequence)
-	return object, p.router.platform.PutObject(ctx, object, content)
+	return object, p.objects.PutObject(ctx, object, content)
 }
 
 // makeCurrent points the row to a plan and renews the lease, in one transaction. It
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = p.router.platform.Transact(ctx, renewal, ryeford.Write{Key: rowPlan, Value: value, IfVersion: version})
+	_, err = p.table.Transact(ctx, renewal, ryeford.Write{Key: rowPlan, Value: value, IfVersion: version})
 	return err
 }
 
--- a/agentfleet/router/publish.go
+++ b/agentfleet/router/publish.go
@@ -39,7 +39,7 @@
 }
 
 // catchUp reads the templates above a revision, which others published in between. If
-// that fails, syncTemplates or gossip does it later.
+// that fails, templateSync or gossip does it later.
 func (r *Router) catchUp(ctx context.Context, from int64) {
 	revision, templates, err := r.templates.Since(ctx, from)
 	if err != nil {
--- a/agentfleet/router/receive.go
+++ b/agentfleet/router/receive.go
@@ -85,6 +85,6 @@
 	x.forwarder.budgets.earn(req.account)
 	home, engine := x.candidates.home, x.stream.candidate.Engine
 	if home != "" && req.completion != nil && engine != home {
-		x.forwarder.sendOverflow(home, engine, wire.ChatKey{Account: req.account, Chat: req.chat})
+		x.forwarder.gossip.sendOverflow(home, engine, wire.ChatKey{Account: req.account, Chat: req.chat})
 	}
 }
--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -20,8 +20,6 @@
 import (
 	"context"
 	"crypto/tls"
-	"sync/atomic"
-	"time"
 
 	"github.com/go-kit/log"
 	"golang.org/x/sync/errgroup"
@@ -29,6 +27,7 @@
 	"github.com/ryeford/ryeford"
 	"github.com/ryeford/ryeford/agentfleet/claim"
 	"github.com/ryeford/ryeford/agentfleet/decision"
+	"github.com/ryeford/ryeford/agentfleet/plan"
 	"github.com/ryeford/ryeford/agentfleet/template"
 	"github.com/ryeford/ryeford/agentfleet/transport"
 	"github.com/ryeford/ryeford/internal/telemetry"
@@ -44,26 +43,28 @@
 
 // A Router serves callers and operators.
 type Router struct {
-	settings  *settings.Router
-	platform  Platform
-	log       log.Logger
-	decisions *decision.Log
-	metrics   *telemetry.Set
-	control   *transport.ControlLimiter
-	dialer    *transport.Dialer
+	settings *settings.Router
+	platform Platform
+	log      log.Logger
+	dialer   *transport.Dialer
 
-	book      *template.Book
+	agents       *agentList
+	gossip       *agentGossip
+	templateSync *templateSync
+	planner      *planner
+	drain        *drain
+	forwarder    *forwarder
+
+	// What several parts use:
+	book      *template.Book // kept by templateSync and gossip
 	templates *template.Store
-	synced    atomic.Bool // the book holds what the fleet had accepted
-	fleet     *fleet
+	plan      *plan.Current // kept by planner
+	fleet     *fleet        // kept by agents
 	loads     *loads
-	suspects  *suspects
 	claims    *claim.Claims
-	forwarder *forwarder
-	planner   *planner
-
-	leaving  atomic.Bool
-	inFlight atomic.Int64
+	readiness *readiness
+	decisions *decision.Log
+	metrics   *telemetry.Set
 }
 
 // New returns a Router.
@@ -72,59 +73,45 @@
 	if err != nil {
 		return nil, err
 	}
-	metrics := telemetry.NewSet()
+	fleet := newFleet()
 	r := &Router{
 		settings:  s,
 		platform:  platform,
 		log:       logger,
-		decisions: decision.NewLog(logger),
-		metrics:   metrics,
-		control:   transport.NewControlLimiter(s.Transport.ControlBytesPerSecond, metrics.ControlSent),
 		dialer:    dialer,
 		book:      template.NewBook(),
 		templates: template.NewStore(platform),
-		fleet:     newFleet(),
+		plan:      plan.NewCurrent(),
+		fleet:     fleet,
 		loads:     newLoads(),
-		suspects:  newSuspects(),
 		claims:    claim.New(platform),
+		readiness: &readiness{fleet: fleet},
+		decisions: decision.NewLog(logger),
+		metrics:   telemetry.NewSet(),
 	}
-	r.planner = newPlanner(r)
-	r.forwarder = r.newForwarder()
+	r.addAgents()
+	r.addTemplateSync()
+	r.addPlanner()
+	r.addCallers()
 	r.addMetrics()
 	return r, nil
 }
 
-// newForwarder returns what the exchanges of callers' requests share.
-func (r *Router) newForwarder() *forwarder {
-	return &forwarder{
-		limits:       &r.settings.Limits,
-		fleet:        r.fleet,
-		loads:        r.loads,
-		suspects:     r.suspects,
-		claims:       r.claims,
-		budgets:      newBudgets(&r.settings.Limits),
-		sendOverflow: r.sendOverflow,
-		decisions:    r.decisions,
-		log:          r.log,
-		metrics:      r.metrics,
-	}
-}
-
 // Run serves until ctx ends, and then until what is in flight has ended.
 func (r *Router) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	group, work := errgroup.WithContext(work)
-	group.Go(func() error { return r.pollVMs(work) })
-	group.Go(func() error { return r.syncTemplates(work) })
-	group.Go(func() error { return r.gossip(work) })
+	group.Go(func() error { return r.agents.run(work) })
+	group.Go(func() error { return r.templateSync.run(work) })
+	group.Go(func() error { return r.gossip.run(work) })
 	group.Go(func() error { return r.claims.Run(work) })
 	group.Go(func() error { return r.planner.run(work) })
 	group.Go(func() error { return r.serveHTTP(work, r.settings.Callers.AddrPort, r.serveCaller) })
 	group.Go(func() error { return r.serveHTTP(work, r.settings.Operators.AddrPort, r.serveOperator) })
 	group.Go(func() error {
 		defer cancel()
-		return r.drain(ctx, work)
+		return r.drain.run(ctx, work)
 	})
 	_ = r.log.Log("msg", "started", "role", "router", "callers", r.settings.Callers, "operators", r.settings.Operators)
 	err := group.Wait()
@@ -132,11 +119,3 @@
 	_ = r.log.Log("msg", "stopped", "role", "router")
 	return err
 }
-
-// addMetrics adds the gauges.
-func (r *Router) addMetrics() {
-	r.metrics.Gauge("ryeford_revision", func() float64 { return float64(r.book.Revision()) })
-	r.metrics.Gauge("ryeford_agents_connected", func() float64 { return float64(r.fleet.reachable()) })
-	r.metrics.Gauge("ryeford_in_flight", func() float64 { return float64(r.inFlight.Load()) })
-	r.metrics.Gauge("ryeford_skew", func() float64 { return r.loads.skew(time.Now()) })
-}
--- a/agentfleet/router/status.go
+++ b/agentfleet/router/status.go
@@ -60,10 +60,10 @@
 	s := &Status{
 		Router:   r.settings.VM,
 		Domain:   r.settings.FailureDomain,
-		Ready:    r.Ready(),
-		Leaving:  r.leaving.Load(),
+		Ready:    r.readiness.ready(),
+		Leaving:  r.readiness.leaving.Load(),
 		Revision: r.book.Revision(),
-		InFlight: r.inFlight.Load(),
+		InFlight: r.drain.inFlight.Load(),
 		Skew:     r.loads.skew(time.Now()),
 	}
 	agents := r.fleet.all()
--- a/agentfleet/router/sync.go
+++ b/agentfleet/router/sync.go
@@ -4,7 +4,11 @@
 	"context"
 	"time"
 
+	"github.com/go-kit/log"
+
+	"github.com/ryeford/ryeford/agentfleet/decision"
 	"github.com/ryeford/ryeford/agentfleet/gossip"
+	"github.com/ryeford/ryeford/agentfleet/template"
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
@@ -18,13 +22,24 @@
 	syncInterval = 500 * time.Millisecond
 )
 
-// syncTemplates reads the accepted templates from the platform's table, until ctx ends.
+// A templateSync brings the book up to the templates that the fleet has accepted.
+type templateSync struct {
+	store     *template.Store
+	interval  time.Duration // between reads of the table, before jitter
+	book      *template.Book
+	fleet     *fleet
+	readiness *readiness
+	decisions *decision.Log
+	log       log.Logger
+}
+
+// run reads the accepted templates from the platform's table, until ctx ends.
 // It makes up for what gossip loses.
-func (r *Router) syncTemplates(ctx context.Context) error {
+func (s *templateSync) run(ctx context.Context) error {
 	for {
-		r.syncOnce(ctx)
-		wait := jitter(r.settings.Polls.Templates)
-		if !r.synced.Load() {
+		s.syncOnce(ctx)
+		wait := jitter(s.interval)
+		if !s.readiness.synced.Load() {
 			wait = syncInterval
 		}
 		if !clock.Sleep(ctx, wait) {
@@ -35,37 +50,37 @@
 
 // syncOnce reads the templates from the table. If that fails, a router that has none
 // asks agents, and one that has some goes on with them.
-func (r *Router) syncOnce(ctx context.Context) {
-	from := r.book.Revision()
-	revision, templates, err := r.templates.Since(ctx, from)
+func (s *templateSync) syncOnce(ctx context.Context) {
+	from := s.book.Revision()
+	revision, templates, err := s.store.Since(ctx, from)
 	if err == nil {
-		r.book.Apply(from, revision, templates)
-		r.setSynced("store")
+		s.book.Apply(from, revision, templates)
+		s.setSynced("store")
 		return
 	}
 	if ctx.Err() == nil {
-		_ = r.log.Log("msg", "templates not read", "err", err)
+		_ = s.log.Log("msg", "templates not read", "err", err)
 	}
-	if !r.synced.Load() {
-		r.syncFromAgents(ctx)
+	if !s.readiness.synced.Load() {
+		s.syncFromAgents(ctx)
 	}
 }
 
 // syncFromAgents brings a fresh router up while the table can't be read: it takes the
 // highest revision of several agents.
-func (r *Router) syncFromAgents(ctx context.Context) {
-	agents := r.fleet.all()
+func (s *templateSync) syncFromAgents(ctx context.Context) {
+	agents := s.fleet.all()
 	answered := 0
 	for _, a := range gossip.Sample(agents, len(agents)) {
 		if answered == syncQuorum {
 			break
 		}
-		if revision, ok := gossip.PullTemplates(ctx, a.conn, r.book); ok && revision > 0 {
+		if revision, ok := gossip.PullTemplates(ctx, a.conn, s.book); ok && revision > 0 {
 			answered++
 		}
 	}
 	if agentsSuffice(answered, len(agents)) {
-		r.setSynced("agents")
+		s.setSynced("agents")
 	}
 }
 
@@ -76,8 +91,8 @@
 }
 
 // setSynced marks the book as complete: it holds what the fleet had accepted.
-func (r *Router) setSynced(source string) {
-	if r.synced.CompareAndSwap(false, true) {
-		r.decisions.Record("", "decision", "synced", "source", source, "revision", r.book.Revision())
+func (s *templateSync) setSynced(source string) {
+	if s.readiness.synced.CompareAndSwap(false, true) {
+		s.decisions.Record("", "decision", "synced", "source", source, "revision", s.book.Revision())
 	}
 }
