--- a/agentfleet/router/answers.go
+++ b/agentfleet/router/answers.go
@@ -13,12 +13,12 @@
 
 // writeAnswer writes the answer of a started exchange, in the form that the caller
 // asked for. From here on the answerStream ends the exchange.
-func (r *Router) writeAnswer(work context.Context, cancel context.CancelFunc, ctx *fasthttp.RequestCtx, x *exchange) {
+func (h *callerHandler) writeAnswer(work context.Context, cancel context.CancelFunc, ctx *fasthttp.RequestCtx, x *exchange) {
 	header := &ctx.Response.Header
 	header.Set(HeaderRequest, string(x.request.id))
 	header.Set(HeaderEngine, string(x.stream.candidate.Engine))
 	header.Set(HeaderTries, strconv.Itoa(x.history.dispatches))
-	body := &answerStream{router: r, exchange: x, ctx: work, cancel: cancel}
+	body := &answerStream{callers: h, exchange: x, ctx: work, cancel: cancel}
 	switch {
 	case x.request.call != nil:
 		writeCallAnswer(ctx, body)
--- a/agentfleet/router/answerstream.go
+++ b/agentfleet/router/answerstream.go
@@ -12,7 +12,7 @@
 // An answerStream is the body of a streamed answer. The HTTP server reads it,
 // and closes it when the answer has ended or the caller is gone.
 type answerStream struct {
-	router   *Router
+	callers  *callerHandler
 	exchange *exchange
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -41,10 +41,10 @@
 	s.once.Do(func() {
 		x := s.exchange
 		if !s.ended {
-			s.router.decisions.Record(x.request.id, "decision", "caller_gone", "request", x.request.id, "offset", x.delivered.next)
+			x.forwarder.decisions.Record(x.request.id, "decision", "caller_gone", "request", x.request.id, "offset", x.delivered.next)
 			x.stream.cancel()
 		}
-		s.router.finish(x, s.cancel)
+		s.callers.finish(x, s.cancel)
 	})
 }
 
@@ -70,10 +70,10 @@
 
 // logInterrupted logs an answer that broke off.
 func (s *answerStream) logInterrupted(err error) {
-	req := s.exchange.request
-	s.router.metrics.Count("ryeford_interrupted_total", string(reasonOf(err)))
-	s.router.decisions.Record(req.id, "decision", "interrupt", "request", req.id, "account", req.account, "chat", req.chat,
-		"engine", s.exchange.stream.candidate.Engine, "offset", s.exchange.delivered.next, "reason", reasonOf(err), "err", err)
+	x, req := s.exchange, s.exchange.request
+	x.forwarder.metrics.Count("ryeford_interrupted_total", string(reasonOf(err)))
+	x.forwarder.decisions.Record(req.id, "decision", "interrupt", "request", req.id, "account", req.account, "chat", req.chat,
+		"engine", x.stream.candidate.Engine, "offset", x.delivered.next, "reason", reasonOf(err), "err", err)
 }
 
 // encodeData passes the bytes of a chunk on.
@@ -112,6 +112,6 @@
 // parts are strings and numbers of ours, so that it would be a fault of this program.
 func (s *answerStream) writeEvent(event eventstream.Event) {
 	if err := s.buf.WriteEvent(event); err != nil {
-		_ = s.router.log.Log("msg", "event not encoded", "request", s.exchange.request.id, "err", err)
+		_ = s.exchange.forwarder.log.Log("msg", "event not encoded", "request", s.exchange.request.id, "err", err)
 	}
 }
--- a/agentfleet/router/callers.go
+++ b/agentfleet/router/callers.go
@@ -9,7 +9,10 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/template"
+	"github.com/ryeford/ryeford/internal/telemetry"
 	"github.com/ryeford/ryeford/retry"
+	"github.com/ryeford/ryeford/settings"
 )
 
 // The headers that callers use.
@@ -37,22 +40,34 @@
 // configuration yet, or has no engine for the request. Not measured.
 const unavailableRetryAfter = time.Second
 
-// serveCaller answers one request of a caller or of the load balancer.
-func (r *Router) serveCaller(ctx *fasthttp.RequestCtx) {
+// A callerHandler serves callers' HTTP: it parses a request, and has an exchange find the
+// answer.
+type callerHandler struct {
+	limits    *settings.RouterLimits
+	book      *template.Book
+	fleet     *fleet
+	readiness *readiness
+	drain     *drain
+	forwarder *forwarder
+	metrics   *telemetry.Set
+}
+
+// serve answers one request of a caller or of the load balancer.
+func (h *callerHandler) serve(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
 	case path == "/healthz":
 		ctx.SetBodyString("ok\n")
 	case path == "/readyz":
-		r.serveReady(ctx)
+		h.serveReady(ctx)
 	case path == "/metrics":
-		ctx.SetBody(r.metrics.Write())
+		ctx.SetBody(h.metrics.Write())
 	case path == PathCompletions && ctx.IsPost():
-		r.serveRequest(ctx, r.parseCompletion)
+		h.serveRequest(ctx, h.parseCompletion)
 	case path == PathAnswers && ctx.IsGet():
-		r.serveResume(ctx)
+		h.serveResume(ctx)
 	case strings.HasPrefix(path, PathServices):
-		r.serveRequest(ctx, r.parseCall)
+		h.serveRequest(ctx, h.parseCall)
 	case path == PathCompletions || path == PathAnswers:
 		writeError(ctx, "", &ryeford.InputError{Field: "method", Problem: "not allowed here", Status: fasthttp.StatusMethodNotAllowed})
 	default:
@@ -61,8 +76,8 @@
 }
 
 // serveReady answers the load balancer's readiness probe.
-func (r *Router) serveReady(ctx *fasthttp.RequestCtx) {
-	if r.readiness.ready() {
+func (h *callerHandler) serveReady(ctx *fasthttp.RequestCtx) {
+	if h.readiness.ready() {
 		ctx.SetBodyString("ready\n")
 		return
 	}
@@ -71,52 +86,52 @@
 }
 
 // serveRequest parses a request, serves it and writes the answer.
-func (r *Router) serveRequest(ctx *fasthttp.RequestCtx, parse func(*fasthttp.RequestCtx, *request) error) {
+func (h *callerHandler) serveRequest(ctx *fasthttp.RequestCtx, parse func(*fasthttp.RequestCtx, *request) error) {
 	req := &request{id: ryeford.RequestID(uuid.NewString())}
-	if !r.readiness.synced.Load() {
+	if !h.readiness.synced.Load() {
 		writeError(ctx, req.id, &ryeford.NotRunError{Reason: ryeford.ReasonNotReady, RetryAfter: retry.Spread(unavailableRetryAfter)})
 		return
 	}
-	err := r.parseCommon(ctx, req)
+	err := h.parseCommon(ctx, req)
 	if err == nil {
 		err = parse(ctx, req)
 	}
 	if err != nil {
-		r.metrics.Count("ryeford_requests_total", "input")
+		h.metrics.Count("ryeford_requests_total", "input")
 		writeError(ctx, req.id, err)
 		return
 	}
-	r.drain.inFlight.Add(1)
+	h.drain.inFlight.Add(1)
 	began := time.Now()
 	work, cancel := context.WithDeadline(context.Background(), req.deadline)
-	x := r.forwarder.newExchange(req)
+	x := h.forwarder.newExchange(req)
 	if err := x.start(work); err != nil {
 		x.logGivenUp(err)
-		r.finish(x, cancel)
+		h.finish(x, cancel)
 		writeError(ctx, req.id, err)
 		return
 	}
 	x.logRouted(time.Since(began))
-	r.writeAnswer(work, cancel, ctx, x)
+	h.writeAnswer(work, cancel, ctx, x)
 }
 
 // finish ends an exchange.
-func (r *Router) finish(x *exchange, cancel context.CancelFunc) {
+func (h *callerHandler) finish(x *exchange, cancel context.CancelFunc) {
 	x.stream.close()
 	cancel()
-	r.drain.inFlight.Add(-1)
+	h.drain.inFlight.Add(-1)
 }
 
 // serveResume goes on with an answer that the caller has a part of. It asks the one
 // agent that the event id names.
-func (r *Router) serveResume(ctx *fasthttp.RequestCtx) {
+func (h *callerHandler) serveResume(ctx *fasthttp.RequestCtx) {
 	req := &request{
 		stream:     true,
 		chat:       "resume",
-		deadline:   time.Now().Add(r.settings.Limits.DefaultDeadline),
+		deadline:   time.Now().Add(h.limits.DefaultDeadline),
 		completion: &ryeford.Completion{},
 	}
-	if err := r.authenticate(ctx, req); err != nil {
+	if err := h.authenticate(ctx, req); err != nil {
 		writeError(ctx, req.id, err)
 		return
 	}
@@ -125,19 +140,18 @@
 		writeError(ctx, req.id, err)
 		return
 	}
-	r.drain.inFlight.Add(1)
+	h.drain.inFlight.Add(1)
 	work, cancel := context.WithDeadline(context.Background(), req.deadline)
-	x := r.forwarder.resumeExchange(req, last)
+	x := h.forwarder.resumeExchange(req, last)
 	found, err := x.joinAt(work, last.candidate, false)
 	if !found && err == nil {
 		err = &ryeford.NotRunError{Reason: ryeford.ReasonTombstone}
 	}
 	if err != nil {
-		r.finish(x, cancel)
+		h.finish(x, cancel)
 		writeError(ctx, req.id, err)
 		return
 	}
-	r.decisions.Record(req.id, "decision", "resume", "request", req.id, "account", req.account,
-		"vm", last.candidate.VM, "attempt", last.attempt, "offset", x.delivered.next)
-	r.writeAnswer(work, cancel, ctx, x)
+	x.logResumed()
+	h.writeAnswer(work, cancel, ctx, x)
 }
--- a/agentfleet/router/callers_test.go
+++ b/agentfleet/router/callers_test.go
@@ -45,7 +45,7 @@
 		ctx.Request.Header.Set(name, value)
 	}
 	ctx.Request.SetBodyString(body)
-	r.serveCaller(ctx)
+	r.callers.serve(ctx)
 	return ctx
 }
 
--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -140,3 +140,10 @@
 	x.forwarder.decisions.Record(req.id, "decision", "give_up", "request", req.id, "account", req.account, "chat", req.chat,
 		"tries", x.history.dispatches, "reason", reasonOf(err), "mean", x.poolMean(), "err", err)
 }
+
+// logResumed logs from where the rest of an answer is read.
+func (x *exchange) logResumed() {
+	req := x.request
+	x.forwarder.decisions.Record(req.id, "decision", "resume", "request", req.id, "account", req.account,
+		"vm", x.stream.candidate.VM, "attempt", x.attempt.id, "offset", x.delivered.next)
+}
--- a/agentfleet/router/forwarder.go
+++ b/agentfleet/router/forwarder.go
@@ -13,7 +13,8 @@
 )
 
 // A forwarder is what all exchanges share: what is known of the engines, the
-// connections to their agents, and the accounts' budgets. It owns nothing.
+// connections to their agents, and the accounts' budgets. It owns the suspects and the
+// budgets.
 type forwarder struct {
 	limits    *settings.RouterLimits
 	fleet     *fleet
--- a/agentfleet/router/http.go
+++ b/agentfleet/router/http.go
@@ -22,19 +22,22 @@
 	idleTimeout = 2 * time.Minute
 )
 
-// serveHTTP runs an HTTP server until ctx ends. Its error is a *ListenError.
-func (r *Router) serveHTTP(ctx context.Context, address netip.AddrPort, handler fasthttp.RequestHandler) error {
+// serveHTTP runs an HTTP server, for bodies of maxBody bytes at most, until ctx ends. Its
+// error is a *ListenError.
+func serveHTTP(ctx context.Context, address netip.AddrPort, maxBody int, handler fasthttp.RequestHandler) error {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
 		return &ListenError{Address: address, Err: err}
 	}
 	server := &fasthttp.Server{
 		Handler:               handler,
-		MaxRequestBodySize:    r.settings.Limits.MaxBody,
+		MaxRequestBodySize:    maxBody,
 		NoDefaultServerHeader: true,
 		ReadTimeout:           readTimeout,
 		IdleTimeout:           idleTimeout,
-		ErrorHandler:          r.serveBadRequest,
+		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
+			writeError(ctx, "", newBadRequest(err, maxBody))
+		},
 	}
 	if err := httpserver.Serve(ctx, listener, server); err != nil {
 		return &ListenError{Address: address, Err: err}
@@ -54,12 +57,12 @@
 // Unwrap returns the cause of e.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// serveBadRequest answers a request that is not HTTP, or is too large.
-func (r *Router) serveBadRequest(ctx *fasthttp.RequestCtx, err error) {
+// newBadRequest returns the failure of a request that is not HTTP, or is too large.
+func newBadRequest(err error, maxBody int) *ryeford.InputError {
 	problem := &ryeford.InputError{Field: "request", Problem: "not a valid HTTP request", Status: fasthttp.StatusBadRequest}
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-		problem.Problem = "body larger than " + strconv.Itoa(r.settings.Limits.MaxBody) + " bytes"
+		problem.Problem = "body larger than " + strconv.Itoa(maxBody) + " bytes"
 		problem.Status = fasthttp.StatusRequestEntityTooLarge
 	}
-	writeError(ctx, "", problem)
+	return problem
 }
--- a/agentfleet/router/join.go
+++ b/agentfleet/router/join.go
@@ -32,10 +32,7 @@
 	}
 	x.stream.close()
 	x.history.rejoins++
-	limit := time.Now().Add(rejoinTime)
-	if x.request.deadline.Before(limit) {
-		limit = x.request.deadline
-	}
+	limit := x.request.within(rejoinTime)
 	for time.Now().Before(limit) {
 		reply, stream, err := x.join(ctx, x.stream.candidate, false, limit)
 		if err == nil {
--- a/agentfleet/router/operators.go
+++ b/agentfleet/router/operators.go
@@ -8,9 +8,13 @@
 	"strings"
 	"time"
 
+	"github.com/go-kit/log"
 	"github.com/valyala/fasthttp"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/agentfleet/decision"
+	"github.com/ryeford/ryeford/agentfleet/plan"
+	"github.com/ryeford/ryeford/agentfleet/template"
 )
 
 // The paths that operators use.
@@ -29,15 +33,33 @@
 // the calls of the platform that a publish repeats.
 const operatorTimeout = 10 * time.Second
 
-// serveOperator answers one request of an operator.
-func (r *Router) serveOperator(ctx *fasthttp.RequestCtx) {
-	if !r.isOperator(ctx) {
+// An operatorHandler serves operators' HTTP: templates, planned stops, and what this
+// router knows.
+type operatorHandler struct {
+	key       string       // the operators' bearer token
+	vm        ryeford.VMID // of this router
+	domain    string       // its failure domain
+	vms       ryeford.VMList
+	templates *template.Store
+	book      *template.Book
+	plan      *plan.Current
+	fleet     *fleet
+	loads     *loads
+	readiness *readiness
+	drain     *drain
+	decisions *decision.Log
+	log       log.Logger
+}
+
+// serve answers one request of an operator.
+func (h *operatorHandler) serve(ctx *fasthttp.RequestCtx) {
+	if !h.isOperator(ctx) {
 		writeError(ctx, "", &ryeford.InputError{Field: "Authorization", Problem: "want the operators' bearer token", Status: fasthttp.StatusUnauthorized})
 		return
 	}
 	work, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
-	answer, err := r.operate(work, ctx)
+	answer, err := h.operate(work, ctx)
 	var content []byte
 	if err == nil {
 		content, err = json.Marshal(answer)
@@ -52,14 +74,14 @@
 }
 
 // isOperator checks the operators' key in constant time.
-func (r *Router) isOperator(ctx *fasthttp.RequestCtx) bool {
+func (h *operatorHandler) isOperator(ctx *fasthttp.RequestCtx) bool {
 	got := sha256.Sum256(ctx.Request.Header.Peek("Authorization"))
-	want := sha256.Sum256([]byte(bearerPrefix + r.settings.OperatorKey))
+	want := sha256.Sum256([]byte(bearerPrefix + h.key))
 	return subtle.ConstantTimeCompare(got[:], want[:]) == 1
 }
 
 // operate does what an operator asks.
-func (r *Router) operate(work context.Context, ctx *fasthttp.RequestCtx) (any, error) {
+func (h *operatorHandler) operate(work context.Context, ctx *fasthttp.RequestCtx) (any, error) {
 	path := string(ctx.Path())
 	name, isTemplate := strings.CutPrefix(path, PathTemplates+"/")
 	history, isHistory := strings.CutPrefix(path, PathHistory)
@@ -67,21 +89,21 @@
 	request, isExplain := strings.CutPrefix(path, PathExplain)
 	switch {
 	case path == PathTemplates && ctx.IsPost():
-		return r.publish(work, ctx.PostBody())
+		return h.publish(work, ctx.PostBody())
 	case path == PathTemplates:
-		return r.templates.All(work)
+		return h.templates.All(work)
 	case isTemplate:
-		return r.getTemplate(work, name)
+		return h.getTemplate(work, name)
 	case isHistory:
-		return r.getHistory(work, history)
+		return h.getHistory(work, history)
 	case isVM && ctx.IsPost() && strings.HasSuffix(vm, stopSuffix):
-		return r.stopVM(work, ryeford.VMID(strings.TrimSuffix(vm, stopSuffix)))
+		return h.stopVM(work, ryeford.VMID(strings.TrimSuffix(vm, stopSuffix)))
 	case path == PathStatus:
-		return r.status(work), nil
+		return h.status(work), nil
 	case isExplain:
-		return r.explain(work, ryeford.RequestID(request)), nil
+		return h.explain(work, ryeford.RequestID(request)), nil
 	case path == PathPlan:
-		if plan := r.plan.Get(); plan != nil {
+		if plan := h.plan.Get(); plan != nil {
 			return plan, nil
 		}
 		return &ryeford.Plan{}, nil
--- a/agentfleet/router/parse.go
+++ b/agentfleet/router/parse.go
@@ -27,8 +27,8 @@
 )
 
 // parseCommon reads what all requests carry.
-func (r *Router) parseCommon(ctx *fasthttp.RequestCtx, req *request) error {
-	if err := r.authenticate(ctx, req); err != nil {
+func (h *callerHandler) parseCommon(ctx *fasthttp.RequestCtx, req *request) error {
+	if err := h.authenticate(ctx, req); err != nil {
 		return err
 	}
 	header := &ctx.Request.Header
@@ -48,7 +48,7 @@
 		return err
 	}
 	req.repeatable = repeatable
-	deadline, err := parseDeadline(ctx, r.settings.Limits.DefaultDeadline)
+	deadline, err := parseDeadline(ctx, h.limits.DefaultDeadline)
 	if err != nil {
 		return err
 	}
@@ -71,9 +71,9 @@
 }
 
 // authenticate finds the client account of the request's key.
-func (r *Router) authenticate(ctx *fasthttp.RequestCtx, req *request) error {
+func (h *callerHandler) authenticate(ctx *fasthttp.RequestCtx, req *request) error {
 	key, ok := strings.CutPrefix(string(ctx.Request.Header.Peek("Authorization")), bearerPrefix)
-	account, known := r.book.Account(key)
+	account, known := h.book.Account(key)
 	if !ok || !known {
 		return &ryeford.InputError{Field: "Authorization", Problem: "want the bearer token of a client account", Status: fasthttp.StatusUnauthorized}
 	}
@@ -117,7 +117,7 @@
 }
 
 // parseCompletion reads a chat completion.
-func (r *Router) parseCompletion(ctx *fasthttp.RequestCtx, req *request) error {
+func (h *callerHandler) parseCompletion(ctx *fasthttp.RequestCtx, req *request) error {
 	var body completionRequest
 	if err := json.Unmarshal(ctx.PostBody(), &body); err != nil {
 		return &ryeford.InputError{Field: "body", Problem: "not the JSON of a chat completion: " + err.Error()}
@@ -130,7 +130,7 @@
 	case body.MaxTokens < 0 || body.MaxTokens > maxTokens:
 		return &ryeford.InputError{Field: "max_tokens", Problem: "want 1 to 1048576, or none"}
 	}
-	template, ok := r.book.Find(req.account, body.Model)
+	template, ok := h.book.Find(req.account, body.Model)
 	if !ok {
 		return &ryeford.InputError{Field: "model", Problem: "no template of the account serves it", Status: fasthttp.StatusNotFound}
 	}
@@ -166,11 +166,11 @@
 }
 
 // parseCall reads a call of a plain service.
-func (r *Router) parseCall(ctx *fasthttp.RequestCtx, req *request) error {
+func (h *callerHandler) parseCall(ctx *fasthttp.RequestCtx, req *request) error {
 	uri := strings.TrimPrefix(string(ctx.RequestURI()), PathServices)
 	name, rest, _ := strings.Cut(uri, "/")
 	name, _, _ = strings.Cut(name, "?")
-	if r.fleet.service(name) == nil {
+	if h.fleet.service(name) == nil {
 		return &ryeford.InputError{Field: "service", Problem: "no such service", Status: fasthttp.StatusNotFound}
 	}
 	priority, err := parsePriority(ctx, ryeford.PriorityHighest)
--- a/agentfleet/router/publish.go
+++ b/agentfleet/router/publish.go
@@ -11,7 +11,7 @@
 )
 
 // publish accepts a template, and puts it in force here at once.
-func (r *Router) publish(ctx context.Context, body []byte) (*ryeford.Template, error) {
+func (h *operatorHandler) publish(ctx context.Context, body []byte) (*ryeford.Template, error) {
 	var t ryeford.Template
 	if err := json.Unmarshal(body, &t); err != nil {
 		return nil, &ryeford.InputError{Field: "body", Problem: err.Error()}
@@ -20,58 +20,58 @@
 		return nil, err
 	}
 	for _, hash := range t.KeyHashes {
-		if owner, ok := r.book.KeyOwner(hash); ok && owner != t.Account {
+		if owner, ok := h.book.KeyOwner(hash); ok && owner != t.Account {
 			return nil, &ryeford.InputError{Field: "keys", Problem: "a key belongs to another client account"}
 		}
 	}
-	from := r.book.Revision()
-	published, err := r.templates.Publish(ctx, t)
+	from := h.book.Revision()
+	published, err := h.templates.Publish(ctx, t)
 	if err != nil {
-		r.decisions.Record("", "decision", "not_published", "account", t.Account, "template", t.Name, "change", t.Change, "based", t.Sequence, "err", err)
+		h.decisions.Record("", "decision", "not_published", "account", t.Account, "template", t.Name, "change", t.Change, "based", t.Sequence, "err", err)
 		return nil, err
 	}
-	r.decisions.Record("", "decision", "published", "account", t.Account, "template", t.Name, "change", t.Change,
+	h.decisions.Record("", "decision", "published", "account", t.Account, "template", t.Name, "change", t.Change,
 		"sequence", published.Sequence, "revision", published.Revision)
-	if !r.book.Apply(published.Revision-1, published.Revision, []ryeford.Template{*published}) {
-		r.catchUp(ctx, from)
+	if !h.book.Apply(published.Revision-1, published.Revision, []ryeford.Template{*published}) {
+		h.catchUp(ctx, from)
 	}
 	return published, nil
 }
 
 // catchUp reads the templates above a revision, which others published in between. If
 // that fails, templateSync or gossip does it later.
-func (r *Router) catchUp(ctx context.Context, from int64) {
-	revision, templates, err := r.templates.Since(ctx, from)
+func (h *operatorHandler) catchUp(ctx context.Context, from int64) {
+	revision, templates, err := h.templates.Since(ctx, from)
 	if err != nil {
-		_ = r.log.Log("msg", "templates not read", "err", err)
+		_ = h.log.Log("msg", "templates not read", "err", err)
 		return
 	}
-	r.book.Apply(from, revision, templates)
+	h.book.Apply(from, revision, templates)
 }
 
 // getTemplate returns a template as it was accepted last.
-func (r *Router) getTemplate(ctx context.Context, text string) (*ryeford.Template, error) {
+func (h *operatorHandler) getTemplate(ctx context.Context, text string) (*ryeford.Template, error) {
 	name, err := template.ParseName(text)
 	if err != nil {
 		return nil, err
 	}
-	return r.templates.Get(ctx, name)
+	return h.templates.Get(ctx, name)
 }
 
 // getHistory returns all versions of a template.
-func (r *Router) getHistory(ctx context.Context, text string) ([]ryeford.Template, error) {
+func (h *operatorHandler) getHistory(ctx context.Context, text string) ([]ryeford.Template, error) {
 	name, err := template.ParseName(text)
 	if err != nil {
 		return nil, err
 	}
-	return r.templates.History(ctx, name)
+	return h.templates.History(ctx, name)
 }
 
 // stopVM begins a planned stop: it marks the VM as leaving in the platform's list and
 // orders the agent there, if there is one, to leave at once. If the agent does not
 // answer, it reads the list itself.
-func (r *Router) stopVM(ctx context.Context, id ryeford.VMID) (*ryeford.VM, error) {
-	vms, err := r.platform.VMs(ctx)
+func (h *operatorHandler) stopVM(ctx context.Context, id ryeford.VMID) (*ryeford.VM, error) {
+	vms, err := h.vms.VMs(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -81,13 +81,13 @@
 	}
 	vm := vms[at]
 	vm.State = ryeford.VMLeaving
-	if err := r.platform.PutVM(ctx, vm); err != nil {
+	if err := h.vms.PutVM(ctx, vm); err != nil {
 		return nil, err
 	}
-	r.fleet.setVM(vm)
-	if a, ok := r.fleet.vm(id); ok {
+	h.fleet.setVM(vm)
+	if a, ok := h.fleet.vm(id); ok {
 		_, err = a.conn.Ask(ctx, &wire.Message{Leave: &wire.Leave{}})
 	}
-	r.decisions.Record("", "decision", "stop_vm", "vm", id, "role", vm.Role, "failure_domain", vm.FailureDomain, "err", err)
+	h.decisions.Record("", "decision", "stop_vm", "vm", id, "role", vm.Role, "failure_domain", vm.FailureDomain, "err", err)
 	return &vm, nil
 }
--- a/agentfleet/router/receive.go
+++ b/agentfleet/router/receive.go
@@ -18,7 +18,7 @@
 // another engine. An engine's own error, which names no reason, is an answer: it is
 // passed on.
 func (x *exchange) awaitFirst(ctx context.Context) error {
-	if err := x.stream.receive(ctx, x.request.id, x.receiveBy(x.forwarder.limits.FirstToken)); err != nil {
+	if err := x.receive(ctx, x.forwarder.limits.FirstToken); err != nil {
 		return x.resolveLost(ctx, err)
 	}
 	first := &x.stream.ready[0]
@@ -31,14 +31,10 @@
 	return chunkError(first)
 }
 
-// receiveBy returns until when chunks are waited for: for limit, but not beyond the
-// request's deadline.
-func (x *exchange) receiveBy(limit time.Duration) time.Time {
-	by := time.Now().Add(limit)
-	if x.request.deadline.Before(by) {
-		return x.request.deadline
-	}
-	return by
+// receive waits until there are chunks to pass on, for limit or until the request's
+// deadline.
+func (x *exchange) receive(ctx context.Context, limit time.Duration) error {
+	return x.stream.receive(ctx, x.request.id, x.request.within(limit))
 }
 
 // read returns the answer's next chunk. After an error the answer is not complete and
@@ -46,7 +42,7 @@
 func (x *exchange) read(ctx context.Context) (ryeford.Chunk, error) {
 	for {
 		if len(x.stream.ready) == 0 {
-			if err := x.stream.receive(ctx, x.request.id, x.receiveBy(x.forwarder.limits.BetweenTokens)); err != nil {
+			if err := x.receive(ctx, x.forwarder.limits.BetweenTokens); err != nil {
 				if err := x.recover(ctx, err); err != nil {
 					return ryeford.Chunk{}, err
 				}
--- a/agentfleet/router/request.go
+++ b/agentfleet/router/request.go
@@ -32,3 +32,13 @@
 // claimed reports whether the request needs a claim on its key: it may not run twice,
 // and its caller may send it again.
 func (req *request) claimed() bool { return !req.repeatable && req.key != "" }
+
+// within returns the time after limit from now, or the request's deadline if that is
+// earlier.
+func (req *request) within(limit time.Duration) time.Time {
+	at := time.Now().Add(limit)
+	if req.deadline.Before(at) {
+		return req.deadline
+	}
+	return at
+}
--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -8,13 +8,18 @@
 // restart. Claims of idempotency keys, templates, plans and the planner's lease are rows
 // and objects of the platform.
 //
-// A request goes from callers.go through parse.go to exchange.go, which dispatches it
-// (dispatch.go), receives the answer (receive.go) and recovers it (recover.go, join.go);
-// one with an idempotency key that must not run twice is claimed first (claimed.go). The
-// rules are functions without I/O: afterFailure and finalError in retry.go,
-// afterLostStream in recover.go, afterClaim in claimed.go, mayWait and mayRedirect in
-// dispatch.go, newErrorBody in failure.go, ready in readiness.go. docs/decisions.md lists
-// them.
+// A Router wires its parts together (wiring.go) and runs them: agentList, agentGossip and
+// agentRequests for the agents, templateSync, planner, drain, callerHandler and
+// operatorHandler.
+//
+// A request goes from callers.go through parse.go to an exchange (exchange.go), which
+// dispatches it (dispatch.go), receives the answer (receive.go) and recovers it
+// (recover.go, join.go); one with an idempotency key that must not run twice is claimed
+// first (claimed.go). What all exchanges share is in forwarder.go. The rules are functions
+// without I/O: afterFailure and finalError in retry.go, afterLostStream in recover.go,
+// afterClaim in claimed.go, mayWait and mayRedirect in dispatch.go, redirected in
+// candidates.go, newErrorBody in failure.go, ready in readiness.go. docs/decisions.md
+// lists them.
 package router
 
 import (
@@ -53,7 +58,8 @@
 	templateSync *templateSync
 	planner      *planner
 	drain        *drain
-	forwarder    *forwarder
+	callers      *callerHandler
+	operators    *operatorHandler
 
 	// What several parts use:
 	book      *template.Book // kept by templateSync and gossip
@@ -93,6 +99,7 @@
 	r.addTemplateSync()
 	r.addPlanner()
 	r.addCallers()
+	r.addOperators()
 	r.addMetrics()
 	return r, nil
 }
@@ -101,14 +108,15 @@
 func (r *Router) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
+	maxBody := r.settings.Limits.MaxBody
 	group, work := errgroup.WithContext(work)
 	group.Go(func() error { return r.agents.run(work) })
 	group.Go(func() error { return r.templateSync.run(work) })
 	group.Go(func() error { return r.gossip.run(work) })
 	group.Go(func() error { return r.claims.Run(work) })
 	group.Go(func() error { return r.planner.run(work) })
-	group.Go(func() error { return r.serveHTTP(work, r.settings.Callers.AddrPort, r.serveCaller) })
-	group.Go(func() error { return r.serveHTTP(work, r.settings.Operators.AddrPort, r.serveOperator) })
+	group.Go(func() error { return serveHTTP(work, r.settings.Callers.AddrPort, maxBody, r.callers.serve) })
+	group.Go(func() error { return serveHTTP(work, r.settings.Operators.AddrPort, maxBody, r.operators.serve) })
 	group.Go(func() error {
 		defer cancel()
 		return r.drain.run(ctx, work)
--- a/agentfleet/router/status.go
+++ b/agentfleet/router/status.go
@@ -56,18 +56,18 @@
 }
 
 // status returns what the router knows, with each agent's revision.
-func (r *Router) status(ctx context.Context) *Status {
+func (h *operatorHandler) status(ctx context.Context) *Status {
 	s := &Status{
-		Router:   r.settings.VM,
-		Domain:   r.settings.FailureDomain,
-		Ready:    r.readiness.ready(),
-		Leaving:  r.readiness.leaving.Load(),
-		Revision: r.book.Revision(),
-		InFlight: r.drain.inFlight.Load(),
-		Skew:     r.loads.skew(time.Now()),
+		Router:   h.vm,
+		Domain:   h.domain,
+		Ready:    h.readiness.ready(),
+		Leaving:  h.readiness.leaving.Load(),
+		Revision: h.book.Revision(),
+		InFlight: h.drain.inFlight.Load(),
+		Skew:     h.loads.skew(time.Now()),
 	}
-	agents := r.fleet.all()
-	replies := r.queryAgents(ctx, agents, &wire.Message{Pull: &wire.Pull{Revision: s.Revision}})
+	agents := h.fleet.all()
+	replies := h.queryAgents(ctx, agents, &wire.Message{Pull: &wire.Pull{Revision: s.Revision}})
 	s.Agents = make([]AgentStatus, len(agents))
 	for i, a := range agents {
 		s.Agents[i] = agentStatus(a)
@@ -95,10 +95,10 @@
 }
 
 // explain returns the decisions on a request, here and at the agents that answer.
-func (r *Router) explain(ctx context.Context, request ryeford.RequestID) *Explanation {
-	e := &Explanation{Request: request, Decisions: r.decisions.Lines(request)}
+func (h *operatorHandler) explain(ctx context.Context, request ryeford.RequestID) *Explanation {
+	e := &Explanation{Request: request, Decisions: h.decisions.Lines(request)}
 	query := &wire.Message{Explain: &wire.Explain{Request: request}}
-	for _, m := range r.queryAgents(ctx, r.fleet.all(), query) {
+	for _, m := range h.queryAgents(ctx, h.fleet.all(), query) {
 		if m != nil && m.Decisions != nil {
 			e.Decisions = append(e.Decisions, m.Decisions.Lines...)
 		}
@@ -109,7 +109,7 @@
 
 // queryAgents asks agents the same, maxQueries at once. It returns their replies in the
 // agents' order, nil for one that did not answer within queryTimeout.
-func (r *Router) queryAgents(ctx context.Context, agents []*agent, query *wire.Message) []*wire.Message {
+func (h *operatorHandler) queryAgents(ctx context.Context, agents []*agent, query *wire.Message) []*wire.Message {
 	replies := make([]*wire.Message, len(agents))
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, maxQueries)
--- a/agentfleet/router/wiring.go
+++ b/agentfleet/router/wiring.go
@@ -68,7 +68,15 @@
 func (r *Router) addCallers() {
 	limits := &r.settings.Limits
 	r.drain = &drain{limits: limits, readiness: r.readiness, decisions: r.decisions}
-	r.forwarder = &forwarder{
+	r.callers = &callerHandler{
+		limits:    limits,
+		book:      r.book,
+		fleet:     r.fleet,
+		readiness: r.readiness,
+		drain:     r.drain,
+		metrics:   r.metrics,
+	}
+	r.callers.forwarder = &forwarder{
 		limits:    limits,
 		fleet:     r.fleet,
 		loads:     r.loads,
@@ -82,6 +90,25 @@
 	}
 }
 
+// addOperators adds what serves operators.
+func (r *Router) addOperators() {
+	r.operators = &operatorHandler{
+		key:       r.settings.OperatorKey,
+		vm:        r.settings.VM,
+		domain:    r.settings.FailureDomain,
+		vms:       r.platform,
+		templates: r.templates,
+		book:      r.book,
+		plan:      r.plan,
+		fleet:     r.fleet,
+		loads:     r.loads,
+		readiness: r.readiness,
+		drain:     r.drain,
+		decisions: r.decisions,
+		log:       r.log,
+	}
+}
+
 // addMetrics adds the gauges.
 func (r *Router) addMetrics() {
 	r.metrics.Gauge("ryeford_revision", func() float64 { return float64(r.book.Revision()) })
