--- a/agentfleet/router/answers.go
+++ b/agentfleet/router/answers.go
@@ -96,12 +96,7 @@
 func (s *answerStream) readChunk() (ryeford.Chunk, error) {
 	chunk, err := s.exchange.read(s.ctx)
 	if err == nil && chunk.Finish == ryeford.FinishError {
-		err = engineError(&chunk)
+		err = chunkError(&chunk)
 	}
 	return chunk, err
 }
-
-// engineError returns the failure that an engine reported in a chunk.
-func engineError(chunk *ryeford.Chunk) *ryeford.MayHaveRunError {
-	return &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineError, Err: &EngineError{Text: chunk.Failure}}
-}
--- a/agentfleet/router/answerstream.go
+++ b/agentfleet/router/answerstream.go
@@ -85,7 +85,7 @@
 // one of a complete answer.
 func (s *answerStream) encodeEvent(chunk *ryeford.Chunk) {
 	if chunk.Finish == ryeford.FinishError {
-		s.encodeErrorEvent(engineError(chunk))
+		s.encodeErrorEvent(chunkError(chunk))
 		return
 	}
 	x := s.exchange
--- a/agentfleet/router/receive.go
+++ b/agentfleet/router/receive.go
@@ -1,6 +1,7 @@
 package router
 
 import (
+	"cmp"
 	"context"
 	"time"
 
@@ -61,9 +62,10 @@
 	}
 }
 
-// chunkError returns the failure that an agent reported in a chunk.
+// chunkError returns the failure that an agent reported in a chunk: its own if it names a
+// reason, else the engine's.
 func chunkError(chunk *ryeford.Chunk) *ryeford.MayHaveRunError {
-	return &ryeford.MayHaveRunError{Reason: chunk.Reason, Err: &EngineError{Text: chunk.Failure}}
+	return &ryeford.MayHaveRunError{Reason: cmp.Or(chunk.Reason, ryeford.ReasonEngineError), Err: &EngineError{Text: chunk.Failure}}
 }
 
 // deliver takes note of a chunk that is passed on to the caller. The last one earns
