--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -20,7 +20,6 @@
 	forwarder *forwarder
 	request   *request
 	incoming  *http.Request
-	writer    http.ResponseWriter
 	policy    retry.Policy
 	relay     relay
 
@@ -108,7 +107,7 @@
 	if verdict.Abort {
 		panic(http.ErrAbortHandler) // net/http then closes the connection
 	}
-	writeVerdict(x.writer, f.protocol, q.meta.ID, &verdict)
+	writeVerdict(x.relay.writer, f.protocol, q.meta.ID, &verdict)
 }
 
 // recordFailed logs and counts an attempt that did not answer the caller.
--- a/gateway/forwarder.go
+++ b/gateway/forwarder.go
@@ -41,7 +41,6 @@
 		forwarder: f,
 		request:   q,
 		incoming:  r,
-		writer:    w,
 		policy:    retry.ForRoute(q.rule),
 		tried:     make(map[ryeford.EndpointID]bool),
 	}
