--- a/gateway/peers/count.go
+++ b/gateway/peers/count.go
@@ -16,8 +16,8 @@
 // overtaken by a later one, or come from before the peer was started anew.
 
 const (
-	// peerTTL is how long a peer counts as alive after its last message: twenty
-	// rounds of gossip. Not measured.
+	// peerTTL is how long a peer counts as alive after its last message, and how long
+	// it is kept after it was last seen: twenty rounds of gossip. Not measured.
 	peerTTL = 3 * time.Second
 	// loadTTL is how long the loads in a peer's message count. 0.7 s before a
 	// message was bounded by a budget; set with it by the run of commit 44f0361.
