--- a/gateway/admit/admit.go
+++ b/gateway/admit/admit.go
@@ -72,9 +72,10 @@
 	KeyFound bool
 }
 
-// CheckSend returns why a request must not be sent, or nil. After
-// ReasonLeaving another endpoint may serve it; any other reason is final.
-func CheckSend(s Sending) *ryeford.NotRunError {
+// CheckSend returns why a request must not be sent, or nil. It is a
+// *ryeford.NotRunError: after ReasonLeaving another endpoint may serve the request; any
+// other reason is final.
+func CheckSend(s Sending) error {
 	switch {
 	case !s.EndpointServes:
 		return giveup.NotRun(ryeford.ReasonLeaving)
--- a/gateway/admit/admit_test.go
+++ b/gateway/admit/admit_test.go
@@ -88,7 +88,7 @@
 				assert.Assert(t, got == nil)
 				return
 			}
-			assert.Equal(t, got.Reason, row.want)
+			assert.Equal(t, failureOf(t, got), failure{status: http.StatusServiceUnavailable, reason: row.want})
 		})
 	}
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -83,10 +83,7 @@
 		sending.Reliable = f.configuration.reliable(time.Now())
 		sending.KeyFound = current == q.catalog || current.Account(q.meta.Key) != nil
 	}
-	if err := admit.CheckSend(sending); err != nil {
-		return err
-	}
-	return nil // not CheckSend's nil pointer, which as an error would not be nil
+	return admit.CheckSend(sending)
 }
 
 // endUnanswered ends an attempt that brought no response, or none that may be used.
