--- a/agentfleet/router/callers.go
+++ b/agentfleet/router/callers.go
@@ -122,8 +122,7 @@
 	h.drain.inFlight.Add(-1)
 }
 
-// serveResume goes on with an answer that the caller has a part of. It asks the one
-// agent that the event id names.
+// serveResume goes on with an answer that the caller has a part of.
 func (h *callerHandler) serveResume(ctx *fasthttp.RequestCtx) {
 	req := &request{
 		stream:     true,
@@ -143,15 +142,10 @@
 	h.drain.inFlight.Add(1)
 	work, cancel := context.WithDeadline(context.Background(), req.deadline)
 	x := h.forwarder.resumeExchange(req, last)
-	found, err := x.joinAt(work, last.candidate, false)
-	if !found && err == nil {
-		err = &ryeford.NotRunError{Reason: ryeford.ReasonTombstone}
-	}
-	if err != nil {
+	if err := x.resume(work); err != nil {
 		h.finish(x, cancel)
 		writeError(ctx, req.id, err)
 		return
 	}
-	x.logResumed()
 	h.writeAnswer(work, cancel, ctx, x)
 }
--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -46,6 +46,22 @@
 	return x.dispatchQueue(ctx)
 }
 
+// resume joins the attempt whose answer the caller has a part of, at the one candidate
+// that its event id names.
+func (x *exchange) resume(ctx context.Context) error {
+	found, err := x.joinAt(ctx, x.stream.candidate, false)
+	if err != nil {
+		return err
+	}
+	if !found {
+		return &ryeford.NotRunError{Reason: ryeford.ReasonTombstone}
+	}
+	req := x.request
+	x.forwarder.decisions.Record(req.id, "decision", "resume", "request", req.id, "account", req.account,
+		"vm", x.stream.candidate.VM, "attempt", x.attempt.id, "offset", x.delivered.next)
+	return nil
+}
+
 // dispatchQueue dispatches to the queue's engines in turn until the first chunk is
 // there. What follows a failure is decided by afterFailure.
 func (x *exchange) dispatchQueue(ctx context.Context) error {
@@ -140,10 +156,3 @@
 	x.forwarder.decisions.Record(req.id, "decision", "give_up", "request", req.id, "account", req.account, "chat", req.chat,
 		"tries", x.history.dispatches, "reason", reasonOf(err), "mean", x.poolMean(), "err", err)
 }
-
-// logResumed logs from where the rest of an answer is read.
-func (x *exchange) logResumed() {
-	req := x.request
-	x.forwarder.decisions.Record(req.id, "decision", "resume", "request", req.id, "account", req.account,
-		"vm", x.stream.candidate.VM, "attempt", x.attempt.id, "offset", x.delivered.next)
-}
