--- a/gateway/choice/affinity.go
+++ b/gateway/choice/affinity.go
@@ -2,32 +2,28 @@
 
 import "github.com/ryeford/ryeford/route"
 
-// Of 150 and 300 more skew was left; with the first endpoint's own missing tokens counted,
-// 300 and 300, 1000 and 600, and 300 and 0 read and moved more.
 const (
-	// requestTokens is how many tokens that an endpoint lacks weigh as much as one
-	// request of load.
+	// requestTokens is how many missing tokens weigh as much as one request of load.
 	requestTokens = 300
-	// minGain is how many tokens another endpoint by affinity has to gain over the
-	// first, so that requests do not move for a small difference.
+	// minGain is the least gain, in tokens, for which a request moves from the first endpoint to
+	// another one, so that small differences in load do not move prompts.
 	minGain = 300
-	// lighterAmong is among how many of the endpoints that follow the first a lighter one is
-	// looked for: one alone leaves more requests above the operators' bound.
+	// lighterAmong is how many endpoints after the first are considered as a less loaded
+	// replacement.
 	lighterAmong = 4
 )
 
-// A Prompt is what a request is sent by affinity for.
+// A Prompt is the part of a request by which ByAffinity places it.
 type Prompt struct {
-	Key uint64 // the hash of its last shared part
-	// UnderWay is the estimated number of requests with the prompt that are under way, of all
-	// routers.
+	Key uint64 // hash of the prompt's last shared part
+	// UnderWay is the estimated number of requests with this prompt in flight, at all routers.
 	UnderWay float64
-	// Means are those of all endpoints, if the candidates are only the first by affinity; nil if
-	// they are all.
+	// Means holds the mean loads of all endpoints if the candidates are only the first ones in
+	// rendezvous order, nil if the candidates are complete.
 	Means *Means
 }
 
-// means returns the mean loads by which the prompt's endpoint is chosen.
+// means returns the mean loads to compare candidates with.
 func (p *Prompt) means(candidates []Candidate) Means {
 	if p.Means != nil {
 		return *p.Means
@@ -35,15 +31,14 @@
 	return meansOf(candidates)
 }
 
-// ByAffinity chooses by the hash of the prompt's last shared part, so that requests
-// with like prompts meet on one endpoint: the first endpoint in rendezvous order, or one
-// of those that follow if the difference of their loads outweighs what that one lacks of the prompt. If
-// the first one is full or has no room, or one endpoint is too few for the prompt, it is one of
-// several (spread.go). If there is none, it is the least loaded one. drawn is a random number.
+// ByAffinity chooses an endpoint by the hash of the prompt's last shared part, so that requests
+// with the same prompt reach the same endpoint. It takes the first endpoint in rendezvous order,
+// or one of the next if the difference in load outweighs the prompt tokens that it lacks. If the
+// first is full or has no room, or if the prompt needs several endpoints, it picks one of several
+// (spread.go). If none is open, it picks the least loaded one. drawn is a random number.
 //
-// Rendezvous hashing needs no agreement: every router that knows the same endpoints
-// finds the same order, and an endpoint that joins or leaves moves only the prompts
-// that it gains or loses.
+// Rendezvous hashing needs no coordination: routers with the same list of endpoints compute the
+// same order, and an endpoint that joins or leaves moves only the prompts that it gains or loses.
 func ByAffinity(candidates []Candidate, prompt Prompt, limits Limits, drawn uint64) Choice {
 	means := prompt.means(candidates)
 	result := newChoice(means, &limits)
@@ -74,10 +69,10 @@
 	return result
 }
 
-// lighter returns the candidate that is taken in place of the first by affinity, or -1: of the next
-// ones that are open, the one that gains most, if the requests that it has less, as tokens, exceed
-// what it lacks of the prompt by minGain. The first counts as if it held the prompt, since other
-// routers send requests with that prompt there too.
+// lighter returns the less loaded candidate to use in place of the first one in rendezvous order, or
+// -1. Among the next open candidates it picks the one with the greatest gain: the load difference,
+// in tokens, minus the prompt tokens that it lacks. The gain must exceed minGain. The first
+// candidate is assumed to hold the prompt, since other routers send requests with it there too.
 func lighter(candidates []Candidate, key uint64, first int, open func(*Candidate) bool) int {
 	found, most := -1, float64(minGain)
 	var next firstInOrder
@@ -95,14 +90,14 @@
 	return found
 }
 
-// A firstInOrder holds the lighterAmong first of the candidates that are added, the first one first.
+// A firstInOrder holds the lighterAmong candidates with the highest scores, in descending order.
 type firstInOrder struct {
 	n       int
 	indices [lighterAmong]int
 	scores  [lighterAmong]uint64
 }
 
-// add adds a candidate with its rendezvous score.
+// add inserts a candidate by its rendezvous score.
 func (f *firstInOrder) add(index int, score uint64) {
 	place := f.n
 	for place > 0 && score > f.scores[place-1] {
@@ -117,7 +112,7 @@
 	f.indices[place], f.scores[place] = index, score
 }
 
-// setAlternate finds the best other candidate by affinity, draining ones included.
+// setAlternate sets the first other candidate in rendezvous order, draining ones included.
 func (r *Choice) setAlternate(candidates []Candidate, key uint64) {
 	r.Alternate = best(candidates, key, r.Index, func(c *Candidate) bool { return !c.Unhealthy })
 	if r.Alternate >= 0 && r.Index >= 0 {
@@ -125,8 +120,8 @@
 	}
 }
 
-// best returns the first candidate in rendezvous order, apart from one, for which
-// allowed returns true, or -1.
+// best returns the first candidate in rendezvous order that is not except and for which allowed
+// returns true, or -1.
 func best(candidates []Candidate, key uint64, except int, allowed func(*Candidate) bool) int {
 	found, highest := -1, uint64(0)
 	for i := range candidates {
@@ -140,7 +135,7 @@
 	return found
 }
 
-// score returns the rendezvous score of a candidate: the highest is first.
+// score returns the rendezvous score of a candidate. The highest score is first in the order.
 func score(candidates []Candidate, key uint64, i int) uint64 {
 	return route.Mix(key, candidates[i].Hash)
 }
--- a/gateway/choice/choice.go
+++ b/gateway/choice/choice.go
@@ -1,97 +1,98 @@
 // Package choice decides which endpoint a request is sent to, and from which other
-// endpoint that one may fetch the cached part of the prompt.
+// endpoint the chosen one may fetch the cached part of the prompt.
 //
-// A request whose prompt shares a part with others goes by affinity (affinity.go),
-// any other by load (load.go). Loads are bounded (full). The source of a cached prefix
-// is in source.go. All of it is pure: no state, no clock, no I/O; the same
-// inputs give the same choice on every router.
+// Requests whose prompt shares a part with others are placed by affinity (affinity.go),
+// all others by load (load.go). The load of an endpoint is capped (Limits). The source of a
+// cached prefix is chosen in source.go. The package is pure: it has no state, clock or I/O, and
+// the same inputs give the same choice on every router.
 package choice
 
 import "github.com/ryeford/ryeford"
 
-// capOffset is how many requests an endpoint may have beyond CapFactor times the
-// mean. It keeps endpoints from being full while the mean is near zero. The platform's
-// bound is 3; a router learns of the others' requests late, so it stays one below.
+// capOffset is how many requests an endpoint may have beyond CapFactor times the mean load, so that
+// endpoints are not full while the mean is near zero. It is one below the platform's limit of 3,
+// since a router receives the other routers' loads with a delay.
 const capOffset = 2.0
 
-// deviations is how many standard deviations of an estimate are added to it before it is
-// compared with the bound: where little is known, an endpoint counts as full sooner.
+// deviations is how many standard deviations are added to an estimated load before it is compared
+// with the cap: an endpoint whose load is uncertain counts as full sooner.
 const deviations = 0.25
 
-// queueShare is the part of its slots for which an endpoint may have requests waiting while
-// others have room: a short wait costs less than reading the prompt elsewhere.
+// queueShare is how many waiting requests an endpoint may have while others have room, as a share
+// of its slots. A short wait costs less than processing the prompt on another endpoint.
 const queueShare = 0.125
 
-// A Candidate is an endpoint of the request's service as the router sees it now.
+// A Candidate is an endpoint of the request's service as this router currently sees it.
 type Candidate struct {
 	ID     ryeford.EndpointID
 	Domain string // failure domain
-	// Hash is the uniform hash of the ID.
+	// Hash is the uniform hash of ID.
 	Hash uint64
 	// Load is the estimated number of its requests, running and waiting.
 	Load float64
-	// Deviation is the standard deviation of that estimate.
+	// Deviation is the standard deviation of Load.
 	Deviation float64
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the endpoint runs concurrently, 0 if unknown.
 	Slots int
-	// Tried says that an attempt of this request was sent there already.
+	// Tried reports that this request was already attempted there.
 	Tried bool
-	// Unhealthy says that it is ejected or silent.
+	// Unhealthy reports that the endpoint is ejected or silent.
 	Unhealthy bool
-	// Draining endpoints accept no requests, but may still hold prompts.
+	// Draining endpoints accept no requests but may still hold prompts.
 	Draining bool
-	// Barred endpoints may be sent nothing now, for a reason that is not their load: they may
-	// hold prompts, and count for the mean load.
+	// Barred endpoints are excluded for a reason other than load. They may hold prompts, and
+	// their load counts for the mean.
 	Barred bool
-	// MissingTokens is how many tokens of the prompt's shared parts it is not known
+	// MissingTokens is how many tokens of the prompt's shared parts the endpoint is not known
 	// to hold.
 	MissingTokens int
 }
 
-// hasRoom reports whether a request that is sent there is served soon. Without slots it is not
-// known, and assumed.
+// hasRoom reports whether a request would be served there without a long wait. It returns true if
+// the number of slots is unknown.
 func (c *Candidate) hasRoom() bool {
 	return c.Slots <= 0 || c.Load < (1+queueShare)*float64(c.Slots)
 }
 
-// isFull reports whether a candidate may be above a bound by what is known of its load.
+// isFull reports whether the load may exceed bound, given the uncertainty of the estimate.
 func (c *Candidate) isFull(bound float64) bool { return c.Load+deviations*c.Deviation > bound }
 
-// usable reports whether a candidate is to be considered first.
+// usable reports whether the candidate is healthy, accepts requests, is not excluded and was not
+// tried.
 func (c *Candidate) usable() bool { return !c.Draining && !c.Barred && !c.Tried && !c.Unhealthy }
 
-// Limits are the parameters of a choice that differ from gateway to gateway.
+// Limits are the parameters of a choice that are configured for each router.
 type Limits struct {
-	CapFactor float64 // times the mean load, plus capOffset: above that an endpoint is full
-	Domain    string  // the router's failure domain
+	CapFactor float64 // an endpoint is full above CapFactor times the mean load plus capOffset
+	Domain    string  // this router's failure domain
 }
 
-// A Reason is why an endpoint was chosen, as it is logged.
+// A Reason tells in the logs why an endpoint was chosen.
 type Reason string
 
-// The reasons.
+// Reasons for a choice.
 const (
-	ReasonHome        Reason = "home"    // the first by affinity
-	ReasonSpill       Reason = "spill"   // the first by affinity that is not full
-	ReasonSpread      Reason = "spread"  // one of several for a prompt that needs more than one
-	ReasonLighter     Reason = "lighter" // one of the next by affinity, which is less loaded
-	ReasonLeastLoaded Reason = "least"   // the least loaded
-	ReasonLastResort  Reason = "last"    // the least loaded, and only unhealthy ones are left
-	ReasonNone        Reason = "nobody"  // no candidate may be sent the request
+	ReasonHome        Reason = "home"    // the first in rendezvous order
+	ReasonSpill       Reason = "spill"   // another one, since the first is full or has no room
+	ReasonSpread      Reason = "spread"  // one of several, since the prompt needs more than one
+	ReasonLighter     Reason = "lighter" // one of the next in rendezvous order, which is less loaded
+	ReasonLeastLoaded Reason = "least"   // the least loaded healthy one
+	ReasonLastResort  Reason = "last"    // the least loaded unhealthy one
+	ReasonNone        Reason = "nobody"  // no candidate accepts the request
 )
 
-// A Choice is what was chosen, and what it was based on.
+// A Choice is the chosen endpoint and the data that led to it.
 type Choice struct {
-	Index  int // of the candidates, or -1
+	Index  int // index of the chosen candidate, or -1
 	Reason Reason
-	// Alternate is the index of the best other candidate by affinity, or -1: it is
-	// likely to hold the prompt. It may be draining.
+	// Alternate is the index of the first other candidate in rendezvous order, or -1. It is
+	// likely to hold the prompt, and may be draining.
 	Alternate int
-	// AlternateFirst says that the alternate precedes the chosen one by affinity.
+	// AlternateFirst reports that the alternate precedes the chosen candidate in rendezvous order.
 	AlternateFirst bool
-	// Settled says that more candidates, if they come later by affinity, would not change the choice.
+	// Settled reports that further candidates later in rendezvous order would not change the choice.
 	Settled bool
-	// Mean is the mean load, and Cap the load above which an endpoint is full.
+	// Mean is the mean load. An endpoint whose load exceeds Cap is full.
 	Mean float64
 	Cap  float64
 }
@@ -102,8 +103,8 @@
 
 // Means are mean loads in requests.
 type Means struct {
-	// Counted is that of all endpoints that accept requests or would if they weren't barred; the
-	// bound is a multiple of it. Sendable is that of those which aren't barred.
+	// Counted is the mean over all endpoints that are not draining; the cap is derived from it.
+	// Sendable is the mean over those that are not excluded either.
 	Counted, Sendable float64
 }
 
@@ -111,14 +112,14 @@
 	return Means{Counted: meanLoad(candidates, (*Candidate).counted), Sendable: meanLoad(candidates, (*Candidate).sendable)}
 }
 
-// counted reports whether a candidate counts for the mean load that bounds the others': draining
-// ones don't.
+// counted reports whether the candidate's load counts for the mean that the cap is derived from.
 func (c *Candidate) counted() bool { return !c.Draining }
 
-// sendable reports whether a candidate gets its share of the requests.
+// sendable reports whether the candidate accepts requests and is not excluded.
 func (c *Candidate) sendable() bool { return !c.Draining && !c.Barred }
 
-// meanLoad returns the mean load, in requests, of the candidates for which counts returns true.
+// meanLoad returns the mean load, in requests, of the candidates for which counts returns true, or
+// 0 if there are none.
 func meanLoad(candidates []Candidate, counts func(*Candidate) bool) float64 {
 	sum, n := 0.0, 0
 	for i := range candidates {
--- a/gateway/choice/choice_test.go
+++ b/gateway/choice/choice_test.go
@@ -33,8 +33,8 @@
 	return candidates
 }
 
-// TestChoice checks what is true of every choice: no endpoint that drains or was tried,
-// no unhealthy one while another is healthy, and by affinity none above the bound.
+// TestChoice guards invariants of every choice: no draining or tried endpoint, no unhealthy one while
+// another is healthy, and none above the cap if it is chosen by affinity.
 func TestChoice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := drawCandidates(t)
@@ -66,8 +66,8 @@
 	})
 }
 
-// TestHomesMoveLittle checks that an endpoint that joins or leaves moves only the
-// prompts whose home it becomes or was.
+// TestHomesMoveLittle guards against an endpoint that joins or leaves moving other prompts than those
+// whose home it becomes or was.
 func TestHomesMoveLittle(t *testing.T) {
 	var candidates []Candidate
 	for i := range 12 {
@@ -85,13 +85,13 @@
 		}
 		moved++
 		assert.Equal(t, after.Index, 12)
-		// The one that had it before is the alternate.
+		// The previous home is the alternate.
 		assert.Equal(t, after.Alternate, before.Index)
 	}
 	assert.Assert(t, moved > keys/13/2 && moved < keys/13*2, "%d moved", moved)
 }
 
-// BenchmarkAffine measures one choice among 3,500 endpoints, the largest planned size.
+// BenchmarkAffine measures one choice among 3,500 endpoints, the largest supported fleet.
 func BenchmarkAffine(b *testing.B) {
 	candidates := make([]Candidate, 3500)
 	for i := range candidates {
--- a/gateway/choice/load.go
+++ b/gateway/choice/load.go
@@ -1,21 +1,20 @@
 package choice
 
-// domainPenalty is how many requests of load an endpoint in another failure domain
-// costs: below 1, so that the own domain only wins between nearly equal endpoints.
+// domainPenalty is the cost, in requests of load, of an endpoint in another failure domain. It is
+// below 1, so that the local domain is preferred only between nearly equal endpoints.
 const domainPenalty = 0.6
 
-// ByLoad chooses the least loaded endpoint; one in another failure domain counts as
-// more loaded. Between equals it is the first one from index start on, wrapping
-// around: a caller that counts start up spreads requests among them.
+// ByLoad chooses the endpoint with the lowest load; one in another failure domain counts as
+// more loaded. Ties are resolved in favor of the first one from index start on, wrapping
+// around: a caller that increments start spreads its requests among equal endpoints.
 func ByLoad(candidates []Candidate, limits Limits, start int) Choice {
 	result := newChoice(meansOf(candidates), &limits)
 	result.Index, result.Reason = leastLoaded(candidates, start, &limits)
 	return result
 }
 
-// leastLoaded returns the index of the healthy candidate with the lowest cost, or,
-// if there is none, that of the unhealthy one: a request that may fail is better
-// than one that surely does.
+// leastLoaded returns the index of the healthy candidate with the lowest cost, or of the unhealthy
+// one with the lowest cost if none is healthy: an attempt that may fail is better than none.
 func leastLoaded(candidates []Candidate, start int, limits *Limits) (int, Reason) {
 	if i := cheapest(candidates, start, false, limits); i >= 0 {
 		return i, ReasonLeastLoaded
@@ -26,8 +25,8 @@
 	return -1, ReasonNone
 }
 
-// cheapest returns the index of the candidate with the lowest cost among those that
-// are unhealthy, or those that are not, or -1.
+// cheapest returns the index of the candidate with the lowest cost among the unhealthy or the
+// healthy ones, or -1.
 func cheapest(candidates []Candidate, start int, unhealthy bool, limits *Limits) int {
 	found, lowest := -1, 0.0
 	for n := range candidates {
@@ -43,8 +42,8 @@
 	return found
 }
 
-// cost returns by what candidates are compared: requests of load, those that wait
-// for a slot counted twice, and the penalty of another failure domain.
+// cost returns the cost of a candidate in requests of load. Requests that wait for a slot count
+// twice, and another failure domain adds domainPenalty.
 func (l *Limits) cost(c *Candidate) float64 {
 	waiting := max(0, c.Load-float64(c.Slots))
 	cost := c.Load + waiting
--- a/gateway/choice/rules_test.go
+++ b/gateway/choice/rules_test.go
@@ -9,11 +9,10 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// testKey is the hash of the prompt in these tests.
 const testKey = 12345
 
-// inOrder returns candidates in the rendezvous order of testKey, named by their place
-// in it: first, second, third, fourth. There are as many as loads.
+// inOrder returns one candidate for each load, in the rendezvous order of testKey. Their IDs are
+// first, second, third and fourth.
 func inOrder(loads ...float64) []Candidate {
 	candidates := make([]Candidate, len(loads))
 	for i := range candidates {
@@ -23,7 +22,7 @@
 	for place, load := range loads {
 		i := best(candidates, testKey, -1, (*Candidate).usable)
 		candidate := candidates[i]
-		candidates[i].Tried = true // passed over from here on
+		candidates[i].Tried = true // skipped from here on
 		candidate.ID = []ryeford.EndpointID{"first", "second", "third", "fourth"}[place]
 		candidate.Load, candidate.Slots = load, 8
 		ordered = append(ordered, candidate)
@@ -31,7 +30,7 @@
 	return ordered
 }
 
-// TestByAffinity checks to which of three endpoints in rendezvous order a prompt goes.
+// TestByAffinity checks which of three endpoints in rendezvous order a prompt is sent to.
 // With a cap factor of 2, an endpoint is full above twice the mean plus 2.
 func TestByAffinity(t *testing.T) {
 	for _, test := range []struct {
@@ -43,24 +42,24 @@
 		other  ryeford.EndpointID // the alternate
 	}{
 		{"all idle", [3]float64{0, 0, 0}, nil, "first", ReasonHome, "second"},
-		{"the second has one request less", [3]float64{1, 0, 0}, nil, "first", ReasonHome, "second"},
-		{"the second has two requests less and the prompt", [3]float64{2, 0, 2}, nil, "second", ReasonLighter, "first"},
-		{"the second has two requests less and lacks much", [3]float64{2, 0, 2},
+		{"the second has one request fewer", [3]float64{1, 0, 0}, nil, "first", ReasonHome, "second"},
+		{"the second has two requests fewer and holds the prompt", [3]float64{2, 0, 2}, nil, "second", ReasonLighter, "first"},
+		{"the second has two requests fewer and lacks many tokens", [3]float64{2, 0, 2},
 			func(c []Candidate) { c[1].MissingTokens = 5000 }, "first", ReasonHome, "second"},
-		{"the third is much lighter", [3]float64{4, 4, 0}, nil, "third", ReasonLighter, "first"},
-		{"the third is much lighter and lacks much", [3]float64{4, 4, 0},
+		{"the third is much less loaded", [3]float64{4, 4, 0}, nil, "third", ReasonLighter, "first"},
+		{"the third is much less loaded and lacks many tokens", [3]float64{4, 4, 0},
 			func(c []Candidate) { c[2].MissingTokens = 5000 }, "first", ReasonHome, "second"},
-		{"the third is lighter and the second the lightest", [3]float64{4, 0, 1}, nil, "second", ReasonLighter, "first"},
+		{"the third is less loaded and the second the least loaded", [3]float64{4, 0, 1}, nil, "second", ReasonLighter, "first"},
 		{"the first is full", [3]float64{11, 1, 1}, nil, "second", ReasonSpill, "first"},
-		{"the first may be full: little is known", [3]float64{10, 1, 1},
+		{"the first may be full: its load is uncertain", [3]float64{10, 1, 1},
 			func(c []Candidate) { c[0].Deviation = 1 }, "second", ReasonSpill, "first"},
-		{"the first is full, and the second lacks much", [3]float64{11, 1, 1},
+		{"the first is full, and the second lacks many tokens", [3]float64{11, 1, 1},
 			func(c []Candidate) { c[1].MissingTokens = 5000 }, "third", ReasonSpill, "first"},
 		{"the first is tried", [3]float64{0, 0, 0},
 			func(c []Candidate) { c[0].Tried = true }, "second", ReasonHome, "first"},
 		{"the first is unhealthy", [3]float64{0, 0, 0},
 			func(c []Candidate) { c[0].Unhealthy = true }, "second", ReasonHome, "third"},
-		{"the first drains", [3]float64{0, 0, 0},
+		{"the first is draining", [3]float64{0, 0, 0},
 			func(c []Candidate) { c[0].Draining = true }, "second", ReasonHome, "first"},
 		{"only an unhealthy one is left", [3]float64{0, 0, 0},
 			func(c []Candidate) { c[0].Tried, c[1].Draining, c[2].Unhealthy = true, true, true }, "third", ReasonLastResort, "first"},
@@ -79,10 +78,9 @@
 	}
 }
 
-// TestLighter checks that the second in a prompt's order is chosen only if the
-// difference of loads outweighs what it lacks of the prompt, that what the first lacks
-// does not count, and that neither the third nor the fourth, which gain nothing, is chosen. The others
-// have 8 requests; a request is worth 300 tokens, and so much must be gained at least.
+// TestLighter guards against moving a prompt to a less loaded endpoint unless the difference in load
+// outweighs the tokens that it lacks, and against counting what the first endpoint lacks. The other
+// endpoints have 8 requests. One request counts as 300 tokens, and the gain must exceed 300.
 func TestLighter(t *testing.T) {
 	for _, test := range []struct {
 		name                        string
@@ -92,12 +90,12 @@
 		reason                      Reason
 	}{
 		{"the same load", 8, 0, 0, "first", ReasonHome},
-		{"one request less: too little is gained", 7, 0, 0, "first", ReasonHome},
-		{"two requests less", 6, 0, 0, "second", ReasonLighter},
-		{"two requests less, and one request's worth is missing", 6, 0, 300, "first", ReasonHome},
-		{"four requests less, and two requests' worth is missing", 4, 0, 600, "second", ReasonLighter},
-		{"much is missing from both", 4, 8000, 8000, "first", ReasonHome},
-		{"the same load, and much is missing", 8, 0, 8000, "first", ReasonHome},
+		{"one request fewer: the gain is too small", 7, 0, 0, "first", ReasonHome},
+		{"two requests fewer", 6, 0, 0, "second", ReasonLighter},
+		{"two requests fewer, and the tokens of one request are missing", 6, 0, 300, "first", ReasonHome},
+		{"four requests fewer, and the tokens of two requests are missing", 4, 0, 600, "second", ReasonLighter},
+		{"many tokens are missing from both", 4, 8000, 8000, "first", ReasonHome},
+		{"the same load, and many tokens are missing", 8, 0, 8000, "first", ReasonHome},
 	} {
 		candidates := inOrder(8, test.secondLoad, 8, 8)
 		candidates[0].MissingTokens, candidates[1].MissingTokens = test.firstMissing, test.secondMissing
@@ -110,7 +108,7 @@
 	}
 }
 
-// idOf returns the ID of a candidate, or "" for -1.
+// idOf returns the ID of the i-th candidate, or "" if i is negative.
 func idOf(candidates []Candidate, i int) ryeford.EndpointID {
 	if i < 0 {
 		return ""
@@ -118,7 +116,8 @@
 	return candidates[i].ID
 }
 
-// TestByLoad checks to which endpoint a request without a shared prompt goes. The router is in failure domain a.
+// TestByLoad checks where a request without a shared prompt is sent. The router is in failure
+// domain a.
 func TestByLoad(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -128,11 +127,11 @@
 		reason     Reason
 	}{
 		{"the least loaded", []Candidate{{ID: "x", Domain: "a", Load: 2, Slots: 8}, {ID: "y", Domain: "a", Load: 1, Slots: 8}}, 0, "y", ReasonLeastLoaded},
-		{"the own domain between equals", []Candidate{{ID: "x", Domain: "b", Slots: 8}, {ID: "y", Domain: "a", Slots: 8}}, 0, "y", ReasonLeastLoaded},
-		{"another domain that has one request less", []Candidate{{ID: "x", Domain: "b", Slots: 8}, {ID: "y", Domain: "a", Load: 1, Slots: 8}}, 0, "x", ReasonLeastLoaded},
-		{"requests that wait count twice", []Candidate{{ID: "x", Domain: "a", Load: 5, Slots: 2}, {ID: "y", Domain: "a", Load: 7, Slots: 8}}, 0, "y", ReasonLeastLoaded},
-		{"equals by turns: the first", []Candidate{{ID: "x", Domain: "a", Slots: 8}, {ID: "y", Domain: "a", Slots: 8}}, 2, "x", ReasonLeastLoaded},
-		{"equals by turns: the second", []Candidate{{ID: "x", Domain: "a", Slots: 8}, {ID: "y", Domain: "a", Slots: 8}}, 3, "y", ReasonLeastLoaded},
+		{"the local domain between equals", []Candidate{{ID: "x", Domain: "b", Slots: 8}, {ID: "y", Domain: "a", Slots: 8}}, 0, "y", ReasonLeastLoaded},
+		{"another domain with one request fewer", []Candidate{{ID: "x", Domain: "b", Slots: 8}, {ID: "y", Domain: "a", Load: 1, Slots: 8}}, 0, "x", ReasonLeastLoaded},
+		{"waiting requests count twice", []Candidate{{ID: "x", Domain: "a", Load: 5, Slots: 2}, {ID: "y", Domain: "a", Load: 7, Slots: 8}}, 0, "y", ReasonLeastLoaded},
+		{"equals in rotation: the first", []Candidate{{ID: "x", Domain: "a", Slots: 8}, {ID: "y", Domain: "a", Slots: 8}}, 2, "x", ReasonLeastLoaded},
+		{"equals in rotation: the second", []Candidate{{ID: "x", Domain: "a", Slots: 8}, {ID: "y", Domain: "a", Slots: 8}}, 3, "y", ReasonLeastLoaded},
 		{"a loaded one before an unhealthy one", []Candidate{{ID: "x", Domain: "a", Load: 50}, {ID: "y", Domain: "a", Unhealthy: true}}, 0, "x", ReasonLeastLoaded},
 		{"an unhealthy one before none", []Candidate{{ID: "x", Domain: "a", Tried: true}, {ID: "y", Domain: "a", Unhealthy: true}}, 0, "y", ReasonLastResort},
 		{"none", []Candidate{{ID: "x", Domain: "a", Tried: true}, {ID: "y", Domain: "a", Draining: true}}, 0, "", ReasonNone},
@@ -144,7 +143,7 @@
 	}
 }
 
-// TestBound checks the load above which an endpoint is full, by the others' loads.
+// TestBound checks the load above which an endpoint is full, given the loads of all.
 func TestBound(t *testing.T) {
 	for _, test := range []struct {
 		candidates []Candidate
@@ -162,8 +161,8 @@
 	}
 }
 
-// TestFromAlternate checks from where the chosen endpoint may fetch what it lacks of a
-// prompt of two shared parts.
+// TestFromAlternate checks when the chosen endpoint fetches missing tokens of a prompt with two
+// shared parts from the alternate.
 func TestFromAlternate(t *testing.T) {
 	home := Choice{Reason: ReasonHome, Alternate: 1}
 	for _, test := range []struct {
@@ -173,20 +172,20 @@
 		joined  bool
 		want    bool
 	}{
-		{"all is indexed", Choice{Reason: ReasonSpill, Alternate: 1}, 2, true, false},
-		{"nothing is indexed", home, 0, false, true},
-		{"nothing is indexed and there is no other", Choice{Reason: ReasonHome, Alternate: -1}, 0, false, false},
-		{"a beginning is indexed, sent home", home, 1, false, false},
-		{"a beginning is indexed, home has joined lately", home, 1, true, true},
-		{"a beginning is indexed, home drains", Choice{Reason: ReasonHome, Alternate: 1, AlternateFirst: true}, 1, false, true},
-		{"a beginning is indexed, not sent home", Choice{Reason: ReasonSpill, Alternate: 1}, 1, false, true},
+		{"all parts are indexed", Choice{Reason: ReasonSpill, Alternate: 1}, 2, true, false},
+		{"no part is indexed", home, 0, false, true},
+		{"no part is indexed and there is no alternate", Choice{Reason: ReasonHome, Alternate: -1}, 0, false, false},
+		{"a prefix is indexed, sent home", home, 1, false, false},
+		{"a prefix is indexed, home has joined recently", home, 1, true, true},
+		{"a prefix is indexed, home is draining", Choice{Reason: ReasonHome, Alternate: 1, AlternateFirst: true}, 1, false, true},
+		{"a prefix is indexed, not sent home", Choice{Reason: ReasonSpill, Alternate: 1}, 1, false, true},
 	} {
 		assert.Equal(t, FromAlternate(&test.chosen, test.indexed, 2, test.joined), test.want, test.name)
 	}
 }
 
-// TestFirstInOrder checks that the first of some candidates by score are found, in order, whatever
-// the order in which they are added.
+// TestFirstInOrder checks that the highest scores are kept in descending order, regardless of the
+// order of insertion.
 func TestFirstInOrder(t *testing.T) {
 	for n := range 2 * lighterAmong {
 		var first firstInOrder
--- a/gateway/choice/spread.go
+++ b/gateway/choice/spread.go
@@ -8,37 +8,35 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// To how many endpoints the requests with one prompt go.
+// Number of endpoints among which the requests with one prompt are spread.
 //
-// Rule: to so many of the first in the prompt's rendezvous order that its requests under way
-// fill part of the room between the mean load and the bound at each; and if some of
-// these are full, to as many that follow and two more. Of two that are drawn the less loaded
-// one is taken.
+// Rule: the requests are spread among as many of the first endpoints in the prompt's rendezvous
+// order as its requests in flight need, if they take at most spreadFill of the room between the
+// mean load and the cap. If some are full, further ones are added until the open ones outnumber the
+// full ones by overflowMore. The less loaded of two random endpoints is chosen.
 //
-// Why: all routers learn at about the same time that an endpoint is full, or is no longer, and
-// late. If each sent to the first that isn't full, that one would get whatever comes for
-// the prompt until all have learnt of it, far above the bound; so would the next one. How
-// many requests have the prompt is known without that detour. Until it is, the more
-// endpoints are full, the wider its requests are spread.
+// Why: routers learn with a delay that an endpoint is full. If all of them moved on to the first
+// endpoint that is not full, it would exceed the cap before any of them is notified, and so would
+// the next one. The number of requests in flight with a prompt is known without this delay.
 
 const (
-	// spreadFill is the part of the room that the requests of one prompt may take.
+	// spreadFill is the share of the room that the requests with one prompt may take.
 	spreadFill = 0.5
-	// overflowMore is how many open endpoints are taken in beside one for each that is full.
+	// overflowMore is by how many the open endpoints must outnumber the full ones, if any are full.
 	overflowMore = 2
-	// maxOrdered bounds the work: how many endpoints of the order are looked at.
+	// maxOrdered bounds how many endpoints of the rendezvous order are considered.
 	maxOrdered = 256
 )
 
-// widthNeeded returns to how many endpoints a prompt's requests go, given how many are under
-// way and the room at each endpoint, in requests.
+// widthNeeded returns how many endpoints a prompt needs, given its requests in flight and the room
+// at each endpoint, in requests.
 func widthNeeded(underWay, room float64) int {
 	needed := math.Ceil(underWay / max(1, spreadFill*room))
 	return int(max(1, min(needed, maxOrdered)))
 }
 
 // spread returns the indices of the open candidates among which a prompt's requests are
-// spread, and whether there are as many as it takes.
+// spread, and whether there are enough of them.
 func spread(candidates []Candidate, key uint64, needed int, open func(*Candidate) bool) (indices []int, enough bool) {
 	full := 0
 	for n, i := range inOrderOf(candidates, key) {
@@ -54,8 +52,8 @@
 	return indices, false
 }
 
-// oneOf returns the better one of two candidates that are drawn from some, or -1 if there are
-// none. missing says that what they lack of the prompt counts beside their loads.
+// oneOf draws two of the candidates in indices and returns the better one, or -1 if indices is
+// empty. If missing is true, the prompt tokens that a candidate lacks are added to its load.
 func oneOf(candidates []Candidate, indices []int, drawn uint64, missing bool) int {
 	if len(indices) == 0 {
 		return -1
@@ -74,8 +72,8 @@
 	return a
 }
 
-// inOrderOf returns the indices of the usable candidates that are first in a prompt's
-// rendezvous order, maxOrdered at most.
+// inOrderOf returns the indices of the usable candidates in the prompt's rendezvous order, at most
+// maxOrdered.
 func inOrderOf(candidates []Candidate, key uint64) []int {
 	type scored struct {
 		index int
--- a/gateway/choice/spread_test.go
+++ b/gateway/choice/spread_test.go
@@ -10,7 +10,7 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// TestWidthNeeded checks to how many endpoints a prompt's requests go.
+// TestWidthNeeded checks the number of endpoints for a prompt's requests.
 func TestWidthNeeded(t *testing.T) {
 	for _, test := range []struct {
 		underWay, room float64
@@ -20,31 +20,30 @@
 		{4, 8, 1},
 		{5, 8, 2},
 		{40, 8, 10},
-		{3, 1, 3}, // there is room for one at least
+		{3, 1, 3}, // room for at least one request is assumed
 		{1e9, 8, maxOrdered},
 	} {
 		assert.Equal(t, widthNeeded(test.underWay, test.room), test.want, "%+v", test)
 	}
 }
 
-// TestSpread checks where the requests of one prompt go, among 40 endpoints of load 4, whose bound
-// is 10: all to the first endpoint, or to as many of the first as it needs, or to more if some of
-// these are full; and that no two draws agree on one if there are several.
+// TestSpread guards against sending the requests of one prompt to too few or too many endpoints, and
+// against random picks that all take the same one. There are 40 endpoints with load 4 and a cap of 10.
 func TestSpread(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		underWay float64
-		full     int // of the first endpoints
-		want     int // to how many the requests go
-		first    int // the place of the first of these in the order
+		full     int // how many of the first endpoints are full
+		want     int // number of endpoints that get requests
+		first    int // rendezvous position of the first of these
 		reason   Reason
 	}{
 		{"few requests", 3, 0, 1, 0, ReasonHome},
-		{"more than one endpoint has room for", 30, 0, 10, 0, ReasonSpread},
+		{"more requests than one endpoint has room for", 30, 0, 10, 0, ReasonSpread},
 		{"the first is full", 3, 1, 3, 1, ReasonSpill},
 		{"the first four are full", 3, 4, 6, 4, ReasonSpill},
-		{"of nine that it needs two are full", 30, 2, 7, 2, ReasonSpread},
-		{"of six that it needs all are full", 30, 8, 10, 8, ReasonSpread},
+		{"two of the nine endpoints needed are full", 30, 2, 7, 2, ReasonSpread},
+		{"all endpoints needed are full", 30, 8, 10, 8, ReasonSpread},
 	} {
 		candidates := make([]Candidate, 40)
 		for i := range candidates {
@@ -56,7 +55,7 @@
 			candidates[i].Load = 30
 		}
 		for _, i := range order[40-test.full:] {
-			candidates[i].Load = 0 // so that the mean is about the same
+			candidates[i].Load = 0 // keeps the mean about the same
 		}
 		got := make(map[int]int)
 		reasons := make(map[Reason]int)
@@ -73,8 +72,8 @@
 	}
 }
 
-// TestSpreadLighter checks that of two endpoints that are drawn the less loaded one is taken, and
-// that beside a full first endpoint what they lack of the prompt counts, too.
+// TestSpreadLighter checks that the less loaded of two random endpoints is chosen, and that missing
+// tokens count if requested.
 func TestSpreadLighter(t *testing.T) {
 	candidates := []Candidate{{Load: 3, MissingTokens: 0}, {Load: 1, MissingTokens: 5000}}
 	for drawn := range uint64(100) {
