--- a/gateway/choice/affinity.go
+++ b/gateway/choice/affinity.go
@@ -8,9 +8,9 @@
 	// minGain is the least gain, in tokens, for which a request moves from the first endpoint to
 	// another one, so that small differences in load do not move prompts.
 	minGain = 300
-	// lighterAmong is how many endpoints after the first are considered as a less loaded
+	// maxReplacements is how many endpoints after the first are considered as a less loaded
 	// replacement.
-	lighterAmong = 4
+	maxReplacements = 4
 )
 
 // A Prompt is the part of a request by which ByAffinity places it.
@@ -35,26 +35,26 @@
 // with the same prompt reach the same endpoint. It takes the first endpoint in rendezvous order,
 // or one of the next if the difference in load outweighs the prompt tokens that it lacks. If the
 // first is full or has no room, or if the prompt needs several endpoints, it picks one of several
-// (spread.go). If none is open, it picks the least loaded one. drawn is a random number.
+// (spread.go). If none is open, it picks the least loaded one. random is a random number.
 //
 // Rendezvous hashing needs no coordination: routers with the same list of endpoints compute the
 // same order, and an endpoint that joins or leaves moves only the prompts that it gains or loses.
-func ByAffinity(candidates []Candidate, prompt Prompt, limits Limits, drawn uint64) Choice {
+func ByAffinity(candidates []Candidate, prompt Prompt, limits Limits, random uint64) Choice {
 	means := prompt.means(candidates)
 	result := newChoice(means, &limits)
 	open := func(c *Candidate) bool { return c.usable() && !c.isFull(result.Cap) && c.hasRoom() }
 	home := best(candidates, prompt.Key, -1, (*Candidate).usable)
-	needed := widthNeeded(prompt.UnderWay, result.Cap-means.Sendable)
+	needed := endpointsNeeded(prompt.UnderWay, result.Cap-means.Sendable)
 	switch {
 	case home >= 0 && needed == 1 && open(&candidates[home]):
 		result.Index, result.Reason, result.Settled = home, ReasonHome, true
-		if other := lighter(candidates, prompt.Key, home, open); other >= 0 {
+		if other := lessLoaded(candidates, prompt.Key, home, open); other >= 0 {
 			result.Index, result.Reason = other, ReasonLighter
 		}
 	default:
 		var indices []int
 		indices, result.Settled = spread(candidates, prompt.Key, needed, open)
-		result.Index = oneOf(candidates, indices, drawn, needed == 1)
+		result.Index = pickOfTwo(candidates, indices, random, needed == 1)
 		result.Reason = ReasonSpill
 		if result.Index == home {
 			result.Reason = ReasonHome
@@ -69,13 +69,13 @@
 	return result
 }
 
-// lighter returns the less loaded candidate to use in place of the first one in rendezvous order, or
+// lessLoaded returns the less loaded candidate to use in place of the first one in rendezvous order, or
 // -1. Among the next open candidates it picks the one with the greatest gain: the load difference,
 // in tokens, minus the prompt tokens that it lacks. The gain must exceed minGain. The first
 // candidate is assumed to hold the prompt, since other routers send requests with it there too.
-func lighter(candidates []Candidate, key uint64, first int, open func(*Candidate) bool) int {
+func lessLoaded(candidates []Candidate, key uint64, first int, open func(*Candidate) bool) int {
 	found, most := -1, float64(minGain)
-	var next firstInOrder
+	var next topCandidates
 	for i := range candidates {
 		if i != first && open(&candidates[i]) {
 			next.add(i, score(candidates, key, i))
@@ -90,23 +90,23 @@
 	return found
 }
 
-// A firstInOrder holds the lighterAmong candidates with the highest scores, in descending order.
-type firstInOrder struct {
+// A topCandidates holds the maxReplacements candidates with the highest scores, in descending order.
+type topCandidates struct {
 	n       int
-	indices [lighterAmong]int
-	scores  [lighterAmong]uint64
+	indices [maxReplacements]int
+	scores  [maxReplacements]uint64
 }
 
 // add inserts a candidate by its rendezvous score.
-func (f *firstInOrder) add(index int, score uint64) {
+func (f *topCandidates) add(index int, score uint64) {
 	place := f.n
 	for place > 0 && score > f.scores[place-1] {
 		place--
 	}
-	if place == lighterAmong {
+	if place == maxReplacements {
 		return
 	}
-	f.n = min(f.n+1, lighterAmong)
+	f.n = min(f.n+1, maxReplacements)
 	copy(f.indices[place+1:f.n], f.indices[place:])
 	copy(f.scores[place+1:f.n], f.scores[place:])
 	f.indices[place], f.scores[place] = index, score
--- a/gateway/choice/choice.go
+++ b/gateway/choice/choice.go
@@ -14,13 +14,13 @@
 // since a router receives the other routers' loads with a delay.
 const capOffset = 2.0
 
-// deviations is how many standard deviations are added to an estimated load before it is compared
-// with the cap: an endpoint whose load is uncertain counts as full sooner.
-const deviations = 0.25
+// capDeviations is how many standard deviations are added to an estimated load before it is
+// compared with the cap: an endpoint whose load is uncertain counts as full sooner.
+const capDeviations = 0.25
 
-// queueShare is how many waiting requests an endpoint may have while others have room, as a share
+// maxQueueShare is how many waiting requests an endpoint may have while others have room, as a share
 // of its slots. A short wait costs less than processing the prompt on another endpoint.
-const queueShare = 0.125
+const maxQueueShare = 0.125
 
 // A Candidate is an endpoint of the request's service as this router currently sees it.
 type Candidate struct {
@@ -51,11 +51,11 @@
 // hasRoom reports whether a request would be served there without a long wait. It returns true if
 // the number of slots is unknown.
 func (c *Candidate) hasRoom() bool {
-	return c.Slots <= 0 || c.Load < (1+queueShare)*float64(c.Slots)
+	return c.Slots <= 0 || c.Load < (1+maxQueueShare)*float64(c.Slots)
 }
 
 // isFull reports whether the load may exceed bound, given the uncertainty of the estimate.
-func (c *Candidate) isFull(bound float64) bool { return c.Load+deviations*c.Deviation > bound }
+func (c *Candidate) isFull(bound float64) bool { return c.Load+capDeviations*c.Deviation > bound }
 
 // usable reports whether the candidate is healthy, accepts requests, is not excluded and was not
 // tried.
@@ -98,7 +98,7 @@
 }
 
 func newChoice(means Means, limits *Limits) Choice {
-	return Choice{Index: -1, Alternate: -1, Reason: ReasonNone, Mean: means.Counted, Cap: limits.full(means.Counted)}
+	return Choice{Index: -1, Alternate: -1, Reason: ReasonNone, Mean: means.Counted, Cap: limits.loadCap(means.Counted)}
 }
 
 // Means are mean loads in requests.
@@ -135,5 +135,5 @@
 	return sum / float64(n)
 }
 
-// full returns the load, in requests, above which an endpoint is full.
-func (l *Limits) full(mean float64) float64 { return l.CapFactor*mean + capOffset }
+// loadCap returns the load, in requests, above which an endpoint is full.
+func (l *Limits) loadCap(mean float64) float64 { return l.CapFactor*mean + capOffset }
--- a/gateway/choice/choice_test.go
+++ b/gateway/choice/choice_test.go
@@ -66,9 +66,9 @@
 	})
 }
 
-// TestHomesMoveLittle guards against an endpoint that joins or leaves moving other prompts than those
+// TestMembershipChangeMovesFewHomes guards against an endpoint that joins or leaves moving other prompts than those
 // whose home it becomes or was.
-func TestHomesMoveLittle(t *testing.T) {
+func TestMembershipChangeMovesFewHomes(t *testing.T) {
 	var candidates []Candidate
 	for i := range 12 {
 		id := fmt.Sprintf("e%d", i)
@@ -91,8 +91,8 @@
 	assert.Assert(t, moved > keys/13/2 && moved < keys/13*2, "%d moved", moved)
 }
 
-// BenchmarkAffine measures one choice among 3,500 endpoints, the largest supported fleet.
-func BenchmarkAffine(b *testing.B) {
+// BenchmarkByAffinity measures one choice among 3,500 endpoints, the largest supported fleet.
+func BenchmarkByAffinity(b *testing.B) {
 	candidates := make([]Candidate, 3500)
 	for i := range candidates {
 		id := fmt.Sprintf("e%d", i)
--- a/gateway/choice/rules_test.go
+++ b/gateway/choice/rules_test.go
@@ -78,10 +78,10 @@
 	}
 }
 
-// TestLighter guards against moving a prompt to a less loaded endpoint unless the difference in load
+// TestLessLoaded guards against moving a prompt to a less loaded endpoint unless the difference in load
 // outweighs the tokens that it lacks, and against counting what the first endpoint lacks. The other
 // endpoints have 8 requests. One request counts as 300 tokens, and the gain must exceed 300.
-func TestLighter(t *testing.T) {
+func TestLessLoaded(t *testing.T) {
 	for _, test := range []struct {
 		name                        string
 		secondLoad                  float64
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestBound checks the load above which an endpoint is full, given the loads of all.
-func TestBound(t *testing.T) {
+// TestCap checks the load above which an endpoint is full, given the loads of all.
+func TestCap(t *testing.T) {
 	for _, test := range []struct {
 		candidates []Candidate
 		mean, full float64
@@ -184,15 +184,15 @@
 	}
 }
 
-// TestFirstInOrder checks that the highest scores are kept in descending order, regardless of the
+// TestTopCandidates checks that the highest scores are kept in descending order, regardless of the
 // order of insertion.
-func TestFirstInOrder(t *testing.T) {
-	for n := range 2 * lighterAmong {
-		var first firstInOrder
+func TestTopCandidates(t *testing.T) {
+	for n := range 2 * maxReplacements {
+		var first topCandidates
 		for i := range n {
 			first.add(i, uint64(i*5%n)) // each score from 0 to n-1 once, or 0 alone
 		}
-		assert.Equal(t, first.n, min(n, lighterAmong))
+		assert.Equal(t, first.n, min(n, maxReplacements))
 		for place := 1; place < first.n; place++ {
 			assert.Assert(t, first.scores[place] <= first.scores[place-1])
 		}
--- a/gateway/choice/spread.go
+++ b/gateway/choice/spread.go
@@ -13,7 +13,7 @@
 // Rule: the requests are spread among as many of the first endpoints in the prompt's rendezvous
 // order as its requests in flight need, if they take at most spreadFill of the room between the
 // mean load and the cap. If some are full, further ones are added until the open ones outnumber the
-// full ones by overflowMore. The less loaded of two random endpoints is chosen.
+// full ones by overflowMargin. The less loaded of two random endpoints is chosen.
 //
 // Why: routers learn with a delay that an endpoint is full. If all of them moved on to the first
 // endpoint that is not full, it would exceed the cap before any of them is notified, and so would
@@ -22,15 +22,15 @@
 const (
 	// spreadFill is the share of the room that the requests with one prompt may take.
 	spreadFill = 0.5
-	// overflowMore is by how many the open endpoints must outnumber the full ones, if any are full.
-	overflowMore = 2
+	// overflowMargin is by how many the open endpoints must outnumber the full ones, if any are full.
+	overflowMargin = 2
 	// maxOrdered bounds how many endpoints of the rendezvous order are considered.
 	maxOrdered = 256
 )
 
-// widthNeeded returns how many endpoints a prompt needs, given its requests in flight and the room
+// endpointsNeeded returns how many endpoints a prompt needs, given its requests in flight and the room
 // at each endpoint, in requests.
-func widthNeeded(underWay, room float64) int {
+func endpointsNeeded(underWay, room float64) int {
 	needed := math.Ceil(underWay / max(1, spreadFill*room))
 	return int(max(1, min(needed, maxOrdered)))
 }
@@ -39,42 +39,42 @@
 // spread, and whether there are enough of them.
 func spread(candidates []Candidate, key uint64, needed int, open func(*Candidate) bool) (indices []int, enough bool) {
 	full := 0
-	for n, i := range inOrderOf(candidates, key) {
+	for n, i := range rendezvousOrder(candidates, key) {
 		if !open(&candidates[i]) {
 			full++
 			continue
 		}
 		indices = append(indices, i)
-		if n+1 >= needed && (full == 0 || len(indices) >= full+overflowMore) {
+		if n+1 >= needed && (full == 0 || len(indices) >= full+overflowMargin) {
 			return indices, true
 		}
 	}
 	return indices, false
 }
 
-// oneOf draws two of the candidates in indices and returns the better one, or -1 if indices is
-// empty. If missing is true, the prompt tokens that a candidate lacks are added to its load.
-func oneOf(candidates []Candidate, indices []int, drawn uint64, missing bool) int {
+// pickOfTwo draws two of the candidates in indices and returns the better one, or -1 if indices is
+// empty. If withMissing is true, the prompt tokens that a candidate lacks are added to its load.
+func pickOfTwo(candidates []Candidate, indices []int, random uint64, withMissing bool) int {
 	if len(indices) == 0 {
 		return -1
 	}
 	weight := func(c *Candidate) float64 {
-		if missing {
+		if withMissing {
 			return requestTokens*c.Load + float64(c.MissingTokens)
 		}
 		return requestTokens * c.Load
 	}
-	a := indices[drawn%uint64(len(indices))]
-	b := indices[route.KeyHash(drawn)%uint64(len(indices))]
+	a := indices[random%uint64(len(indices))]
+	b := indices[route.KeyHash(random)%uint64(len(indices))]
 	if weight(&candidates[b]) < weight(&candidates[a]) {
 		return b
 	}
 	return a
 }
 
-// inOrderOf returns the indices of the usable candidates in the prompt's rendezvous order, at most
+// rendezvousOrder returns the indices of the usable candidates in the prompt's rendezvous order, at most
 // maxOrdered.
-func inOrderOf(candidates []Candidate, key uint64) []int {
+func rendezvousOrder(candidates []Candidate, key uint64) []int {
 	type scored struct {
 		index int
 		score uint64
--- a/gateway/choice/spread_test.go
+++ b/gateway/choice/spread_test.go
@@ -10,8 +10,8 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// TestWidthNeeded checks the number of endpoints for a prompt's requests.
-func TestWidthNeeded(t *testing.T) {
+// TestEndpointsNeeded checks the number of endpoints for a prompt's requests.
+func TestEndpointsNeeded(t *testing.T) {
 	for _, test := range []struct {
 		underWay, room float64
 		want           int
@@ -23,7 +23,7 @@
 		{3, 1, 3}, // room for at least one request is assumed
 		{1e9, 8, maxOrdered},
 	} {
-		assert.Equal(t, widthNeeded(test.underWay, test.room), test.want, "%+v", test)
+		assert.Equal(t, endpointsNeeded(test.underWay, test.room), test.want, "%+v", test)
 	}
 }
 
@@ -50,7 +50,7 @@
 			id := fmt.Sprintf("e%d", i)
 			candidates[i] = Candidate{ID: ryeford.EndpointID(id), Hash: route.NameHash(id), Load: 4, Slots: 48}
 		}
-		order := inOrderOf(candidates, testKey)
+		order := rendezvousOrder(candidates, testKey)
 		for _, i := range order[:test.full] {
 			candidates[i].Load = 30
 		}
@@ -59,8 +59,8 @@
 		}
 		got := make(map[int]int)
 		reasons := make(map[Reason]int)
-		for drawn := range uint64(2000) {
-			chosen := ByAffinity(candidates, Prompt{Key: testKey, UnderWay: test.underWay}, limits, route.KeyHash(drawn))
+		for random := range uint64(2000) {
+			chosen := ByAffinity(candidates, Prompt{Key: testKey, UnderWay: test.underWay}, limits, route.KeyHash(random))
 			got[chosen.Index]++
 			reasons[chosen.Reason]++
 		}
@@ -72,17 +72,17 @@
 	}
 }
 
-// TestSpreadLighter checks that the less loaded of two random endpoints is chosen, and that missing
+// TestPickOfTwo checks that the less loaded of two random endpoints is chosen, and that missing
 // tokens count if requested.
-func TestSpreadLighter(t *testing.T) {
+func TestPickOfTwo(t *testing.T) {
 	candidates := []Candidate{{Load: 3, MissingTokens: 0}, {Load: 1, MissingTokens: 5000}}
-	for drawn := range uint64(100) {
-		one := oneOf(candidates, []int{0, 1}, drawn, false)
-		both := drawn%2 != route.KeyHash(drawn)%2
+	for random := range uint64(100) {
+		one := pickOfTwo(candidates, []int{0, 1}, random, false)
+		both := random%2 != route.KeyHash(random)%2
 		if both {
 			assert.Equal(t, one, 1)
-			assert.Equal(t, oneOf(candidates, []int{0, 1}, drawn, true), 0)
+			assert.Equal(t, pickOfTwo(candidates, []int{0, 1}, random, true), 0)
 		}
 	}
-	assert.Equal(t, oneOf(candidates, nil, 1, true), -1)
+	assert.Equal(t, pickOfTwo(candidates, nil, 1, true), -1)
 }
