--- a/gateway/admit/admit_test.go
+++ b/gateway/admit/admit_test.go
@@ -12,13 +12,14 @@
 	"github.com/ryeford/ryeford/gateway/giveup"
 )
 
-// failure is what a refused caller sees of an error.
+// A failure is what the caller of a refused request sees.
 type failure struct {
 	status int
 	reason ryeford.Reason // of a NotRunError
 }
 
-// failureOf returns the failure that an error stands for.
+// failureOf returns the failure that the caller sees for an error, and checks that only a 503 has a
+// retry time.
 func failureOf(t *testing.T, err error) failure {
 	t.Helper()
 	var input *ryeford.InputError
@@ -37,7 +38,7 @@
 	return failure{}
 }
 
-// TestCheck checks which requests are refused, and with what.
+// TestCheck checks which requests are refused, and with what error.
 func TestCheck(t *testing.T) {
 	ready := State{Configured: true, Listed: true, Reliable: true, ServesKeys: true, RouteFound: true, NeedsKey: true, KeyFound: true}
 	for _, row := range []struct {
@@ -45,7 +46,7 @@
 		change func(*State)
 		want   failure
 	}{
-		{"all is known", func(*State) {}, failure{}},
+		{"everything is known", func(*State) {}, failure{}},
 		{"no configuration yet", func(s *State) { *s = State{Listed: true} }, failure{503, "not_ready"}},
 		{"no list of endpoints yet", func(s *State) { s.Listed = false }, failure{503, "not_ready"}},
 		{"unknown route", func(s *State) { s.RouteFound = false }, failure{404, ""}},
@@ -55,14 +56,14 @@
 		{"unknown key", func(s *State) { s.KeyFound = false }, failure{401, ""}},
 		{"unknown key, but the configuration may be stale", func(s *State) { s.KeyFound, s.Reliable, s.ServesKeys = false, false, false }, failure{503, "stale_configuration"}},
 		{"known key, but it may be revoked", func(s *State) { s.Reliable, s.ServesKeys = false, false }, failure{503, "stale_configuration"}},
-		{"known key, in an outage that the operators allow to bridge", func(s *State) { s.Reliable = false }, failure{}},
-		{"unknown key, in an outage: it may be a new one", func(s *State) { s.KeyFound, s.Reliable = false, false }, failure{503, "stale_configuration"}},
-		{"unknown route, in an outage: it may be a new one", func(s *State) { s.RouteFound, s.Reliable = false, false }, failure{503, "stale_configuration"}},
+		{"known key, in a store outage during which keys are served", func(s *State) { s.Reliable = false }, failure{}},
+		{"unknown key, in an outage: it may be new", func(s *State) { s.KeyFound, s.Reliable = false, false }, failure{503, "stale_configuration"}},
+		{"unknown route, in an outage: it may be new", func(s *State) { s.RouteFound, s.Reliable = false, false }, failure{503, "stale_configuration"}},
 		{"a public route needs no key", func(s *State) { s.NeedsKey, s.KeyFound = false, false }, failure{}},
-		{"a public route outlives an outage of the store", func(s *State) { s.NeedsKey, s.Reliable, s.ServesKeys = false, false, false }, failure{}},
-		{"stopping, with too little time left", func(s *State) { s.NoTimeLeft = true }, failure{503, "leaving"}},
-		{"stopping comes before the key", func(s *State) { s.NoTimeLeft, s.KeyFound = true, false }, failure{503, "leaving"}},
-		{"the route comes before stopping", func(s *State) { s.NoTimeLeft, s.RouteFound = true, false }, failure{404, ""}},
+		{"a public route is served in a store outage", func(s *State) { s.NeedsKey, s.Reliable, s.ServesKeys = false, false, false }, failure{}},
+		{"shutting down, with too little time left", func(s *State) { s.NoTimeLeft = true }, failure{503, "leaving"}},
+		{"shutdown is checked before the key", func(s *State) { s.NoTimeLeft, s.KeyFound = true, false }, failure{503, "leaving"}},
+		{"the route is checked before shutdown", func(s *State) { s.NoTimeLeft, s.RouteFound = true, false }, failure{404, ""}},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
 			state := ready
@@ -72,8 +73,8 @@
 	}
 }
 
-// TestCheckSend checks which changes after admission keep a request from being sent, and
-// that a caller learns at once if the configuration no longer allows its request.
+// TestCheckSend guards against sending a request that a change after its admission forbids, and
+// against a retryable error when the configuration no longer allows the request.
 func TestCheckSend(t *testing.T) {
 	ready := Sending{RouteFound: true, NeedsKey: true, Reliable: true, ServesKeys: true, KeyFound: true}
 	for _, row := range []struct {
@@ -84,17 +85,17 @@
 		{"nothing has changed", func(*Sending) {}, failure{}},
 		{"the endpoint is draining or gone", func(s *Sending) { s.Hindrance = ryeford.ReasonLeaving }, failure{503, "leaving"}},
 		{"its failure domain is evacuated", func(s *Sending) { s.Hindrance = ryeford.ReasonEvacuated }, failure{503, "evacuated"}},
-		{"the endpoint rests", func(s *Sending) { s.Hindrance = ryeford.ReasonResting }, failure{503, "resting"}},
-		{"the configuration went stale", func(s *Sending) { s.Reliable, s.ServesKeys = false, false }, failure{503, "stale_configuration"}},
-		{"in an outage that the operators allow to bridge", func(s *Sending) { s.Reliable = false }, failure{}},
-		{"the key was revoked, but the configuration may be stale, in an outage", func(s *Sending) { s.KeyFound, s.Reliable = false, false }, failure{503, "stale_configuration"}},
+		{"the endpoint is backing off", func(s *Sending) { s.Hindrance = ryeford.ReasonResting }, failure{503, "resting"}},
+		{"the configuration became stale", func(s *Sending) { s.Reliable, s.ServesKeys = false, false }, failure{503, "stale_configuration"}},
+		{"in a store outage during which keys are served", func(s *Sending) { s.Reliable = false }, failure{}},
+		{"the key is unknown in an outage: the configuration may be stale", func(s *Sending) { s.KeyFound, s.Reliable = false, false }, failure{503, "stale_configuration"}},
 		{"the key was revoked", func(s *Sending) { s.KeyFound = false }, failure{401, "key_taken"}},
 		{"the key was revoked, but the configuration may be stale", func(s *Sending) { s.KeyFound, s.Reliable, s.ServesKeys = false, false, false }, failure{503, "stale_configuration"}},
 		{"the route was removed", func(s *Sending) { s.RouteFound = false }, failure{404, "route_removed"}},
 		{"the route was removed, but the configuration may be stale", func(s *Sending) { s.RouteFound, s.Reliable, s.ServesKeys = false, false, false }, failure{503, "stale_configuration"}},
 		{"a public route may be removed too", func(s *Sending) { s.RouteFound, s.NeedsKey, s.KeyFound = false, false, false }, failure{404, "route_removed"}},
 		{"a public route needs neither lease nor key", func(s *Sending) { s.NeedsKey, s.Reliable, s.ServesKeys, s.KeyFound = false, false, false, false }, failure{}},
-		{"the endpoint comes first: another may serve", func(s *Sending) { s.Hindrance, s.Reliable, s.ServesKeys = ryeford.ReasonLeaving, false, false }, failure{503, "leaving"}},
+		{"the endpoint is checked first: another may serve the request", func(s *Sending) { s.Hindrance, s.Reliable, s.ServesKeys = ryeford.ReasonLeaving, false, false }, failure{503, "leaving"}},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
 			sending := ready
@@ -104,7 +105,7 @@
 	}
 }
 
-// TestCheckTime checks which requests have no time left to be answered.
+// TestCheckTime checks which requests have too little time left to be answered.
 func TestCheckTime(t *testing.T) {
 	const fastest = 50 * time.Millisecond
 	late := failure{503, "deadline"}
@@ -124,33 +125,33 @@
 	}
 }
 
-// TestBody checks the limits of bodies, and how those beyond them are refused.
+// TestBody checks the limits of bodies, and the errors for bodies beyond them.
 func TestBody(t *testing.T) {
 	assert.Equal(t, MaxBody(65536), int64(65536))
-	assert.Equal(t, MaxBody(0), int64(4<<20), "the configuration is not known yet")
+	assert.Equal(t, MaxBody(0), int64(4<<20), "no configuration yet")
 	assert.Equal(t, BodyMemory(16), int64(4<<20), "a quarter of the memory")
 	assert.Equal(t, BodySize(100, 1000), int64(100))
-	assert.Equal(t, BodySize(-1, 1000), int64(1000), "chunked: it may be as large as is allowed")
-	assert.Equal(t, BodySize(5000, 1000), int64(1000), "no more than is read before it is refused")
+	assert.Equal(t, BodySize(-1, 1000), int64(1000), "chunked: up to the maximum size")
+	assert.Equal(t, BodySize(5000, 1000), int64(1000), "no more than is read before the body is refused")
 	assert.Equal(t, failureOf(t, NoMemory()), failure{503, "overload"})
 	assert.Equal(t, failureOf(t, BodyFailure(&http.MaxBytesError{Limit: 1000})), failure{status: 413})
 	assert.Equal(t, failureOf(t, BodyFailure(errors.New("reset"))), failure{status: 400})
 }
 
-// TestBodyTimeout checks for how long a body is awaited: no longer than its caller waits.
+// TestBodyTimeout guards against waiting for a body longer than its caller waits.
 func TestBodyTimeout(t *testing.T) {
 	assert.Equal(t, BodyTimeout(time.Second), time.Second)
 	assert.Equal(t, BodyTimeout(giveup.NoLimit), 15*time.Second)
 }
 
-// TestStartWait checks for how long requests of a router that has just started wait: no
-// longer than half of the time that their callers wait.
+// TestStartWait guards against requests that wait for a starting router longer than half of their
+// caller's remaining time.
 func TestStartWait(t *testing.T) {
 	const patience = 500 * time.Millisecond
 	assert.Equal(t, StartWait(0, patience, giveup.NoLimit), patience)
 	assert.Equal(t, StartWait(400*time.Millisecond, patience, giveup.NoLimit), 100*time.Millisecond)
-	assert.Assert(t, StartWait(patience, patience, giveup.NoLimit) <= 0, "the patience is over")
+	assert.Assert(t, StartWait(patience, patience, giveup.NoLimit) <= 0, "the start timeout has elapsed")
 	assert.Assert(t, StartWait(time.Hour, patience, giveup.NoLimit) <= 0)
-	assert.Equal(t, StartWait(0, patience, 200*time.Millisecond), 100*time.Millisecond, "the rest is for a return")
+	assert.Equal(t, StartWait(0, patience, 200*time.Millisecond), 100*time.Millisecond, "the rest is left for a retry")
 	assert.Assert(t, StartWait(0, patience, -1) <= 0, "the caller has given up")
 }
--- a/gateway/admit/body.go
+++ b/gateway/admit/body.go
@@ -12,25 +12,23 @@
 const (
 	// maxBodyTimeout is how long a caller may take to send its body.
 	maxBodyTimeout = 15 * time.Second
-	// defaultMaxBody bounds a body, in bytes, until a configuration that says more is
-	// known.
+	// defaultMaxBody limits the size of a body, in bytes, if the configuration is unknown or sets
+	// no limit.
 	defaultMaxBody = 4 << 20
-	// bodyBytesPerMegabyte is how many bytes of callers' bodies are kept at once for
-	// each megabyte of the process's memory: a quarter of it. Bodies
-	// are kept whole, since an attempt may have to be repeated.
+	// bodyBytesPerMegabyte is how many bytes of request bodies may be held for each megabyte of
+	// the process's memory: a quarter. Bodies are held in full, since attempts may be repeated.
 	bodyBytesPerMegabyte = 1 << 18
 )
 
-// UnreadBodyTimeout is how long the rest of a refused request's body is awaited, so that its
-// connection can be used again: what is on the way already comes in a few milliseconds.
+// UnreadBodyTimeout is how long a router waits for the rest of a refused request's body, so that the
+// connection can be reused. It covers the data that is already in transit.
 const UnreadBodyTimeout = 10 * time.Millisecond
 
-// BodyMemory returns how many bytes of callers' bodies are kept at once by a process
-// with so many megabytes of memory.
+// BodyMemory returns how many bytes of request bodies a process with this much memory may hold.
 func BodyMemory(megabytes int) int64 { return int64(megabytes) * bodyBytesPerMegabyte }
 
-// MaxBody returns the greatest size of a body in bytes, given the configuration's; zero
-// if it says none or is not known.
+// MaxBody returns the maximum size of a body in bytes. configured is the limit of the
+// configuration, zero if it sets none or is unknown.
 func MaxBody(configured int) int64 {
 	if configured > 0 {
 		return int64(configured)
@@ -38,12 +36,12 @@
 	return defaultMaxBody
 }
 
-// BodyTimeout returns how long a caller may take to send the rest of its body, given for
-// how long it waits for the response: what comes later helps nobody.
+// BodyTimeout returns how long a caller may take to send the rest of its body. left is how
+// long the caller still waits for the response.
 func BodyTimeout(left time.Duration) time.Duration { return min(maxBodyTimeout, left) }
 
-// BodySize returns how many bytes are reserved for a body before it is read, given
-// its Content-Length, or -1 if that is not known.
+// BodySize returns how many bytes are reserved for a body before it is read. contentLength
+// is -1 if unknown.
 func BodySize(contentLength, maxBody int64) int64 {
 	if contentLength < 0 || contentLength > maxBody {
 		return maxBody
@@ -51,11 +49,11 @@
 	return contentLength
 }
 
-// NoMemory returns the failure of a request for whose body there is no memory left.
+// NoMemory returns the error of a request whose body does not fit into the remaining body memory.
 func NoMemory() error { return giveup.NotRun(ryeford.ReasonOverload) }
 
-// BodyFailure returns the failure of a request whose body could not be read, given the
-// error of reading it through an http.MaxBytesReader.
+// BodyFailure returns the error of a request whose body could not be read. err is the error
+// of reading through an http.MaxBytesReader.
 func BodyFailure(err error) error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
