--- a/gateway/admit/admit.go
+++ b/gateway/admit/admit.go
@@ -56,7 +56,7 @@
 		return &ryeford.InputError{Field: "path", Problem: "no such route", Status: http.StatusNotFound}
 	case s.NoTimeLeft:
 		return giveup.NotRun(ryeford.ReasonLeaving)
-	case s.NeedsKey && keyInDoubt(s.ServesKeys, s.KeyFound, s.Reliable):
+	case s.NeedsKey && keyUnverified(s.ServesKeys, s.KeyFound, s.Reliable):
 		return giveup.NotRun(ryeford.ReasonStaleConfiguration)
 	case s.NeedsKey && !s.KeyFound:
 		return &ryeford.InputError{Field: "key", Problem: "unknown", Status: http.StatusUnauthorized}
@@ -89,7 +89,7 @@
 		return giveup.NotRun(ryeford.ReasonStaleConfiguration)
 	case !s.RouteFound:
 		return giveup.NotRun(ryeford.ReasonRouteRemoved)
-	case s.NeedsKey && keyInDoubt(s.ServesKeys, s.KeyFound, s.Reliable):
+	case s.NeedsKey && keyUnverified(s.ServesKeys, s.KeyFound, s.Reliable):
 		return giveup.NotRun(ryeford.ReasonStaleConfiguration)
 	case s.NeedsKey && !s.KeyFound:
 		return giveup.NotRun(ryeford.ReasonKeyRevoked)
@@ -103,9 +103,9 @@
 	return reason == ryeford.ReasonLeaving || reason == ryeford.ReasonEvacuated || reason == ryeford.ReasonResting
 }
 
-// keyInDoubt reports whether a key can't be verified: keys are not served, or the key is
+// keyUnverified reports whether a key can't be verified: keys are not served, or the key is
 // unknown and the configuration may lack a new key.
-func keyInDoubt(served, found, reliable bool) bool {
+func keyUnverified(served, found, reliable bool) bool {
 	return !served || !found && !reliable
 }
 
@@ -125,12 +125,12 @@
 const startWaitShare = 0.5
 
 // StartWait returns how long a request may wait for the first configuration and the
-// first list of endpoints: until patience has elapsed since the process started, limited to a
+// first list of endpoints: until startTimeout has elapsed since the process started, limited to a
 // share of the time left for the caller. If it is zero or less, the request may not wait.
 //
 // When a whole fleet starts at once, callers reconnect as soon as the routers listen, which is
 // shortly before the configuration is read. Later on, a router without a configuration refuses at
 // once, so that no requests are held during a store outage.
-func StartWait(sinceStart, patience, left time.Duration) time.Duration {
-	return min(patience-sinceStart, time.Duration(startWaitShare*float64(left)))
+func StartWait(sinceStart, startTimeout, left time.Duration) time.Duration {
+	return min(startTimeout-sinceStart, time.Duration(startWaitShare*float64(left)))
 }
--- a/gateway/admit/admit_test.go
+++ b/gateway/admit/admit_test.go
@@ -147,11 +147,11 @@
 // TestStartWait guards against requests that wait for a starting router longer than half of their
 // caller's remaining time.
 func TestStartWait(t *testing.T) {
-	const patience = 500 * time.Millisecond
-	assert.Equal(t, StartWait(0, patience, giveup.NoLimit), patience)
-	assert.Equal(t, StartWait(400*time.Millisecond, patience, giveup.NoLimit), 100*time.Millisecond)
-	assert.Assert(t, StartWait(patience, patience, giveup.NoLimit) <= 0, "the start timeout has elapsed")
-	assert.Assert(t, StartWait(time.Hour, patience, giveup.NoLimit) <= 0)
-	assert.Equal(t, StartWait(0, patience, 200*time.Millisecond), 100*time.Millisecond, "the rest is left for a retry")
-	assert.Assert(t, StartWait(0, patience, -1) <= 0, "the caller has given up")
+	const startTimeout = 500 * time.Millisecond
+	assert.Equal(t, StartWait(0, startTimeout, giveup.NoLimit), startTimeout)
+	assert.Equal(t, StartWait(400*time.Millisecond, startTimeout, giveup.NoLimit), 100*time.Millisecond)
+	assert.Assert(t, StartWait(startTimeout, startTimeout, giveup.NoLimit) <= 0, "the start timeout has elapsed")
+	assert.Assert(t, StartWait(time.Hour, startTimeout, giveup.NoLimit) <= 0)
+	assert.Equal(t, StartWait(0, startTimeout, 200*time.Millisecond), 100*time.Millisecond, "the rest is left for a retry")
+	assert.Assert(t, StartWait(0, startTimeout, -1) <= 0, "the caller has given up")
 }
