--- a/gateway/giveup/giveup.go
+++ b/gateway/giveup/giveup.go
@@ -1,16 +1,15 @@
-// Package giveup decides how a request ends that gets no response from an
-// endpoint:
+// Package giveup decides how a request ends that gets no response from an endpoint.
 //
-// A request is answered with a status of the gateway's own that says whether it may
-// have run: 503 and a Retry-After only if no attempt can have run it, 502 or 504 if
-// one may have. If part of a response has been sent, the connection is broken off. When
-// callers are told to come back is in retryafter.go.
+// Rule: the gateway responds with a status of its own that tells whether the request may have
+// run: 503 with a Retry-After only if no attempt can have run it, 502 or 504 if one may have. If
+// part of a response has been sent, the connection is aborted. The Retry-After is computed in
+// retryafter.go.
 //
-// The reason is that callers send a request again after 503 even if it must run
-// only once; and that a broken response must not look complete.
+// Why: callers retry after a 503 even if the request must run only once, and a truncated
+// response must not look complete.
 //
-// The package owns no state and does no I/O. It relies on the errors of the root
-// package: NotRunError, MayHaveRunError and InputError.
+// The package has no state and does no I/O. It uses the errors of the root package:
+// NotRunError, MayHaveRunError and InputError.
 package giveup
 
 import (
@@ -21,20 +20,20 @@
 	"github.com/ryeford/ryeford"
 )
 
-// NotRun returns the error of a request that has not run for a reason, with the time
-// after which a return makes sense. It is zero if none does.
+// NotRun returns the error of a request that has not run. Its RetryAfter is the earliest time at
+// which a retry may succeed, or zero if the configuration no longer allows the request.
 func NotRun(reason ryeford.Reason) *ryeford.NotRunError {
 	return &ryeford.NotRunError{Reason: reason, RetryAfter: returnAfter(reason)}
 }
 
-// Quarantined returns the error of a request that is held for a time since others that are the same
-// have ended the endpoints that ran them.
+// Quarantined returns the error of a quarantined request: identical requests have ended the endpoints
+// that ran them. left is how long the quarantine still lasts.
 func Quarantined(left time.Duration) *ryeford.NotRunError {
 	return &ryeford.NotRunError{Reason: ryeford.ReasonQuarantined, RetryAfter: left}
 }
 
 // Stopped returns the error of a request that ends before an endpoint has answered it: its
-// deadline has passed, its caller has gone, or the router stops.
+// deadline has passed, its caller has disconnected, or the router is shutting down.
 func Stopped(reason ryeford.Reason, mayHaveRun bool) error {
 	if mayHaveRun {
 		return &ryeford.MayHaveRunError{Reason: reason}
@@ -44,20 +43,20 @@
 
 // A Request is a request that ends without a response from an endpoint.
 type Request struct {
-	Err  error // why it ends
-	Last error // how the last attempt ended, or nil
-	// MayHaveRun says that any of its attempts may have run.
+	Err  error // why the request ends
+	Last error // error of the last attempt, or nil
+	// MayHaveRun reports that any of its attempts may have run.
 	MayHaveRun bool
-	// Begun says that part of a response has been sent to the caller.
+	// Begun reports that part of a response has been sent to the caller.
 	Begun bool
-	// Unavailable is for how long all endpoints of the service are still ejected or rest; zero
-	// if one does neither, or if there is none.
+	// Unavailable is how long all endpoints of the service remain ejected or back off; zero if one
+	// of them does neither, or if there are none.
 	Unavailable time.Duration
-	// Resting is for how long all of them rest; zero if one doesn't.
+	// Resting is how long all of them back off; zero if one doesn't.
 	Resting time.Duration
-	// Unlisted says that no endpoint of the service is listed that accepts requests.
+	// Unlisted reports that no listed endpoint of the service accepts requests.
 	Unlisted bool
-	// Overloaded is for how long requests for the service have been refused for load.
+	// Overloaded is how long requests for the service have been refused because of load.
 	Overloaded time.Duration
 	Caller     Caller
 	Recent     Recent
@@ -65,18 +64,18 @@
 
 // A Verdict is how a request ends.
 type Verdict struct {
-	// Err is what is logged. It is a *MayHaveRunError if the request may have run.
+	// Err is the error to log. It is a *MayHaveRunError if the request may have run.
 	Err error
-	// Status is the HTTP status that the caller gets, unless Abort is true.
+	// Status is the HTTP status of the response, unless Abort is true.
 	Status int
-	// RetryAfter is when the caller is told to come back.
+	// RetryAfter is the interval in which the caller should retry.
 	RetryAfter Band
 	// Reason is the code of the failure in logs and metrics.
 	Reason string
-	// Final says that callers are not to send the request again by themselves, whatever the status
-	// is: many do so after a 503.
+	// Final reports that callers must not retry automatically, whatever the status is. Many of them
+	// do so after a 503.
 	Final bool
-	// Abort says that the caller's connection is broken off.
+	// Abort reports that the caller's connection is aborted.
 	Abort bool
 }
 
@@ -92,7 +91,7 @@
 	verdict.Final = verdict.Reason == string(ryeford.ReasonQuarantined)
 	switch {
 	case verdict.Status != http.StatusServiceUnavailable:
-	case verdict.Final: // it is not load that holds the request: there is no crowd to spread
+	case verdict.Final: // quarantined, not overloaded: there are no simultaneous retries to spread
 		verdict.RetryAfter = Band{From: r.earliestReturn(), To: r.earliestReturn()}
 	default:
 		verdict.RetryAfter = returnBand(r.earliestReturn(), r.Overloaded, r.Caller, r.Recent)
@@ -101,16 +100,15 @@
 }
 
 // ClosesConnection reports whether the connection of a caller whose request was not
-// admitted is closed after the response: because its rest may not be a request, or
-// because another router may have a configuration that isn't stale.
+// admitted is closed after the response: the unread data may not be a request, or another
+// router may have a configuration that is not stale.
 func ClosesConnection(v *Verdict) bool {
 	return v.Status == http.StatusRequestEntityTooLarge || v.Status == http.StatusBadRequest ||
 		v.Reason == string(ryeford.ReasonStaleConfiguration)
 }
 
-// statusOf returns the HTTP status of a failure. A MayHaveRunError is looked for first:
-// it may wrap the NotRunError of a later attempt, which promises nothing for the
-// earlier ones.
+// statusOf returns the HTTP status of a failure. MayHaveRunError is checked first, since it may
+// wrap the NotRunError of a later attempt, which proves nothing about earlier ones.
 func statusOf(err error) int {
 	var input *ryeford.InputError
 	var notRun *ryeford.NotRunError
@@ -131,8 +129,7 @@
 }
 
 // notRunStatus returns the HTTP status of a request that has not run. If the
-// configuration no longer allows it, the caller is told what it would be told if it
-// came back.
+// configuration no longer allows the request, it is the status that a retry would get.
 func notRunStatus(reason ryeford.Reason) int {
 	switch reason {
 	case ryeford.ReasonKeyRevoked:
@@ -159,9 +156,9 @@
 	return "failure"
 }
 
-// PromisesNotRun reports whether callers take a status for the promise that a
-// request has not run. An endpoint's response with such a status, but without the
-// endpoint's statement that it has not run the request, is not passed on.
+// PromisesNotRun reports whether callers infer from a status that a request has not run. An
+// endpoint's response with such a status is not forwarded unless the endpoint states
+// that it has not run the request.
 func PromisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/gateway/giveup/giveup_test.go
+++ b/gateway/giveup/giveup_test.go
@@ -10,8 +10,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestStatusOf checks that an error's status promises that the request has not run only
-// if that is known: not if the last attempt did not run, but an earlier one may have.
+// TestStatusOf guards against a status that promises that the request has not run although an earlier
+// attempt may have.
 func TestStatusOf(t *testing.T) {
 	notRun := &ryeford.NotRunError{Reason: ryeford.ReasonOverload, RetryAfter: time.Second}
 	for name, test := range map[string]struct {
@@ -19,10 +19,10 @@
 		status int
 		reason string
 	}{
-		"not run":                  {notRun, http.StatusServiceUnavailable, "overload"},
-		"an earlier one may have":  {&ryeford.MayHaveRunError{Reason: ryeford.ReasonOverload, Err: notRun}, http.StatusBadGateway, "overload"},
-		"an earlier one, too late": {&ryeford.MayHaveRunError{Reason: ryeford.ReasonDeadline, Err: notRun}, http.StatusGatewayTimeout, "deadline"},
-		"no such route":            {&ryeford.InputError{Field: "path", Status: http.StatusNotFound}, http.StatusNotFound, "input"},
+		"not run":                         {notRun, http.StatusServiceUnavailable, "overload"},
+		"an earlier attempt may have run": {&ryeford.MayHaveRunError{Reason: ryeford.ReasonOverload, Err: notRun}, http.StatusBadGateway, "overload"},
+		"an earlier attempt may have run, deadline passed": {&ryeford.MayHaveRunError{Reason: ryeford.ReasonDeadline, Err: notRun}, http.StatusGatewayTimeout, "deadline"},
+		"no such route": {&ryeford.InputError{Field: "path", Status: http.StatusNotFound}, http.StatusNotFound, "input"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, statusOf(test.err), test.status)
@@ -46,18 +46,18 @@
 		{"the last was refused, an earlier one may have run: no promise", Request{Err: NotRun(ryeford.ReasonOverload), Last: NotRun(ryeford.ReasonOverload), MayHaveRun: true}, 502, "overload", false},
 		{"no endpoint is left after one that may have run: no promise", Request{Err: NotRun(ryeford.ReasonNoCandidate), Last: lost, MayHaveRun: true}, 502, "no_candidate", false},
 		{"the attempt may have run: no promise", Request{Err: lost, Last: lost, MayHaveRun: true}, 502, "engine_lost", false},
-		{"out of time, and it may have run", Request{Err: Stopped(ryeford.ReasonDeadline, true), MayHaveRun: true}, 504, "deadline", false},
-		{"out of time before anything was sent: not run", Request{Err: Stopped(ryeford.ReasonDeadline, false)}, 503, "deadline", false},
-		{"the caller is gone, and it may have run", Request{Err: Stopped(ryeford.ReasonCancelled, true), MayHaveRun: true}, 502, "cancelled", false},
-		{"the router stops, and it may have run", Request{Err: Stopped(ryeford.ReasonLeaving, true), MayHaveRun: true}, 502, "leaving", false},
-		{"the router stops before anything was sent", Request{Err: Stopped(ryeford.ReasonLeaving, false)}, 503, "leaving", false},
-		{"the key was revoked: it would be refused for good", Request{Err: NotRun(ryeford.ReasonKeyRevoked)}, 401, "key_taken", false},
+		{"deadline passed, and it may have run", Request{Err: Stopped(ryeford.ReasonDeadline, true), MayHaveRun: true}, 504, "deadline", false},
+		{"deadline passed before anything was sent: not run", Request{Err: Stopped(ryeford.ReasonDeadline, false)}, 503, "deadline", false},
+		{"the caller has disconnected, and it may have run", Request{Err: Stopped(ryeford.ReasonCancelled, true), MayHaveRun: true}, 502, "cancelled", false},
+		{"the router is shutting down, and it may have run", Request{Err: Stopped(ryeford.ReasonLeaving, true), MayHaveRun: true}, 502, "leaving", false},
+		{"the router is shutting down before anything was sent", Request{Err: Stopped(ryeford.ReasonLeaving, false)}, 503, "leaving", false},
+		{"the key was revoked: the refusal is final", Request{Err: NotRun(ryeford.ReasonKeyRevoked)}, 401, "key_taken", false},
 		{"the key was revoked, but an attempt may have run", Request{Err: NotRun(ryeford.ReasonKeyRevoked), Last: lost, MayHaveRun: true}, 502, "key_taken", false},
-		{"the route was removed: it would be refused for good", Request{Err: NotRun(ryeford.ReasonRouteRemoved)}, 404, "route_removed", false},
+		{"the route was removed: the refusal is final", Request{Err: NotRun(ryeford.ReasonRouteRemoved)}, 404, "route_removed", false},
 		{"the route was removed, but an attempt may have run", Request{Err: NotRun(ryeford.ReasonRouteRemoved), Last: lost, MayHaveRun: true}, 502, "route_removed", false},
-		{"requests like it end endpoints: not run", Request{Err: Quarantined(time.Hour)}, 503, "quarantined", false},
-		{"requests like it end endpoints, and an attempt may have run", Request{Err: Quarantined(time.Hour), Last: lost, MayHaveRun: true}, 502, "quarantined", false},
-		{"a response has begun: broken off", Request{Err: lost, Last: lost, MayHaveRun: true, Begun: true}, 502, "engine_lost", true},
+		{"quarantined: not run", Request{Err: Quarantined(time.Hour)}, 503, "quarantined", false},
+		{"quarantined, and an attempt may have run", Request{Err: Quarantined(time.Hour), Last: lost, MayHaveRun: true}, 502, "quarantined", false},
+		{"a response has begun: aborted", Request{Err: lost, Last: lost, MayHaveRun: true, Begun: true}, 502, "engine_lost", true},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
 			row.request.Caller.Left = time.Minute
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestNotRun checks after which time a return makes sense for each reason: none if the
-// configuration no longer allows the request.
+// TestNotRun checks the earliest retry time for each reason, which is zero if the configuration no
+// longer allows the request.
 func TestNotRun(t *testing.T) {
 	for reason, want := range map[ryeford.Reason]time.Duration{
 		ryeford.ReasonNotReady:           300 * time.Millisecond,
@@ -97,7 +97,7 @@
 	}
 }
 
-// TestPromisesNotRun checks which statuses of endpoints are not passed on.
+// TestPromisesNotRun checks which statuses of endpoints are not forwarded.
 func TestPromisesNotRun(t *testing.T) {
 	for status, want := range map[int]bool{
 		408: true, 421: true, 429: true, 503: true,
@@ -107,7 +107,7 @@
 	}
 }
 
-// TestClosesConnection checks after which refusals a caller must connect again.
+// TestClosesConnection checks after which refusals a caller must reconnect.
 func TestClosesConnection(t *testing.T) {
 	for _, row := range []struct {
 		rule string
@@ -115,8 +115,8 @@
 		want bool
 	}{
 		{"the rest of the body is unread", &ryeford.InputError{Status: 413}, true},
-		{"what comes next may be no request", &ryeford.InputError{}, true},
-		{"another router may know more", NotRun(ryeford.ReasonStaleConfiguration), true},
+		{"the next data may not be a request", &ryeford.InputError{}, true},
+		{"another router may have a newer configuration", NotRun(ryeford.ReasonStaleConfiguration), true},
 		{"no other router would admit it", &ryeford.InputError{Status: 404}, false},
 		{"the next request may be admitted", NotRun(ryeford.ReasonOverload), false},
 	} {
--- a/gateway/giveup/retryafter.go
+++ b/gateway/giveup/retryafter.go
@@ -9,40 +9,39 @@
 	"github.com/ryeford/ryeford"
 )
 
-// The times after which a return makes sense at the earliest, by what is known when a
-// request is refused. The band in which the caller is told to come back begins there.
+// Earliest retry times, by the reason of a refusal. The interval in which the caller
+// should retry begins there.
 const (
 	// retryNotReady is for a router that has not read the configuration or the
 	// endpoint list yet.
 	retryNotReady = 300 * time.Millisecond
-	// retryNoEndpoint is for a service of which no endpoint can be reached, unless an
-	// ejection or a rest ends later.
+	// retryNoEndpoint is for a service whose endpoints can't be reached, unless an ejection or
+	// a back-off ends later.
 	retryNoEndpoint = 150 * time.Millisecond
-	// retryUnlisted is for a service of which no endpoint is listed: one that starts writes
-	// its entry first, and callers come back only a few times.
+	// retryUnlisted is for a service without listed endpoints: an endpoint that starts must be
+	// listed first, and callers retry only a few times.
 	retryUnlisted = time.Second
-	// retryLoaded is for what ends soon, at a moment that is not known: load, a stale
+	// retryLoaded is for conditions that end soon at an unknown time: overload, a stale
 	// configuration.
 	retryLoaded = 100 * time.Millisecond
-	// retryElsewhere is for a router that is stopping: others serve the request now.
+	// retryElsewhere is for a router that is shutting down: other routers serve the request now.
 	retryElsewhere = 10 * time.Millisecond
 )
 
 const (
-	// returnShare is the part of a caller's remaining time within which it is told to
-	// come back: callers honour a Retry-After up to a third of the time that remains to
-	// them (the page of the protocol), and the response needs some of it to arrive.
+	// returnShare is the share of a caller's remaining time within which it is asked to
+	// retry. Callers honor a Retry-After up to a third of their remaining time, and the response
+	// needs some of it to arrive.
 	returnShare = 0.3
-	// maxReturn is the latest return that a caller is told: sooner ones come in
-	// higher waves.
+	// maxReturn limits the Retry-After. A lower limit would concentrate the retries.
 	maxReturn = 5 * time.Second
-	// fewAnswers is how many answers are assumed beside the recent ones, so that a lone
-	// refusal is no crowd.
+	// fewAnswers is added to the number of recent answers, so that a single refusal does not
+	// count as an overload.
 	fewAnswers = 4
 )
 
-// returnAfter returns the time after which a return makes sense, or zero if the
-// configuration no longer allows the request.
+// returnAfter returns the earliest time for a retry, or zero if the configuration no longer
+// allows the request.
 func returnAfter(reason ryeford.Reason) time.Duration {
 	switch reason {
 	case ryeford.ReasonNotReady:
@@ -57,8 +56,7 @@
 	return retryLoaded
 }
 
-// earliestReturn returns the time after which a return of a request that has not run
-// makes sense.
+// earliestReturn returns the earliest time for a retry of a request that has not run.
 func (r *Request) earliestReturn() time.Duration {
 	var notRun *ryeford.NotRunError
 	if !errors.As(r.Err, &notRun) {
@@ -71,26 +69,26 @@
 		}
 		return max(notRun.RetryAfter, r.Unavailable)
 	case ryeford.ReasonOverload:
-		return max(notRun.RetryAfter, r.Resting) // an ejected endpoint may still be tried, a resting one not
+		return max(notRun.RetryAfter, r.Resting) // an ejected endpoint may still be tried, one that backs off may not
 	}
 	return notRun.RetryAfter
 }
 
-// NoLimit is the remaining time of a caller that does not say how long it waits.
+// NoLimit is the remaining time of a caller that sends no deadline.
 const NoLimit = time.Duration(math.MaxInt64)
 
-// A Caller is what a refused caller's return goes by, beside the reason.
+// A Caller holds the properties of a refused caller that determine its retry interval.
 type Caller struct {
 	Priority ryeford.Priority
 	// InUse holds the priorities of the configuration in force, the highest first.
 	InUse []ryeford.Priority
-	// Left is for how long it still waits for a response, over all its returns. NoLimit
-	// if it does not say.
+	// Left is how long the caller still waits for a response, including its retries. It is NoLimit
+	// if the caller sends no deadline.
 	Left time.Duration
 }
 
-// rank returns how many of the priorities in use are higher than the caller's, and among
-// how many ranks that is.
+// rank returns how many of the priorities in use are higher than the caller's, and the number of
+// ranks.
 func (c *Caller) rank() (rank, of int) {
 	for _, priority := range c.InUse {
 		if priority > c.Priority {
@@ -100,13 +98,13 @@
 	return rank, max(len(c.InUse), rank+1)
 }
 
-// A Recent counts how other requests of the same service ended lately at this router.
+// A Recent counts how other requests of the same service recently ended at this router.
 type Recent struct {
 	Refused, Answered int
 }
 
-// Counts returns what a request counts for that ends with a verdict: as refused, if its
-// caller is told that it has not run, unless it is for the request alone.
+// Counts returns what a request with this verdict adds to the recent counts. It counts as refused if
+// the caller is notified that it has not run, except if it is quarantined.
 func (v *Verdict) Counts() Recent {
 	if v.Status == http.StatusServiceUnavailable && !v.Final {
 		return Recent{Refused: 1}
@@ -114,34 +112,33 @@
 	return Recent{}
 }
 
-// refusedShare returns the part of recent requests that were refused, from 0 to 1, if one
-// more is refused now.
+// refusedShare returns the share of recent requests that were refused, from 0 to 1, including the
+// current one.
 func (r Recent) refusedShare() float64 {
 	refused := r.Refused + 1
 	return float64(refused) / float64(refused+r.Answered+fewAnswers)
 }
 
-// A Band is the span of time, from now, in which a caller is told to come back. The
-// zero Band tells it nothing.
+// A Band is the interval, from now, in which a caller should retry. The zero Band gives no
+// retry time.
 type Band struct {
 	From, To time.Duration
 }
 
-// returnBand returns the Band of a caller for which a return makes sense after a time
-// at the earliest:
+// returnBand returns the interval in which a caller should retry, given the earliest time
+// for a retry.
 //
-// Returns are spread from that moment on over as much of the time in which callers
-// honour a Retry-After as there are refusals among the recent requests. That span is
-// divided among the priorities in use: the most urgent come back first, each priority
-// before the next lower one.
+// Rule: retries are spread from the earliest time on over a share of the time in which callers
+// honor a Retry-After. It is the share of refusals among the recent requests. This
+// interval is divided among the priorities in use, the highest first.
 //
-// The reason is that a lone refusal should cost its caller little time, while callers
-// that are refused in a crowd would be refused again if they came back together. A
-// return later than callers honour is none, so the band begins no later than halfway.
+// Why: a single refusal should delay its caller little, while many callers refused together
+// would be refused again if they retried together. The interval begins no later than halfway,
+// since callers don't honor later retry times.
 //
-// In an overload it begins no sooner than after the time for which the overload has lasted,
-// up to the latest return: an overload that is long already is likely to go on, and callers
-// that come back within it take the places of those who come for the first time.
+// In an overload the interval begins no sooner than after the time for which the overload has
+// lasted, up to the latest retry time. A long overload is likely to go on, and callers that
+// retry during it take capacity from first requests.
 func returnBand(earliest, overloaded time.Duration, caller Caller, recent Recent) Band {
 	last := min(time.Duration(returnShare*float64(caller.Left)), maxReturn)
 	if last <= 0 {
--- a/gateway/giveup/retryafter_test.go
+++ b/gateway/giveup/retryafter_test.go
@@ -9,12 +9,11 @@
 	"github.com/ryeford/ryeford"
 )
 
-// allPriorities holds every priority, the highest first.
+// allPriorities holds all priorities, the highest first.
 var allPriorities = []ryeford.Priority{9, 8, 7, 6, 5, 4, 3, 2, 1, 0}
 
-// TestReturnBand checks, for callers that are told to come back, that a more urgent one
-// comes back before a less urgent one, that none is told a time that callers don't
-// honour, and that one that waits no longer is told nothing.
+// TestReturnBand guards against retry intervals that overlap between priorities, that begin after the
+// time in which callers honor them, and against any interval for a caller without time left.
 func TestReturnBand(t *testing.T) {
 	for _, recent := range []Recent{{}, {Refused: 1}, {Answered: 1000}, {Refused: 1000}} {
 		for _, earliest := range []time.Duration{0, 100 * time.Millisecond, time.Second, time.Hour} {
@@ -24,7 +23,7 @@
 					band := returnBand(earliest, 0, Caller{Priority: priority, InUse: allPriorities, Left: left}, recent)
 					assert.Assert(t, band.From <= band.To)
 					assert.Assert(t, band.From >= previous.To, "%v %v: bands overlap", earliest, left)
-					assert.Assert(t, band.To <= left/3, "%v %v: callers don't honour it", earliest, left)
+					assert.Assert(t, band.To <= left/3, "%v %v: later than callers honor", earliest, left)
 					assert.Assert(t, band.To <= maxReturn)
 					assert.Assert(t, i > 0 || band.From == earliest || band.From > left/10 || band.From == maxReturn/2, "%v %v: %v", earliest, left, band)
 					previous = band
@@ -37,8 +36,8 @@
 	}
 }
 
-// TestOverloadBand checks that callers come back no sooner than after as long as an overload
-// has lasted, and never later than they honour.
+// TestOverloadBand guards against callers that retry sooner than after the time for which an overload
+// has lasted, or later than they honor.
 func TestOverloadBand(t *testing.T) {
 	caller := Caller{Left: 10 * time.Second}
 	last := time.Duration(returnShare * float64(caller.Left))
@@ -51,8 +50,8 @@
 	}
 }
 
-// TestReturnSpread checks that a lone refusal costs its caller little time, and that a
-// crowd's returns are spread over all the time in which callers honour them.
+// TestReturnSpread checks that a single refusal delays its caller little, and that the retries after
+// many refusals are spread over all the time in which callers honor a Retry-After.
 func TestReturnSpread(t *testing.T) {
 	caller := Caller{Left: 4 * time.Second}
 	const first, last = 100 * time.Millisecond, 1200 * time.Millisecond
@@ -66,8 +65,8 @@
 	assert.Assert(t, half.To > 640*time.Millisecond && half.To < 660*time.Millisecond, "%v", half)
 }
 
-// TestReturnPriority checks that the span is divided among the priorities in use, and
-// that a priority that is not in use has its place among them.
+// TestReturnPriority checks that the interval is divided among the priorities in use, and
+// that a priority that is not in use is ranked among them.
 func TestReturnPriority(t *testing.T) {
 	at := func(p ryeford.Priority) Band {
 		return returnBand(0, 0, Caller{Priority: p, InUse: []ryeford.Priority{9, 7}, Left: 10 * time.Second}, Recent{Refused: 1 << 20})
@@ -78,12 +77,11 @@
 	assert.Equal(t, second(at(9)), Band{From: 0, To: 1500 * time.Millisecond})
 	assert.Equal(t, second(at(7)), Band{From: 1500 * time.Millisecond, To: 3 * time.Second})
 	assert.Equal(t, at(8), at(7))
-	assert.Equal(t, second(at(5)), Band{From: 2 * time.Second, To: 3 * time.Second}, "not in use: after those that are")
+	assert.Equal(t, second(at(5)), Band{From: 2 * time.Second, To: 3 * time.Second}, "not in use: ranked below both")
 }
 
-// TestReturnAfterEjection checks that a caller whose endpoints are all ejected comes back
-// when the first of them does, one that was refused for another reason sooner, and one
-// whose service has no endpoint on the list later.
+// TestReturnAfterEjection checks that callers retry when the first of their ejected endpoints is
+// available again, sooner if the refusal has another reason, and later if no endpoint is listed.
 func TestReturnAfterEjection(t *testing.T) {
 	caller := Caller{Priority: ryeford.PriorityHighest, Left: time.Minute}
 	for reason, want := range map[ryeford.Reason]time.Duration{
@@ -95,7 +93,7 @@
 		assert.Equal(t, verdict.RetryAfter.From, want, string(reason))
 	}
 	verdict := Decide(Request{Err: NotRun(ryeford.ReasonOverload), Unavailable: 700 * time.Millisecond, Resting: 600 * time.Millisecond, Caller: caller})
-	assert.Equal(t, verdict.RetryAfter.From, 600*time.Millisecond, "all rest: nothing serves sooner")
+	assert.Equal(t, verdict.RetryAfter.From, 600*time.Millisecond, "all back off: none serves sooner")
 	verdict = Decide(Request{Err: NotRun(ryeford.ReasonNoCandidate), Unavailable: time.Millisecond, Caller: caller})
 	assert.Equal(t, verdict.RetryAfter.From, retryNoEndpoint)
 	verdict = Decide(Request{Err: NotRun(ryeford.ReasonNoCandidate), Unlisted: true, Caller: caller})
--- a/gateway/giveup/returns_test.go
+++ b/gateway/giveup/returns_test.go
@@ -14,8 +14,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// The simulated service and its callers. A caller sends its request anew, as callers do,
-// at most maxReturns times, and honours a Retry-After up to a third of its remaining time.
+// The simulated service and its callers. A caller retries its request at most maxReturns times,
+// and honors a Retry-After up to a third of its remaining time.
 const (
 	simSlots = 24
 	simWork  = 60 * time.Millisecond
@@ -25,22 +25,22 @@
 	simTick    = 100 * time.Millisecond
 	capacity   = float64(simSlots) * float64(time.Second) / float64(simWork) // requests a second
 	maxReturns = 3
-	// simEjection is the term for which endpoints that can't be reached are ejected.
+	// simEjection is how long unreachable endpoints are ejected.
 	simEjection = 1500 * time.Millisecond
-	// simEndpoints is how many endpoints a router may probe.
+	// simEndpoints is the number of endpoints that a router may probe.
 	simEndpoints = 4
 	simSeed      = 23
 )
 
-// A class is one kind of the simulated callers.
+// A class is a group of simulated callers.
 type class struct {
 	priority ryeford.Priority
 	deadline time.Duration
 	share    float64 // of all callers
 }
 
-// classes are those of a deployment whose most urgent requests have the shorter
-// deadlines, but for the last class.
+// classes models a deployment whose most urgent requests have shorter deadlines, except in the
+// last class.
 var classes = []class{
 	{ryeford.PriorityHighest, 4 * time.Second, 0.2},
 	{ryeford.PriorityHighest - 1, 6 * time.Second, 0.3},
@@ -48,56 +48,54 @@
 	{ryeford.PriorityHighest - 2, 15 * time.Second, 0.1},
 }
 
-// inUse are their priorities.
+// inUse holds the priorities of the classes, the highest first.
 var inUse = []ryeford.Priority{ryeford.PriorityHighest, ryeford.PriorityHighest - 1, ryeford.PriorityHighest - 2}
 
-// A simulation is a service that is overloaded or out for some time, and its callers.
+// A simulation is a service that is overloaded or down for some time, and its callers.
 type simulation struct {
 	load   func(at time.Duration) float64 // first requests, as a multiple of capacity
-	out    func(at time.Duration) bool    // no endpoint can be reached
+	out    func(at time.Duration) bool    // reports whether all endpoints are unreachable
 	length time.Duration
 	rule   func(Request) Band
-	// connect is how long a request waits at an endpoint that does not answer its attempt
-	// to connect; zero in a simulation in which that is known of all beforehand. probe is
-	// the time between two such attempts at an endpoint that is known to be silent; zero
-	// if each request makes one.
+	// connect is how long a request waits for an endpoint that does not answer a connection attempt;
+	// zero if all requests are refused without an attempt. probe is the interval between attempts
+	// at an endpoint that is known to be silent; zero if each request makes one.
 	connect, probe time.Duration
-	// through is the share of routers that reach the endpoints all the same. Callers come
-	// back at any router.
+	// through is the share of requests that go through a router which still reaches the endpoints.
 	through float64
-	// unlisted says that the endpoints are not listed while they are out.
+	// unlisted reports that the endpoints are not listed while they are down.
 	unlisted bool
 
 	began   time.Time
 	mu      sync.Mutex
 	busy    int                         // slots
-	queue   []*waiter                   // the most urgent first
-	returns []int                       // in each tick
-	recent  []Recent                    // in each window
-	silent  bool                        // the last attempt to connect that ended was not answered
-	ejected time.Duration               // until then
-	probed  [simEndpoints]time.Duration // when the last probe of each endpoint began
-	held    []time.Duration             // the time to the answer of each refused request
+	queue   []*waiter                   // highest priority first
+	returns []int                       // by tick
+	recent  []Recent                    // by window
+	silent  bool                        // the last completed connection attempt was not answered
+	ejected time.Duration               // end of the ejection
+	probed  [simEndpoints]time.Duration // start of the last probe of each endpoint
+	held    []time.Duration             // time until each refused request was answered
 	tally   chan outcome
 }
 
-// An outcome is how one caller fared.
+// An outcome is how the request of one caller ended.
 type outcome struct {
 	class  int
 	served bool
 	took   time.Duration
 }
 
-// A simResult is what a simulation came to.
+// A simResult summarizes a simulation.
 type simResult struct {
-	wave   float64         // the most returns in a tick, as a multiple of capacity
-	second float64         // the same in the second after the trouble, without first requests
+	wave   float64         // most retries in a tick, as a multiple of capacity
+	second float64         // the same in the second after the disturbance
 	all    float64         // share of callers that were served
-	served []float64       // the same by class
-	late   []time.Duration // 90 in 100 were served in less, by class
+	served []float64       // share of callers that were served, by class
+	late   []time.Duration // 90th percentile of the time until served, by class
 }
 
-// run plays the simulation in a synctest bubble.
+// run runs the simulation in a synctest bubble. The disturbance ends at after.
 func (s *simulation) run(after time.Duration) simResult {
 	s.began = time.Now()
 	s.returns = make([]int, 10*s.length/simTick)
@@ -118,7 +116,7 @@
 	return s.result(outcomes, after)
 }
 
-// pick returns a class.
+// pick returns the index of the class at point, from 0 to 1, of the cumulative shares.
 func (s *simulation) pick(point float64) int {
 	for i := range classes {
 		if point -= classes[i].share; point < 0 {
@@ -128,7 +126,7 @@
 	return len(classes) - 1
 }
 
-// call plays one caller.
+// call simulates one caller.
 func (s *simulation) call(kind int, random *rand.Rand) {
 	began := time.Now()
 	for attempt := 0; ; attempt++ {
@@ -152,14 +150,15 @@
 	}
 }
 
-// countReturn counts a caller that is back.
+// countReturn counts a retry.
 func (s *simulation) countReturn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.returns[time.Since(s.began)/simTick]++
 }
 
-// count counts the end of a request, and returns what was counted of others lately.
+// count counts a request that ended, and returns the counts of the current and the previous window
+// before it.
 func (s *simulation) count(reason ryeford.Reason) Recent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,8 +176,8 @@
 	return counts
 }
 
-// try sends a request once, by way of a router that reaches the endpoints all the same or
-// one that does not, and returns why it was refused, or nothing.
+// try sends a request once, and returns why it was refused, or "", and how long the endpoints are
+// still ejected. through reports that its router reaches the endpoints during the outage.
 func (s *simulation) try(priority ryeford.Priority, through bool) (ryeford.Reason, time.Duration) {
 	at := time.Since(s.began)
 	switch {
@@ -200,8 +199,8 @@
 	return "", 0
 }
 
-// reach connects a request to an endpoint. If there is none it returns, as soon as the
-// request is answered, for how long the endpoints are still ejected.
+// reach connects a request to an endpoint. If that fails, it returns how long the endpoints are
+// still ejected.
 func (s *simulation) reach(at time.Duration) time.Duration {
 	if !s.tries(at) {
 		return s.refuse(at)
@@ -220,7 +219,7 @@
 	return 0
 }
 
-// tries reports whether a request tries an endpoint, and takes the probe that it makes.
+// tries reports whether a request attempts to connect, and records the probe that it makes.
 func (s *simulation) tries(at time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,8 +235,8 @@
 	return false
 }
 
-// refuse notes how long a request was held that came at a moment, and returns for how
-// long the endpoints are still ejected.
+// refuse records how long a refused request that arrived at at was held, and returns how long the
+// endpoints are still ejected.
 func (s *simulation) refuse(at time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -246,14 +245,14 @@
 	return max(1, s.ejected-now)
 }
 
-// A waiter is a request at the service that has no slot yet.
+// A waiter is a request that waits for a slot.
 type waiter struct {
 	priority ryeford.Priority
-	admitted chan bool // false: a more urgent one has taken its place
+	admitted chan bool // false: a request with a higher priority has taken its place
 }
 
-// enter gives a request a slot or a place in the queue, and reports whether there was
-// one: the least urgent request that waits gives way to a more urgent one.
+// enter gives a request a slot or a place in the queue, and reports whether there was one. If the
+// queue is full, the request replaces one with a lower priority.
 func (s *simulation) enter(w *waiter) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -275,7 +274,7 @@
 	return true
 }
 
-// leave gives a slot to the most urgent request that waits.
+// leave passes a slot on to the waiting request with the highest priority.
 func (s *simulation) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -287,7 +286,7 @@
 	s.queue = s.queue[1:]
 }
 
-// result sums the outcomes up. The trouble ends at after.
+// result summarizes the outcomes. The disturbance ends at after.
 func (s *simulation) result(outcomes []outcome, after time.Duration) simResult {
 	var r simResult
 	perTick := capacity * simTick.Seconds()
@@ -321,17 +320,17 @@
 	return r
 }
 
-// String returns a result as the pages show it.
+// String returns a one-line summary.
 func (r simResult) String() string {
-	text := fmt.Sprintf("highest wave %.2f of capacity, in the second after the trouble %.2f; served %.3f:", r.wave, r.second, r.all)
+	text := fmt.Sprintf("peak retry rate %.2f of capacity, in the second after the disturbance %.2f; served %.3f:", r.wave, r.second, r.all)
 	for i := range classes {
 		text += fmt.Sprintf(" %.2f (p90 %d ms)", r.served[i], r.late[i].Milliseconds())
 	}
 	return text
 }
 
-// byReason is the rule of commit c7cc2a2: a time that goes by the reason alone, and up
-// to twice that.
+// byReason is the baseline: a base interval that depends on the reason alone, and up to twice
+// that.
 func byReason(r Request) Band {
 	base := 100 * time.Millisecond
 	if reasonOf(r.Err) == string(ryeford.ReasonUnreachable) {
@@ -340,10 +339,11 @@
 	return Band{From: base, To: 2 * base}
 }
 
-// byUrgency is the rule in force.
+// byUrgency is the rule under test.
 func byUrgency(r Request) Band { return Decide(r).RetryAfter }
 
-// TestReturns plays a burst of four times the capacity, and the loss of all endpoints.
+// TestReturns guards against the rule causing higher retry peaks, or serving fewer callers, than
+// byReason in a burst of four times the capacity and in a full outage.
 func TestReturns(t *testing.T) {
 	const begin = time.Second
 	for name, row := range map[string]struct {
@@ -379,8 +379,8 @@
 	}
 }
 
-// TestOverloadReturns plays traffic above the capacity that lasts, and compares returns that
-// come after as long as the overload has lasted with those that do not.
+// TestOverloadReturns guards against the delay by the duration of an overload reducing the number
+// of callers that are served.
 func TestOverloadReturns(t *testing.T) {
 	const begin = time.Second
 	for _, row := range []struct {
@@ -407,12 +407,12 @@
 		t.Logf("%v x capacity for %v, before: %v", row.load, row.length, before)
 		t.Logf("%v x capacity for %v, after:  %v", row.load, row.length, after)
 		assert.Assert(t, after.all >= before.all)
-		assert.Assert(t, after.served[0] >= before.served[0], "the most urgent")
+		assert.Assert(t, after.served[0] >= before.served[0], "the highest priority")
 	}
 }
 
-// TestUnlistedReturns plays the loss of all endpoints, which are not listed any more, and
-// compares the return in force with that of a service whose endpoints are listed.
+// TestUnlistedReturns guards against the later retry for unlisted endpoints reducing the number of
+// callers that are served in a full outage.
 func TestUnlistedReturns(t *testing.T) {
 	for _, load := range []float64{0.8, 0.2} {
 		for _, length := range []time.Duration{500 * time.Millisecond, time.Second, 3 * time.Second} {
@@ -429,15 +429,15 @@
 			t.Logf("%v at %.1f x capacity, before: %v", length, load, before)
 			t.Logf("%v at %.1f x capacity, after:  %v", length, load, after)
 			assert.Assert(t, after.all >= before.all)
-			assert.Assert(t, after.served[0] >= before.served[0], "the most urgent")
+			assert.Assert(t, after.served[0] >= before.served[0], "the highest priority")
 		}
 	}
 }
 
-// TestProbes plays the loss of all endpoints, which do not answer attempts to connect, at
-// all routers or at half of them. Of the requests that find that out, each waits for an
-// attempt of its own; or one now and then does, and the others are refused at once. The
-// latter is not in force: with returns as few as callers make, fewer are served.
+// TestProbes compares two ways to detect unreachable endpoints in an outage at all or half of the
+// routers: each request makes its own connection attempt, as the gateway does, or one request at a
+// time probes and the others are refused at once. The first must serve more callers, since callers
+// retry only a few times.
 func TestProbes(t *testing.T) {
 	for _, row := range []struct{ load, through float64 }{{0.8, 0}, {0.2, 0}, {0.8, 0.5}, {0.2, 0.5}} {
 		for _, length := range []time.Duration{time.Second, 3 * time.Second} {
@@ -454,7 +454,7 @@
 			each, oneAtATime := play(0), play(100*time.Millisecond)
 			if row.through == 0 && length == 3*time.Second {
 				assert.Assert(t, each.all > oneAtATime.all)
-				assert.Assert(t, each.served[0] > oneAtATime.served[0], "the most urgent")
+				assert.Assert(t, each.served[0] > oneAtATime.served[0], "the highest priority")
 			}
 		}
 	}
@@ -463,7 +463,7 @@
 // outageBegin is when a simulated outage begins.
 const outageBegin = time.Second
 
-// outage returns the simulation of an outage of some length.
+// outage returns the simulation of an outage.
 func outage(load float64, length time.Duration) simulation {
 	return simulation{
 		load:   func(time.Duration) float64 { return load },
