--- a/gateway/giveup/giveup.go
+++ b/gateway/giveup/giveup.go
@@ -23,7 +23,7 @@
 // NotRun returns the error of a request that has not run. Its RetryAfter is the earliest time at
 // which a retry may succeed, or zero if the configuration no longer allows the request.
 func NotRun(reason ryeford.Reason) *ryeford.NotRunError {
-	return &ryeford.NotRunError{Reason: reason, RetryAfter: returnAfter(reason)}
+	return &ryeford.NotRunError{Reason: reason, RetryAfter: minRetryAfter(reason)}
 }
 
 // Quarantined returns the error of a quarantined request: identical requests have ended the endpoints
@@ -92,9 +92,9 @@
 	switch {
 	case verdict.Status != http.StatusServiceUnavailable:
 	case verdict.Final: // quarantined, not overloaded: there are no simultaneous retries to spread
-		verdict.RetryAfter = Band{From: r.earliestReturn(), To: r.earliestReturn()}
+		verdict.RetryAfter = Band{From: r.earliestRetry(), To: r.earliestRetry()}
 	default:
-		verdict.RetryAfter = returnBand(r.earliestReturn(), r.Overloaded, r.Caller, r.Recent)
+		verdict.RetryAfter = retryBand(r.earliestRetry(), r.Overloaded, r.Caller, r.Recent)
 	}
 	return verdict
 }
--- a/gateway/giveup/retryafter.go
+++ b/gateway/giveup/retryafter.go
@@ -21,28 +21,28 @@
 	// retryUnlisted is for a service without listed endpoints: an endpoint that starts must be
 	// listed first, and callers retry only a few times.
 	retryUnlisted = time.Second
-	// retryLoaded is for conditions that end soon at an unknown time: overload, a stale
+	// retryTransient is for conditions that end soon at an unknown time: overload, a stale
 	// configuration.
-	retryLoaded = 100 * time.Millisecond
+	retryTransient = 100 * time.Millisecond
 	// retryElsewhere is for a router that is shutting down: other routers serve the request now.
 	retryElsewhere = 10 * time.Millisecond
 )
 
 const (
-	// returnShare is the share of a caller's remaining time within which it is asked to
+	// retryShare is the share of a caller's remaining time within which it is asked to
 	// retry. Callers honor a Retry-After up to a third of their remaining time, and the response
 	// needs some of it to arrive.
-	returnShare = 0.3
-	// maxReturn limits the Retry-After. A lower limit would concentrate the retries.
-	maxReturn = 5 * time.Second
-	// fewAnswers is added to the number of recent answers, so that a single refusal does not
+	retryShare = 0.3
+	// maxRetryAfter limits the Retry-After. A lower limit would concentrate the retries.
+	maxRetryAfter = 5 * time.Second
+	// assumedAnswers is added to the number of recent answers, so that a single refusal does not
 	// count as an overload.
-	fewAnswers = 4
+	assumedAnswers = 4
 )
 
-// returnAfter returns the earliest time for a retry, or zero if the configuration no longer
+// minRetryAfter returns the earliest time for a retry, or zero if the configuration no longer
 // allows the request.
-func returnAfter(reason ryeford.Reason) time.Duration {
+func minRetryAfter(reason ryeford.Reason) time.Duration {
 	switch reason {
 	case ryeford.ReasonNotReady:
 		return retryNotReady
@@ -53,14 +53,14 @@
 	case ryeford.ReasonKeyRevoked, ryeford.ReasonRouteRemoved:
 		return 0
 	}
-	return retryLoaded
+	return retryTransient
 }
 
-// earliestReturn returns the earliest time for a retry of a request that has not run.
-func (r *Request) earliestReturn() time.Duration {
+// earliestRetry returns the earliest time for a retry of a request that has not run.
+func (r *Request) earliestRetry() time.Duration {
 	var notRun *ryeford.NotRunError
 	if !errors.As(r.Err, &notRun) {
-		return retryLoaded
+		return retryTransient
 	}
 	switch notRun.Reason {
 	case ryeford.ReasonNoCandidate, ryeford.ReasonUnreachable:
@@ -116,7 +116,7 @@
 // current one.
 func (r Recent) refusedShare() float64 {
 	refused := r.Refused + 1
-	return float64(refused) / float64(refused+r.Answered+fewAnswers)
+	return float64(refused) / float64(refused+r.Answered+assumedAnswers)
 }
 
 // A Band is the interval, from now, in which a caller should retry. The zero Band gives no
@@ -125,7 +125,7 @@
 	From, To time.Duration
 }
 
-// returnBand returns the interval in which a caller should retry, given the earliest time
+// retryBand returns the interval in which a caller should retry, given the earliest time
 // for a retry.
 //
 // Rule: retries are spread from the earliest time on over a share of the time in which callers
@@ -139,15 +139,15 @@
 // In an overload the interval begins no sooner than after the time for which the overload has
 // lasted, up to the latest retry time. A long overload is likely to go on, and callers that
 // retry during it take capacity from first requests.
-func returnBand(earliest, overloaded time.Duration, caller Caller, recent Recent) Band {
-	last := min(time.Duration(returnShare*float64(caller.Left)), maxReturn)
+func retryBand(earliest, overloaded time.Duration, caller Caller, recent Recent) Band {
+	last := min(time.Duration(retryShare*float64(caller.Left)), maxRetryAfter)
 	if last <= 0 {
 		return Band{}
 	}
 	first := max(min(earliest, last/2), min(overloaded, last))
-	span := time.Duration(recent.refusedShare() * float64(last-first))
+	interval := time.Duration(recent.refusedShare() * float64(last-first))
 	rank, of := caller.rank()
-	width := span / time.Duration(of)
+	width := interval / time.Duration(of)
 	from := first + time.Duration(rank)*width
 	return Band{From: from, To: from + width}
 }
--- a/gateway/giveup/retryafter_test.go
+++ b/gateway/giveup/retryafter_test.go
@@ -12,27 +12,27 @@
 // allPriorities holds all priorities, the highest first.
 var allPriorities = []ryeford.Priority{9, 8, 7, 6, 5, 4, 3, 2, 1, 0}
 
-// TestReturnBand guards against retry intervals that overlap between priorities, that begin after the
+// TestRetryBand guards against retry intervals that overlap between priorities, that begin after the
 // time in which callers honor them, and against any interval for a caller without time left.
-func TestReturnBand(t *testing.T) {
+func TestRetryBand(t *testing.T) {
 	for _, recent := range []Recent{{}, {Refused: 1}, {Answered: 1000}, {Refused: 1000}} {
 		for _, earliest := range []time.Duration{0, 100 * time.Millisecond, time.Second, time.Hour} {
 			for _, left := range []time.Duration{time.Millisecond, 100 * time.Millisecond, time.Second, 6 * time.Second, time.Minute, NoLimit} {
 				previous := Band{}
 				for i, priority := range allPriorities {
-					band := returnBand(earliest, 0, Caller{Priority: priority, InUse: allPriorities, Left: left}, recent)
+					band := retryBand(earliest, 0, Caller{Priority: priority, InUse: allPriorities, Left: left}, recent)
 					assert.Assert(t, band.From <= band.To)
 					assert.Assert(t, band.From >= previous.To, "%v %v: bands overlap", earliest, left)
 					assert.Assert(t, band.To <= left/3, "%v %v: later than callers honor", earliest, left)
-					assert.Assert(t, band.To <= maxReturn)
-					assert.Assert(t, i > 0 || band.From == earliest || band.From > left/10 || band.From == maxReturn/2, "%v %v: %v", earliest, left, band)
+					assert.Assert(t, band.To <= maxRetryAfter)
+					assert.Assert(t, i > 0 || band.From == earliest || band.From > left/10 || band.From == maxRetryAfter/2, "%v %v: %v", earliest, left, band)
 					previous = band
 				}
 			}
 		}
 	}
 	for _, left := range []time.Duration{0, -time.Second} {
-		assert.Equal(t, returnBand(time.Second, 0, Caller{Left: left}, Recent{Refused: 9}), Band{})
+		assert.Equal(t, retryBand(time.Second, 0, Caller{Left: left}, Recent{Refused: 9}), Band{})
 	}
 }
 
@@ -40,36 +40,36 @@
 // has lasted, or later than they honor.
 func TestOverloadBand(t *testing.T) {
 	caller := Caller{Left: 10 * time.Second}
-	last := time.Duration(returnShare * float64(caller.Left))
+	last := time.Duration(retryShare * float64(caller.Left))
 	for _, overloaded := range []time.Duration{0, time.Second, 2 * time.Second, time.Minute} {
 		for _, recent := range []Recent{{}, {Refused: 1000}} {
-			band := returnBand(100*time.Millisecond, overloaded, caller, recent)
+			band := retryBand(100*time.Millisecond, overloaded, caller, recent)
 			assert.Equal(t, band.From, min(last, max(overloaded, 100*time.Millisecond)))
 			assert.Assert(t, band.From <= band.To && band.To <= last)
 		}
 	}
 }
 
-// TestReturnSpread checks that a single refusal delays its caller little, and that the retries after
+// TestRetrySpread checks that a single refusal delays its caller little, and that the retries after
 // many refusals are spread over all the time in which callers honor a Retry-After.
-func TestReturnSpread(t *testing.T) {
+func TestRetrySpread(t *testing.T) {
 	caller := Caller{Left: 4 * time.Second}
 	const first, last = 100 * time.Millisecond, 1200 * time.Millisecond
-	lone := returnBand(first, 0, caller, Recent{Answered: 100})
+	lone := retryBand(first, 0, caller, Recent{Answered: 100})
 	assert.Equal(t, lone.From, first)
 	assert.Assert(t, lone.To < first+20*time.Millisecond, "%v", lone)
-	crowd := returnBand(first, 0, caller, Recent{Refused: 10000})
+	crowd := retryBand(first, 0, caller, Recent{Refused: 10000})
 	assert.Equal(t, crowd.From, first)
 	assert.Assert(t, crowd.To > last-time.Millisecond && crowd.To <= last, "%v", crowd)
-	half := returnBand(first, 0, caller, Recent{Refused: 10000, Answered: 10000})
+	half := retryBand(first, 0, caller, Recent{Refused: 10000, Answered: 10000})
 	assert.Assert(t, half.To > 640*time.Millisecond && half.To < 660*time.Millisecond, "%v", half)
 }
 
-// TestReturnPriority checks that the interval is divided among the priorities in use, and
+// TestRetryPriority checks that the interval is divided among the priorities in use, and
 // that a priority that is not in use is ranked among them.
-func TestReturnPriority(t *testing.T) {
+func TestRetryPriority(t *testing.T) {
 	at := func(p ryeford.Priority) Band {
-		return returnBand(0, 0, Caller{Priority: p, InUse: []ryeford.Priority{9, 7}, Left: 10 * time.Second}, Recent{Refused: 1 << 20})
+		return retryBand(0, 0, Caller{Priority: p, InUse: []ryeford.Priority{9, 7}, Left: 10 * time.Second}, Recent{Refused: 1 << 20})
 	}
 	second := func(b Band) Band {
 		return Band{From: b.From.Round(10 * time.Millisecond), To: b.To.Round(10 * time.Millisecond)}
@@ -80,9 +80,9 @@
 	assert.Equal(t, second(at(5)), Band{From: 2 * time.Second, To: 3 * time.Second}, "not in use: ranked below both")
 }
 
-// TestReturnAfterEjection checks that callers retry when the first of their ejected endpoints is
+// TestRetryAfterEjection checks that callers retry when the first of their ejected endpoints is
 // available again, sooner if the refusal has another reason, and later if no endpoint is listed.
-func TestReturnAfterEjection(t *testing.T) {
+func TestRetryAfterEjection(t *testing.T) {
 	caller := Caller{Priority: ryeford.PriorityHighest, Left: time.Minute}
 	for reason, want := range map[ryeford.Reason]time.Duration{
 		ryeford.ReasonNoCandidate: 700 * time.Millisecond,
--- a/gateway/giveup/returns_test.go
+++ b/gateway/giveup/simulation_test.go
@@ -14,7 +14,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// The simulated service and its callers. A caller retries its request at most maxReturns times,
+// The simulated service and its callers. A caller retries its request at most maxRetries times,
 // and honors a Retry-After up to a third of its remaining time.
 const (
 	simSlots = 24
@@ -24,7 +24,7 @@
 	simWindow  = 500 * time.Millisecond
 	simTick    = 100 * time.Millisecond
 	capacity   = float64(simSlots) * float64(time.Second) / float64(simWork) // requests a second
-	maxReturns = 3
+	maxRetries = 3
 	// simEjection is how long unreachable endpoints are ejected.
 	simEjection = 1500 * time.Millisecond
 	// simEndpoints is the number of endpoints that a router may probe.
@@ -54,15 +54,15 @@
 // A simulation is a service that is overloaded or down for some time, and its callers.
 type simulation struct {
 	load   func(at time.Duration) float64 // first requests, as a multiple of capacity
-	out    func(at time.Duration) bool    // reports whether all endpoints are unreachable
+	down   func(at time.Duration) bool    // reports whether all endpoints are unreachable
 	length time.Duration
 	rule   func(Request) Band
 	// connect is how long a request waits for an endpoint that does not answer a connection attempt;
 	// zero if all requests are refused without an attempt. probe is the interval between attempts
 	// at an endpoint that is known to be silent; zero if each request makes one.
 	connect, probe time.Duration
-	// through is the share of requests that go through a router which still reaches the endpoints.
-	through float64
+	// reaches is the share of requests that go through a router which still reaches the endpoints.
+	reaches float64
 	// unlisted reports that the endpoints are not listed while they are down.
 	unlisted bool
 
@@ -70,7 +70,7 @@
 	mu      sync.Mutex
 	busy    int                         // slots
 	queue   []*waiter                   // highest priority first
-	returns []int                       // by tick
+	retries []int                       // by tick
 	recent  []Recent                    // by window
 	silent  bool                        // the last completed connection attempt was not answered
 	ejected time.Duration               // end of the ejection
@@ -88,17 +88,17 @@
 
 // A simResult summarizes a simulation.
 type simResult struct {
-	wave   float64         // most retries in a tick, as a multiple of capacity
-	second float64         // the same in the second after the disturbance
-	all    float64         // share of callers that were served
-	served []float64       // share of callers that were served, by class
-	late   []time.Duration // 90th percentile of the time until served, by class
+	peak      float64         // most retries in a tick, as a multiple of capacity
+	peakAfter float64         // the same in the second after the disturbance
+	all       float64         // share of callers that were served
+	served    []float64       // share of callers that were served, by class
+	p90       []time.Duration // 90th percentile of the time until served, by class
 }
 
 // run runs the simulation in a synctest bubble. The disturbance ends at after.
 func (s *simulation) run(after time.Duration) simResult {
 	s.began = time.Now()
-	s.returns = make([]int, 10*s.length/simTick)
+	s.retries = make([]int, 10*s.length/simTick)
 	s.recent = make([]Recent, 10*s.length/simWindow)
 	s.tally = make(chan outcome, 1<<16)
 	random := rand.New(rand.NewPCG(simSeed, 0))
@@ -107,7 +107,7 @@
 		rate := capacity * s.load(at)
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 		n++
-		go s.call(s.pick(random.Float64()), rand.New(rand.NewPCG(simSeed, n)))
+		go s.call(s.pickClass(random.Float64()), rand.New(rand.NewPCG(simSeed, n)))
 	}
 	var outcomes []outcome
 	for range n {
@@ -116,8 +116,8 @@
 	return s.result(outcomes, after)
 }
 
-// pick returns the index of the class at point, from 0 to 1, of the cumulative shares.
-func (s *simulation) pick(point float64) int {
+// pickClass returns the index of the class at point, from 0 to 1, of the cumulative shares.
+func (s *simulation) pickClass(point float64) int {
 	for i := range classes {
 		if point -= classes[i].share; point < 0 {
 			return i
@@ -130,13 +130,13 @@
 func (s *simulation) call(kind int, random *rand.Rand) {
 	began := time.Now()
 	for attempt := 0; ; attempt++ {
-		reason, ejected := s.try(classes[kind].priority, s.through > 0 && random.Float64() < s.through)
+		reason, ejected := s.try(classes[kind].priority, s.reaches > 0 && random.Float64() < s.reaches)
 		if reason == "" {
 			s.count(reason)
 		}
 		took := time.Since(began)
 		left := classes[kind].deadline - took
-		if reason == "" || attempt == maxReturns || left <= 0 {
+		if reason == "" || attempt == maxRetries || left <= 0 {
 			s.tally <- outcome{class: kind, served: reason == "" && left >= 0, took: took}
 			return
 		}
@@ -146,15 +146,15 @@
 		})
 		wait := band.From + time.Duration(random.Float64()*float64(band.To-band.From))
 		time.Sleep(min(wait, left/3))
-		s.countReturn()
+		s.countRetry()
 	}
 }
 
-// countReturn counts a retry.
-func (s *simulation) countReturn() {
+// countRetry counts a retry.
+func (s *simulation) countRetry() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.returns[time.Since(s.began)/simTick]++
+	s.retries[time.Since(s.began)/simTick]++
 }
 
 // count counts a request that ended, and returns the counts of the current and the previous window
@@ -177,17 +177,17 @@
 }
 
 // try sends a request once, and returns why it was refused, or "", and how long the endpoints are
-// still ejected. through reports that its router reaches the endpoints during the outage.
-func (s *simulation) try(priority ryeford.Priority, through bool) (ryeford.Reason, time.Duration) {
+// still ejected. reaches reports that its router reaches the endpoints during the outage.
+func (s *simulation) try(priority ryeford.Priority, reaches bool) (ryeford.Reason, time.Duration) {
 	at := time.Since(s.began)
 	switch {
-	case s.unlisted && s.out(at):
+	case s.unlisted && s.down(at):
 		return ryeford.ReasonNoCandidate, 0
-	case s.connect > 0 && !through:
+	case s.connect > 0 && !reaches:
 		if left := s.reach(at); left > 0 {
 			return ryeford.ReasonUnreachable, left
 		}
-	case s.connect == 0 && !s.unlisted && s.out(at):
+	case s.connect == 0 && !s.unlisted && s.down(at):
 		return ryeford.ReasonUnreachable, simEjection - at%simEjection
 	}
 	w := &waiter{priority: priority, admitted: make(chan bool, 1)}
@@ -202,25 +202,25 @@
 // reach connects a request to an endpoint. If that fails, it returns how long the endpoints are
 // still ejected.
 func (s *simulation) reach(at time.Duration) time.Duration {
-	if !s.tries(at) {
+	if !s.attemptsConnect(at) {
 		return s.refuse(at)
 	}
-	out := s.out(at)
-	if out {
+	down := s.down(at)
+	if down {
 		time.Sleep(s.connect)
 	}
 	s.mu.Lock()
-	s.silent = out
+	s.silent = down
 	s.ejected = time.Since(s.began) + simEjection
 	s.mu.Unlock()
-	if out {
+	if down {
 		return s.refuse(at)
 	}
 	return 0
 }
 
-// tries reports whether a request attempts to connect, and records the probe that it makes.
-func (s *simulation) tries(at time.Duration) bool {
+// attemptsConnect reports whether a request attempts to connect, and records the probe that it makes.
+func (s *simulation) attemptsConnect(at time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.silent || s.probe == 0 {
@@ -290,11 +290,11 @@
 func (s *simulation) result(outcomes []outcome, after time.Duration) simResult {
 	var r simResult
 	perTick := capacity * simTick.Seconds()
-	for i, n := range s.returns {
+	for i, n := range s.retries {
 		height := float64(n) / perTick
-		r.wave = max(r.wave, height)
+		r.peak = max(r.peak, height)
 		if tick := time.Duration(i) * simTick; tick >= after && tick < after+time.Second {
-			r.second = max(r.second, height)
+			r.peakAfter = max(r.peakAfter, height)
 		}
 	}
 	allServed := 0
@@ -314,7 +314,7 @@
 		allServed += served
 		slices.Sort(times)
 		r.served = append(r.served, float64(served)/float64(all))
-		r.late = append(r.late, times[len(times)*9/10])
+		r.p90 = append(r.p90, times[len(times)*9/10])
 	}
 	r.all = float64(allServed) / float64(len(outcomes))
 	return r
@@ -322,9 +322,9 @@
 
 // String returns a one-line summary.
 func (r simResult) String() string {
-	text := fmt.Sprintf("peak retry rate %.2f of capacity, in the second after the disturbance %.2f; served %.3f:", r.wave, r.second, r.all)
+	text := fmt.Sprintf("peak retry rate %.2f of capacity, in the second after the disturbance %.2f; served %.3f:", r.peak, r.peakAfter, r.all)
 	for i := range classes {
-		text += fmt.Sprintf(" %.2f (p90 %d ms)", r.served[i], r.late[i].Milliseconds())
+		text += fmt.Sprintf(" %.2f (p90 %d ms)", r.served[i], r.p90[i].Milliseconds())
 	}
 	return text
 }
@@ -339,71 +339,71 @@
 	return Band{From: base, To: 2 * base}
 }
 
-// byUrgency is the rule under test.
-func byUrgency(r Request) Band { return Decide(r).RetryAfter }
+// byPriority is the rule under test.
+func byPriority(r Request) Band { return Decide(r).RetryAfter }
 
-// TestReturns guards against the rule causing higher retry peaks, or serving fewer callers, than
+// TestRetryPeaks guards against the rule causing higher retry peaks, or serving fewer callers, than
 // byReason in a burst of four times the capacity and in a full outage.
-func TestReturns(t *testing.T) {
+func TestRetryPeaks(t *testing.T) {
 	const begin = time.Second
 	for name, row := range map[string]struct {
-		trouble time.Duration
-		load    func(during bool) float64
-		out     bool
+		disturbance time.Duration
+		load        func(during bool) float64
+		down        bool
 	}{
 		"burst of 4 times capacity":   {2 * time.Second, func(during bool) float64 { return map[bool]float64{true: 4, false: 0.6}[during] }, false},
 		"full outage, 0.8 x capacity": {3 * time.Second, func(bool) float64 { return 0.8 }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			during := func(at time.Duration) bool { return at >= begin && at < begin+row.trouble }
-			play := func(rule func(Request) Band) simResult {
+			during := func(at time.Duration) bool { return at >= begin && at < begin+row.disturbance }
+			run := func(rule func(Request) Band) simResult {
 				var result simResult
 				synctest.Test(t, func(*testing.T) {
 					s := simulation{
 						load:   func(at time.Duration) float64 { return row.load(during(at)) },
-						out:    func(at time.Duration) bool { return row.out && during(at) },
+						down:   func(at time.Duration) bool { return row.down && during(at) },
 						length: 10 * time.Second,
 						rule:   rule,
 					}
-					result = s.run(begin + row.trouble)
+					result = s.run(begin + row.disturbance)
 				})
 				return result
 			}
-			before, after := play(byReason), play(byUrgency)
+			before, after := run(byReason), run(byPriority)
 			t.Logf("before: %v", before)
 			t.Logf("after:  %v", after)
-			assert.Assert(t, after.wave <= before.wave)
-			assert.Assert(t, after.second <= before.second)
+			assert.Assert(t, after.peak <= before.peak)
+			assert.Assert(t, after.peakAfter <= before.peakAfter)
 			assert.Assert(t, after.all >= before.all)
 		})
 	}
 }
 
-// TestOverloadReturns guards against the delay by the duration of an overload reducing the number
+// TestOverloadRetries guards against the delay by the duration of an overload reducing the number
 // of callers that are served.
-func TestOverloadReturns(t *testing.T) {
+func TestOverloadRetries(t *testing.T) {
 	const begin = time.Second
 	for _, row := range []struct {
 		load   float64
 		length time.Duration
 	}{{1.4, 6 * time.Second}, {2, 4 * time.Second}, {4, 2 * time.Second}} {
-		play := func(known bool) simResult {
+		run := func(known bool) simResult {
 			during := func(at time.Duration) bool { return at >= begin && at < begin+row.length }
 			var result simResult
 			synctest.Test(t, func(*testing.T) {
-				s := simulation{out: func(time.Duration) bool { return false }, length: 12 * time.Second}
+				s := simulation{down: func(time.Duration) bool { return false }, length: 12 * time.Second}
 				s.load = func(at time.Duration) float64 { return map[bool]float64{true: row.load, false: 0.6}[during(at)] }
 				s.rule = func(r Request) Band {
 					if at := time.Since(s.began); known && during(at) {
 						r.Overloaded = at - begin
 					}
-					return byUrgency(r)
+					return byPriority(r)
 				}
 				result = s.run(begin + row.length)
 			})
 			return result
 		}
-		before, after := play(false), play(true)
+		before, after := run(false), run(true)
 		t.Logf("%v x capacity for %v, before: %v", row.load, row.length, before)
 		t.Logf("%v x capacity for %v, after:  %v", row.load, row.length, after)
 		assert.Assert(t, after.all >= before.all)
@@ -411,21 +411,21 @@
 	}
 }
 
-// TestUnlistedReturns guards against the later retry for unlisted endpoints reducing the number of
+// TestUnlistedRetries guards against the later retry for unlisted endpoints reducing the number of
 // callers that are served in a full outage.
-func TestUnlistedReturns(t *testing.T) {
+func TestUnlistedRetries(t *testing.T) {
 	for _, load := range []float64{0.8, 0.2} {
 		for _, length := range []time.Duration{500 * time.Millisecond, time.Second, 3 * time.Second} {
-			play := func(unlisted bool) simResult {
+			run := func(unlisted bool) simResult {
 				s := outage(load, length)
 				s.unlisted = true
 				s.rule = func(r Request) Band {
 					r.Unlisted = unlisted
-					return byUrgency(r)
+					return byPriority(r)
 				}
-				return playOutage(t, &s, length)
+				return runOutage(t, &s, length)
 			}
-			before, after := play(false), play(true)
+			before, after := run(false), run(true)
 			t.Logf("%v at %.1f x capacity, before: %v", length, load, before)
 			t.Logf("%v at %.1f x capacity, after:  %v", length, load, after)
 			assert.Assert(t, after.all >= before.all)
@@ -439,20 +439,20 @@
 // time probes and the others are refused at once. The first must serve more callers, since callers
 // retry only a few times.
 func TestProbes(t *testing.T) {
-	for _, row := range []struct{ load, through float64 }{{0.8, 0}, {0.2, 0}, {0.8, 0.5}, {0.2, 0.5}} {
+	for _, row := range []struct{ load, reaches float64 }{{0.8, 0}, {0.2, 0}, {0.8, 0.5}, {0.2, 0.5}} {
 		for _, length := range []time.Duration{time.Second, 3 * time.Second} {
-			play := func(probe time.Duration) simResult {
+			run := func(probe time.Duration) simResult {
 				s := outage(row.load, length)
-				s.connect, s.probe, s.through = 400*time.Millisecond, probe, row.through
-				result := playOutage(t, &s, length)
+				s.connect, s.probe, s.reaches = 400*time.Millisecond, probe, row.reaches
+				result := runOutage(t, &s, length)
 				slices.Sort(s.held)
 				n := len(s.held)
 				t.Logf("%v at %.1f x capacity, %.1f of the routers serve, probe every %v: held for %v (p50), %v (p99); %v",
-					length, row.load, row.through, probe, s.held[n/2], s.held[n*99/100], result)
+					length, row.load, row.reaches, probe, s.held[n/2], s.held[n*99/100], result)
 				return result
 			}
-			each, oneAtATime := play(0), play(100*time.Millisecond)
-			if row.through == 0 && length == 3*time.Second {
+			each, oneAtATime := run(0), run(100*time.Millisecond)
+			if row.reaches == 0 && length == 3*time.Second {
 				assert.Assert(t, each.all > oneAtATime.all)
 				assert.Assert(t, each.served[0] > oneAtATime.served[0], "the highest priority")
 			}
@@ -467,14 +467,14 @@
 func outage(load float64, length time.Duration) simulation {
 	return simulation{
 		load:   func(time.Duration) float64 { return load },
-		out:    func(at time.Duration) bool { return at >= outageBegin && at < outageBegin+length },
+		down:   func(at time.Duration) bool { return at >= outageBegin && at < outageBegin+length },
 		length: 10 * time.Second,
-		rule:   byUrgency,
+		rule:   byPriority,
 	}
 }
 
-// playOutage runs the simulation of an outage.
-func playOutage(t *testing.T, s *simulation, length time.Duration) simResult {
+// runOutage runs the simulation of an outage.
+func runOutage(t *testing.T, s *simulation, length time.Duration) simResult {
 	var result simResult
 	synctest.Test(t, func(*testing.T) { result = s.run(outageBegin + length) })
 	return result
