--- a/retry/after.go
+++ b/retry/after.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// maxAfter bounds the time that Rest returns, so that a number which nobody can have meant stays within
-// the range of time.Duration.
+// maxAfter limits the time that Rest returns, so that an implausible number stays within the range
+// of time.Duration.
 const maxAfter = 24 * time.Hour
 
-// Rest returns for how long a response asks its client to send nothing: 503 and 429 do, if they say when to
-// come back.
+// Rest returns how long a response asks its client to send no requests. Only 503 and 429 responses
+// with a Retry-After header do so; for others it returns 0.
 func Rest(status int, header http.Header) time.Duration {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0
@@ -21,8 +21,8 @@
 	return after(header)
 }
 
-// after returns for how long the header of a response asks its client to wait (RFC 9110, Retry-After), of
-// several times the longest. What can't be read, and a time that is over, asks for none.
+// after returns the time that the Retry-After header of a response specifies (RFC 9110). If there are
+// several values, the longest counts. Invalid values and dates in the past count as 0.
 func after(header http.Header) time.Duration {
 	var longest time.Duration
 	for _, text := range header.Values("Retry-After") {
@@ -31,12 +31,12 @@
 	return min(longest, maxAfter)
 }
 
-// parseAfter reads a number of seconds, which may have a fraction, or a date. A date counts from that of the
-// response, which is of the same clock; without that it says nothing.
+// parseAfter parses a number of seconds, which may have a fraction, or an HTTP date. A date is relative
+// to the response's Date header, which uses the same clock; without it the result is 0.
 func parseAfter(text, date string) time.Duration {
 	if isDecimal(text) {
 		seconds, err := strconv.ParseFloat(text, 64)
-		if err != nil && !errors.Is(err, strconv.ErrRange) { // beyond the range it is infinite
+		if err != nil && !errors.Is(err, strconv.ErrRange) { // ErrRange yields infinity, which is capped below
 			return 0
 		}
 		return time.Duration(min(seconds, maxAfter.Seconds()) * float64(time.Second))
@@ -52,6 +52,6 @@
 	return max(0, until.Sub(now))
 }
 
-// isDecimal reports whether a text has only digits and points: a sign, an exponent or a word is no time
-// to retry after.
+// isDecimal reports whether text consists of digits and points only. Signs and exponents are not
+// accepted.
 func isDecimal(text string) bool { return text != "" && strings.Trim(text, "0123456789.") == "" }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -6,25 +6,24 @@
 	"github.com/ryeford/ryeford"
 )
 
-// BudgetLimits are the bounds of a Budget.
+// BudgetLimits are the limits of a Budget.
 type BudgetLimits struct {
-	// PerSuccess is how many further attempts an answered request earns.
+	// PerSuccess is how many retries an answered request earns.
 	PerSuccess float64
-	// Reserve is what an account starts with, and the most it can hold.
+	// Reserve is the initial and maximum number of retries of an account.
 	Reserve float64
 }
 
-// A Budget counts each client account's attempts. The attempts of an account after
-// the first are at most Reserve + PerSuccess x its answered requests. Its methods
-// may be called concurrently.
+// A Budget limits the retries of each client account: attempts after a request's first are at most
+// Reserve + PerSuccess x its answered requests. Its methods may be called concurrently.
 type Budget struct {
 	limits BudgetLimits
 
 	mu    sync.Mutex
-	spent map[ryeford.AccountID]float64 // attempts that no answered request has earned yet
+	spent map[ryeford.AccountID]float64 // retries not yet covered by answered requests
 }
 
-// NewBudget returns a full Budget.
+// NewBudget returns a Budget whose accounts have their full Reserve.
 func NewBudget(limits BudgetLimits) *Budget {
 	return &Budget{
 		limits: limits,
@@ -39,7 +38,7 @@
 	b.spent[account] = max(0, b.spent[account]-b.limits.PerSuccess)
 }
 
-// Spend takes one further attempt, and reports whether the account had it.
+// Spend reports whether the account has a retry left, and if so takes it.
 func (b *Budget) Spend(account ryeford.AccountID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOutage checks that without successes an account's further attempts are at most
-// its reserve, however many requests come, and that each account has its own.
+// TestOutage guards against an account exceeding its reserve without successes, and against accounts
+// that share one reserve.
 func TestOutage(t *testing.T) {
 	b := NewBudget(BudgetLimits{PerSuccess: 0.1, Reserve: 16})
 	attempts := 0
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -1,14 +1,13 @@
-// Package retry decides whether a request whose attempt failed is sent again,
-// and bounds how often, so that neither a surge nor an outage multiplies itself.
+// Package retry decides whether a request is sent again after a failed attempt,
+// and limits the number of retries, so that they don't amplify an overload or an outage.
 //
 //   - Policy is the rule for one request: what the end of an attempt proves,
 //     and what follows.
-//   - Window is the retry budget of one service at one router on the platform;
+//   - Window is the retry budget of one service at one router of the platform;
 //     Sharers and Windows divide the fleet's budget among the routers.
 //   - Budget is the retry budget of one client account in the fleet with agents.
-//   - Spread and Between tell refused callers when to come back, and Rest reads when an
-//     endpoint or engine that refuses wants the next request.
+//   - Spread and Between randomize the retry times of refused callers, and Rest reads the
+//     Retry-After of endpoints and engines.
 //
-// The package owns the counts of Window and Budget. It does no I/O and relies on
-// no other state: times are passed in.
+// The package owns the counts of Window and Budget. It does no I/O and reads no clock.
 package retry
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -8,43 +8,42 @@
 
 const (
 	// maxUnsent is how many attempts of one request may end before anything was
-	// sent. They cost the endpoints nothing, so they count neither against the
-	// route's MaxAttempts nor against the budget; the bound only keeps a request
-	// from walking through a whole failure domain that can't be reached.
+	// sent. They put no load on endpoints, so they count neither against the route's
+	// MaxAttempts nor against the budget. The limit keeps a request from trying every
+	// endpoint of an unreachable failure domain.
 	maxUnsent = 4
-	// perTryTimeoutFactor is the multiple of a route's latency goal that an
-	// attempt may go without the first event of a stream, or the whole of any
-	// other response, while another attempt is allowed.
+	// perTryTimeoutFactor is the timeout of an attempt as a multiple of the route's latency
+	// goal, if another attempt is allowed. It covers the time until the first event of a
+	// stream, or until the end of any other response.
 	perTryTimeoutFactor = 1.5
 )
 
-// An End is how one attempt ended, and what that proves.
+// An End is how an attempt ended.
 type End int
 
-// The ends of attempts.
+// Ends of attempts.
 const (
-	// EndAnswered: the caller has the endpoint's whole response.
+	// EndAnswered: the caller has received the endpoint's complete response.
 	EndAnswered End = iota
 	// EndUnsent: nothing was sent to the endpoint, so the request has not run
 	// there. Another endpoint may serve it.
 	EndUnsent
-	// EndBarred: nothing was sent, and nothing may be sent any more: the
-	// configuration went stale or the key was revoked after the request came.
+	// EndBarred: nothing was sent, and nothing may be sent any more, since the configuration
+	// became stale or the key was revoked after the request arrived.
 	EndBarred
 	// EndRefused: the endpoint states that it has not run the request.
 	EndRefused
-	// EndLost: the request was sent, and no whole response came. It may have run.
+	// EndLost: the request was sent, but no complete response arrived. It may have run.
 	EndLost
-	// EndFailed: the endpoint's whole response is a failure that the caller has
-	// not been sent. The request may have run.
+	// EndFailed: the endpoint's complete response is a failure, which was not forwarded to
+	// the caller. The request may have run.
 	EndFailed
-	// EndStopped: a response came, but the caller stopped reading it or the
+	// EndStopped: a response arrived, but the caller stopped reading it or the
 	// deadline passed. The request may have run.
 	EndStopped
 )
 
-// String returns the code of an end in logs and metrics, of which two stand for two
-// ends each.
+// String returns the code of an end in logs and metrics. Some ends share a code.
 func (e End) String() string {
 	return [...]string{
 		EndAnswered: "done",
@@ -62,52 +61,49 @@
 	return e != EndUnsent && e != EndBarred && e != EndRefused
 }
 
-// A Policy says when a request is sent again:
+// A Policy decides when a request is sent again.
 //
-// A request that provably has not run may go to another endpoint; one that may
-// have run, only if its route is idempotent. Either way it is sent at most
-// MaxAttempts times, and each attempt after the first needs the service's budget.
+// Rule: a request that has provably not run may be sent to another endpoint. One that may
+// have run may be sent again only if its route is idempotent. In both cases it is sent at most
+// MaxAttempts times, and each retry takes one from the service's budget.
 //
-// The reason is that callers rely on a request that isn't idempotent running at
-// most once; and that endpoints that are overloaded or failing must not get a
-// multiple of the load.
+// Why: callers rely on a request that isn't idempotent running at most once, and retries must
+// not multiply the load of endpoints that are overloaded or failing.
 type Policy struct {
-	// Idempotent reports whether the route lets a request run more than once.
+	// Idempotent reports whether requests of the route may run more than once.
 	Idempotent bool
-	// MaxAttempts is the route's bound on how many times a request is sent.
+	// MaxAttempts is the route's limit on how often a request is sent.
 	MaxAttempts int
-	// Goal is the time within which the route's responses are to begin; zero if
-	// the route has none.
+	// Goal is the route's latency goal, zero if it has none.
 	Goal time.Duration
 }
 
-// ForRoute returns the Policy of a route. It holds for as long as the request is
-// served, also if the configuration changes meanwhile.
+// ForRoute returns the Policy of a route. A request keeps its Policy even if the configuration
+// changes while it is served.
 func ForRoute(rule *ryeford.RouteRule) Policy {
 	return Policy{Idempotent: rule.Idempotent(), MaxAttempts: rule.MaxAttempts, Goal: rule.Goal}
 }
 
-// A History counts the attempts of one request so far.
+// A History counts the previous attempts of one request.
 type History struct {
 	Sent   int // attempts that were sent
 	Unsent int // attempts that ended before anything was sent
 }
 
-// A Step is what follows an attempt. The zero Step gives the request up.
+// A Step is what follows an attempt. The zero Step means that the request is given up.
 type Step struct {
-	// Again says that the request may go to an endpoint not tried yet.
+	// Again reports that the request may be sent to an endpoint not yet tried.
 	Again bool
-	// Budgeted says that this takes one retry of the service's budget.
+	// Budgeted reports that this takes one retry from the service's budget.
 	Budgeted bool
-	// AllowTried says that if all endpoints have had an attempt, they may have another.
-	// An endpoint that answered at all is better than none: when the last
-	// endpoint of a service answered 500 once, 38 idempotent requests ended as 502. One
-	// that refused or was lost is not asked again at once.
+	// AllowTried reports that an endpoint may be tried again if all have been tried. This holds
+	// only for endpoints that responded with a failure, not for those that refused the request or
+	// lost the connection.
 	AllowTried bool
 }
 
-// Next returns what follows an attempt. History includes that attempt; over says
-// that the caller has gone or that the request's deadline has passed.
+// Next returns what follows an attempt. h includes that attempt. over reports that the caller
+// has disconnected or that the request's deadline has passed.
 func (p Policy) Next(end End, h History, over bool) Step {
 	if over {
 		return Step{}
@@ -137,18 +133,16 @@
 	return Step{Again: true, Budgeted: true, AllowTried: allowTried}
 }
 
-// Tries reports whether an attempt may go to an endpoint. Unusable says that a moment ago
-// it took no connection, or answered for another endpoint; such a one is chosen only if
-// no other is left, and is tried once in case it is back. After an attempt that was not
-// sent it isn't, since each costs the caller up to the time to connect, which it has
-// then no longer for a return.
+// Tries reports whether an attempt may go to an endpoint. unusable reports that the endpoint recently
+// accepted no connection or responded as another endpoint. Such an endpoint is chosen only if no
+// other is left, and is tried once in case it has recovered. It is not tried after an unsent attempt:
+// each costs the caller up to the connection timeout, which is then missing for its own retry.
 func (h History) Tries(unusable bool) bool { return !unusable || h.Unsent == 0 }
 
-// PerTryTimeout returns how long the next attempt may wait for the first event of a
-// stream, or for the whole of any other response, before the request is sent to
-// another endpoint, and false if it may wait until the request's deadline. A slow
-// endpoint is only given up if an attempt after that is allowed: sent is how many
-// attempts were sent already.
+// PerTryTimeout returns how long the next attempt may wait for the first event of a stream, or for
+// the end of any other response, before the request is sent to another endpoint. It returns false
+// if the attempt may wait until the request's deadline, because the route has no goal or no further
+// attempt is allowed. sent is the number of attempts already sent.
 func (p Policy) PerTryTimeout(sent int) (time.Duration, bool) {
 	if !p.Idempotent || p.Goal <= 0 || sent+1 >= p.MaxAttempts {
 		return 0, false
--- a/retry/policy_test.go
+++ b/retry/policy_test.go
@@ -26,20 +26,20 @@
 		want    Step
 	}{
 		{"answered: done", idempotent, EndAnswered, History{Sent: 1}, false, stop},
-		{"the caller is gone: nothing more", idempotent, EndUnsent, History{Unsent: 1}, true, stop},
-		{"the deadline has passed: nothing more", idempotent, EndFailed, History{Sent: 1}, true, stop},
-		{"unsent: another, free of charge", once, EndUnsent, History{Unsent: 1}, false, another},
-		{"unsent: also after all attempts were sent", once, EndUnsent, History{Sent: 3, Unsent: 1}, false, another},
-		{"unsent: the third still goes on", once, EndUnsent, History{Unsent: maxUnsent - 1}, false, another},
-		{"unsent: not without end", once, EndUnsent, History{Unsent: maxUnsent}, false, stop},
-		{"barred: nowhere may it run", idempotent, EndBarred, History{}, false, stop},
-		{"refused: another, though not idempotent", once, EndRefused, History{Sent: 2}, false, budgeted},
+		{"the caller has disconnected: no retry", idempotent, EndUnsent, History{Unsent: 1}, true, stop},
+		{"the deadline has passed: no retry", idempotent, EndFailed, History{Sent: 1}, true, stop},
+		{"unsent: another endpoint, not budgeted", once, EndUnsent, History{Unsent: 1}, false, another},
+		{"unsent: another endpoint even after MaxAttempts", once, EndUnsent, History{Sent: 3, Unsent: 1}, false, another},
+		{"unsent: another endpoint below the limit", once, EndUnsent, History{Unsent: maxUnsent - 1}, false, another},
+		{"unsent: not beyond the limit", once, EndUnsent, History{Unsent: maxUnsent}, false, stop},
+		{"barred: it may not run anywhere", idempotent, EndBarred, History{}, false, stop},
+		{"refused: another endpoint, though not idempotent", once, EndRefused, History{Sent: 2}, false, budgeted},
 		{"refused: at most MaxAttempts", once, EndRefused, History{Sent: 3}, false, stop},
 		{"lost, may have run: not repeated", once, EndLost, History{Sent: 1}, false, stop},
-		{"lost, idempotent: another", idempotent, EndLost, History{Sent: 1}, false, budgeted},
+		{"lost, idempotent: another endpoint", idempotent, EndLost, History{Sent: 1}, false, budgeted},
 		{"lost: at most MaxAttempts", idempotent, EndLost, History{Sent: 3}, false, stop},
 		{"failed, may have run: not repeated", once, EndFailed, History{Sent: 1}, false, stop},
-		{"failed, idempotent: another, or one that was tried", idempotent, EndFailed, History{Sent: 2}, false, tried},
+		{"failed, idempotent: another endpoint, or one already tried", idempotent, EndFailed, History{Sent: 2}, false, tried},
 		{"failed: at most MaxAttempts", idempotent, EndFailed, History{Sent: 3}, false, stop},
 		{"the caller stopped reading", idempotent, EndStopped, History{Sent: 1}, false, stop},
 	} {
@@ -49,8 +49,7 @@
 	}
 }
 
-// TestTries checks that an endpoint that is known to be unusable is tried, but not after
-// another one could not be reached.
+// TestTries guards against trying an unusable endpoint after another one could not be reached.
 func TestTries(t *testing.T) {
 	for _, row := range []struct {
 		rule     string
@@ -60,7 +59,7 @@
 	}{
 		{"usable", History{}, false, true},
 		{"usable, after others could not be reached", History{Unsent: 2}, false, true},
-		{"unusable, but there is no other: once", History{}, true, true},
+		{"unusable, but the only one left: tried once", History{}, true, true},
 		{"unusable, after one that refused the request", History{Sent: 1}, true, true},
 		{"unusable, after one that could not be reached", History{Unsent: 1}, true, false},
 	} {
@@ -68,7 +67,7 @@
 	}
 }
 
-// TestEnds checks what each end proves, and its code in logs and metrics.
+// TestEnds checks whether a request may have run after each end, and its code in logs and metrics.
 func TestEnds(t *testing.T) {
 	for _, row := range []struct {
 		end        End
@@ -88,7 +87,7 @@
 	}
 }
 
-// TestPerTryTimeout checks when an attempt is given up for another one.
+// TestPerTryTimeout checks when a slow attempt is replaced by another one.
 func TestPerTryTimeout(t *testing.T) {
 	const goal = 100 * time.Millisecond
 	for _, row := range []struct {
@@ -101,7 +100,7 @@
 		{"the last attempt waits until the deadline", Policy{Idempotent: true, MaxAttempts: 2, Goal: goal}, 1, 0},
 		{"the only attempt waits until the deadline", Policy{Idempotent: true, MaxAttempts: 1, Goal: goal}, 0, 0},
 		{"not idempotent: it may be running", Policy{MaxAttempts: 3, Goal: goal}, 0, 0},
-		{"no goal: nothing says that it is slow", Policy{Idempotent: true, MaxAttempts: 3}, 0, 0},
+		{"no goal: no timeout", Policy{Idempotent: true, MaxAttempts: 3}, 0, 0},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
 			got, ok := row.policy.PerTryTimeout(row.sent)
--- a/retry/share_test.go
+++ b/retry/share_test.go
@@ -7,16 +7,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSharers checks among how many routers a reserve is divided.
+// TestSharers checks by how many routers the reserve is divided.
 func TestSharers(t *testing.T) {
 	for _, row := range []struct {
 		rule              string
 		configured, alive int
 		want              int
 	}{
-		{"alone, or cut off: as the settings say", 10, 1, 10},
-		{"few: as the settings say", 10, 8, 10},
-		{"many: a quarter more than are alive", 10, 26, 32},
+		{"isolated: the configured number", 10, 1, 10},
+		{"few are live: the configured number", 10, 8, 10},
+		{"many are live: a quarter more than that", 10, 26, 32},
 		{"a quarter is rounded down", 1, 3, 3},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
@@ -25,8 +25,7 @@
 	}
 }
 
-// TestWindows checks that each service has a budget of its own, and that a router uses
-// nine tenths of it.
+// TestWindows checks that each service has its own budget, of which a router uses nine tenths.
 func TestWindows(t *testing.T) {
 	w := NewWindows(WindowLimits{Span: 10 * time.Second, Ratio: 0.2, Reserve: 10})
 	now := time.Now()
--- a/retry/spread.go
+++ b/retry/spread.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// defaultSpread stands for a base of zero or less.
+// defaultSpread replaces a base of zero or less.
 const defaultSpread = time.Second
 
-// Spread returns a time between base and twice base, so that callers refused
-// together do not come back together.
+// Spread returns a random time between base and twice base, so that callers that were refused
+// together do not retry together.
 func Spread(base time.Duration) time.Duration {
 	if base <= 0 {
 		base = defaultSpread
@@ -17,7 +17,7 @@
 	return Between(base, 2*base)
 }
 
-// Between returns a time from from on and before to, or from if to is not later.
+// Between returns a random time in [from, to), or from if to is not later.
 func Between(from, to time.Duration) time.Duration {
 	if to <= from {
 		return from
--- a/retry/spread_test.go
+++ b/retry/spread_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSpread checks that the Retry-After of refused callers differ: each is at least the
-// minimum, and less than twice it.
+// TestSpread guards against equal retry times, and against times outside of the base and twice the
+// base.
 func TestSpread(t *testing.T) {
 	seen := make(map[time.Duration]bool)
 	for range 100 {
@@ -19,8 +19,8 @@
 	assert.Assert(t, len(seen) > 50)
 }
 
-// TestBetween checks that a time is drawn from a span, and that an empty span is its
-// beginning.
+// TestBetween checks that times are drawn from the interval, and that an empty interval yields its
+// start.
 func TestBetween(t *testing.T) {
 	seen := make(map[time.Duration]bool)
 	for range 100 {
--- a/retry/window.go
+++ b/retry/window.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// windowSlices is how many slices a Window's span is divided into. A request or a
-	// retry counts for up to one slice longer than the span.
+	// windowSlices is the number of slices of a Window. A request or a retry counts for up to
+	// one slice longer than the window.
 	windowSlices = 20
-	// reserveShare is the part of the fleet's bound that is used. The rest covers
-	// that routers count over slightly different spans. Without unit.
+	// reserveShare is the share of the fleet's limit that is used. The rest compensates for
+	// windows that are not aligned between routers.
 	reserveShare = 0.9
-	// unseenRouters is how many live routers there are for each one that is assumed
-	// beside them, because it has just started and is not yet known.
+	// unseenRouters is the number of live routers for which one further router is assumed that has
+	// just started and is not yet known.
 	unseenRouters = 4
 )
 
-// A Window is one router's retry budget for one service: over a sliding span of
-// time, retries, which are attempts after a request's first, are at most
+// A Window is one router's retry budget for one service. Within a sliding window of time, retries,
+// which are attempts after a request's first, are at most
 //
 //	Ratio x requests + Reserve / routers
 //
-// All routers together then keep to Ratio x requests + Reserve without exchanging
+// All routers together thus keep to Ratio x requests + Reserve without exchanging
 // their counts. Its methods may be called concurrently.
 type Window struct {
 	limits WindowLimits
@@ -32,18 +32,18 @@
 	slices [windowSlices + 1]windowSlice
 }
 
-// WindowLimits are the bounds of a Window.
+// WindowLimits are the limits of a Window.
 type WindowLimits struct {
-	Span time.Duration
-	// Ratio is the part of this router's requests that may be sent again.
+	Span time.Duration // length of the sliding window
+	// Ratio is the share of this router's requests that may be sent again.
 	Ratio float64
 	// Reserve is how many retries all routers together may send beyond the ratio.
 	Reserve float64
 }
 
-// A windowSlice counts what came in one part of the span.
+// A windowSlice counts the requests and retries of one part of the window.
 type windowSlice struct {
-	number   int64 // of the slice since the epoch
+	number   int64 // number of the slice since the epoch
 	requests int
 	retries  int
 }
@@ -60,8 +60,8 @@
 	w.slice(now).requests++
 }
 
-// TakeRetry reports whether one more retry is within the budget, given among how many
-// routers the Reserve is divided (Sharers), and if so counts it.
+// TakeRetry reports whether one more retry is within the budget, and if so counts it. routers
+// is the number of routers among which the Reserve is divided (Sharers).
 func (w *Window) TakeRetry(now time.Time, routers int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -82,10 +82,9 @@
 	return true
 }
 
-// slice returns the slice in which a request or retry of a moment counts. A request
-// is counted by its arrival, but only once it is admitted: what came before the first
-// slice counts in that one, and what came so long ago that its slice is used anew
-// counts in the newer one.
+// slice returns the slice for a request or retry at now. Requests are counted by their arrival time,
+// but only once they are admitted. A request that arrived before the first slice counts in the first
+// one, and one whose slice has been reused since counts in the newer slice.
 func (w *Window) slice(now time.Time) *windowSlice {
 	number := max(0, int64(now.Sub(w.epoch)/(w.limits.Span/windowSlices)))
 	s := &w.slices[number%(windowSlices+1)]
@@ -95,18 +94,17 @@
 	return s
 }
 
-// Sharers returns among how many routers the Reserve of a Window is divided, so
-// that all of them together keep it without agreeing on each retry: the live ones
-// and a quarter more, but at least the configured number, since a router that has
-// lost touch with its peers must not take the whole reserve.
+// Sharers returns the number of routers among which the Reserve of a Window is divided, so that all
+// of them together keep to it without coordination: the live routers and a quarter more, but at
+// least the configured number, since a router that is isolated from its peers must not take the
+// whole reserve.
 //
-// alive counts this router and the peers it has heard from; a peer counts for a
-// few seconds after its last message.
+// alive counts this router and the peers from which it has recently received a message.
 func Sharers(configured, alive int) int {
 	return max(configured, alive+alive/unseenRouters)
 }
 
-// Windows holds the Window of each service that requests came for. Its methods may
+// Windows holds a Window for each service that has received requests. Its methods may
 // be called concurrently.
 type Windows struct {
 	limits WindowLimits
@@ -115,15 +113,15 @@
 	windows map[string]*Window // by service
 }
 
-// NewWindows returns Windows that use reserveShare of what the operators let all
-// routers together to send to each service.
+// NewWindows returns Windows that use reserveShare of the limits, which apply to all routers
+// together for each service.
 func NewWindows(limits WindowLimits) *Windows {
 	limits.Ratio *= reserveShare
 	limits.Reserve *= reserveShare
 	return &Windows{limits: limits, windows: make(map[string]*Window)}
 }
 
-// Of returns the Window of a service, which begins now if there is none yet.
+// Of returns the Window of a service, which is created at now if it doesn't exist.
 func (w *Windows) Of(now time.Time, service string) *Window {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestWindowBound checks that in no span, whenever it begins, retries exceed what the
-// requests of that span and of the one before it allow.
+// TestWindowBound guards against more retries in any window of time than the requests of that window
+// and of the one before it allow.
 func TestWindowBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := WindowLimits{Span: 10 * time.Second, Ratio: 0.18, Reserve: 5}
@@ -45,8 +45,7 @@
 	})
 }
 
-// TestWindowForgets checks that retries are allowed again once old ones have left
-// the span.
+// TestWindowForgets checks that retries are allowed again once old ones have left the window.
 func TestWindowForgets(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Reserve: 2})
@@ -56,8 +55,7 @@
 	assert.Assert(t, w.TakeRetry(now.Add(11*time.Second), 1))
 }
 
-// TestWindowShares checks that routers that divide a reserve keep it together,
-// though they don't exchange their counts.
+// TestWindowShares guards against routers that together exceed a divided reserve.
 func TestWindowShares(t *testing.T) {
 	const routers = 26
 	now := time.Unix(1000, 0)
@@ -71,8 +69,8 @@
 	assert.Assert(t, retries <= 84 && retries > 84/2, "%d retries", retries)
 }
 
-// TestWindowEarlyRequest checks that a request may be counted that came before its
-// service's window was made: one that waited for the first configuration.
+// TestWindowEarlyRequest checks that a request counts if it arrived before its service's window was
+// created: one that waited for the first configuration.
 func TestWindowEarlyRequest(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Ratio: 1})
@@ -81,8 +79,8 @@
 	assert.Assert(t, !w.TakeRetry(now, 1))
 }
 
-// TestWindowLateCount checks that a request that is counted long after it came, since
-// its body was slow, does not change how many retries were counted.
+// TestWindowLateCount guards against a request that is counted long after its arrival, because of a
+// slow body, resetting the count of retries.
 func TestWindowLateCount(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Reserve: 2})
