--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOutage guards against an account exceeding its reserve without successes, and against accounts
+// TestBudgetReserve guards against an account exceeding its reserve without successes, and against accounts
 // that share one reserve.
-func TestOutage(t *testing.T) {
+func TestBudgetReserve(t *testing.T) {
 	b := NewBudget(BudgetLimits{PerSuccess: 0.1, Reserve: 16})
 	attempts := 0
 	for range 10_000 {
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -102,10 +102,10 @@
 	AllowTried bool
 }
 
-// Next returns what follows an attempt. h includes that attempt. over reports that the caller
+// Next returns what follows an attempt. h includes that attempt. done reports that the caller
 // has disconnected or that the request's deadline has passed.
-func (p Policy) Next(end End, h History, over bool) Step {
-	if over {
+func (p Policy) Next(end End, h History, done bool) Step {
+	if done {
 		return Step{}
 	}
 	switch end {
--- a/retry/policy_test.go
+++ b/retry/policy_test.go
@@ -22,7 +22,7 @@
 		policy  Policy
 		end     End
 		history History
-		over    bool
+		done    bool
 		want    Step
 	}{
 		{"answered: done", idempotent, EndAnswered, History{Sent: 1}, false, stop},
@@ -44,7 +44,7 @@
 		{"the caller stopped reading", idempotent, EndStopped, History{Sent: 1}, false, stop},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
-			assert.Equal(t, row.policy.Next(row.end, row.history, row.over), row.want)
+			assert.Equal(t, row.policy.Next(row.end, row.history, row.done), row.want)
 		})
 	}
 }
--- a/retry/after.go
+++ b/retry/retryafter.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// maxAfter limits the time that Rest returns, so that an implausible number stays within the range
+// maxRetryAfter limits the time that Rest returns, so that an implausible number stays within the range
 // of time.Duration.
-const maxAfter = 24 * time.Hour
+const maxRetryAfter = 24 * time.Hour
 
 // Rest returns how long a response asks its client to send no requests. Only 503 and 429 responses
 // with a Retry-After header do so; for others it returns 0.
@@ -18,28 +18,28 @@
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0
 	}
-	return after(header)
+	return retryAfter(header)
 }
 
-// after returns the time that the Retry-After header of a response specifies (RFC 9110). If there are
+// retryAfter returns the time that the Retry-After header of a response specifies (RFC 9110). If there are
 // several values, the longest counts. Invalid values and dates in the past count as 0.
-func after(header http.Header) time.Duration {
+func retryAfter(header http.Header) time.Duration {
 	var longest time.Duration
 	for _, text := range header.Values("Retry-After") {
-		longest = max(longest, parseAfter(strings.TrimSpace(text), header.Get("Date")))
+		longest = max(longest, parseRetryAfter(strings.TrimSpace(text), header.Get("Date")))
 	}
-	return min(longest, maxAfter)
+	return min(longest, maxRetryAfter)
 }
 
-// parseAfter parses a number of seconds, which may have a fraction, or an HTTP date. A date is relative
+// parseRetryAfter parses a number of seconds, which may have a fraction, or an HTTP date. A date is relative
 // to the response's Date header, which uses the same clock; without it the result is 0.
-func parseAfter(text, date string) time.Duration {
+func parseRetryAfter(text, date string) time.Duration {
 	if isDecimal(text) {
 		seconds, err := strconv.ParseFloat(text, 64)
 		if err != nil && !errors.Is(err, strconv.ErrRange) { // ErrRange yields infinity, which is capped below
 			return 0
 		}
-		return time.Duration(min(seconds, maxAfter.Seconds()) * float64(time.Second))
+		return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 	}
 	until, err := http.ParseTime(text)
 	if err != nil {
--- a/retry/share_test.go
+++ b/retry/share_test.go
@@ -10,9 +10,9 @@
 // TestSharers checks by how many routers the reserve is divided.
 func TestSharers(t *testing.T) {
 	for _, row := range []struct {
-		rule              string
-		configured, alive int
-		want              int
+		rule             string
+		configured, live int
+		want             int
 	}{
 		{"isolated: the configured number", 10, 1, 10},
 		{"few are live: the configured number", 10, 8, 10},
@@ -20,7 +20,7 @@
 		{"a quarter is rounded down", 1, 3, 3},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
-			assert.Equal(t, Sharers(row.configured, row.alive), row.want)
+			assert.Equal(t, Sharers(row.configured, row.live), row.want)
 		})
 	}
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -12,9 +12,9 @@
 	// reserveShare is the share of the fleet's limit that is used. The rest compensates for
 	// windows that are not aligned between routers.
 	reserveShare = 0.9
-	// unseenRouters is the number of live routers for which one further router is assumed that has
+	// liveRoutersPerUnseen is the number of live routers for which one further router is assumed that has
 	// just started and is not yet known.
-	unseenRouters = 4
+	liveRoutersPerUnseen = 4
 )
 
 // A Window is one router's retry budget for one service. Within a sliding window of time, retries,
@@ -99,9 +99,9 @@
 // least the configured number, since a router that is isolated from its peers must not take the
 // whole reserve.
 //
-// alive counts this router and the peers from which it has recently received a message.
-func Sharers(configured, alive int) int {
-	return max(configured, alive+alive/unseenRouters)
+// live counts this router and the peers from which it has recently received a message.
+func Sharers(configured, live int) int {
+	return max(configured, live+live/liveRoutersPerUnseen)
 }
 
 // Windows holds a Window for each service that has received requests. Its methods may
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// TestWindowForgets checks that retries are allowed again once old ones have left the window.
-func TestWindowForgets(t *testing.T) {
+// TestWindowSlides checks that retries are allowed again once old ones have left the window.
+func TestWindowSlides(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Reserve: 2})
 	assert.Assert(t, w.TakeRetry(now, 1))
@@ -55,8 +55,8 @@
 	assert.Assert(t, w.TakeRetry(now.Add(11*time.Second), 1))
 }
 
-// TestWindowShares guards against routers that together exceed a divided reserve.
-func TestWindowShares(t *testing.T) {
+// TestWindowReserveDivided guards against routers that together exceed a divided reserve.
+func TestWindowReserveDivided(t *testing.T) {
 	const routers = 26
 	now := time.Unix(1000, 0)
 	retries := 0
