--- a/gateway/loads/estimate.go
+++ b/gateway/loads/estimate.go
@@ -5,41 +5,40 @@
 	"time"
 )
 
-// How loaded an endpoint is.
+// Estimate of an endpoint's load.
 //
-// Rule: the estimate is this router's own requests, and for those of the others the mean of
-// what is known, each weighed by the inverse of its variance:
+// Rule: the estimate is the sum of this router's requests, which are exact, and an estimate of the
+// other routers' requests. The latter is the mean of these, weighted by their inverse variances:
 //
-//   - what the peers have reported of their requests there, divided by the part of all peers that
-//     have reported lately: exact if all have, and the less certain the fewer have
-//   - what the endpoint reported last, to any router, on its way back to the mean of the service,
-//     from which it is further the less of its requests have ended since
+//   - the requests that peers have reported for the endpoint, divided by the share of peers that
+//     have reported recently: exact if all have, less certain the fewer have
+//   - the endpoint's last status report to any router, which decays toward the mean of the service
+//     as the reported requests end
 //   - the mean of the service
 //
-// Why: messages of a bounded size, of which a router gets a bounded number, bring it word of
-// a part of the requests that shrinks as the fleet grows, but of what endpoints report as
-// much in a large fleet as in a small one.
+// Why: messages between routers are bounded in size and number, so the share of requests
+// that they cover shrinks as the fleet grows. The status reports of endpoints are as frequent in
+// a large fleet as in a small one.
 
 const (
-	// reportHalfLife is the time after which an endpoint's word weighs half: the
-	// requests that it counted end meanwhile. 0.5, 0.8, 1.5 and 3 s differ by less than noise,
-	// 0.5 s is the worst.
+	// reportHalfLife is the time after which the weight of an endpoint status report has halved, since
+	// the requests that it counted end.
 	reportHalfLife = 800 * time.Millisecond
-	// meanVariance is the variance of the endpoints' loads around their mean, for each request of
-	// the mean: 1 if requests were spread at random; shared prompts draw them together.
+	// meanVariance is the variance of the endpoints' loads per request of the mean load. It would be
+	// 1 for a random distribution, and shared prompts concentrate requests.
 	meanVariance = 2.0
-	// minVariance is that of a word that has just come, in requests squared.
+	// minVariance is the variance of a report that has just arrived, in requests squared.
 	minVariance = 0.25
 )
 
-// An Observation is what a router knows of the requests at an endpoint.
+// An Observation is what a router knows about the requests at an endpoint.
 type Observation struct {
-	Own   int     // this router's, exact
-	Peers int     // those of the peers whose loads count
-	Share float64 // the part that these peers are of all peers, at most 1
-	Mean  float64 // all peers' requests at an endpoint of the service, on average
-	// Reports says that the endpoint has reported its load: Others requests that weren't this
-	// router's, Age ago.
+	Own   int     // requests of this router
+	Peers int     // requests that peers have recently reported
+	Share float64 // share of all peers that have recently reported, at most 1
+	Mean  float64 // mean number of all peers' requests at an endpoint of the service
+	// Reports reports that an endpoint status report is known. It is Age old and counts Others
+	// requests of other routers.
 	Reports bool
 	Others  float64
 	Age     time.Duration
@@ -60,16 +59,17 @@
 	return float64(o.Own) + others.value, math.Sqrt(others.variance)
 }
 
-// A belief is an estimate and its variance.
+// A belief is an estimated value and its variance.
 type belief struct{ value, variance float64 }
 
-// with returns the mean of two beliefs that know nothing of each other.
+// with returns the mean of two independent beliefs, weighted by their inverse variances.
 func (b belief) with(c belief) belief {
 	sum := b.variance + c.variance
 	return belief{value: (b.value*c.variance + c.value*b.variance) / sum, variance: b.variance * c.variance / sum}
 }
 
-// reported is what the endpoint's word says of the others' requests now.
+// reported returns the belief of the other routers' requests that follows from the endpoint status
+// report.
 func (o *Observation) reported() belief {
 	kept := math.Exp2(-float64(o.Age) / float64(reportHalfLife))
 	return belief{
@@ -78,8 +78,8 @@
 	}
 }
 
-// sampled is what the requests of a part of the peers say of those of all, if there are about
-// as many as expected.
+// sampled returns the belief of the other routers' requests that follows from the requests of the
+// peers that have reported. The variance is computed for at least expected requests.
 func (o *Observation) sampled(expected float64) belief {
 	value := float64(o.Peers) / o.Share
 	return belief{value: value, variance: minVariance + max(value, expected)*(1-o.Share)/o.Share}
--- a/gateway/loads/loads.go
+++ b/gateway/loads/loads.go
@@ -1,9 +1,9 @@
-// Package loads estimates how many requests each endpoint has.
+// Package loads estimates the number of requests at each endpoint.
 //
-// It owns this router's own requests under way and what endpoints have reported of their loads
-// with their responses, to this router or to a peer. It relies on the caller for what the
-// peers report of their own requests, for pairing Begin with End, and for forgetting endpoints
-// that are gone. It does no I/O. The rule is in estimate.go.
+// It owns this router's requests in flight and the loads that endpoints report with their
+// responses, to this router or to a peer. The caller provides the requests that peers
+// report, pairs Begin with End, and removes endpoints that are gone. The package does no I/O.
+// The rule is in estimate.go.
 package loads
 
 import (
@@ -18,36 +18,36 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// reportTTL is how long an endpoint's word of its load is kept: then it weighs an eighth.
+// reportTTL is how long an endpoint status report is kept. Its weight is an eighth by then.
 const reportTTL = 3 * reportHalfLife
 
-// highLoad is the load from which a report says more than most, in multiples of the mean.
+// highLoad is the load above which a report is forwarded with priority, as a multiple of the mean.
 const highLoad = 1.5
 
-// passOnTTL is how long such a word is passed on to peers. What is older is of little use to
-// them, and takes the place of what is newer.
+// passOnTTL is how long an endpoint status report is forwarded to peers. Older ones are of little use
+// and would displace newer ones.
 const passOnTTL = 1500 * time.Millisecond
 
-// A Table holds what is known of each endpoint's load. It is safe for concurrent use.
+// A Table holds the known loads of all endpoints. It is safe for concurrent use.
 type Table struct {
 	mu      sync.Mutex
-	own     map[ryeford.EndpointID]*ownRequests // this router's requests under way
-	reports map[uint32]report                   // the newest word of each endpoint, by Key
-	prompts map[uint32]int                      // this router's requests under way, by prompt
-	totals  map[uint32]int                      // the same, by service as in a peers.Total
+	own     map[ryeford.EndpointID]*ownRequests // this router's requests in flight
+	reports map[uint32]report                   // latest report of each endpoint, by Key
+	prompts map[uint32]int                      // this router's requests in flight, by prompt
+	totals  map[uint32]int                      // this router's requests in flight, by service as in a peers.Total
 }
 
-// ownRequests are this router's requests under way at an endpoint.
+// ownRequests are this router's requests in flight at an endpoint.
 type ownRequests struct {
 	number  int
-	service uint32 // as in a peers.Total
+	service uint32 // hash of the service, as in a peers.Total
 }
 
-// A report is what an endpoint has reported of its load.
+// A report is an endpoint status report.
 type report struct {
-	at       time.Time // when it did
-	requests int       // running and waiting, of all routers
-	others   int       // of these, those that weren't this router's when it learnt of them
+	at       time.Time // when the endpoint reported
+	requests int       // running and waiting, from all routers
+	others   int       // those that were not this router's when the report was received
 }
 
 // New returns a Table without endpoints.
@@ -55,9 +55,8 @@
 	return &Table{own: make(map[ryeford.EndpointID]*ownRequests), reports: make(map[uint32]report), prompts: make(map[uint32]int), totals: make(map[uint32]int)}
 }
 
-// Key returns by what reports name an endpoint, given the uniform hash of its ID: half of the
-// hash, which is shorter than the ID. Of 3,500 endpoints two have the same one in a fleet of
-// 700, and then pass for equally loaded.
+// Key returns the key of an endpoint in reports, given the uniform hash of its ID. It is half of the
+// hash, which is shorter than the ID. Endpoints whose keys collide count as equally loaded.
 func Key(hash uint64) uint32 { return uint32(hash) }
 
 // Begin counts a request that is sent to an endpoint of a service.
@@ -85,22 +84,22 @@
 	}
 }
 
-// countOut takes requests of a service out of the total.
+// countOut subtracts requests from the total of a service.
 func (t *Table) countOut(service uint32, requests int) {
 	if t.totals[service] -= requests; t.totals[service] <= 0 {
 		delete(t.totals, service)
 	}
 }
 
-// BeginPrompt counts a request with a prompt, which is named by the hash by which its
-// endpoints are found.
+// BeginPrompt counts a request with a prompt, which is identified by the hash that places it on
+// endpoints.
 func (t *Table) BeginPrompt(prompt uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.prompts[uint32(prompt)]++
 }
 
-// EndPrompt counts that such a request has ended.
+// EndPrompt counts the end of a request with a prompt.
 func (t *Table) EndPrompt(prompt uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,14 +108,14 @@
 	}
 }
 
-// Prompt returns this router's requests under way with a prompt.
+// Prompt returns the number of this router's requests in flight with a prompt.
 func (t *Table) Prompt(prompt uint64) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.prompts[uint32(prompt)]
 }
 
-// Demands returns this router's requests under way by prompt, as peers are sent them.
+// Demands returns this router's requests in flight by prompt, as they are sent to peers.
 func (t *Table) Demands() []peers.Demand {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,14 +127,14 @@
 	return demands[:min(len(demands), peers.MaxDemands)]
 }
 
-// Total returns this router's requests under way at all endpoints of a service.
+// Total returns the number of this router's requests in flight at all endpoints of a service.
 func (t *Table) Total(service string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.totals[Key(route.NameHash(service))]
 }
 
-// ownAt returns this router's requests under way at an endpoint.
+// ownAt returns the number of this router's requests in flight at an endpoint.
 func (t *Table) ownAt(id ryeford.EndpointID) int {
 	if own := t.own[id]; own != nil {
 		return own.number
@@ -143,7 +142,7 @@
 	return 0
 }
 
-// Report stores the load that an endpoint reported to this router, if it did: load may be nil.
+// Report stores the load that an endpoint reported to this router. It does nothing if load is nil.
 func (t *Table) Report(now time.Time, id ryeford.EndpointID, load *ryeford.EndpointLoad) {
 	if load == nil {
 		return
@@ -154,7 +153,7 @@
 	t.reports[Key(route.NameHash(string(id)))] = report{at: now, requests: requests, others: max(0, requests-t.ownAt(id))}
 }
 
-// Learn takes what peers have received of the loads of endpoints.
+// Learn merges endpoint status reports that peers have received. Newer ones replace older ones.
 func (t *Table) Learn(now time.Time, reports []peers.Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -166,8 +165,8 @@
 	}
 }
 
-// Observe returns what is known of an endpoint here; the caller adds what peers have reported of
-// their own requests. hash is that of the endpoint's ID.
+// Observe returns what is known here of an endpoint. The caller adds the requests that peers have
+// reported. hash is the uniform hash of the endpoint's ID.
 func (t *Table) Observe(now time.Time, id ryeford.EndpointID, hash uint64) Observation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -178,8 +177,8 @@
 	return o
 }
 
-// Reports returns reports to pass on: at most n of high loads, which decide where the bound is
-// passed, the newest ones; and at most m others, drawn at random.
+// Reports returns endpoint status reports to forward to peers: the n newest ones of high loads, which
+// matter for the cap, and m random ones of the others.
 func (t *Table) Reports(now time.Time, n, m int) []peers.Report {
 	high, others := byHighLoad(t.fresh(now))
 	slices.SortFunc(high, func(a, b peers.Report) int { return cmp.Compare(a.Age, b.Age) })
@@ -187,7 +186,7 @@
 	return append(high[:min(n, len(high)):min(n, len(high))], others[:min(m, len(others))]...)
 }
 
-// fresh returns the reports that are passed on.
+// fresh returns the reports that are recent enough to be forwarded, and drops expired ones.
 func (t *Table) fresh(now time.Time) []peers.Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,7 +202,7 @@
 	return fresh
 }
 
-// byHighLoad divides reports into those of high loads and the others.
+// byHighLoad separates the reports of high loads from the others.
 func byHighLoad(reports []peers.Report) (high, others []peers.Report) {
 	sum := 0
 	for _, r := range reports {
@@ -220,8 +219,8 @@
 	return high, others
 }
 
-// Own returns this router's requests under way, as peers are sent them: the totals by service,
-// and those at each endpoint, or only at those that don't report their loads.
+// Own returns this router's requests in flight, as they are sent to peers: the totals by service, and
+// those at each endpoint. Unless all is true, endpoints that report their loads are left out.
 func (t *Table) Own(all bool) (totals []peers.Total, own []peers.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/gateway/loads/loads_test.go
+++ b/gateway/loads/loads_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestEstimate checks the estimate of an endpoint's load and its deviation: this router's
-// requests, which are exact, and what is known of the others'.
+// requests, which are exact, plus an estimate of the others'.
 func TestEstimate(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -22,17 +22,17 @@
 		deviation float64
 	}{
 		{"nothing is known", Observation{}, 0, 0.5},
-		{"own requests only", Observation{Own: 3}, 3, 0.5},
-		{"all peers have told", Observation{Own: 3, Peers: 4, Share: 1, Mean: 9}, 7, 0},
-		{"all peers have told, and overrule a report", Observation{Own: 3, Peers: 4, Share: 1, Reports: true, Others: 90}, 7, 0},
-		{"no peers: the report", Observation{Reports: true, Others: 8}, 8, 0.5},
-		{"no peers: a report of one half-life", Observation{Reports: true, Others: 8, Age: reportHalfLife}, 4, 3.5},
-		{"no peers: a report of an hour", Observation{Own: 1, Reports: true, Others: 8, Age: time.Hour}, 1, 4.031},
+		{"local requests only", Observation{Own: 3}, 3, 0.5},
+		{"all peers have reported", Observation{Own: 3, Peers: 4, Share: 1, Mean: 9}, 7, 0},
+		{"all peers have reported, and override an endpoint status report", Observation{Own: 3, Peers: 4, Share: 1, Reports: true, Others: 90}, 7, 0},
+		{"no peers: the endpoint status report", Observation{Reports: true, Others: 8}, 8, 0.5},
+		{"no peers: a report one half-life old", Observation{Reports: true, Others: 8, Age: reportHalfLife}, 4, 3.5},
+		{"no peers: a report one hour old", Observation{Own: 1, Reports: true, Others: 8, Age: time.Hour}, 1, 4.031},
 		{"the mean only", Observation{Own: 1, Mean: 5}, 6, 3.202},
-		{"a report on its way back to the mean", Observation{Mean: 5, Reports: true, Others: 13, Age: reportHalfLife}, 9, 4.444},
-		{"a tenth of the peers have told: close to the mean", Observation{Peers: 1, Share: 0.1, Mean: 5}, 5.510, 3.034},
-		{"a tenth of them, and none has requests there", Observation{Share: 0.1, Mean: 5}, 4.0766, 2.891},
-		{"half of them, and many are there", Observation{Peers: 20, Share: 0.5, Mean: 5}, 12.104, 2.858},
+		{"a report that decays toward the mean", Observation{Mean: 5, Reports: true, Others: 13, Age: reportHalfLife}, 9, 4.444},
+		{"a tenth of the peers have reported: close to the mean", Observation{Peers: 1, Share: 0.1, Mean: 5}, 5.510, 3.034},
+		{"a tenth of the peers have reported, and none has requests there", Observation{Share: 0.1, Mean: 5}, 4.0766, 2.891},
+		{"half of the peers have reported many requests", Observation{Peers: 20, Share: 0.5, Mean: 5}, 12.104, 2.858},
 		{"a new report beside a tenth of the peers", Observation{Peers: 3, Share: 0.1, Mean: 5, Reports: true, Others: 12}, 12.0166, 0.4998},
 	} {
 		requests, deviation := test.known.Estimate()
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestObserve checks what is known of an endpoint that has told its load.
+// TestObserve checks what is known of an endpoint from its status reports.
 func TestObserve(t *testing.T) {
 	now := time.Unix(1000, 0)
 	hash := route.NameHash("a")
@@ -51,39 +51,39 @@
 		want Observation
 	}{
 		{"nothing", func(*Table) {}, Observation{}},
-		{"own requests", func(table *Table) { table.Begin("a", "s") }, Observation{Own: 1}},
-		{"a report counts own requests too", func(table *Table) {
+		{"local requests", func(table *Table) { table.Begin("a", "s") }, Observation{Own: 1}},
+		{"a report includes local requests", func(table *Table) {
 			table.Begin("a", "s")
 			table.Report(now, "a", &ryeford.EndpointLoad{Running: 3, Waiting: 2})
 		}, Observation{Own: 1, Reports: true, Others: 4}},
-		{"own requests have ended since", func(table *Table) {
+		{"local requests have ended since", func(table *Table) {
 			table.Begin("a", "s")
 			table.Report(now.Add(-time.Second), "a", &ryeford.EndpointLoad{Running: 3})
 			table.End("a")
 		}, Observation{Reports: true, Others: 2, Age: time.Second}},
-		{"more own requests than reported", func(table *Table) {
+		{"more local requests than reported", func(table *Table) {
 			table.Begin("a", "s")
 			table.Begin("a", "s")
 			table.Report(now, "a", &ryeford.EndpointLoad{Running: 1})
 		}, Observation{Own: 2, Reports: true}},
-		{"an endpoint that tells nothing", func(table *Table) { table.Report(now, "a", nil) }, Observation{}},
-		{"a peer's word", func(table *Table) {
+		{"an endpoint that reports nothing", func(table *Table) { table.Report(now, "a", nil) }, Observation{}},
+		{"a report from a peer", func(table *Table) {
 			table.Learn(now, []peers.Report{{Endpoint: Key(hash), Requests: 7, Age: 300 * time.Millisecond}})
 		},
 			Observation{Reports: true, Others: 7, Age: 300 * time.Millisecond}},
-		{"a peer's word is older than the own", func(table *Table) {
+		{"a report from a peer, older than the local one", func(table *Table) {
 			table.Report(now.Add(-100*time.Millisecond), "a", &ryeford.EndpointLoad{Running: 3})
 			table.Learn(now, []peers.Report{{Endpoint: Key(hash), Requests: 7, Age: 300 * time.Millisecond}})
 		}, Observation{Reports: true, Others: 3, Age: 100 * time.Millisecond}},
-		{"a peer's word is newer than the own", func(table *Table) {
+		{"a report from a peer, newer than the local one", func(table *Table) {
 			table.Report(now.Add(-500*time.Millisecond), "a", &ryeford.EndpointLoad{Running: 3})
 			table.Learn(now, []peers.Report{{Endpoint: Key(hash), Requests: 7, Age: 300 * time.Millisecond}})
 		}, Observation{Reports: true, Others: 7, Age: 300 * time.Millisecond}},
-		{"a peer's word that is too old", func(table *Table) {
+		{"a report from a peer that has expired", func(table *Table) {
 			table.Learn(now, []peers.Report{{Endpoint: Key(hash), Requests: 7, Age: reportTTL}})
 		},
 			Observation{}},
-		{"forgotten", func(table *Table) {
+		{"removed", func(table *Table) {
 			table.Begin("a", "s")
 			table.Report(now, "a", &ryeford.EndpointLoad{Running: 3})
 			table.Forget("a")
@@ -95,8 +95,7 @@
 	}
 }
 
-// TestReports checks which reports are passed on: the newest ones of high loads, some others, and
-// none that is old.
+// TestReports guards against forwarding old reports, or fewer than the newest ones of high loads.
 func TestReports(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := New()
@@ -114,7 +113,7 @@
 	assert.Equal(t, len(passed), 10)
 	for i, report := range passed {
 		if i < 4 {
-			assert.Equal(t, report, learnt[4*i], "the newest of the high ones")
+			assert.Equal(t, report, learnt[4*i], "newest reports of high loads")
 			continue
 		}
 		assert.Equal(t, report, learnt[report.Endpoint])
@@ -122,11 +121,11 @@
 	}
 	assert.Equal(t, len(table.Reports(now, 100, 100)), 40)
 	assert.Equal(t, len(table.Reports(now.Add(time.Minute), 100, 100)), 0)
-	assert.Equal(t, len(table.reports), 0, "old reports take no memory")
+	assert.Equal(t, len(table.reports), 0, "expired reports are dropped")
 }
 
-// TestOwn checks what peers are sent of this router's requests: those at all endpoints that have
-// any, or at those that do not report their load, and the totals of services.
+// TestOwn checks which of this router's requests are sent to peers: those at all endpoints or
+// only at those that do not report their load, and the totals by service.
 func TestOwn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := New()
@@ -149,8 +148,7 @@
 	assert.Equal(t, len(own)+len(totals), 0)
 }
 
-// TestDemands checks what peers are sent of the prompts of requests under way: the most frequent
-// ones first.
+// TestDemands checks which prompts are sent to peers: the most frequent ones first.
 func TestDemands(t *testing.T) {
 	table := New()
 	for prompt := range uint64(2 * peers.MaxDemands) {
@@ -169,8 +167,8 @@
 	assert.Equal(t, table.Prompt(2), 0)
 }
 
-// TestTotal checks that a service's total is that of its requests under way, also if an endpoint is
-// forgotten while it has some.
+// TestTotal guards against a wrong total of a service if an endpoint is removed while it has requests
+// in flight.
 func TestTotal(t *testing.T) {
 	table := New()
 	for range 3 {
@@ -182,7 +180,7 @@
 	table.End("a")
 	assert.Equal(t, table.Total("s"), 3)
 	table.Forget("a")
-	table.End("a") // the requests that were under way end later
+	table.End("a") // requests that were in flight at the removal
 	table.End("a")
 	assert.Equal(t, table.Total("s"), 1)
 	assert.Equal(t, table.Total("other"), 1)
