--- a/gateway/loads/estimate.go
+++ b/gateway/loads/estimate.go
@@ -49,38 +49,38 @@
 	if o.Share >= 1 {
 		return float64(o.Own + o.Peers), 0
 	}
-	others := belief{value: o.Mean, variance: meanVariance*o.Mean + minVariance}
+	others := estimate{value: o.Mean, variance: meanVariance*o.Mean + minVariance}
 	if o.Reports {
-		others = o.reported()
+		others = o.fromReport()
 	}
 	if o.Share > 0 {
-		others = others.with(o.sampled(others.value))
+		others = others.combine(o.fromPeers(others.value))
 	}
 	return float64(o.Own) + others.value, math.Sqrt(others.variance)
 }
 
-// A belief is an estimated value and its variance.
-type belief struct{ value, variance float64 }
+// An estimate is an estimated value and its variance.
+type estimate struct{ value, variance float64 }
 
-// with returns the mean of two independent beliefs, weighted by their inverse variances.
-func (b belief) with(c belief) belief {
+// combine returns the mean of two independent estimates, weighted by their inverse variances.
+func (b estimate) combine(c estimate) estimate {
 	sum := b.variance + c.variance
-	return belief{value: (b.value*c.variance + c.value*b.variance) / sum, variance: b.variance * c.variance / sum}
+	return estimate{value: (b.value*c.variance + c.value*b.variance) / sum, variance: b.variance * c.variance / sum}
 }
 
-// reported returns the belief of the other routers' requests that follows from the endpoint status
+// fromReport returns the estimate of the other routers' requests that follows from the endpoint status
 // report.
-func (o *Observation) reported() belief {
+func (o *Observation) fromReport() estimate {
 	kept := math.Exp2(-float64(o.Age) / float64(reportHalfLife))
-	return belief{
+	return estimate{
 		value:    o.Mean + kept*(o.Others-o.Mean),
 		variance: minVariance + (1-kept*kept)*meanVariance*max(o.Others, o.Mean),
 	}
 }
 
-// sampled returns the belief of the other routers' requests that follows from the requests of the
+// fromPeers returns the estimate of the other routers' requests that follows from the requests of the
 // peers that have reported. The variance is computed for at least expected requests.
-func (o *Observation) sampled(expected float64) belief {
+func (o *Observation) fromPeers(expected float64) estimate {
 	value := float64(o.Peers) / o.Share
-	return belief{value: value, variance: minVariance + max(value, expected)*(1-o.Share)/o.Share}
+	return estimate{value: value, variance: minVariance + max(value, expected)*(1-o.Share)/o.Share}
 }
--- a/gateway/loads/loads.go
+++ b/gateway/loads/loads.go
@@ -21,24 +21,24 @@
 // reportTTL is how long an endpoint status report is kept. Its weight is an eighth by then.
 const reportTTL = 3 * reportHalfLife
 
-// highLoad is the load above which a report is forwarded with priority, as a multiple of the mean.
-const highLoad = 1.5
+// highLoadFactor is the load above which a report is forwarded with priority, as a multiple of the mean.
+const highLoadFactor = 1.5
 
-// passOnTTL is how long an endpoint status report is forwarded to peers. Older ones are of little use
+// forwardTTL is how long an endpoint status report is forwarded to peers. Older ones are of little use
 // and would displace newer ones.
-const passOnTTL = 1500 * time.Millisecond
+const forwardTTL = 1500 * time.Millisecond
 
 // A Table holds the known loads of all endpoints. It is safe for concurrent use.
 type Table struct {
 	mu      sync.Mutex
-	own     map[ryeford.EndpointID]*ownRequests // this router's requests in flight
-	reports map[uint32]report                   // latest report of each endpoint, by Key
-	prompts map[uint32]int                      // this router's requests in flight, by prompt
-	totals  map[uint32]int                      // this router's requests in flight, by service as in a peers.Total
+	local   map[ryeford.EndpointID]*localRequests // this router's requests in flight
+	reports map[uint32]report                     // latest report of each endpoint, by Key
+	prompts map[uint32]int                        // this router's requests in flight, by prompt
+	totals  map[uint32]int                        // this router's requests in flight, by service as in a peers.Total
 }
 
-// ownRequests are this router's requests in flight at an endpoint.
-type ownRequests struct {
+// localRequests are this router's requests in flight at an endpoint.
+type localRequests struct {
 	number  int
 	service uint32 // hash of the service, as in a peers.Total
 }
@@ -52,7 +52,7 @@
 
 // New returns a Table without endpoints.
 func New() *Table {
-	return &Table{own: make(map[ryeford.EndpointID]*ownRequests), reports: make(map[uint32]report), prompts: make(map[uint32]int), totals: make(map[uint32]int)}
+	return &Table{local: make(map[ryeford.EndpointID]*localRequests), reports: make(map[uint32]report), prompts: make(map[uint32]int), totals: make(map[uint32]int)}
 }
 
 // Key returns the key of an endpoint in reports, given the uniform hash of its ID. It is half of the
@@ -63,29 +63,29 @@
 func (t *Table) Begin(id ryeford.EndpointID, service string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.own[id] == nil {
-		t.own[id] = &ownRequests{service: Key(route.NameHash(service))}
+	if t.local[id] == nil {
+		t.local[id] = &localRequests{service: Key(route.NameHash(service))}
 	}
-	t.own[id].number++
-	t.totals[t.own[id].service]++
+	t.local[id].number++
+	t.totals[t.local[id].service]++
 }
 
 // End counts a request that has ended.
 func (t *Table) End(id ryeford.EndpointID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	own := t.own[id]
-	if own == nil {
+	local := t.local[id]
+	if local == nil {
 		return
 	}
-	t.countOut(own.service, 1)
-	if own.number--; own.number <= 0 {
-		delete(t.own, id)
+	t.subtract(local.service, 1)
+	if local.number--; local.number <= 0 {
+		delete(t.local, id)
 	}
 }
 
-// countOut subtracts requests from the total of a service.
-func (t *Table) countOut(service uint32, requests int) {
+// subtract subtracts requests from the total of a service.
+func (t *Table) subtract(service uint32, requests int) {
 	if t.totals[service] -= requests; t.totals[service] <= 0 {
 		delete(t.totals, service)
 	}
@@ -134,10 +134,10 @@
 	return t.totals[Key(route.NameHash(service))]
 }
 
-// ownAt returns the number of this router's requests in flight at an endpoint.
-func (t *Table) ownAt(id ryeford.EndpointID) int {
-	if own := t.own[id]; own != nil {
-		return own.number
+// localAt returns the number of this router's requests in flight at an endpoint.
+func (t *Table) localAt(id ryeford.EndpointID) int {
+	if local := t.local[id]; local != nil {
+		return local.number
 	}
 	return 0
 }
@@ -150,7 +150,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	requests := load.Running + load.Waiting
-	t.reports[Key(route.NameHash(string(id)))] = report{at: now, requests: requests, others: max(0, requests-t.ownAt(id))}
+	t.reports[Key(route.NameHash(string(id)))] = report{at: now, requests: requests, others: max(0, requests-t.localAt(id))}
 }
 
 // Learn merges endpoint status reports that peers have received. Newer ones replace older ones.
@@ -170,7 +170,7 @@
 func (t *Table) Observe(now time.Time, id ryeford.EndpointID, hash uint64) Observation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	o := Observation{Own: t.ownAt(id)}
+	o := Observation{Own: t.localAt(id)}
 	if r, ok := t.reports[Key(hash)]; ok {
 		o.Reports, o.Others, o.Age = true, float64(r.others), now.Sub(r.at)
 	}
@@ -180,35 +180,35 @@
 // Reports returns endpoint status reports to forward to peers: the n newest ones of high loads, which
 // matter for the cap, and m random ones of the others.
 func (t *Table) Reports(now time.Time, n, m int) []peers.Report {
-	high, others := byHighLoad(t.fresh(now))
+	high, others := splitByLoad(t.forwardable(now))
 	slices.SortFunc(high, func(a, b peers.Report) int { return cmp.Compare(a.Age, b.Age) })
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	return append(high[:min(n, len(high)):min(n, len(high))], others[:min(m, len(others))]...)
 }
 
-// fresh returns the reports that are recent enough to be forwarded, and drops expired ones.
-func (t *Table) fresh(now time.Time) []peers.Report {
+// forwardable returns the reports that are recent enough to be forwarded, and drops expired ones.
+func (t *Table) forwardable(now time.Time) []peers.Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var fresh []peers.Report
+	var forwardable []peers.Report
 	for key, r := range t.reports {
 		switch age := now.Sub(r.at); {
 		case age > reportTTL:
 			delete(t.reports, key)
-		case age <= passOnTTL:
-			fresh = append(fresh, peers.Report{Endpoint: key, Requests: r.requests, Age: age})
+		case age <= forwardTTL:
+			forwardable = append(forwardable, peers.Report{Endpoint: key, Requests: r.requests, Age: age})
 		}
 	}
-	return fresh
+	return forwardable
 }
 
-// byHighLoad separates the reports of high loads from the others.
-func byHighLoad(reports []peers.Report) (high, others []peers.Report) {
+// splitByLoad separates the reports of high loads from the others.
+func splitByLoad(reports []peers.Report) (high, others []peers.Report) {
 	sum := 0
 	for _, r := range reports {
 		sum += r.Requests
 	}
-	from := highLoad * float64(sum) / float64(max(1, len(reports)))
+	from := highLoadFactor * float64(sum) / float64(max(1, len(reports)))
 	for _, r := range reports {
 		if float64(r.Requests) >= from {
 			high = append(high, r)
@@ -221,27 +221,27 @@
 
 // Own returns this router's requests in flight, as they are sent to peers: the totals by service, and
 // those at each endpoint. Unless all is true, endpoints that report their loads are left out.
-func (t *Table) Own(all bool) (totals []peers.Total, own []peers.Load) {
+func (t *Table) Own(all bool) (totals []peers.Total, local []peers.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, requests := range t.own {
+	for id, requests := range t.local {
 		if _, reports := t.reports[Key(route.NameHash(string(id)))]; all || !reports {
-			own = append(own, peers.Load{Endpoint: id, Requests: requests.number})
+			local = append(local, peers.Load{Endpoint: id, Requests: requests.number})
 		}
 	}
 	for service, requests := range t.totals {
 		totals = append(totals, peers.Total{Service: service, Requests: requests})
 	}
-	return totals, own
+	return totals, local
 }
 
 // Forget drops an endpoint that is gone.
 func (t *Table) Forget(id ryeford.EndpointID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if own := t.own[id]; own != nil {
-		t.countOut(own.service, own.number)
-		delete(t.own, id)
+	if local := t.local[id]; local != nil {
+		t.subtract(local.service, local.number)
+		delete(t.local, id)
 	}
 	delete(t.reports, Key(route.NameHash(string(id))))
 }
--- a/gateway/loads/loads_test.go
+++ b/gateway/loads/loads_test.go
@@ -99,24 +99,24 @@
 func TestReports(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := New()
-	var learnt []peers.Report
+	var received []peers.Report
 	for i := range uint32(40) {
 		report := peers.Report{Endpoint: i, Requests: 1, Age: time.Duration(i) * 10 * time.Millisecond}
 		if i%4 == 0 {
 			report.Requests = 20
 		}
-		learnt = append(learnt, report)
+		received = append(received, report)
 	}
-	learnt = append(learnt, peers.Report{Endpoint: 99, Requests: 50, Age: passOnTTL + 1})
-	table.Learn(now, learnt)
-	passed := table.Reports(now, 4, 6)
-	assert.Equal(t, len(passed), 10)
-	for i, report := range passed {
+	received = append(received, peers.Report{Endpoint: 99, Requests: 50, Age: forwardTTL + 1})
+	table.Learn(now, received)
+	forwarded := table.Reports(now, 4, 6)
+	assert.Equal(t, len(forwarded), 10)
+	for i, report := range forwarded {
 		if i < 4 {
-			assert.Equal(t, report, learnt[4*i], "newest reports of high loads")
+			assert.Equal(t, report, received[4*i], "newest reports of high loads")
 			continue
 		}
-		assert.Equal(t, report, learnt[report.Endpoint])
+		assert.Equal(t, report, received[report.Endpoint])
 		assert.Equal(t, report.Requests, 1)
 	}
 	assert.Equal(t, len(table.Reports(now, 100, 100)), 40)
@@ -124,9 +124,9 @@
 	assert.Equal(t, len(table.reports), 0, "expired reports are dropped")
 }
 
-// TestOwn checks which of this router's requests are sent to peers: those at all endpoints or
+// TestLocal checks which of this router's requests are sent to peers: those at all endpoints or
 // only at those that do not report their load, and the totals by service.
-func TestOwn(t *testing.T) {
+func TestLocal(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := New()
 	table.Begin("a", "s")
@@ -136,16 +136,16 @@
 	table.End("c")
 	table.Begin("d", "s")
 	table.Report(now, "d", &ryeford.EndpointLoad{Running: 1})
-	totals, own := table.Own(false)
-	assert.DeepEqual(t, own, []peers.Load{{Endpoint: "a", Requests: 2}})
+	totals, local := table.Own(false)
+	assert.DeepEqual(t, local, []peers.Load{{Endpoint: "a", Requests: 2}})
 	assert.Equal(t, len(totals), 1)
 	assert.Equal(t, totals[0].Requests, 3)
-	_, own = table.Own(true)
-	assert.Equal(t, len(own), 2)
+	_, local = table.Own(true)
+	assert.Equal(t, len(local), 2)
 	table.Forget("a")
 	table.Forget("d")
-	totals, own = table.Own(true)
-	assert.Equal(t, len(own)+len(totals), 0)
+	totals, local = table.Own(true)
+	assert.Equal(t, len(local)+len(totals), 0)
 }
 
 // TestDemands checks which prompts are sent to peers: the most frequent ones first.
