--- a/gateway/outlier/limits.go
+++ b/gateway/outlier/limits.go
@@ -2,47 +2,43 @@
 
 import "time"
 
-// The limits by which the gateway ejects endpoints. Other values of each made no
-// difference beyond noise.
+// Limits for the ejection of endpoints.
 const (
-	// consecutiveFailures is how many failures in a row eject an endpoint. Three
-	// keep one broken connection, and the retry after it, from ejecting it.
+	// consecutiveFailures is how many failures in a row eject an endpoint. It exceeds the two
+	// failures that a broken connection and the retry after it cause.
 	consecutiveFailures = 3
-	// failureShare, from 0 to 1, is the share of failures among the recent
-	// responses that ejects an endpoint whose failures are not in a row.
+	// failureShare, from 0 to 1, is the share of failures among the recent responses that
+	// ejects an endpoint whose failures are not in a row.
 	failureShare = 0.35
-	// minResponses is how many recent responses, with their decayed weights, that
-	// share needs to mean anything.
+	// minResponses is the minimum weight of recent responses for failureShare to apply.
 	minResponses = 8
-	// halfLife is the time after which a response weighs half.
+	// halfLife is the time after which the weight of a response has halved.
 	halfLife = 4 * time.Second
-	// baseEjection is how long the first ejection lasts; each further one lasts
-	// twice as long, up to maxEjection.
+	// baseEjection is the duration of the first ejection. Each further one lasts twice as
+	// long, up to maxEjection.
 	baseEjection = 1500 * time.Millisecond
 	maxEjection  = 6 * time.Second
-	// maxSilence is how long an endpoint that has a request may send no first byte
-	// of any response.
+	// maxSilence is how long an endpoint may leave a request without the first byte of a
+	// response.
 	maxSilence = time.Second
-	// maxDoublings is the number of ejections after which the term no longer
-	// doubles; it keeps the shift within a Duration.
+	// maxDoublings limits the shift in the duration of an ejection, so that it doesn't
+	// overflow.
 	maxDoublings = 8
-	// negligible is the decayed weight of responses below which a record counts as
-	// empty.
+	// negligible is the weight of responses below which a record counts as empty.
 	negligible = 0.01
 )
 
-// Ejections that one event causes by itself, whatever the record says.
+// Durations of ejections that a single event causes, regardless of the record.
 const (
-	// UnreachableEjection is how long an endpoint that accepts no connection is
-	// ejected: it may just be starting again.
+	// UnreachableEjection is for an endpoint that accepts no connection. It may be restarting.
 	UnreachableEjection = 1500 * time.Millisecond
-	// MisdirectedEjection is how long an endpoint is ejected whose address answers
-	// for another one: the list has to catch up.
+	// MisdirectedEjection is for an endpoint whose address responds as another endpoint, until
+	// the list of endpoints is up to date.
 	MisdirectedEjection = 5 * time.Second
 )
 
-// ejects reports whether an endpoint with this record, which has just failed, is
-// ejected: for its failures in a row, or for the share of them.
+// ejects reports whether an endpoint with this record, which has just failed, is ejected: for
+// consecutive failures, or for its share of failures.
 func (r *record) ejects() bool {
 	if r.consecutive >= consecutiveFailures {
 		return true
@@ -50,27 +46,26 @@
 	return r.responses >= minResponses && r.failures/r.responses >= failureShare
 }
 
-// term returns how long an ejection lasts that follows so many others.
+// term returns the duration of an ejection that follows earlier others in succession.
 func term(earlier int) time.Duration {
 	return min(maxEjection, baseEjection<<min(earlier, maxDoublings))
 }
 
-// silent reports whether an endpoint has left a request unanswered for too long
-// and has begun no other response meanwhile. A zero lastResponse means that it
-// has never begun one.
+// silent reports whether an endpoint has left a request unanswered for longer than maxSilence and
+// has begun no other response in that time. A zero lastResponse means that it has never begun one.
 func silent(now, sent, lastResponse time.Time) bool {
 	return now.Sub(sent) > maxSilence && now.Sub(lastResponse) > maxSilence
 }
 
-// A record is what the recent responses of one endpoint amount to.
+// A record summarizes the recent responses of one endpoint.
 type record struct {
 	consecutive int     // failures since the last success
-	responses   float64 // with decayed weights, failures included
-	failures    float64 // with decayed weights
+	responses   float64 // decayed weight of responses, including failures
+	failures    float64 // decayed weight of failures
 	decayed     time.Time
 }
 
-// decay halves the weight of responses for each half-life that has passed.
+// decay halves the weights for each half-life that has elapsed.
 func (r *record) decay(now time.Time) {
 	if r.decayed.IsZero() {
 		r.decayed = now
--- a/gateway/outlier/limits_test.go
+++ b/gateway/outlier/limits_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEjects checks which records eject an endpoint under the gateway's limits.
+// TestEjects checks which records eject an endpoint.
 func TestEjects(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -27,7 +27,7 @@
 	}
 }
 
-// TestTerm checks how long successive ejections last.
+// TestTerm checks the duration of successive ejections.
 func TestTerm(t *testing.T) {
 	for _, test := range []struct {
 		earlier int
@@ -48,7 +48,7 @@
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
 		name               string
-		sent, lastResponse time.Duration // ago; zero lastResponse: never
+		sent, lastResponse time.Duration // elapsed; zero lastResponse: never
 		silent             bool
 	}{
 		{"sent a second ago", time.Second, 0, false},
--- a/gateway/outlier/outlier.go
+++ b/gateway/outlier/outlier.go
@@ -1,11 +1,9 @@
-// Package outlier ejects endpoints that are on the list but fail: an endpoint is
-// left out for a time after several failures in a row, after a large share of
-// failures, after one event that proves it unusable, and while it leaves a
-// request without the first byte of a response.
+// Package outlier ejects listed endpoints that fail. An endpoint is excluded for a time after
+// several consecutive failures, after a large share of failures, after a single event that
+// proves it unusable, and while it leaves a request without the first byte of a response.
 //
-// It owns the record of each endpoint's responses, as this router alone has seen
-// them; routers do not share it. It relies on nothing but the caller's clock and
-// does no I/O. The rule and its constants are in limits.go.
+// The package owns the record of each endpoint's responses at this router; routers do not
+// share it. It reads no clock and does no I/O. The rule and its constants are in limits.go.
 package outlier
 
 import (
@@ -23,12 +21,12 @@
 
 type state struct {
 	record
-	ejections     int // in succession; each makes the next longer
+	ejections     int // in succession; each one doubles the next duration
 	until         time.Time
-	unusableUntil time.Time            // the end of the last ejection because of one such event
-	unusable      bool                 // until then, as one event proved; no response has come since
-	lastResponse  time.Time            // when it last began a response
-	waiting       map[uint64]time.Time // when each request was sent that has no response yet
+	unusableUntil time.Time            // end of the last ejection caused by a single event
+	unusable      bool                 // a single event proved it unusable, and no response has arrived since
+	lastResponse  time.Time            // start of the last response
+	waiting       map[uint64]time.Time // send time of each attempt without a response
 	lastAttempt   uint64
 }
 
@@ -44,8 +42,8 @@
 	return s
 }
 
-// Start notes that an attempt is sent to an endpoint, and returns the attempt's
-// number for End.
+// Start records that an attempt is sent to an endpoint, and returns the attempt's number for
+// End.
 func (d *Detector) Start(now time.Time, id ryeford.EndpointID) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,8 +53,8 @@
 	return s.lastAttempt
 }
 
-// End notes that an attempt no longer waits for a response; responded says that
-// one has begun.
+// End records that an attempt no longer waits for a response. responded reports that one has
+// begun.
 func (d *Detector) End(now time.Time, id ryeford.EndpointID, attempt uint64, responded bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,8 +65,8 @@
 	}
 }
 
-// Succeeded records a response that is no failure. An endpoint that has done
-// without an ejection for the longest term starts again with the shortest.
+// Succeeded records a response that is not a failure. The next ejection lasts baseEjection again if
+// the last one ended more than maxEjection ago.
 func (d *Detector) Succeeded(now time.Time, id ryeford.EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -82,8 +80,8 @@
 	}
 }
 
-// Failed records a failure, and ejects the endpoint if its record says so (limits.go). Failures
-// of an endpoint that is ejected already do not extend its term.
+// Failed records a failure, and ejects the endpoint if its record exceeds the limits (limits.go).
+// Failures of an ejected endpoint do not extend its ejection.
 func (d *Detector) Failed(now time.Time, id ryeford.EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,7 +99,7 @@
 	s.consecutive, s.responses, s.failures = 0, 0, 0
 }
 
-// Eject ejects an endpoint for at least a term, whatever its record: one event has
+// Eject ejects an endpoint for at least term, regardless of its record, since a single event has
 // proved it unusable.
 func (d *Detector) Eject(now time.Time, id ryeford.EndpointID, term time.Duration) {
 	d.mu.Lock()
@@ -133,8 +131,8 @@
 	return true
 }
 
-// Unusable reports whether an endpoint is ejected because one event has proved it
-// unusable: it accepts no connection, or its address is another's.
+// Unusable reports whether an endpoint is ejected because a single event has proved it unusable: it
+// accepts no connection, or its address responds as another endpoint.
 func (d *Detector) Unusable(now time.Time, id ryeford.EndpointID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -142,8 +140,8 @@
 	return s != nil && s.unusable && now.Before(s.until)
 }
 
-// ReachableSince returns the end of the last ejection because one event had proved an endpoint
-// unusable, or zero if there was none: it may have started again meanwhile.
+// ReachableSince returns the end of the last ejection that a single event caused, or zero if there was
+// none. The endpoint may have restarted during it.
 func (d *Detector) ReachableSince(id ryeford.EndpointID) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -153,7 +151,7 @@
 	return time.Time{}
 }
 
-// EjectedFor returns for how long an endpoint is still ejected; zero if it is not.
+// EjectedFor returns how long an endpoint remains ejected; zero if it is not.
 func (d *Detector) EjectedFor(now time.Time, id ryeford.EndpointID) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/gateway/outlier/outlier_test.go
+++ b/gateway/outlier/outlier_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFailuresInRow checks that an endpoint that keeps failing is ejected, each
-// time for longer, and is healthy again after each term.
+// TestFailuresInRow guards against a failing endpoint that is not ejected for longer each time, or not
+// healthy after an ejection.
 func TestFailuresInRow(t *testing.T) {
 	d := New()
 	now := time.Unix(1000, 0)
@@ -23,8 +23,8 @@
 	assert.Assert(t, d.Healthy(now, "b"))
 }
 
-// TestShare checks that an endpoint that fails half of its requests is ejected, and
-// one that fails a seventh is not.
+// TestShare checks that an endpoint that fails half of its requests is ejected, and one that fails a
+// seventh is not.
 func TestShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
@@ -46,8 +46,7 @@
 	}
 }
 
-// TestSilence checks that an endpoint that leaves a request unanswered is unhealthy
-// until it responds.
+// TestSilence checks that an endpoint that leaves a request unanswered is unhealthy until it responds.
 func TestSilence(t *testing.T) {
 	d := New()
 	now := time.Unix(1000, 0)
@@ -59,8 +58,8 @@
 	assert.Assert(t, d.Healthy(now, "a"))
 }
 
-// TestUnusable checks that an endpoint is unusable after an event that proves it, until
-// its ejection ends or it responds, and not when its failures eject it.
+// TestUnusable checks that an endpoint is unusable after a single event that proves it, until its
+// ejection ends or it responds, and that failures alone do not make it unusable.
 func TestUnusable(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := New()
@@ -76,6 +75,6 @@
 	for range consecutiveFailures {
 		d.Failed(now, "b")
 	}
-	assert.Assert(t, !d.Healthy(now, "b") && !d.Unusable(now, "b"), "it fails, but may serve")
+	assert.Assert(t, !d.Healthy(now, "b") && !d.Unusable(now, "b"), "ejected for failures, but usable")
 	assert.Equal(t, d.EjectedFor(now, "b"), baseEjection)
 }
