--- a/gateway/outlier/limits.go
+++ b/gateway/outlier/limits.go
@@ -25,7 +25,7 @@
 	// overflow.
 	maxDoublings = 8
 	// negligible is the weight of responses below which a record counts as empty.
-	negligible = 0.01
+	negligibleWeight = 0.01
 )
 
 // Durations of ejections that a single event causes, regardless of the record.
@@ -46,8 +46,8 @@
 	return r.responses >= minResponses && r.failures/r.responses >= failureShare
 }
 
-// term returns the duration of an ejection that follows earlier others in succession.
-func term(earlier int) time.Duration {
+// ejectionDuration returns the duration of an ejection that follows earlier others in succession.
+func ejectionDuration(earlier int) time.Duration {
 	return min(maxEjection, baseEjection<<min(earlier, maxDoublings))
 }
 
@@ -75,7 +75,7 @@
 		r.responses /= 2
 		r.failures /= 2
 		r.decayed = r.decayed.Add(halfLife)
-		if r.responses < negligible {
+		if r.responses < negligibleWeight {
 			r.decayed = now
 			return
 		}
--- a/gateway/outlier/limits_test.go
+++ b/gateway/outlier/limits_test.go
@@ -27,11 +27,11 @@
 	}
 }
 
-// TestTerm checks the duration of successive ejections.
-func TestTerm(t *testing.T) {
+// TestEjectionDuration checks the duration of successive ejections.
+func TestEjectionDuration(t *testing.T) {
 	for _, test := range []struct {
-		earlier int
-		term    time.Duration
+		earlier  int
+		duration time.Duration
 	}{
 		{0, 1500 * time.Millisecond},
 		{1, 3 * time.Second},
@@ -39,7 +39,7 @@
 		{3, 6 * time.Second},
 		{1 << 40, 6 * time.Second},
 	} {
-		assert.Equal(t, term(test.earlier), test.term)
+		assert.Equal(t, ejectionDuration(test.earlier), test.duration)
 	}
 }
 
--- a/gateway/outlier/outlier.go
+++ b/gateway/outlier/outlier.go
@@ -94,19 +94,19 @@
 		return
 	}
 	s.unusable = false
-	s.until = now.Add(term(s.ejections))
+	s.until = now.Add(ejectionDuration(s.ejections))
 	s.ejections++
 	s.consecutive, s.responses, s.failures = 0, 0, 0
 }
 
-// Eject ejects an endpoint for at least term, regardless of its record, since a single event has
+// Eject ejects an endpoint for at least duration, regardless of its record, since a single event has
 // proved it unusable.
-func (d *Detector) Eject(now time.Time, id ryeford.EndpointID, term time.Duration) {
+func (d *Detector) Eject(now time.Time, id ryeford.EndpointID, duration time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.get(id)
 	s.unusable = true
-	if until := now.Add(term); until.After(s.until) {
+	if until := now.Add(duration); until.After(s.until) {
 		s.until = until
 	}
 	s.unusableUntil = s.until
--- a/gateway/outlier/outlier_test.go
+++ b/gateway/outlier/outlier_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFailuresInRow guards against a failing endpoint that is not ejected for longer each time, or not
+// TestConsecutiveFailures guards against a failing endpoint that is not ejected for longer each time, or not
 // healthy after an ejection.
-func TestFailuresInRow(t *testing.T) {
+func TestConsecutiveFailures(t *testing.T) {
 	d := New()
 	now := time.Unix(1000, 0)
 	for _, want := range []time.Duration{baseEjection, 2 * baseEjection, maxEjection, maxEjection} {
@@ -23,9 +23,9 @@
 	assert.Assert(t, d.Healthy(now, "b"))
 }
 
-// TestShare checks that an endpoint that fails half of its requests is ejected, and one that fails a
+// TestFailureShare checks that an endpoint that fails half of its requests is ejected, and one that fails a
 // seventh is not.
-func TestShare(t *testing.T) {
+func TestFailureShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
 		failEvery int
