--- a/gateway/rest/rest.go
+++ b/gateway/rest/rest.go
@@ -1,13 +1,14 @@
-// Package rest keeps which endpoints have asked this router for rest, and until when.
+// Package rest records which endpoints are backing off from this router, and until when.
 //
-// Rule: an endpoint that has refused a request and said when it wants the next one is sent nothing by this
-// router before that. Of several such times the latest counts: one that ends sooner takes nothing back.
+// Rule: this router sends nothing to an endpoint that has refused a request with a Retry-After until
+// that time has passed. The latest of several such times counts: an earlier one does not shorten the
+// back-off.
 //
-// Why: an endpoint that refuses all that comes looks idle, and draws requests that it refuses again; each
-// costs its caller time and the service an attempt of its retry budget.
+// Why: an endpoint that refuses all requests looks idle, so load balancing would prefer it. Each
+// refusal costs its caller time and the service a retry of its budget.
 //
-// The package owns those times, by life of an endpoint. It relies on the caller's clock and does no I/O. A
-// rest is no failure: package outlier counts none for it.
+// The package owns these times, by endpoint incarnation. It reads no clock and does no I/O. A back-off
+// is not a failure: package outlier counts none for it.
 package rest
 
 import (
@@ -18,31 +19,31 @@
 	"github.com/ryeford/ryeford"
 )
 
-// maxRests bounds the memory for endpoints that rest. Beyond it the rest that is over first is forgotten.
+// maxRests limits the memory for back-offs. Beyond it, the one that ends first is evicted.
 const maxRests = 4096
 
-// A Table keeps the rests of endpoints. Its methods may be called concurrently.
+// A Table holds the back-offs of endpoints. Its methods may be called concurrently.
 type Table struct {
 	mu    sync.RWMutex
 	rests map[ryeford.EndpointID]Rest
-	size  atomic.Int64 // of rests, to be read without mu
+	size  atomic.Int64 // number of rests, readable without mu
 }
 
-// A Rest is that an endpoint wants no requests of this router.
+// A Rest is a period in which an endpoint accepts no requests from this router.
 type Rest struct {
 	Endpoint ryeford.EndpointID
-	// Began is when the endpoint first asked for it, and Until when it is over.
+	// Began is when the endpoint first asked for the back-off, and Until when it ends.
 	Began, Until time.Time
-	// Refused is how many requests the endpoint has refused in it with a time to come back, those that had
-	// been sent before included.
+	// Refused is how many requests the endpoint has refused with a Retry-After in this period, including
+	// those sent before it began.
 	Refused int
 }
 
-// New returns a Table in which no endpoint rests.
+// New returns an empty Table.
 func New() *Table { return &Table{rests: make(map[ryeford.EndpointID]Rest)} }
 
-// Ask takes that an endpoint has refused a request and asked for rest from now on, and reports whether it
-// did not rest before.
+// Ask records that an endpoint has refused a request and backs off for span from now. It returns true
+// if the endpoint was not backing off before.
 func (t *Table) Ask(now time.Time, id ryeford.EndpointID, span time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -63,7 +64,7 @@
 	return begins
 }
 
-// forgetFirst forgets the rest that is over first.
+// forgetFirst evicts the back-off that ends first.
 func (t *Table) forgetFirst() {
 	var first *Rest
 	for _, r := range t.rests {
@@ -74,17 +75,17 @@
 	delete(t.rests, first.Endpoint)
 }
 
-// Left returns for how long an endpoint still rests; zero if it doesn't.
+// Left returns how long an endpoint still backs off; zero if it doesn't.
 func (t *Table) Left(now time.Time, id ryeford.EndpointID) time.Duration {
 	if t.size.Load() == 0 {
-		return 0 // as almost always: a choice asks for each endpoint
+		return 0 // common case; a choice calls Left for each endpoint
 	}
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return max(0, t.rests[id].Until.Sub(now))
 }
 
-// Expire forgets the rests that are over, and returns them.
+// Expire removes the back-offs that have ended, and returns them.
 func (t *Table) Expire(now time.Time) []Rest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,5 +100,5 @@
 	return over
 }
 
-// Len returns how many endpoints rest, those included whose rest is over and not yet expired.
+// Len returns the number of endpoints that are backing off, including ended back-offs not yet expired.
 func (t *Table) Len() int { return int(t.size.Load()) }
--- a/gateway/rest/rest_test.go
+++ b/gateway/rest/rest_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-// TestAsk checks until when an endpoint rests that asks several times.
+// TestAsk checks until when an endpoint backs off that asks for it several times.
 func TestAsk(t *testing.T) {
 	type ask struct{ at, span time.Duration }
 	for _, test := range []struct {
@@ -24,13 +24,13 @@
 		{"for longer", []ask{{0, 3 * time.Second}, {time.Second, 5 * time.Second}}, 6 * time.Second},
 		{"for less", []ask{{0, 3 * time.Second}, {time.Second, time.Second}}, 3 * time.Second},
 		{"for less, and longer again", []ask{{0, 3 * time.Second}, {time.Second, time.Millisecond}, {2 * time.Second, 2 * time.Second}}, 4 * time.Second},
-		{"again, once it is over", []ask{{0, time.Second}, {2 * time.Second, time.Second}}, 3 * time.Second},
+		{"again, after the end", []ask{{0, time.Second}, {2 * time.Second, time.Second}}, 3 * time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			table := New()
 			for i, a := range test.asks {
 				begins := table.Ask(start.Add(a.at), "a", a.span)
-				assert.Equal(t, begins, i == 0 || test.name == "again, once it is over")
+				assert.Equal(t, begins, i == 0 || test.name == "again, after the end")
 			}
 			until := start.Add(test.until)
 			assert.Equal(t, table.Left(until.Add(-1), "a"), time.Duration(1))
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestExpire checks that a rest which is over is returned once, with what came in it.
+// TestExpire checks that an ended back-off is returned once, with the number of refused requests.
 func TestExpire(t *testing.T) {
 	table := New()
 	table.Ask(start, "a", 2*time.Second)
@@ -53,7 +53,8 @@
 	assert.Equal(t, table.Len(), 1)
 }
 
-// TestBound checks that the memory is bounded, and that the rest that is over first is forgotten first.
+// TestBound checks that the memory is bounded, and that the back-off that ends first is evicted
+// first.
 func TestBound(t *testing.T) {
 	table := New()
 	table.Ask(start, "first", time.Second)
