--- a/gateway/rest/rest.go
+++ b/gateway/rest/rest.go
@@ -19,14 +19,14 @@
 	"github.com/ryeford/ryeford"
 )
 
-// maxRests limits the memory for back-offs. Beyond it, the one that ends first is evicted.
-const maxRests = 4096
+// maxPeriods limits the memory for back-offs. Beyond it, the one that ends first is evicted.
+const maxPeriods = 4096
 
 // A Table holds the back-offs of endpoints. Its methods may be called concurrently.
 type Table struct {
-	mu    sync.RWMutex
-	rests map[ryeford.EndpointID]Rest
-	size  atomic.Int64 // number of rests, readable without mu
+	mu      sync.RWMutex
+	periods map[ryeford.EndpointID]Rest
+	size    atomic.Int64 // number of periods, readable without mu
 }
 
 // A Rest is a period in which an endpoint accepts no requests from this router.
@@ -40,39 +40,39 @@
 }
 
 // New returns an empty Table.
-func New() *Table { return &Table{rests: make(map[ryeford.EndpointID]Rest)} }
+func New() *Table { return &Table{periods: make(map[ryeford.EndpointID]Rest)} }
 
-// Ask records that an endpoint has refused a request and backs off for span from now. It returns true
+// Ask records that an endpoint has refused a request and backs off for duration from now. It returns true
 // if the endpoint was not backing off before.
-func (t *Table) Ask(now time.Time, id ryeford.EndpointID, span time.Duration) bool {
+func (t *Table) Ask(now time.Time, id ryeford.EndpointID, duration time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r, known := t.rests[id]
-	begins := !known || !now.Before(r.Until)
-	if begins {
+	r, known := t.periods[id]
+	started := !known || !now.Before(r.Until)
+	if started {
 		r = Rest{Endpoint: id, Began: now}
 	}
-	if until := now.Add(span); until.After(r.Until) {
+	if until := now.Add(duration); until.After(r.Until) {
 		r.Until = until
 	}
 	r.Refused++
-	if !known && len(t.rests) >= maxRests {
-		t.forgetFirst()
+	if !known && len(t.periods) >= maxPeriods {
+		t.evictEarliest()
 	}
-	t.rests[id] = r
-	t.size.Store(int64(len(t.rests)))
-	return begins
+	t.periods[id] = r
+	t.size.Store(int64(len(t.periods)))
+	return started
 }
 
-// forgetFirst evicts the back-off that ends first.
-func (t *Table) forgetFirst() {
+// evictEarliest evicts the back-off that ends first.
+func (t *Table) evictEarliest() {
 	var first *Rest
-	for _, r := range t.rests {
+	for _, r := range t.periods {
 		if first == nil || r.Until.Before(first.Until) {
 			first = &r
 		}
 	}
-	delete(t.rests, first.Endpoint)
+	delete(t.periods, first.Endpoint)
 }
 
 // Left returns how long an endpoint still backs off; zero if it doesn't.
@@ -82,22 +82,22 @@
 	}
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return max(0, t.rests[id].Until.Sub(now))
+	return max(0, t.periods[id].Until.Sub(now))
 }
 
 // Expire removes the back-offs that have ended, and returns them.
 func (t *Table) Expire(now time.Time) []Rest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var over []Rest
-	for id, r := range t.rests {
+	var ended []Rest
+	for id, r := range t.periods {
 		if !now.Before(r.Until) {
-			over = append(over, r)
-			delete(t.rests, id)
+			ended = append(ended, r)
+			delete(t.periods, id)
 		}
 	}
-	t.size.Store(int64(len(t.rests)))
-	return over
+	t.size.Store(int64(len(t.periods)))
+	return ended
 }
 
 // Len returns the number of endpoints that are backing off, including ended back-offs not yet expired.
--- a/gateway/rest/rest_test.go
+++ b/gateway/rest/rest_test.go
@@ -12,25 +12,25 @@
 
 var start = time.Unix(1000, 0)
 
-// TestAsk checks until when an endpoint backs off that asks for it several times.
-func TestAsk(t *testing.T) {
-	type ask struct{ at, span time.Duration }
+// TestStart checks until when an endpoint backs off that asks for it several times.
+func TestStart(t *testing.T) {
+	type call struct{ at, duration time.Duration }
 	for _, test := range []struct {
 		name  string
-		asks  []ask
+		calls []call
 		until time.Duration // since start
 	}{
-		{"once", []ask{{0, 3 * time.Second}}, 3 * time.Second},
-		{"for longer", []ask{{0, 3 * time.Second}, {time.Second, 5 * time.Second}}, 6 * time.Second},
-		{"for less", []ask{{0, 3 * time.Second}, {time.Second, time.Second}}, 3 * time.Second},
-		{"for less, and longer again", []ask{{0, 3 * time.Second}, {time.Second, time.Millisecond}, {2 * time.Second, 2 * time.Second}}, 4 * time.Second},
-		{"again, after the end", []ask{{0, time.Second}, {2 * time.Second, time.Second}}, 3 * time.Second},
+		{"once", []call{{0, 3 * time.Second}}, 3 * time.Second},
+		{"for longer", []call{{0, 3 * time.Second}, {time.Second, 5 * time.Second}}, 6 * time.Second},
+		{"for less", []call{{0, 3 * time.Second}, {time.Second, time.Second}}, 3 * time.Second},
+		{"for less, and longer again", []call{{0, 3 * time.Second}, {time.Second, time.Millisecond}, {2 * time.Second, 2 * time.Second}}, 4 * time.Second},
+		{"again, after the end", []call{{0, time.Second}, {2 * time.Second, time.Second}}, 3 * time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			table := New()
-			for i, a := range test.asks {
-				begins := table.Ask(start.Add(a.at), "a", a.span)
-				assert.Equal(t, begins, i == 0 || test.name == "again, after the end")
+			for i, a := range test.calls {
+				started := table.Ask(start.Add(a.at), "a", a.duration)
+				assert.Equal(t, started, i == 0 || test.name == "again, after the end")
 			}
 			until := start.Add(test.until)
 			assert.Equal(t, table.Left(until.Add(-1), "a"), time.Duration(1))
@@ -53,15 +53,15 @@
 	assert.Equal(t, table.Len(), 1)
 }
 
-// TestBound checks that the memory is bounded, and that the back-off that ends first is evicted
+// TestMaxPeriods checks that the memory is bounded, and that the back-off that ends first is evicted
 // first.
-func TestBound(t *testing.T) {
+func TestMaxPeriods(t *testing.T) {
 	table := New()
 	table.Ask(start, "first", time.Second)
-	for i := range maxRests {
+	for i := range maxPeriods {
 		table.Ask(start, ryeford.EndpointID(fmt.Sprint(i)), time.Minute)
 	}
-	assert.Equal(t, table.Len(), maxRests)
+	assert.Equal(t, table.Len(), maxPeriods)
 	assert.Equal(t, table.Left(start, "first"), time.Duration(0))
 	assert.Equal(t, table.Left(start, "0"), time.Minute)
 }
