--- a/gateway/slowstart/replay_test.go
+++ b/gateway/slowstart/replay_test.go
@@ -13,25 +13,25 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// A replayed fleet: routers before endpoints of which a third are cold at once. All is drawn from a
-// seed, and time is simulated.
+// A simulated fleet in which a third of the endpoints are cold at the same time. Time is simulated,
+// and all random numbers come from a seed.
 const (
-	replayedRate      = 9.6 // requests a second that a cold endpoint bears
-	replayedEndpoints = 1.8 // endpoints for each router
-	replayedDemand    = 11  // requests a second and endpoint: twice the usual
-	replayedHot       = 0.1 // part of the requests that want the first endpoint, which is cold
+	replayedRate      = 9.6 // requests a second that a cold endpoint can handle
+	replayedEndpoints = 1.8 // endpoints per router
+	replayedDemand    = 11  // requests a second per endpoint, twice the normal load
+	replayedHot       = 0.1 // share of requests for the first endpoint, which is cold
 	replayedLength    = 4 * time.Second
-	replayedSkew      = 40 * time.Millisecond // by which routers' clocks differ at the most
+	replayedSkew      = 40 * time.Millisecond // maximum difference between the routers' clocks
 )
 
-// A replayedRouter is what one router knows.
+// A replayedRouter is the state of one router.
 type replayedRouter struct {
-	fleet  Fleet // its Clock is what its clock is ahead of the time
+	fleet  Fleet // Clock is the offset of the router's clock
 	table  *Table
 	random *rand.Rand
-	tokens map[int]float64 // by endpoint, of the ways that count them
+	tokens map[int]float64 // by endpoint, for ways with token buckets
 	at     map[int]time.Duration
-	wanted map[int]float64 // requests a second that it was seen to need, by endpoint
+	wanted map[int]float64 // requests seen for each endpoint
 }
 
 // A way decides whether a router sends a cold endpoint a request now.
@@ -40,24 +40,24 @@
 	send func(r *replayedRouter, endpoint int, hash uint64, now time.Duration) bool
 }
 
-// ways are those that were weighed; the one in force is the last.
+// ways are compared by the simulation. The last one is the one in use.
 var ways = []way{
-	{"nothing", func(*replayedRouter, int, uint64, time.Duration) bool { return false }},
-	{"equal parts", func(r *replayedRouter, endpoint int, _ uint64, now time.Duration) bool {
+	{"none", func(*replayedRouter, int, uint64, time.Duration) bool { return false }},
+	{"equal shares", func(r *replayedRouter, endpoint int, _ uint64, now time.Duration) bool {
 		return r.spend(endpoint, now, replayedRate/float64(r.fleet.Routers))
 	}},
-	{"three routers each", func(r *replayedRouter, endpoint int, hash uint64, now time.Duration) bool {
+	{"three routers per endpoint", func(r *replayedRouter, endpoint int, hash uint64, now time.Duration) bool {
 		const holders = 3
 		place := (int(hash%uint64(r.fleet.Routers)) + r.fleet.Rank) % r.fleet.Routers
 		return place < holders && r.spend(endpoint, now, replayedRate/holders)
 	}},
-	{"parts by need", func(r *replayedRouter, endpoint int, _ uint64, now time.Duration) bool {
-		// Each takes its need to be the mean one's: it knows no other's.
+	{"shares by demand", func(r *replayedRouter, endpoint int, _ uint64, now time.Duration) bool {
+		// Each router takes its own demand for the mean, since it doesn't know the others'.
 		r.wanted[endpoint]++
 		need := r.wanted[endpoint] / max(0.5, now.Seconds())
 		return r.spend(endpoint, now, min(need, 2*replayedRate/float64(r.fleet.Routers)))
 	}},
-	{"turns", func(r *replayedRouter, endpoint int, hash uint64, now time.Duration) bool {
+	{"time slots", func(r *replayedRouter, endpoint int, hash uint64, now time.Duration) bool {
 		f := r.fleet
 		f.Clock += now + time.Hour
 		turn, valid := f.Turn(hash, replayedRate)
@@ -65,8 +65,8 @@
 	}},
 }
 
-// spend takes a token of an endpoint, which come at a rate, one at most; at first there is a part of
-// one.
+// spend takes a token from the endpoint's bucket, which holds at most one and starts with a random
+// fraction, and reports whether there was one.
 func (r *replayedRouter) spend(endpoint int, now time.Duration, rate float64) bool {
 	if _, ok := r.at[endpoint]; !ok {
 		r.tokens[endpoint] = r.random.Float64()
@@ -80,14 +80,14 @@
 	return true
 }
 
-// replayed is what a replay has shown.
+// A replayed is the result of a simulation.
 type replayed struct {
-	most      int     // requests in any second at any cold endpoint
-	elsewhere float64 // part of the requests that wanted a cold endpoint and went to others
-	used      float64 // part of what the cold endpoints bear
+	most      int     // maximum requests in any second at any cold endpoint
+	elsewhere float64 // share of requests for a cold endpoint that went to others
+	used      float64 // used share of the cold endpoints' rate
 }
 
-// replay plays a way. Some routers know a quarter of the others less, and some have just started.
+// replay runs a simulation. Some routers know only three quarters of the others, as after a start.
 func replay(w way, routers int, seed uint64) replayed {
 	random := rand.New(rand.NewPCG(seed, uint64(routers)))
 	fleet := make([]*replayedRouter, routers)
@@ -131,7 +131,7 @@
 	return result
 }
 
-// mostInSecond returns how many of some times, in order, lie within one second.
+// mostInSecond returns the maximum number of times within one second. times is sorted.
 func mostInSecond(times []time.Duration) int {
 	most := 0
 	for i, from := range times {
@@ -141,9 +141,9 @@
 	return most
 }
 
-// TestReplay plays cold endpoints in a crowd at twice the usual load, of which one is wanted by a
-// tenth of all requests, and compares the ways to share what they bear. With turns no endpoint gets
-// more in any second than it bears, but for what different views of the fleet add.
+// TestReplay guards against time slots that let a cold endpoint exceed its rate in any second, with a
+// margin for routers that know different peers. It logs a comparison with other ways at twice the
+// normal load, of which a tenth is for one cold endpoint.
 func TestReplay(t *testing.T) {
 	for _, routers := range []int{4, 27, 103, 390} {
 		for _, w := range ways {
@@ -154,8 +154,8 @@
 				worst.elsewhere += r.elsewhere / 3
 				worst.used += r.used / 3
 			}
-			t.Logf("%3d routers, %-18s: at most %3d a second, %.2f went elsewhere, %.2f of the allowance used", routers, w.name, worst.most, worst.elsewhere, worst.used)
-			if w.name == "turns" {
+			t.Logf("%3d routers, %-26s: at most %3d a second, %.2f went elsewhere, %.2f of the rate used", routers, w.name, worst.most, worst.elsewhere, worst.used)
+			if w.name == "time slots" {
 				assert.Check(t, float64(worst.most) <= 1.3*replayedRate, "%d routers", routers)
 			}
 		}
--- a/gateway/slowstart/slowstart.go
+++ b/gateway/slowstart/slowstart.go
@@ -1,17 +1,16 @@
-// Package slowstart bounds the requests that all routers together send to an endpoint which has
-// just started, and bears only so many a second until it is warm.
+// Package slowstart limits the requests that all routers together send to an endpoint which has
+// just started and can handle only a limited rate until it is warm.
 //
-// Rule: time is divided into turns, of which each endpoint has its own, by a clock that all routers
-// bound alike. In each turn one router, all of them one after the other in an order that they agree
-// on, may send the endpoint one request, until validity after the turn's beginning. What finds no
-// turn goes to other endpoints.
+// Rule: time is divided into time slots for each endpoint, by a clock that is synchronized between
+// routers. Each slot belongs to one router, in an order that all routers agree on. The router may
+// send the endpoint one request in its slot, until validity after the slot's start. Requests without
+// a slot go to other endpoints.
 //
-// Why: no message is needed for a request, and whatever the routers want to send, in no second
-// there are more requests than the endpoint bears: the turns come at rateShare of its rate, and those
-// of one second's requests began within one second and validity. Equal parts of the rate would
-// have to carry fractions of a request, and add up to one request of each router at once. Where
-// routers know of different peers, a turn may belong to two of them or to none: as many are taken
-// twice as are left out.
+// Why: routers need no messages to keep to the endpoint's rate, however many requests they have. Slots
+// come at rateShare of the rate, and the requests sent within any second belong to slots that
+// started within one second and validity. Equal shares of the rate would be fractions of a request for
+// each router, and could add up to one request of each router at the same time. Where routers know
+// different peers, a slot may belong to two routers or to none; both are equally frequent.
 //
 // The package does no I/O and reads no clock.
 package slowstart
@@ -24,34 +23,34 @@
 )
 
 const (
-	// validity is how long after its beginning a turn may be taken. The longer, the more turns
-	// are taken, and the more requests may meet in one second.
+	// validity is how long after its start a time slot may be taken. A longer validity lets more
+	// slots be used, but more requests may coincide in one second.
 	validity = time.Second / 3
-	// rateShare is the part of the rate that an endpoint bears with which turns come: with
-	// validity it keeps each second's requests below the rate.
+	// rateShare is the rate of time slots as a share of the endpoint's rate. Together with
+	// validity it keeps the requests of each second below the rate.
 	rateShare = 0.75
-	// minTurn and maxTurn bound the length of a turn, whatever the rate is: a turn of no length would
-	// divide by zero in every choice, and one of years exceeds a time.Duration.
+	// minTurn and maxTurn limit the length of a time slot for extreme rates: a length of zero would
+	// cause a division by zero, and a very long one exceeds the range of time.Duration.
 	minTurn = time.Microsecond
 	maxTurn = time.Hour
 )
 
-// A Fleet is what a router knows of the routers whose turns these are.
+// A Fleet is a router's view of the routers that share the time slots.
 type Fleet struct {
-	// Clock is what the clock shows by which turns are counted.
+	// Clock is the current time of the synchronized clock.
 	Clock time.Duration
-	// Rank is this router's place in the order, from 0, and Routers how many there are.
+	// Rank is this router's place in the order, from 0, and Routers the number of routers.
 	Rank, Routers int
 }
 
-// Turn returns the number of this router's latest turn at an endpoint that bears so many requests a
-// second, given the uniform hash of the endpoint's ID, and reports whether it is still valid.
+// Turn returns the number of this router's latest time slot at an endpoint, and reports whether it is
+// still valid. hash is the uniform hash of the endpoint's ID, and rate its requests a second.
 func (f *Fleet) Turn(hash uint64, rate float64) (number int64, valid bool) {
-	if f.Routers <= 0 || !(rate > 0) { // NaN is none
+	if f.Routers <= 0 || !(rate > 0) { // also false for NaN
 		return 0, false
 	}
 	length := turnLength(rate)
-	// The hash shifts the turns, so that a router's are not at the same moment at all endpoints.
+	// The hash shifts the slots, so that a router's slots at different endpoints don't coincide.
 	routers := int64(f.Routers)
 	clock := f.Clock + length*time.Duration(hash%uint64(routers))
 	current := int64(clock / length)
@@ -59,25 +58,25 @@
 	return number, clock-time.Duration(number)*length < max(validity, length)
 }
 
-// turnLength returns the time from one turn to the next, within minTurn and maxTurn.
+// turnLength returns the length of a time slot, within minTurn and maxTurn.
 func turnLength(rate float64) time.Duration {
 	length := float64(time.Second) / (rateShare * rate)
 	return time.Duration(min(max(length, float64(minTurn)), float64(maxTurn)))
 }
 
-// modulo returns n modulo m, from 0.
+// modulo returns n modulo m, which is never negative.
 func modulo(n, m int64) int64 { return ((n % m) + m) % m }
 
-// A Table holds which turns this router has taken. It is safe for concurrent use.
+// A Table records the time slots that this router has taken. It is safe for concurrent use.
 type Table struct {
 	mu    sync.Mutex
 	taken map[ryeford.EndpointID]int64
 }
 
-// New returns a Table of a router that has taken no turn.
+// New returns an empty Table.
 func New() *Table { return &Table{taken: make(map[ryeford.EndpointID]int64)} }
 
-// Free reports whether a turn at an endpoint was not taken yet.
+// Free reports whether neither the time slot nor a later one at the endpoint was taken yet.
 func (t *Table) Free(id ryeford.EndpointID, turn int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,7 +84,7 @@
 	return !ok || last < turn
 }
 
-// Take takes a turn at an endpoint, and reports whether it was free.
+// Take takes a time slot at an endpoint, and reports whether it was free.
 func (t *Table) Take(id ryeford.EndpointID, turn int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/gateway/slowstart/slowstart_test.go
+++ b/gateway/slowstart/slowstart_test.go
@@ -8,11 +8,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTurn checks that each turn belongs to one router, that turns come at rateShare of the
-// endpoint's rate, and that a turn is valid for its time only.
+// TestTurn guards against a time slot that belongs to two routers, against slots at another rate than
+// rateShare of the endpoint's, and against slots that stay valid too long.
 func TestTurn(t *testing.T) {
 	const routers, rate, hash = 5, 8.0, 3
-	taken := make(map[int64]int) // by number: the router that has it
+	taken := make(map[int64]int) // router by slot number
 	for at := 10 * time.Second; at < 20*time.Second; at += 10 * time.Millisecond {
 		for rank := range routers {
 			f := Fleet{Clock: at, Rank: rank, Routers: routers}
@@ -24,7 +24,7 @@
 			}
 		}
 	}
-	assert.Assert(t, len(taken) >= 60 && len(taken) <= 64, "%d turns in 10 s, %v a second", len(taken), rate*rateShare)
+	assert.Assert(t, len(taken) >= 60 && len(taken) <= 64, "%d time slots in 10 s, want %v a second", len(taken), rate*rateShare)
 	alone := Fleet{Clock: 100 * time.Millisecond, Routers: 4}
 	number, valid := alone.Turn(0, rate)
 	assert.Assert(t, number == 0 && valid)
@@ -36,7 +36,7 @@
 	assert.Assert(t, !valid)
 }
 
-// TestTable checks that a turn is taken once, and that an earlier one is over then.
+// TestTable checks that a time slot can be taken once, and that earlier ones can't be taken after it.
 func TestTable(t *testing.T) {
 	table := New()
 	assert.Assert(t, table.Free("a", 7) && table.Take("a", 7))
@@ -46,8 +46,8 @@
 	assert.Assert(t, table.Take("a", 7))
 }
 
-// FuzzTurn checks that no rate, however large or small, and no clock breaks the turns: a choice asks
-// for them at each cold endpoint.
+// FuzzTurn guards against rates and clocks that cause a panic or a valid time slot without routers or
+// rate.
 func FuzzTurn(f *testing.F) {
 	for _, rate := range []float64{0, -1, 1e-300, 1e300, 2e9, math.NaN(), math.Inf(1), math.MaxFloat64, 9.6} {
 		f.Add(int64(time.Hour), 3, 27, uint64(12345), rate)
@@ -56,7 +56,7 @@
 	f.Fuzz(func(t *testing.T, clock int64, rank, routers int, hash uint64, rate float64) {
 		fleet := Fleet{Clock: time.Duration(clock), Rank: rank, Routers: routers}
 		if _, valid := fleet.Turn(hash, rate); valid && (routers <= 0 || !(rate > 0)) {
-			t.Fatalf("a turn of %+v at %v a second", fleet, rate)
+			t.Fatalf("valid time slot of %+v at %v requests a second", fleet, rate)
 		}
 	})
 }
