--- a/gateway/slowstart/slowstart.go
+++ b/gateway/slowstart/slowstart.go
@@ -3,12 +3,12 @@
 //
 // Rule: time is divided into time slots for each endpoint, by a clock that is synchronized between
 // routers. Each slot belongs to one router, in an order that all routers agree on. The router may
-// send the endpoint one request in its slot, until validity after the slot's start. Requests without
+// send the endpoint one request in its slot, until slotValidity after the slot's start. Requests without
 // a slot go to other endpoints.
 //
 // Why: routers need no messages to keep to the endpoint's rate, however many requests they have. Slots
 // come at rateShare of the rate, and the requests sent within any second belong to slots that
-// started within one second and validity. Equal shares of the rate would be fractions of a request for
+// started within one second and slotValidity. Equal shares of the rate would be fractions of a request for
 // each router, and could add up to one request of each router at the same time. Where routers know
 // different peers, a slot may belong to two routers or to none; both are equally frequent.
 //
@@ -23,16 +23,16 @@
 )
 
 const (
-	// validity is how long after its start a time slot may be taken. A longer validity lets more
+	// slotValidity is how long after its start a time slot may be taken. A longer validity lets more
 	// slots be used, but more requests may coincide in one second.
-	validity = time.Second / 3
+	slotValidity = time.Second / 3
 	// rateShare is the rate of time slots as a share of the endpoint's rate. Together with
-	// validity it keeps the requests of each second below the rate.
+	// slotValidity it keeps the requests of each second below the rate.
 	rateShare = 0.75
-	// minTurn and maxTurn limit the length of a time slot for extreme rates: a length of zero would
+	// minSlot and maxSlot limit the length of a time slot for extreme rates: a length of zero would
 	// cause a division by zero, and a very long one exceeds the range of time.Duration.
-	minTurn = time.Microsecond
-	maxTurn = time.Hour
+	minSlot = time.Microsecond
+	maxSlot = time.Hour
 )
 
 // A Fleet is a router's view of the routers that share the time slots.
@@ -49,19 +49,19 @@
 	if f.Routers <= 0 || !(rate > 0) { // also false for NaN
 		return 0, false
 	}
-	length := turnLength(rate)
+	length := slotLength(rate)
 	// The hash shifts the slots, so that a router's slots at different endpoints don't coincide.
 	routers := int64(f.Routers)
 	clock := f.Clock + length*time.Duration(hash%uint64(routers))
 	current := int64(clock / length)
 	number = current - modulo(current-int64(f.Rank), routers)
-	return number, clock-time.Duration(number)*length < max(validity, length)
+	return number, clock-time.Duration(number)*length < max(slotValidity, length)
 }
 
-// turnLength returns the length of a time slot, within minTurn and maxTurn.
-func turnLength(rate float64) time.Duration {
+// slotLength returns the length of a time slot, within minSlot and maxSlot.
+func slotLength(rate float64) time.Duration {
 	length := float64(time.Second) / (rateShare * rate)
-	return time.Duration(min(max(length, float64(minTurn)), float64(maxTurn)))
+	return time.Duration(min(max(length, float64(minSlot)), float64(maxSlot)))
 }
 
 // modulo returns n modulo m, which is never negative.
@@ -77,21 +77,21 @@
 func New() *Table { return &Table{taken: make(map[ryeford.EndpointID]int64)} }
 
 // Free reports whether neither the time slot nor a later one at the endpoint was taken yet.
-func (t *Table) Free(id ryeford.EndpointID, turn int64) bool {
+func (t *Table) Free(id ryeford.EndpointID, slot int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	last, ok := t.taken[id]
-	return !ok || last < turn
+	return !ok || last < slot
 }
 
 // Take takes a time slot at an endpoint, and reports whether it was free.
-func (t *Table) Take(id ryeford.EndpointID, turn int64) bool {
+func (t *Table) Take(id ryeford.EndpointID, slot int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if last, ok := t.taken[id]; ok && last >= turn {
+	if last, ok := t.taken[id]; ok && last >= slot {
 		return false
 	}
-	t.taken[id] = turn
+	t.taken[id] = slot
 	return true
 }
 
--- a/gateway/slowstart/slowstart_test.go
+++ b/gateway/slowstart/slowstart_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTurn guards against a time slot that belongs to two routers, against slots at another rate than
+// TestTimeSlot guards against a time slot that belongs to two routers, against slots at another rate than
 // rateShare of the endpoint's, and against slots that stay valid too long.
-func TestTurn(t *testing.T) {
+func TestTimeSlot(t *testing.T) {
 	const routers, rate, hash = 5, 8.0, 3
 	taken := make(map[int64]int) // router by slot number
 	for at := 10 * time.Second; at < 20*time.Second; at += 10 * time.Millisecond {
@@ -28,7 +28,7 @@
 	alone := Fleet{Clock: 100 * time.Millisecond, Routers: 4}
 	number, valid := alone.Turn(0, rate)
 	assert.Assert(t, number == 0 && valid)
-	alone.Clock = validity
+	alone.Clock = slotValidity
 	_, valid = alone.Turn(0, rate)
 	assert.Assert(t, !valid)
 	nobody := Fleet{}
@@ -46,9 +46,9 @@
 	assert.Assert(t, table.Take("a", 7))
 }
 
-// FuzzTurn guards against rates and clocks that cause a panic or a valid time slot without routers or
+// FuzzTimeSlot guards against rates and clocks that cause a panic or a valid time slot without routers or
 // rate.
-func FuzzTurn(f *testing.F) {
+func FuzzTimeSlot(f *testing.F) {
 	for _, rate := range []float64{0, -1, 1e-300, 1e300, 2e9, math.NaN(), math.Inf(1), math.MaxFloat64, 9.6} {
 		f.Add(int64(time.Hour), 3, 27, uint64(12345), rate)
 		f.Add(int64(math.MaxInt64), math.MaxInt32, math.MaxInt32, uint64(math.MaxUint64), rate)
