--- a/gateway/occupancy/occupancy.go
+++ b/gateway/occupancy/occupancy.go
@@ -1,8 +1,8 @@
-// Package occupancy decides when the endpoints of a service have no place left for another
-// request, by the loads that they report with their responses.
+// Package occupancy decides when the endpoints of a service have no capacity left for another
+// request, from the loads that they report with their responses.
 //
-// It owns, for each service, what was reported lately and this router's requests under way.
-// It relies on the caller's clock, and on the caller to pair Begin with End. It does no I/O.
+// It owns the recent reports for each service and the number of this router's requests in flight.
+// The caller passes the time and pairs Begin with End. The package does no I/O.
 package occupancy
 
 import (
@@ -13,51 +13,50 @@
 	"github.com/ryeford/ryeford"
 )
 
-// When a service is full.
+// Rule: a service is full if its endpoints have, by the mean of their recent reports, at least one
+// request per slot. The mean is scaled by the growth of this router's requests since then. Further
+// requests are rejected at once.
 //
-// Rule: a service is full if its endpoints have, by the mean of what they reported lately, a
-// request or more for each of their slots; the mean is scaled by how much this router's own
-// requests have grown since. A request that comes then is rejected at once.
-//
-// Why: beyond its slots an engine serves nobody sooner, and what waits there makes everyone
-// late. The reports of a few endpoints stand for all, and the growth of this router's own
-// requests for that of its peers', so that a router needs no word of them: a large fleet
-// exchanges too few messages to know each endpoint's load.
+// Why: beyond its slots an engine serves no request sooner, and waiting requests delay all others.
+// The reports of a few endpoints represent all, and the growth of this router's requests represents
+// that of its peers', so no reports from peers are needed: in a large fleet, routers exchange too few
+// messages to cover the load of each endpoint.
 
 const (
-	// fullAt is the mean number of requests, running and waiting, for each slot at which a
-	// service is full.
+	// fullAt is the mean number of requests, running and waiting, per slot at which a service is
+	// full.
 	fullAt = 1.0
-	// halfLife is the time after which a report weighs half: long enough for several reports
-	// at a router of a large fleet, which gets some 24 a second in an overload.
+	// halfLife is the time after which the weight of a report has halved. It spans several reports
+	// at a router of a large fleet.
 	halfLife = 200 * time.Millisecond
-	// minReports is the weight of reports from which they stand for all endpoints.
+	// minReports is the minimum weight of the reports for a decision.
 	minReports = 2.0
-	// maxOccupancy is what one report counts for at most, in requests for each slot: an endpoint
-	// that reports nonsense must not close its service. An engine of 48 slots and a
-	// queue of 144 has 4 when its queue is full.
+	// maxOccupancy limits the requests per slot of one report, so that an endpoint with invalid
+	// reports can't make its service full. It exceeds the occupancy of an endpoint whose queue
+	// is three times its slots.
 	maxOccupancy = 4.0
 )
 
-// full reports whether a service is full whose endpoints had so many requests for each slot
-// when this router had then of its own under way, and now has now.
+// full reports whether a service is full. occupancy is the mean of the reports in requests per slot,
+// then the mean number of this router's requests in flight at the time of the reports, and now the
+// current number.
 func full(occupancy, then float64, now int) bool {
 	return then > 0 && occupancy*float64(now+1)/then >= fullAt
 }
 
-// A Table holds what is known of each service. It is safe for concurrent use.
+// A Table holds the state of each service. It is safe for concurrent use.
 type Table struct {
 	mu       sync.Mutex
 	services map[string]*service
 }
 
-// A service is what is known of one service. The sums' reports weigh less as they age.
+// A service is the state of one service. Reports lose weight as they age.
 type service struct {
-	own       int // this router's requests under way
+	own       int // this router's requests in flight
 	decayed   time.Time
 	weight    float64 // sum of the reports' weights
-	occupancy float64 // sum of what was reported: requests for each slot
-	ownThen   float64 // sum of own at the time of each report
+	occupancy float64 // weighted sum of the reported requests per slot
+	ownThen   float64 // weighted sum of own at the time of each report
 }
 
 // New returns a Table without services.
@@ -86,8 +85,8 @@
 	t.get(name).own--
 }
 
-// Report takes the load that an endpoint with so many slots has reported. It may be nil, and
-// slots zero, if the endpoint says nothing of them.
+// Report records the load that an endpoint has reported. It does nothing if load is nil or if slots is
+// zero, which means that the endpoint does not report them.
 func (t *Table) Report(now time.Time, name string, slots int, load *ryeford.EndpointLoad) {
 	if load == nil || slots <= 0 {
 		return
@@ -101,7 +100,7 @@
 	s.ownThen += float64(s.own)
 }
 
-// Full reports whether a service is full, as far as is known.
+// Full reports whether a service is full. It returns false if too few recent reports are known.
 func (t *Table) Full(now time.Time, name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,7 +115,7 @@
 	return full(s.occupancy/s.weight, s.ownThen/s.weight, s.own)
 }
 
-// decay lowers the weight of what was reported by the time that has passed since.
+// decay reduces the weight of the reports by the elapsed time.
 func (s *service) decay(now time.Time) {
 	factor := math.Exp2(-now.Sub(s.decayed).Seconds() / halfLife.Seconds())
 	s.decayed = now
--- a/gateway/occupancy/occupancy_test.go
+++ b/gateway/occupancy/occupancy_test.go
@@ -10,32 +10,31 @@
 	"github.com/ryeford/ryeford"
 )
 
-// start is the beginning of each test.
 var start = time.Unix(1000, 0)
 
-// report reports a load of running and waiting requests to a table, at an endpoint of 48 slots.
+// report records a load in table, at an endpoint of 48 slots.
 func report(table *Table, at time.Duration, running, waiting int) {
 	table.Report(start.Add(at), "s", 48, &ryeford.EndpointLoad{Running: running, Waiting: waiting})
 }
 
-// TestFull checks from which reports a service is full.
+// TestFull checks for which reports and local requests a service is full.
 func TestFull(t *testing.T) {
 	for _, row := range []struct {
 		rule    string
 		reports [][2]int // running, waiting
-		began   int      // own requests after the reports
+		began   int      // local requests that began after the reports
 		ended   int
 		want    bool
 	}{
 		{"nothing is known", nil, 0, 0, false},
 		{"one report is too few", [][2]int{{48, 99}}, 0, 0, false},
-		{"half of the slots are taken", [][2]int{{24, 0}, {24, 0}, {24, 0}}, 0, 0, false},
-		{"half of the slots were taken, own requests have doubled", [][2]int{{24, 0}, {24, 0}, {24, 0}}, 10, 0, true},
+		{"half of the slots are in use", [][2]int{{24, 0}, {24, 0}, {24, 0}}, 0, 0, false},
+		{"half of the slots were in use, local requests have doubled", [][2]int{{24, 0}, {24, 0}, {24, 0}}, 10, 0, true},
 		{"one endpoint is full, others are not", [][2]int{{48, 20}, {24, 0}, {20, 0}}, 0, 0, false},
-		{"one of five reports nonsense", [][2]int{{9, 1 << 40}, {4, 0}, {5, 0}, {6, 0}, {4, 0}}, 0, 0, false},
-		{"all slots are taken", [][2]int{{48, 0}, {48, 0}, {48, 0}}, 0, 0, true},
+		{"one of five reports an implausible load", [][2]int{{9, 1 << 40}, {4, 0}, {5, 0}, {6, 0}, {4, 0}}, 0, 0, false},
+		{"all slots are in use", [][2]int{{48, 0}, {48, 0}, {48, 0}}, 0, 0, true},
 		{"requests wait", [][2]int{{40, 12}, {48, 2}, {44, 3}}, 0, 0, true},
-		{"requests waited, half of the own ones have ended", [][2]int{{40, 12}, {48, 2}, {44, 3}}, 0, 5, false},
+		{"requests waited, half of the local ones have ended", [][2]int{{40, 12}, {48, 2}, {44, 3}}, 0, 5, false},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
 			table := New()
@@ -57,8 +56,8 @@
 	}
 }
 
-// TestReports checks that what is not a load of slots changes nothing, that newer reports
-// weigh more, and that old ones count for nothing.
+// TestReports checks that reports without load or slots are ignored, that newer reports have more
+// weight, and that old ones have none.
 func TestReports(t *testing.T) {
 	table := New()
 	table.Begin("s")
@@ -77,12 +76,12 @@
 	for range 4 {
 		report(table, 2*time.Second, 48, 48)
 	}
-	assert.Assert(t, !table.Full(start.Add(4*time.Second), "s"), "two seconds later nothing is known")
+	assert.Assert(t, !table.Full(start.Add(4*time.Second), "s"), "two seconds later the reports have expired")
 }
 
-// TestOverload replays a crowd and checks that with the rule more requests are answered
-// within their goal, and that few wait for long: with four routers and with thirty, whose
-// endpoints' reports come rarely; and that without a crowd nothing is rejected.
+// TestOverload simulates an overload and checks that rejecting requests lets more requests be answered
+// within their goal, both in a small fleet and in a larger one with rare reports, and that nothing is
+// rejected below capacity.
 func TestOverload(t *testing.T) {
 	for _, row := range []struct {
 		routers, endpoints int
@@ -103,7 +102,7 @@
 	}
 }
 
-// BenchmarkFull measures one decision, with reports of so many endpoints.
+// BenchmarkFull measures one decision for different numbers of reports.
 func BenchmarkFull(b *testing.B) {
 	for _, endpoints := range []int{35, 350, 3500} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
--- a/gateway/occupancy/replay_test.go
+++ b/gateway/occupancy/replay_test.go
@@ -10,35 +10,35 @@
 	"github.com/ryeford/ryeford"
 )
 
-// The replayed service: engines that run replaySlots requests at once, and the others in the
-// order in which they came. A request takes replayWork on average, and its response begins
-// replayFirst after it is run.
+// The simulated service. Its engines run replaySlots requests concurrently and queue the others in the
+// order of arrival. A request takes replayWork on average, and its response begins replayFirst after
+// the engine starts it.
 const (
 	replaySlots = 48
 	replayWork  = 1200 * time.Millisecond
 	replayFirst = 60 * time.Millisecond
-	// replayGoal is within what a response is to begin.
+	// replayGoal is the time within which a response should begin.
 	replayGoal = 400 * time.Millisecond
-	// replayCrowd is for how long the crowd comes, after replayCalm at 0.5 of the capacity.
+	// replayCrowd is the duration of the overload, which follows replayCalm at half of the capacity.
 	replayCrowd = 6 * time.Second
 	replayCalm  = 2 * time.Second
 	replaySeed  = 27
 )
 
-// A replayed is one request of the replay.
+// A replayed is a simulated request.
 type replayed struct {
 	router, endpoint int
 	arrived          time.Duration
 	work             time.Duration
 }
 
-// An engine is one endpoint of the replay.
+// An engine is a simulated endpoint.
 type engine struct {
 	running int
 	waiting []*replayed
 }
 
-// An event is something that happens in the replay.
+// An event is a scheduled action of the simulation.
 type event struct {
 	at time.Duration
 	do func()
@@ -56,7 +56,7 @@
 	return last
 }
 
-// A replay plays requests against routers that decide by their tables.
+// A replay simulates requests at routers that decide by their tables.
 type replay struct {
 	now     time.Duration
 	events  events
@@ -65,22 +65,23 @@
 	engines []engine
 	bounded bool
 
-	firsts   []time.Duration // of the crowd's requests: from arrival to the response's begin
-	rejected int             // of the crowd's requests
+	firsts   []time.Duration // in the overload: time from arrival to the start of the response
+	rejected int             // in the overload
 }
 
-// An outcome is how the crowd's requests fared.
+// An outcome holds the shares of the requests in the overload.
 type outcome struct {
 	inTime, late, rejected float64
-	p99                    time.Duration // of the time until responses began
+	p99                    time.Duration // 99th percentile of the time until responses began
 }
 
-// String returns an outcome as the pages show it.
+// String returns a one-line summary.
 func (o outcome) String() string {
 	return fmt.Sprintf("in time %.3f, late %.3f, rejected %.3f, p99 of the first event %d ms", o.inTime, o.late, o.rejected, o.p99.Milliseconds())
 }
 
-// play plays a crowd of load times the capacity. bounded says that the rule is in force.
+// play simulates an overload of load times the capacity. bounded reports that requests are rejected
+// when the service is full.
 func play(routers, endpoints int, load float64, bounded bool) outcome {
 	r := &replay{random: rand.New(rand.NewPCG(replaySeed, 0)), engines: make([]engine, endpoints), bounded: bounded}
 	for range routers {
@@ -105,7 +106,7 @@
 	heap.Push(&r.events, event{at: r.now + wait, do: do})
 }
 
-// arrive lets requests come at a rate a second, until the crowd ends.
+// arrive schedules requests at rate requests a second, until the overload ends.
 func (r *replay) arrive(rate func(at time.Duration) float64) {
 	if r.now > replayCalm+replayCrowd {
 		return
@@ -138,7 +139,7 @@
 	}
 }
 
-// run runs a request: its response begins, and then it ends.
+// run starts a request at its engine, and schedules the start and the end of its response.
 func (r *replay) run(q *replayed) {
 	e, table := &r.engines[q.endpoint], r.tables[q.router]
 	e.running++
