--- a/gateway/occupancy/occupancy.go
+++ b/gateway/occupancy/occupancy.go
@@ -23,25 +23,25 @@
 // messages to cover the load of each endpoint.
 
 const (
-	// fullAt is the mean number of requests, running and waiting, per slot at which a service is
+	// fullOccupancy is the mean number of requests, running and waiting, per slot at which a service is
 	// full.
-	fullAt = 1.0
+	fullOccupancy = 1.0
 	// halfLife is the time after which the weight of a report has halved. It spans several reports
 	// at a router of a large fleet.
 	halfLife = 200 * time.Millisecond
-	// minReports is the minimum weight of the reports for a decision.
-	minReports = 2.0
+	// minReportWeight is the minimum weight of the reports for a decision.
+	minReportWeight = 2.0
 	// maxOccupancy limits the requests per slot of one report, so that an endpoint with invalid
-	// reports can't make its service full. It exceeds the occupancy of an endpoint whose queue
-	// is three times its slots.
+	// reports can't make its service full. It is the occupancy of an endpoint with a full queue of
+	// three times its slots.
 	maxOccupancy = 4.0
 )
 
 // full reports whether a service is full. occupancy is the mean of the reports in requests per slot,
-// then the mean number of this router's requests in flight at the time of the reports, and now the
+// localThen the mean number of this router's requests in flight at the time of the reports, and now the
 // current number.
-func full(occupancy, then float64, now int) bool {
-	return then > 0 && occupancy*float64(now+1)/then >= fullAt
+func full(occupancy, localThen float64, now int) bool {
+	return localThen > 0 && occupancy*float64(now+1)/localThen >= fullOccupancy
 }
 
 // A Table holds the state of each service. It is safe for concurrent use.
@@ -52,11 +52,11 @@
 
 // A service is the state of one service. Reports lose weight as they age.
 type service struct {
-	own       int // this router's requests in flight
-	decayed   time.Time
-	weight    float64 // sum of the reports' weights
-	occupancy float64 // weighted sum of the reported requests per slot
-	ownThen   float64 // weighted sum of own at the time of each report
+	local         int // this router's requests in flight
+	decayed       time.Time
+	weight        float64 // sum of the reports' weights
+	occupancy     float64 // weighted sum of the reported requests per slot
+	localAtReport float64 // weighted sum of local at the time of each report
 }
 
 // New returns a Table without services.
@@ -75,14 +75,14 @@
 func (t *Table) Begin(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.get(name).own++
+	t.get(name).local++
 }
 
 // End counts a request that has ended.
 func (t *Table) End(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.get(name).own--
+	t.get(name).local--
 }
 
 // Report records the load that an endpoint has reported. It does nothing if load is nil or if slots is
@@ -97,7 +97,7 @@
 	s.decay(now)
 	s.weight++
 	s.occupancy += min(maxOccupancy, float64(load.Running+load.Waiting)/float64(slots))
-	s.ownThen += float64(s.own)
+	s.localAtReport += float64(s.local)
 }
 
 // Full reports whether a service is full. It returns false if too few recent reports are known.
@@ -109,10 +109,10 @@
 		return false
 	}
 	s.decay(now)
-	if s.weight < minReports {
+	if s.weight < minReportWeight {
 		return false
 	}
-	return full(s.occupancy/s.weight, s.ownThen/s.weight, s.own)
+	return full(s.occupancy/s.weight, s.localAtReport/s.weight, s.local)
 }
 
 // decay reduces the weight of the reports by the elapsed time.
@@ -121,5 +121,5 @@
 	s.decayed = now
 	s.weight *= factor
 	s.occupancy *= factor
-	s.ownThen *= factor
+	s.localAtReport *= factor
 }
--- a/gateway/occupancy/occupancy_test.go
+++ b/gateway/occupancy/occupancy_test.go
@@ -88,8 +88,8 @@
 		load               float64
 	}{{4, 18, 0.6}, {4, 18, 1.4}, {4, 18, 2.5}, {30, 55, 0.6}, {30, 55, 1.4}, {30, 55, 2.5}} {
 		t.Run(fmt.Sprintf("%d routers, %d endpoints, %v x capacity", row.routers, row.endpoints, row.load), func(t *testing.T) {
-			before := play(row.routers, row.endpoints, row.load, false)
-			after := play(row.routers, row.endpoints, row.load, true)
+			before := simulate(row.routers, row.endpoints, row.load, false)
+			after := simulate(row.routers, row.endpoints, row.load, true)
 			t.Logf("before: %v", before)
 			t.Logf("after:  %v", after)
 			if row.load < 1 {
--- a/gateway/occupancy/replay_test.go
+++ b/gateway/occupancy/simulation_test.go
@@ -10,23 +10,23 @@
 	"github.com/ryeford/ryeford"
 )
 
-// The simulated service. Its engines run replaySlots requests concurrently and queue the others in the
-// order of arrival. A request takes replayWork on average, and its response begins replayFirst after
+// The simulated service. Its engines run simSlots requests concurrently and queue the others in the
+// order of arrival. A request takes simWork on average, and its response begins simFirstEvent after
 // the engine starts it.
 const (
-	replaySlots = 48
-	replayWork  = 1200 * time.Millisecond
-	replayFirst = 60 * time.Millisecond
-	// replayGoal is the time within which a response should begin.
-	replayGoal = 400 * time.Millisecond
-	// replayCrowd is the duration of the overload, which follows replayCalm at half of the capacity.
-	replayCrowd = 6 * time.Second
-	replayCalm  = 2 * time.Second
-	replaySeed  = 27
+	simSlots      = 48
+	simWork       = 1200 * time.Millisecond
+	simFirstEvent = 60 * time.Millisecond
+	// simGoal is the time within which a response should begin.
+	simGoal = 400 * time.Millisecond
+	// simOverload is the duration of the overload, which follows simWarmup at half of the capacity.
+	simOverload = 6 * time.Second
+	simWarmup   = 2 * time.Second
+	simSeed     = 27
 )
 
-// A replayed is a simulated request.
-type replayed struct {
+// A request is a simulated request.
+type request struct {
 	router, endpoint int
 	arrived          time.Duration
 	work             time.Duration
@@ -35,7 +35,7 @@
 // An engine is a simulated endpoint.
 type engine struct {
 	running int
-	waiting []*replayed
+	waiting []*request
 }
 
 // An event is a scheduled action of the simulation.
@@ -56,17 +56,17 @@
 	return last
 }
 
-// A replay simulates requests at routers that decide by their tables.
-type replay struct {
-	now     time.Duration
-	events  events
-	random  *rand.Rand
-	tables  []*Table
-	engines []engine
-	bounded bool
-
-	firsts   []time.Duration // in the overload: time from arrival to the start of the response
-	rejected int             // in the overload
+// A simulation simulates requests at routers that decide by their tables.
+type simulation struct {
+	now       time.Duration
+	events    events
+	random    *rand.Rand
+	tables    []*Table
+	engines   []engine
+	rejecting bool
+
+	firstEvents []time.Duration // in the overload: time from arrival to the start of the response
+	rejected    int             // in the overload
 }
 
 // An outcome holds the shares of the requests in the overload.
@@ -80,16 +80,16 @@
 	return fmt.Sprintf("in time %.3f, late %.3f, rejected %.3f, p99 of the first event %d ms", o.inTime, o.late, o.rejected, o.p99.Milliseconds())
 }
 
-// play simulates an overload of load times the capacity. bounded reports that requests are rejected
+// simulate simulates an overload of load times the capacity. rejecting reports that requests are rejected
 // when the service is full.
-func play(routers, endpoints int, load float64, bounded bool) outcome {
-	r := &replay{random: rand.New(rand.NewPCG(replaySeed, 0)), engines: make([]engine, endpoints), bounded: bounded}
+func simulate(routers, endpoints int, load float64, rejecting bool) outcome {
+	r := &simulation{random: rand.New(rand.NewPCG(simSeed, 0)), engines: make([]engine, endpoints), rejecting: rejecting}
 	for range routers {
 		r.tables = append(r.tables, New())
 	}
-	capacity := float64(endpoints*replaySlots) / replayWork.Seconds()
+	capacity := float64(endpoints*simSlots) / simWork.Seconds()
 	r.arrive(func(at time.Duration) float64 {
-		if at < replayCalm {
+		if at < simWarmup {
 			return 0.5 * capacity
 		}
 		return load * capacity
@@ -102,37 +102,37 @@
 	return r.outcome()
 }
 
-func (r *replay) after(wait time.Duration, do func()) {
+func (r *simulation) after(wait time.Duration, do func()) {
 	heap.Push(&r.events, event{at: r.now + wait, do: do})
 }
 
 // arrive schedules requests at rate requests a second, until the overload ends.
-func (r *replay) arrive(rate func(at time.Duration) float64) {
-	if r.now > replayCalm+replayCrowd {
+func (r *simulation) arrive(rate func(at time.Duration) float64) {
+	if r.now > simWarmup+simOverload {
 		return
 	}
 	wait := time.Duration(r.random.ExpFloat64() / rate(r.now) * float64(time.Second))
 	r.after(wait, func() {
-		r.admit(&replayed{
+		r.admit(&request{
 			router: r.random.IntN(len(r.tables)), endpoint: r.random.IntN(len(r.engines)), arrived: r.now,
-			work: time.Duration(r.random.ExpFloat64() * float64(replayWork)),
+			work: time.Duration(r.random.ExpFloat64() * float64(simWork)),
 		})
 		r.arrive(rate)
 	})
 }
 
 // admit sends a request to its endpoint, unless its router rejects it.
-func (r *replay) admit(q *replayed) {
+func (r *simulation) admit(q *request) {
 	table := r.tables[q.router]
-	if r.bounded && table.Full(start.Add(r.now), "s") {
-		if q.arrived >= replayCalm {
+	if r.rejecting && table.Full(start.Add(r.now), "s") {
+		if q.arrived >= simWarmup {
 			r.rejected++
 		}
 		return
 	}
 	table.Begin("s")
 	e := &r.engines[q.endpoint]
-	if e.running < replaySlots {
+	if e.running < simSlots {
 		r.run(q)
 	} else {
 		e.waiting = append(e.waiting, q)
@@ -140,16 +140,16 @@
 }
 
 // run starts a request at its engine, and schedules the start and the end of its response.
-func (r *replay) run(q *replayed) {
+func (r *simulation) run(q *request) {
 	e, table := &r.engines[q.endpoint], r.tables[q.router]
 	e.running++
-	r.after(replayFirst, func() {
-		table.Report(start.Add(r.now), "s", replaySlots, &ryeford.EndpointLoad{Running: e.running, Waiting: len(e.waiting)})
-		if q.arrived >= replayCalm {
-			r.firsts = append(r.firsts, r.now-q.arrived)
+	r.after(simFirstEvent, func() {
+		table.Report(start.Add(r.now), "s", simSlots, &ryeford.EndpointLoad{Running: e.running, Waiting: len(e.waiting)})
+		if q.arrived >= simWarmup {
+			r.firstEvents = append(r.firstEvents, r.now-q.arrived)
 		}
 	})
-	r.after(replayFirst+q.work, func() {
+	r.after(simFirstEvent+q.work, func() {
 		table.End("s")
 		e.running--
 		if len(e.waiting) > 0 {
@@ -160,14 +160,14 @@
 	})
 }
 
-func (r *replay) outcome() outcome {
-	all := float64(len(r.firsts) + r.rejected)
-	slices.Sort(r.firsts)
-	inTime, _ := slices.BinarySearch(r.firsts, replayGoal)
+func (r *simulation) outcome() outcome {
+	all := float64(len(r.firstEvents) + r.rejected)
+	slices.Sort(r.firstEvents)
+	inTime, _ := slices.BinarySearch(r.firstEvents, simGoal)
 	return outcome{
 		inTime:   float64(inTime) / all,
-		late:     float64(len(r.firsts)-inTime) / all,
+		late:     float64(len(r.firstEvents)-inTime) / all,
 		rejected: float64(r.rejected) / all,
-		p99:      r.firsts[len(r.firsts)*99/100],
+		p99:      r.firstEvents[len(r.firstEvents)*99/100],
 	}
 }
