--- a/gateway/shutdown/shutdown_test.go
+++ b/gateway/shutdown/shutdown_test.go
@@ -9,12 +9,12 @@
 
 var ordered = time.Unix(1000, 0)
 
-// TestCloseBy checks that a process closes what is open before it is killed.
+// TestCloseBy guards against connections that are still open when the process is killed.
 func TestCloseBy(t *testing.T) {
 	assert.Equal(t, CloseBy(ordered, 8*time.Second), ordered.Add(7300*time.Millisecond))
 }
 
-// TestNoticed checks when the load balancer counts as having noticed the order to stop.
+// TestNoticed checks when the load balancer counts as having noticed the shutdown.
 func TestNoticed(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -22,11 +22,11 @@
 		failedProbes int
 		want         bool
 	}{
-		{"just ordered", 0, 0, false},
+		{"just signaled", 0, 0, false},
 		{"one probe failed", 900 * time.Millisecond, 1, false},
 		{"two probes failed", time.Second, 2, true},
-		{"one probe failed, and almost long enough", 3*time.Second - 1, 1, false},
-		{"waited for long enough", 3 * time.Second, 0, true},
+		{"one probe failed, just before the timeout", 3*time.Second - 1, 1, false},
+		{"the timeout has elapsed", 3 * time.Second, 0, true},
 	} {
 		assert.Equal(t, Noticed(test.sinceOrder, test.failedProbes), test.want, test.name)
 	}
@@ -39,17 +39,17 @@
 		last time.Time
 		want bool
 	}{
-		{"no connection ever", time.Time{}, true},
-		{"one just came", ordered, false},
-		{"the last came half a second ago", ordered.Add(-500 * time.Millisecond), false},
-		{"the last came longer ago", ordered.Add(-500*time.Millisecond - 1), true},
+		{"no connection yet", time.Time{}, true},
+		{"a connection just arrived", ordered, false},
+		{"the last one arrived half a second ago", ordered.Add(-500 * time.Millisecond), false},
+		{"the last one arrived longer ago", ordered.Add(-500*time.Millisecond - 1), true},
 	} {
 		assert.Equal(t, Quiet(ordered, test.last), test.want, test.name)
 	}
 }
 
-// TestLeavesTimeFor checks which requests a stopping process still takes: those that end
-// in time at their deadline, or are expected to, but streams by that only at first.
+// TestLeavesTimeFor guards against accepting requests that can't end in time, at their deadline or as
+// expected, and streams that are only expected to end in time after estimateSpan.
 func TestLeavesTimeFor(t *testing.T) {
 	const early, late = 2500*time.Millisecond - 1, 2500 * time.Millisecond
 	const long = 15 * time.Second
@@ -63,7 +63,7 @@
 		{"early, expected to end soon", early, 1300 * time.Millisecond, 600 * time.Millisecond, long, true, true},
 		{"early, no time is left", early, 0, 0, long, false, false},
 		{"early, only the margin is left", early, EndMargin, 0, 0, false, false},
-		{"early, the time is over", early, -time.Second, 0, long, false, false},
+		{"early, the connections are closed", early, -time.Second, 0, long, false, false},
 		{"early, ends at its deadline, though expected to take longer", early, 6 * time.Second, 5 * time.Second, 5 * time.Second, true, true},
 		{"late, expected to end", late, 4800 * time.Millisecond, 10 * time.Millisecond, long, false, true},
 		{"late, not expected to end", late, 4800 * time.Millisecond, 3 * time.Second, long, false, false},
