--- a/gateway/readiness/readiness.go
+++ b/gateway/readiness/readiness.go
@@ -1,18 +1,18 @@
 // Package readiness decides whether the load balancer may send new connections to a
-// router, and names why not. It is pure: values in, values out.
+// router, and gives the reason otherwise. It is pure: it has no state, clock or I/O.
 //
-// Rule: a router is ready if it is not stopping, knows a configuration and the list
-// of endpoints, no newer configuration should be in force, and it serves requests that need
-// keys, unless none do.
+// Rule: a router is ready if it is not shutting down, has a configuration and the list of
+// endpoints, is not superseded by a newer configuration, and serves requests that need keys,
+// unless the configuration has no keys.
 //
-// Why: a router that can't tell whether a key was revoked has to refuse almost all
-// requests, while another one may serve them. Configurations without keys need no
-// lease: with any version that was in force, requests on them may be served.
+// Why: a router that can't verify whether a key was revoked must refuse almost all
+// requests, while another router may serve them. Configurations without keys need no lease,
+// since their requests may be served with any version that was in force.
 package readiness
 
-// State is what a router knows of itself, now.
+// State is the current state of a router.
 type State struct {
-	Stopping       bool // it was ordered to stop
+	Stopping       bool // shutdown was requested
 	Configured     bool // a configuration is in force
 	EndpointsKnown bool // the list of endpoints has been read
 	Keyed          bool // requests carry keys
@@ -20,12 +20,12 @@
 	Superseded     bool // a newer configuration should be in force here
 }
 
-// A Reason is why a router is not ready, as it is logged.
+// A Reason tells in the logs why a router is not ready.
 type Reason string
 
-// The reasons.
+// Reasons for a router not to be ready.
 const (
-	Ready              Reason = "" // it is ready
+	Ready              Reason = "" // the router is ready
 	Stopping           Reason = "leaving"
 	NoConfiguration    Reason = "no_configuration"
 	NoEndpoints        Reason = "no_endpoints"
--- a/gateway/readiness/readiness_test.go
+++ b/gateway/readiness/readiness_test.go
@@ -6,8 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCheck checks the reason for each gap in what a router knows, and which of
-// several comes first.
+// TestCheck checks the reason for each missing condition, and which of several takes precedence.
 func TestCheck(t *testing.T) {
 	ready := State{Configured: true, EndpointsKnown: true, Keyed: true, ServesKeys: true}
 	for _, test := range []struct {
@@ -15,14 +14,14 @@
 		state State
 		want  Reason
 	}{
-		{"all known", ready, Ready},
-		{"stopping", State{Stopping: true, Configured: true, EndpointsKnown: true, Keyed: true, ServesKeys: true}, "leaving"},
+		{"all conditions met", ready, Ready},
+		{"shutting down", State{Stopping: true, Configured: true, EndpointsKnown: true, Keyed: true, ServesKeys: true}, "leaving"},
 		{"just started", State{}, "no_configuration"},
-		{"stopping before it knew anything", State{Stopping: true}, "leaving"},
+		{"shutting down without a configuration", State{Stopping: true}, "leaving"},
 		{"no list of endpoints", State{Configured: true, Keyed: true, ServesKeys: true}, "no_endpoints"},
-		{"keys can't be relied on", State{Configured: true, EndpointsKnown: true, Keyed: true}, "stale_configuration"},
+		{"keys can't be verified", State{Configured: true, EndpointsKnown: true, Keyed: true}, "stale_configuration"},
 		{"superseded, and there are no keys", State{Configured: true, EndpointsKnown: true, ServesKeys: true, Superseded: true}, "stale_configuration"},
-		{"keys can't be relied on, but there are none", State{Configured: true, EndpointsKnown: true}, Ready},
+		{"keys can't be verified, but there are none", State{Configured: true, EndpointsKnown: true}, Ready},
 	} {
 		assert.Equal(t, Check(test.state), test.want, test.name)
 	}
