--- a/route/route.go
+++ b/route/route.go
@@ -1,10 +1,9 @@
-// Package route orders targets for a key by rendezvous hashing: every router that
-// knows the same targets finds the same order without agreement, and a target that
-// joins or leaves moves only the keys that it gains or loses.
+// Package route orders targets for a key by rendezvous hashing: routers with the same
+// targets compute the same order without coordination, and a target that joins or leaves
+// moves only the keys that it gains or loses.
 //
-// The fleet with agents ranks engines for a chat (Set.Rank). The gateway and the
-// peers' table use the hashes and the score alone. The package owns no state and does
-// no I/O.
+// The fleet with agents ranks engines for a chat (Set.Rank). The gateway and package peers
+// use only the hashes and the score. The package has no state and does no I/O.
 package route
 
 import (
@@ -17,8 +16,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// MaxCandidates is how many candidates a Ranking holds at most, so that it needs no
-// allocation; the router's setting candidates allows no more.
+// MaxCandidates is the maximum number of candidates in a Ranking, so that it needs no
+// allocation. It is also the maximum of the router's setting candidates.
 const MaxCandidates = 8
 
 // A Target is an engine that may be a candidate.
@@ -32,7 +31,7 @@
 type Set struct {
 	targets []Target
 	// hashes (of the engines' IDs) and domains (numbered) are kept apart from the
-	// targets, so that a walk over all of them stays within the processor's cache.
+	// targets, so that an iteration over all of them fits into the processor's cache.
 	hashes  []uint64
 	domains []int32
 }
@@ -60,23 +59,23 @@
 
 // A Ranking holds a chat's first candidates, best first.
 type Ranking struct {
-	Index [MaxCandidates]int32 // of the Set's targets; the first Len count
+	Index [MaxCandidates]int32 // indices of the Set's targets; only the first Len are valid
 	Len   int
 
 	score [MaxCandidates]uint64
 }
 
-// Rank writes a chat's first k candidates, at most MaxCandidates, to r: the ones
-// with the highest scores, best first. The second place goes to the best one in
-// another failure domain than the first's, if there is one, so that the loss of a
-// domain leaves a candidate that the chat may have used.
+// Rank writes a chat's first k candidates, at most MaxCandidates, to r: those with the
+// highest scores, best first. The second place goes to the best target in another failure
+// domain than the first, if there is one, so that after the loss of a domain a candidate
+// remains that the chat may have used.
 func (s *Set) Rank(chat uint64, k int, r *Ranking) {
 	k = min(k, MaxCandidates)
 	r.Len = 0
 	if k == 0 {
 		return
 	}
-	lowest := uint64(0) // of the ranking, once it is full
+	lowest := uint64(0) // lowest score in the ranking once it is full
 	for i, hash := range s.hashes {
 		score := Mix(chat, hash)
 		if score < lowest {
@@ -92,8 +91,8 @@
 	}
 }
 
-// spread moves the best target in another failure domain than the first's to the
-// second place; one that is not in the ranking yet replaces the last.
+// spread moves the best target in another failure domain than the first to the second place. If
+// that target is not in the ranking yet, it replaces the last one.
 func (s *Set) spread(chat uint64, r *Ranking) {
 	first := s.domains[r.Index[0]]
 	for j := 1; j < r.Len; j++ {
@@ -117,7 +116,7 @@
 	}
 }
 
-// insert inserts a target by its score into the ranking, which holds at most k.
+// insert inserts a target by its score into the ranking, which holds at most k targets.
 func (r *Ranking) insert(index int32, score uint64, k int) {
 	j := r.Len
 	if j == k {
@@ -150,12 +149,12 @@
 	return d.Sum64()
 }
 
-// Score returns the rendezvous score of any name and an engine.
+// Score returns the rendezvous score of a name and an engine.
 func Score(name string, engine ryeford.EngineID) uint64 {
 	return Mix(NameHash(name), NameHash(string(engine)))
 }
 
-// KeyHash returns the uniform hash of a number that names something.
+// KeyHash returns the uniform hash of a numeric key.
 func KeyHash(key uint64) uint64 {
 	var bytes [8]byte
 	binary.LittleEndian.PutUint64(bytes[:], key)
@@ -165,8 +164,8 @@
 // NameHash returns the uniform hash of a name.
 func NameHash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Mix returns the rendezvous score of a key and a target, given as uniform hashes:
-// the two halves of their product, folded. The target with the highest score is the
+// Mix returns the rendezvous score of a key and a target, given their uniform hashes. The score
+// is the XOR of both halves of their product. The target with the highest score is the
 // key's first.
 func Mix(key, target uint64) uint64 {
 	hi, lo := bits.Mul64(key, target)
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -11,7 +11,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// testTargets returns n targets in seven failure domains, four of them in a row in each.
+// testTargets returns n targets in seven failure domains, in runs of four.
 func testTargets(n int) []Target {
 	targets := make([]Target, n)
 	for i := range targets {
@@ -20,7 +20,7 @@
 	return targets
 }
 
-// TestRankMovesLittle checks that the loss of one engine moves only the chats whose first
+// TestRankMovesLittle guards against the loss of one engine moving other chats than those whose first
 // candidate it was.
 func TestRankMovesLittle(t *testing.T) {
 	targets := testTargets(40)
@@ -43,8 +43,8 @@
 	assert.Assert(t, moved > 150 && moved < 350, "%d of 10000 moved", moved)
 }
 
-// TestRankSpreadsDomains checks that the second candidate is in another failure
-// domain, and that no candidate is named twice.
+// TestRankSpreadsDomains guards against a second candidate in the first one's failure domain, and
+// against duplicate candidates.
 func TestRankSpreadsDomains(t *testing.T) {
 	set := NewSet(testTargets(40))
 	for i := range 1000 {
@@ -74,21 +74,21 @@
 	}
 }
 
-// TestRankSecond checks which of a chat's targets get the first places: the best, then
-// the best of another failure domain, then the others in the order of their scores.
+// TestRankSecond checks the order of a chat's targets: the best, then the best of another failure
+// domain, then the others by score.
 func TestRankSecond(t *testing.T) {
 	const chat = 12345
 	for _, test := range []struct {
-		domains string // of the targets, best score first; a letter each
+		domains string // one letter per target, best score first
 		k       int
-		want    string // places in that order
+		want    string // positions in domains
 	}{
 		{"", 3, ""},
 		{"a", 3, "0"},
 		{"ab", 3, "01"},
 		{"aab", 3, "021"},
 		{"aabc", 3, "021"},
-		{"aaab", 3, "031"}, // beyond the ranking: replaces its last
+		{"aaab", 3, "031"}, // not in the ranking: replaces its last target
 		{"aaab", 2, "03"},
 		{"aaa", 3, "012"},
 		{"aab", 1, "0"},
