--- a/gateway/shutdown/shutdown.go
+++ b/gateway/shutdown/shutdown.go
@@ -3,11 +3,11 @@
 //
 // Rule: from the shutdown signal on, the process is unready and closes each caller's connection
 // after its response, but continues to serve. It closes its listener once the load balancer has
-// noticed and no new connection has arrived for quietTime. It closes all open connections
+// noticed and no new connection has arrived for quietPeriod. It closes all open connections
 // closeMargin before the end of its grace period, after which it is killed.
 //
 // It accepts a request that ends before that at its deadline, or is expected to end, based on
-// the slowest requests of its route. For streams the estimate is used only within estimateSpan of the
+// the slowest requests of its route. For streams the estimate is used only within estimateWindow of the
 // shutdown signal. All other requests are refused. Requests that are not answered EndMargin before
 // the connections close are aborted then, so that their callers receive an error.
 //
@@ -17,26 +17,26 @@
 import "time"
 
 const (
-	// minProbes is how many consecutive readiness probes must fail before the load balancer
+	// minFailedProbes is how many consecutive readiness probes must fail before the load balancer
 	// sends no new connections.
-	minProbes = 2
+	minFailedProbes = 2
 	// NoticeMargin is how long the load balancer may take to act after Noticed.
 	NoticeMargin = 400 * time.Millisecond
 	// maxNoticeWait limits the wait for the probes, which arrive once a second, in case the load
 	// balancer can't reach the process.
 	maxNoticeWait = 3 * time.Second
-	// quietTime is how long no new connection must have arrived before the listener is closed.
-	quietTime = 500 * time.Millisecond
+	// quietPeriod is how long no new connection must have arrived before the listener is closed.
+	quietPeriod = 500 * time.Millisecond
 	// closeMargin is how long before the end of its grace period a process closes all open
 	// connections.
 	closeMargin = 700 * time.Millisecond
 	// finishFactor is the time that must be left for a request, as a multiple of the duration of
 	// its route's slowest requests.
 	finishFactor = 1.5
-	// estimateSpan is how long after the shutdown signal estimates are used for streams. The
+	// estimateWindow is how long after the shutdown signal estimates are used for streams. The
 	// platform accepts that requests sent within 3 s of the signal are aborted at the end. The
 	// difference covers the delay of the signal and of the request.
-	estimateSpan = 2500 * time.Millisecond
+	estimateWindow = 2500 * time.Millisecond
 	// EndMargin is how long before the connections close a request must end. It covers the
 	// time that the last bytes may take after the request's deadline.
 	EndMargin = 300 * time.Millisecond
@@ -46,20 +46,20 @@
 
 // CloseBy returns when a process that is shutting down closes all open connections. grace is the time
 // from the shutdown signal until the process is killed.
-func CloseBy(ordered time.Time, grace time.Duration) time.Time {
-	return ordered.Add(grace - closeMargin)
+func CloseBy(signaled time.Time, grace time.Duration) time.Time {
+	return signaled.Add(grace - closeMargin)
 }
 
 // Noticed reports whether the load balancer has noticed the shutdown, or the wait for it has
 // timed out. failedProbes is the number of failed probes since the shutdown signal.
-func Noticed(sinceOrder time.Duration, failedProbes int) bool {
-	return failedProbes >= minProbes || sinceOrder >= maxNoticeWait
+func Noticed(sinceSignal time.Duration, failedProbes int) bool {
+	return failedProbes >= minFailedProbes || sinceSignal >= maxNoticeWait
 }
 
-// Quiet reports whether no caller has connected for quietTime. lastConnection is the time of the
+// Quiet reports whether no caller has connected for quietPeriod. lastConnection is the time of the
 // last new connection, or zero if there was none.
 func Quiet(now, lastConnection time.Time) bool {
-	return lastConnection.IsZero() || now.Sub(lastConnection) > quietTime
+	return lastConnection.IsZero() || now.Sub(lastConnection) > quietPeriod
 }
 
 // A Request is what a process that is shutting down knows of an arriving request.
@@ -77,7 +77,7 @@
 	if left > 0 && r.Longest <= left {
 		return true
 	}
-	if r.Stream && r.SinceOrder >= estimateSpan {
+	if r.Stream && r.SinceOrder >= estimateWindow {
 		return false
 	}
 	return left > time.Duration(finishFactor*float64(r.Slowest))
--- a/gateway/shutdown/shutdown_test.go
+++ b/gateway/shutdown/shutdown_test.go
@@ -7,18 +7,18 @@
 	"gotest.tools/v3/assert"
 )
 
-var ordered = time.Unix(1000, 0)
+var signaled = time.Unix(1000, 0)
 
 // TestCloseBy guards against connections that are still open when the process is killed.
 func TestCloseBy(t *testing.T) {
-	assert.Equal(t, CloseBy(ordered, 8*time.Second), ordered.Add(7300*time.Millisecond))
+	assert.Equal(t, CloseBy(signaled, 8*time.Second), signaled.Add(7300*time.Millisecond))
 }
 
 // TestNoticed checks when the load balancer counts as having noticed the shutdown.
 func TestNoticed(t *testing.T) {
 	for _, test := range []struct {
 		name         string
-		sinceOrder   time.Duration
+		sinceSignal  time.Duration
 		failedProbes int
 		want         bool
 	}{
@@ -28,7 +28,7 @@
 		{"one probe failed, just before the timeout", 3*time.Second - 1, 1, false},
 		{"the timeout has elapsed", 3 * time.Second, 0, true},
 	} {
-		assert.Equal(t, Noticed(test.sinceOrder, test.failedProbes), test.want, test.name)
+		assert.Equal(t, Noticed(test.sinceSignal, test.failedProbes), test.want, test.name)
 	}
 }
 
@@ -40,23 +40,23 @@
 		want bool
 	}{
 		{"no connection yet", time.Time{}, true},
-		{"a connection just arrived", ordered, false},
-		{"the last one arrived half a second ago", ordered.Add(-500 * time.Millisecond), false},
-		{"the last one arrived longer ago", ordered.Add(-500*time.Millisecond - 1), true},
+		{"a connection just arrived", signaled, false},
+		{"the last one arrived half a second ago", signaled.Add(-500 * time.Millisecond), false},
+		{"the last one arrived longer ago", signaled.Add(-500*time.Millisecond - 1), true},
 	} {
-		assert.Equal(t, Quiet(ordered, test.last), test.want, test.name)
+		assert.Equal(t, Quiet(signaled, test.last), test.want, test.name)
 	}
 }
 
 // TestLeavesTimeFor guards against accepting requests that can't end in time, at their deadline or as
-// expected, and streams that are only expected to end in time after estimateSpan.
+// expected, and streams that are only expected to end in time after estimateWindow.
 func TestLeavesTimeFor(t *testing.T) {
 	const early, late = 2500*time.Millisecond - 1, 2500 * time.Millisecond
 	const long = 15 * time.Second
 	for _, test := range []struct {
-		name                               string
-		sinceOrder, left, slowest, longest time.Duration
-		stream, other                      bool
+		name                                string
+		sinceSignal, left, slowest, longest time.Duration
+		stream, other                       bool
 	}{
 		{"early, expected to end", early, 7 * time.Second, 4 * time.Second, long, true, true},
 		{"early, not expected to end", early, 6 * time.Second, 4 * time.Second, long, false, false},
@@ -71,7 +71,7 @@
 		{"late, ends at its deadline, and not in time for its last bytes", late, 4800 * time.Millisecond, long, 4500*time.Millisecond + 1, false, false},
 		{"late, no time is left", late, 0, 0, 0, false, false},
 	} {
-		request := Request{SinceOrder: test.sinceOrder, Left: test.left, Slowest: test.slowest, Longest: test.longest}
+		request := Request{SinceOrder: test.sinceSignal, Left: test.left, Slowest: test.slowest, Longest: test.longest}
 		assert.Equal(t, LeavesTimeFor(request), test.other, test.name)
 		request.Stream = true
 		assert.Equal(t, LeavesTimeFor(request), test.stream, "%s, a stream", test.name)
