--- a/route/route.go
+++ b/route/route.go
@@ -87,13 +87,13 @@
 		}
 	}
 	if r.Len >= 2 {
-		s.spread(chat, r)
+		s.spreadDomains(chat, r)
 	}
 }
 
-// spread moves the best target in another failure domain than the first to the second place. If
+// spreadDomains moves the best target in another failure domain than the first to the second place. If
 // that target is not in the ranking yet, it replaces the last one.
-func (s *Set) spread(chat uint64, r *Ranking) {
+func (s *Set) spreadDomains(chat uint64, r *Ranking) {
 	first := s.domains[r.Index[0]]
 	for j := 1; j < r.Len; j++ {
 		if s.domains[r.Index[j]] != first {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -20,9 +20,9 @@
 	return targets
 }
 
-// TestRankMovesLittle guards against the loss of one engine moving other chats than those whose first
+// TestRankMovesFewChats guards against the loss of one engine moving other chats than those whose first
 // candidate it was.
-func TestRankMovesLittle(t *testing.T) {
+func TestRankMovesFewChats(t *testing.T) {
 	targets := testTargets(40)
 	all, fewer := NewSet(targets), NewSet(targets[1:])
 	lost := targets[0].Engine
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestRankSecond checks the order of a chat's targets: the best, then the best of another failure
+// TestRankOrder checks the order of a chat's targets: the best, then the best of another failure
 // domain, then the others by score.
-func TestRankSecond(t *testing.T) {
+func TestRankOrder(t *testing.T) {
 	const chat = 12345
 	for _, test := range []struct {
 		domains string // one letter per target, best score first
