--- a/gateway/choice/choice_test.go
+++ b/gateway/choice/choice_test.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// TestMembershipChangeMovesFewHomes guards against an endpoint that joins or leaves moving other prompts than those
-// whose home it becomes or was.
+// TestMembershipChangeMovesFewHomes guards against an endpoint that joins or leaves moving other
+// prompts than those whose home it becomes or was.
 func TestMembershipChangeMovesFewHomes(t *testing.T) {
 	var candidates []Candidate
 	for i := range 12 {
--- a/gateway/outlier/outlier_test.go
+++ b/gateway/outlier/outlier_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestConsecutiveFailures guards against a failing endpoint that is not ejected for longer each time, or not
-// healthy after an ejection.
+// TestConsecutiveFailures guards against a failing endpoint that is not ejected for longer each
+// time, or not healthy after an ejection.
 func TestConsecutiveFailures(t *testing.T) {
 	d := New()
 	now := time.Unix(1000, 0)
--- a/retry/retryafter.go
+++ b/retry/after.go
@@ -31,8 +31,8 @@
 	return min(longest, maxRetryAfter)
 }
 
-// parseRetryAfter parses a number of seconds, which may have a fraction, or an HTTP date. A date is relative
-// to the response's Date header, which uses the same clock; without it the result is 0.
+// parseRetryAfter parses a number of seconds, which may have a fraction, or an HTTP date. A date is
+// relative to the response's Date header, which uses the same clock; without it the result is 0.
 func parseRetryAfter(text, date string) time.Duration {
 	if isDecimal(text) {
 		seconds, err := strconv.ParseFloat(text, 64)
