--- a/gateway/choice/choice_test.go
+++ b/gateway/choice/choice_test.go
@@ -25,8 +25,8 @@
 			Deviation:     float64(rapid.IntRange(0, 5).Draw(t, "deviation")),
 			Slots:         8,
 			Tried:         rapid.Bool().Draw(t, "tried"),
-			Unhealthy:     rapid.Bool().Draw(t, "failing"),
-			Draining:      rapid.Bool().Draw(t, "leaving"),
+			Unhealthy:     rapid.Bool().Draw(t, "unhealthy"),
+			Draining:      rapid.Bool().Draw(t, "draining"),
 			MissingTokens: rapid.IntRange(0, 9000).Draw(t, "missing"),
 		})
 	}
@@ -39,8 +39,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := drawCandidates(t)
 		for _, chosen := range []Choice{
-			ByAffinity(candidates, Prompt{Key: rapid.Uint64().Draw(t, "key"), UnderWay: float64(rapid.IntRange(0, 200).Draw(t, "under way"))}, limits, rapid.Uint64().Draw(t, "drawn")),
-			ByLoad(candidates, limits, rapid.IntRange(0, 100).Draw(t, "turn")),
+			ByAffinity(candidates, Prompt{Key: rapid.Uint64().Draw(t, "key"), UnderWay: float64(rapid.IntRange(0, 200).Draw(t, "in flight"))}, limits, rapid.Uint64().Draw(t, "random")),
+			ByLoad(candidates, limits, rapid.IntRange(0, 100).Draw(t, "start")),
 		} {
 			usable, healthy := 0, 0
 			for i := range candidates {
--- a/gateway/choice/source.go
+++ b/gateway/choice/source.go
@@ -7,8 +7,9 @@
 // reports that the chosen endpoint was not on the first list that this router read.
 //
 // The index evicts entries, and a router that started late lacks most of them. If the index lists
-// only a prefix, and earlier requests with this prompt probably went to another endpoint than the
-// chosen one, the alternate is more likely to hold the whole prompt.
+// no part, the alternate is used. If it lists only a prefix, and earlier requests with this prompt
+// probably went to another endpoint than the chosen one, the alternate is more likely to hold the
+// whole prompt.
 func FromAlternate(chosen *Choice, indexed, shared int, joined bool) bool {
 	if chosen.Alternate < 0 || indexed >= shared {
 		return false
--- a/gateway/slowstart/slowstart.go
+++ b/gateway/slowstart/slowstart.go
@@ -3,14 +3,15 @@
 //
 // Rule: time is divided into time slots for each endpoint, by a clock that is synchronized between
 // routers. Each slot belongs to one router, in an order that all routers agree on. The router may
-// send the endpoint one request in its slot, until slotValidity after the slot's start. Requests without
-// a slot go to other endpoints.
+// send the endpoint one request in its slot, which remains valid for slotValidity after its start.
+// Requests without a slot go to other endpoints.
 //
-// Why: routers need no messages to keep to the endpoint's rate, however many requests they have. Slots
-// come at rateShare of the rate, and the requests sent within any second belong to slots that
-// started within one second and slotValidity. Equal shares of the rate would be fractions of a request for
-// each router, and could add up to one request of each router at the same time. Where routers know
-// different peers, a slot may belong to two routers or to none; both are equally frequent.
+// Why: routers need no messages to keep to the endpoint's rate, however many requests they have.
+// Slots come at rateShare of the rate, and the requests sent within any second belong to slots that
+// started within one second and slotValidity. Equal shares of the rate would be fractions of a
+// request for each router, and could add up to one request of each router at the same time. Where
+// routers know different peers, a slot may belong to two routers or to none; both are equally
+// frequent.
 //
 // The package does no I/O and reads no clock.
 package slowstart
