--- a/gateway/giveup/retryafter_test.go
+++ b/gateway/giveup/retryafter_test.go
@@ -55,12 +55,12 @@
 func TestRetrySpread(t *testing.T) {
 	caller := Caller{Left: 4 * time.Second}
 	const first, last = 100 * time.Millisecond, 1200 * time.Millisecond
-	lone := retryBand(first, 0, caller, Recent{Answered: 100})
-	assert.Equal(t, lone.From, first)
-	assert.Assert(t, lone.To < first+20*time.Millisecond, "%v", lone)
-	crowd := retryBand(first, 0, caller, Recent{Refused: 10000})
-	assert.Equal(t, crowd.From, first)
-	assert.Assert(t, crowd.To > last-time.Millisecond && crowd.To <= last, "%v", crowd)
+	single := retryBand(first, 0, caller, Recent{Answered: 100})
+	assert.Equal(t, single.From, first)
+	assert.Assert(t, single.To < first+20*time.Millisecond, "%v", single)
+	many := retryBand(first, 0, caller, Recent{Refused: 10000})
+	assert.Equal(t, many.From, first)
+	assert.Assert(t, many.To > last-time.Millisecond && many.To <= last, "%v", many)
 	half := retryBand(first, 0, caller, Recent{Refused: 10000, Answered: 10000})
 	assert.Assert(t, half.To > 640*time.Millisecond && half.To < 660*time.Millisecond, "%v", half)
 }
--- a/gateway/giveup/simulation_test.go
+++ b/gateway/giveup/simulation_test.go
@@ -57,26 +57,26 @@
 	down   func(at time.Duration) bool    // reports whether all endpoints are unreachable
 	length time.Duration
 	rule   func(Request) Band
-	// connect is how long a request waits for an endpoint that does not answer a connection attempt;
-	// zero if all requests are refused without an attempt. probe is the interval between attempts
+	// connectTimeout is how long a request waits for an endpoint that does not answer a connection attempt;
+	// zero if all requests are refused without an attempt. probeInterval is the interval between attempts
 	// at an endpoint that is known to be silent; zero if each request makes one.
-	connect, probe time.Duration
+	connectTimeout, probeInterval time.Duration
 	// reaches is the share of requests that go through a router which still reaches the endpoints.
 	reaches float64
 	// unlisted reports that the endpoints are not listed while they are down.
 	unlisted bool
 
-	began   time.Time
-	mu      sync.Mutex
-	busy    int                         // slots
-	queue   []*waiter                   // highest priority first
-	retries []int                       // by tick
-	recent  []Recent                    // by window
-	silent  bool                        // the last completed connection attempt was not answered
-	ejected time.Duration               // end of the ejection
-	probed  [simEndpoints]time.Duration // start of the last probe of each endpoint
-	held    []time.Duration             // time until each refused request was answered
-	tally   chan outcome
+	began      time.Time
+	mu         sync.Mutex
+	busy       int                         // slots
+	queue      []*waiter                   // highest priority first
+	retries    []int                       // by tick
+	recent     []Recent                    // by window
+	silent     bool                        // the last completed connection attempt was not answered
+	ejected    time.Duration               // end of the ejection
+	lastProbes [simEndpoints]time.Duration // start of the last probe of each endpoint
+	held       []time.Duration             // time until each refused request was answered
+	results    chan outcome
 }
 
 // An outcome is how the request of one caller ended.
@@ -100,7 +100,7 @@
 	s.began = time.Now()
 	s.retries = make([]int, 10*s.length/simTick)
 	s.recent = make([]Recent, 10*s.length/simWindow)
-	s.tally = make(chan outcome, 1<<16)
+	s.results = make(chan outcome, 1<<16)
 	random := rand.New(rand.NewPCG(simSeed, 0))
 	n := uint64(0)
 	for at := time.Duration(0); at < s.length; at = time.Since(s.began) {
@@ -111,7 +111,7 @@
 	}
 	var outcomes []outcome
 	for range n {
-		outcomes = append(outcomes, <-s.tally)
+		outcomes = append(outcomes, <-s.results)
 	}
 	return s.result(outcomes, after)
 }
@@ -137,7 +137,7 @@
 		took := time.Since(began)
 		left := classes[kind].deadline - took
 		if reason == "" || attempt == maxRetries || left <= 0 {
-			s.tally <- outcome{class: kind, served: reason == "" && left >= 0, took: took}
+			s.results <- outcome{class: kind, served: reason == "" && left >= 0, took: took}
 			return
 		}
 		band := s.rule(Request{
@@ -183,11 +183,11 @@
 	switch {
 	case s.unlisted && s.down(at):
 		return ryeford.ReasonNoCandidate, 0
-	case s.connect > 0 && !reaches:
+	case s.connectTimeout > 0 && !reaches:
 		if left := s.reach(at); left > 0 {
 			return ryeford.ReasonUnreachable, left
 		}
-	case s.connect == 0 && !s.unlisted && s.down(at):
+	case s.connectTimeout == 0 && !s.unlisted && s.down(at):
 		return ryeford.ReasonUnreachable, simEjection - at%simEjection
 	}
 	w := &waiter{priority: priority, admitted: make(chan bool, 1)}
@@ -207,7 +207,7 @@
 	}
 	down := s.down(at)
 	if down {
-		time.Sleep(s.connect)
+		time.Sleep(s.connectTimeout)
 	}
 	s.mu.Lock()
 	s.silent = down
@@ -223,12 +223,12 @@
 func (s *simulation) attemptsConnect(at time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.silent || s.probe == 0 {
+	if !s.silent || s.probeInterval == 0 {
 		return true
 	}
-	for i, began := range s.probed {
-		if at-began >= s.probe {
-			s.probed[i] = at
+	for i, began := range s.lastProbes {
+		if at-began >= s.probeInterval {
+			s.lastProbes[i] = at
 			return true
 		}
 	}
@@ -441,14 +441,14 @@
 func TestProbes(t *testing.T) {
 	for _, row := range []struct{ load, reaches float64 }{{0.8, 0}, {0.2, 0}, {0.8, 0.5}, {0.2, 0.5}} {
 		for _, length := range []time.Duration{time.Second, 3 * time.Second} {
-			run := func(probe time.Duration) simResult {
+			run := func(probeInterval time.Duration) simResult {
 				s := outage(row.load, length)
-				s.connect, s.probe, s.reaches = 400*time.Millisecond, probe, row.reaches
+				s.connectTimeout, s.probeInterval, s.reaches = 400*time.Millisecond, probeInterval, row.reaches
 				result := runOutage(t, &s, length)
 				slices.Sort(s.held)
 				n := len(s.held)
 				t.Logf("%v at %.1f x capacity, %.1f of the routers serve, probe every %v: held for %v (p50), %v (p99); %v",
-					length, row.load, row.reaches, probe, s.held[n/2], s.held[n*99/100], result)
+					length, row.load, row.reaches, probeInterval, s.held[n/2], s.held[n*99/100], result)
 				return result
 			}
 			each, oneAtATime := run(0), run(100*time.Millisecond)
--- a/gateway/occupancy/occupancy.go
+++ b/gateway/occupancy/occupancy.go
@@ -53,7 +53,7 @@
 // A service is the state of one service. Reports lose weight as they age.
 type service struct {
 	local         int // this router's requests in flight
-	decayed       time.Time
+	lastDecay     time.Time
 	weight        float64 // sum of the reports' weights
 	occupancy     float64 // weighted sum of the reported requests per slot
 	localAtReport float64 // weighted sum of local at the time of each report
@@ -117,8 +117,8 @@
 
 // decay reduces the weight of the reports by the elapsed time.
 func (s *service) decay(now time.Time) {
-	factor := math.Exp2(-now.Sub(s.decayed).Seconds() / halfLife.Seconds())
-	s.decayed = now
+	factor := math.Exp2(-now.Sub(s.lastDecay).Seconds() / halfLife.Seconds())
+	s.lastDecay = now
 	s.weight *= factor
 	s.occupancy *= factor
 	s.localAtReport *= factor
--- a/gateway/outlier/limits.go
+++ b/gateway/outlier/limits.go
@@ -62,21 +62,21 @@
 	consecutive int     // failures since the last success
 	responses   float64 // decayed weight of responses, including failures
 	failures    float64 // decayed weight of failures
-	decayed     time.Time
+	lastDecay   time.Time
 }
 
 // decay halves the weights for each half-life that has elapsed.
 func (r *record) decay(now time.Time) {
-	if r.decayed.IsZero() {
-		r.decayed = now
+	if r.lastDecay.IsZero() {
+		r.lastDecay = now
 		return
 	}
-	for now.Sub(r.decayed) >= halfLife {
+	for now.Sub(r.lastDecay) >= halfLife {
 		r.responses /= 2
 		r.failures /= 2
-		r.decayed = r.decayed.Add(halfLife)
+		r.lastDecay = r.lastDecay.Add(halfLife)
 		if r.responses < negligibleWeight {
-			r.decayed = now
+			r.lastDecay = now
 			return
 		}
 	}
--- a/gateway/outlier/outlier.go
+++ b/gateway/outlier/outlier.go
@@ -26,7 +26,7 @@
 	unusableUntil time.Time            // end of the last ejection caused by a single event
 	unusable      bool                 // a single event proved it unusable, and no response has arrived since
 	lastResponse  time.Time            // start of the last response
-	waiting       map[uint64]time.Time // send time of each attempt without a response
+	pending       map[uint64]time.Time // send time of each attempt without a response
 	lastAttempt   uint64
 }
 
@@ -36,7 +36,7 @@
 func (d *Detector) get(id ryeford.EndpointID) *state {
 	s := d.states[id]
 	if s == nil {
-		s = &state{waiting: make(map[uint64]time.Time)}
+		s = &state{pending: make(map[uint64]time.Time)}
 		d.states[id] = s
 	}
 	return s
@@ -49,7 +49,7 @@
 	defer d.mu.Unlock()
 	s := d.get(id)
 	s.lastAttempt++
-	s.waiting[s.lastAttempt] = now
+	s.pending[s.lastAttempt] = now
 	return s.lastAttempt
 }
 
@@ -59,7 +59,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.get(id)
-	delete(s.waiting, attempt)
+	delete(s.pending, attempt)
 	if responded {
 		s.lastResponse = now
 	}
@@ -123,7 +123,7 @@
 	if now.Before(s.until) {
 		return false
 	}
-	for _, sent := range s.waiting {
+	for _, sent := range s.pending {
 		if silent(now, sent, s.lastResponse) {
 			return false
 		}
--- a/gateway/slowstart/slowstart_test.go
+++ b/gateway/slowstart/slowstart_test.go
@@ -25,14 +25,14 @@
 		}
 	}
 	assert.Assert(t, len(taken) >= 60 && len(taken) <= 64, "%d time slots in 10 s, want %v a second", len(taken), rate*rateShare)
-	alone := Fleet{Clock: 100 * time.Millisecond, Routers: 4}
-	number, valid := alone.Turn(0, rate)
+	fleet := Fleet{Clock: 100 * time.Millisecond, Routers: 4}
+	number, valid := fleet.Turn(0, rate)
 	assert.Assert(t, number == 0 && valid)
-	alone.Clock = slotValidity
-	_, valid = alone.Turn(0, rate)
+	fleet.Clock = slotValidity
+	_, valid = fleet.Turn(0, rate)
 	assert.Assert(t, !valid)
-	nobody := Fleet{}
-	_, valid = nobody.Turn(0, rate)
+	empty := Fleet{}
+	_, valid = empty.Turn(0, rate)
 	assert.Assert(t, !valid)
 }
 
