--- a/gateway/choice/choice_test.go
+++ b/gateway/choice/choice_test.go
@@ -25,22 +25,22 @@
 			Deviation:     float64(rapid.IntRange(0, 5).Draw(t, "deviation")),
 			Slots:         8,
 			Tried:         rapid.Bool().Draw(t, "tried"),
-			Unhealthy:     rapid.Bool().Draw(t, "failing"),
-			Draining:      rapid.Bool().Draw(t, "leaving"),
+			Unhealthy:     rapid.Bool().Draw(t, "unhealthy"),
+			Draining:      rapid.Bool().Draw(t, "draining"),
 			MissingTokens: rapid.IntRange(0, 9000).Draw(t, "missing"),
 		})
 	}
 	return candidates
 }
 
-// TestChoice checks what is true of every choice: no endpoint that drains or was tried,
-// no unhealthy one while another is healthy, and by affinity none above the bound.
+// TestChoice guards invariants of every choice: no draining or tried endpoint, no unhealthy one while
+// another is healthy, and none above the cap if it is chosen by affinity.
 func TestChoice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := drawCandidates(t)
 		for _, chosen := range []Choice{
-			ByAffinity(candidates, Prompt{Key: rapid.Uint64().Draw(t, "key"), UnderWay: float64(rapid.IntRange(0, 200).Draw(t, "under way"))}, limits, rapid.Uint64().Draw(t, "drawn")),
-			ByLoad(candidates, limits, rapid.IntRange(0, 100).Draw(t, "turn")),
+			ByAffinity(candidates, Prompt{Key: rapid.Uint64().Draw(t, "key"), UnderWay: float64(rapid.IntRange(0, 200).Draw(t, "in flight"))}, limits, rapid.Uint64().Draw(t, "random")),
+			ByLoad(candidates, limits, rapid.IntRange(0, 100).Draw(t, "start")),
 		} {
 			usable, healthy := 0, 0
 			for i := range candidates {
@@ -66,9 +66,9 @@
 	})
 }
 
-// TestHomesMoveLittle checks that an endpoint that joins or leaves moves only the
-// prompts whose home it becomes or was.
-func TestHomesMoveLittle(t *testing.T) {
+// TestMembershipChangeMovesFewHomes guards against an endpoint that joins or leaves moving other
+// prompts than those whose home it becomes or was.
+func TestMembershipChangeMovesFewHomes(t *testing.T) {
 	var candidates []Candidate
 	for i := range 12 {
 		id := fmt.Sprintf("e%d", i)
@@ -85,14 +85,14 @@
 		}
 		moved++
 		assert.Equal(t, after.Index, 12)
-		// The one that had it before is the alternate.
+		// The previous home is the alternate.
 		assert.Equal(t, after.Alternate, before.Index)
 	}
 	assert.Assert(t, moved > keys/13/2 && moved < keys/13*2, "%d moved", moved)
 }
 
-// BenchmarkAffine measures one choice among 3,500 endpoints, the largest planned size.
-func BenchmarkAffine(b *testing.B) {
+// BenchmarkByAffinity measures one choice among 3,500 endpoints, the largest supported fleet.
+func BenchmarkByAffinity(b *testing.B) {
 	candidates := make([]Candidate, 3500)
 	for i := range candidates {
 		id := fmt.Sprintf("e%d", i)
--- a/gateway/choice/spread.go
+++ b/gateway/choice/spread.go
@@ -8,75 +8,73 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// To how many endpoints the requests with one prompt go.
+// Number of endpoints among which the requests with one prompt are spread.
 //
-// Rule: to so many of the first in the prompt's rendezvous order that its requests under way
-// fill part of the room between the mean load and the bound at each; and if some of
-// these are full, to as many that follow and two more. Of two that are drawn the less loaded
-// one is taken.
+// Rule: the requests are spread among as many of the first endpoints in the prompt's rendezvous
+// order as its requests in flight need, if they take at most spreadFill of the room between the
+// mean load and the cap. If some are full, further ones are added until the open ones outnumber the
+// full ones by overflowMargin. The less loaded of two random endpoints is chosen.
 //
-// Why: all routers learn at about the same time that an endpoint is full, or is no longer, and
-// late. If each sent to the first that isn't full, that one would get whatever comes for
-// the prompt until all have learnt of it, far above the bound; so would the next one. How
-// many requests have the prompt is known without that detour. Until it is, the more
-// endpoints are full, the wider its requests are spread.
+// Why: routers learn with a delay that an endpoint is full. If all of them moved on to the first
+// endpoint that is not full, it would exceed the cap before any of them is notified, and so would
+// the next one. The number of requests in flight with a prompt is known without this delay.
 
 const (
-	// spreadFill is the part of the room that the requests of one prompt may take.
+	// spreadFill is the share of the room that the requests with one prompt may take.
 	spreadFill = 0.5
-	// overflowMore is how many open endpoints are taken in beside one for each that is full.
-	overflowMore = 2
-	// maxOrdered bounds the work: how many endpoints of the order are looked at.
+	// overflowMargin is by how many the open endpoints must outnumber the full ones, if any are full.
+	overflowMargin = 2
+	// maxOrdered bounds how many endpoints of the rendezvous order are considered.
 	maxOrdered = 256
 )
 
-// widthNeeded returns to how many endpoints a prompt's requests go, given how many are under
-// way and the room at each endpoint, in requests.
-func widthNeeded(underWay, room float64) int {
+// endpointsNeeded returns how many endpoints a prompt needs, given its requests in flight and the room
+// at each endpoint, in requests.
+func endpointsNeeded(underWay, room float64) int {
 	needed := math.Ceil(underWay / max(1, spreadFill*room))
 	return int(max(1, min(needed, maxOrdered)))
 }
 
 // spread returns the indices of the open candidates among which a prompt's requests are
-// spread, and whether there are as many as it takes.
+// spread, and whether there are enough of them.
 func spread(candidates []Candidate, key uint64, needed int, open func(*Candidate) bool) (indices []int, enough bool) {
 	full := 0
-	for n, i := range inOrderOf(candidates, key) {
+	for n, i := range rendezvousOrder(candidates, key) {
 		if !open(&candidates[i]) {
 			full++
 			continue
 		}
 		indices = append(indices, i)
-		if n+1 >= needed && (full == 0 || len(indices) >= full+overflowMore) {
+		if n+1 >= needed && (full == 0 || len(indices) >= full+overflowMargin) {
 			return indices, true
 		}
 	}
 	return indices, false
 }
 
-// oneOf returns the better one of two candidates that are drawn from some, or -1 if there are
-// none. missing says that what they lack of the prompt counts beside their loads.
-func oneOf(candidates []Candidate, indices []int, drawn uint64, missing bool) int {
+// pickOfTwo draws two of the candidates in indices and returns the better one, or -1 if indices is
+// empty. If withMissing is true, the prompt tokens that a candidate lacks are added to its load.
+func pickOfTwo(candidates []Candidate, indices []int, random uint64, withMissing bool) int {
 	if len(indices) == 0 {
 		return -1
 	}
 	weight := func(c *Candidate) float64 {
-		if missing {
+		if withMissing {
 			return requestTokens*c.Load + float64(c.MissingTokens)
 		}
 		return requestTokens * c.Load
 	}
-	a := indices[drawn%uint64(len(indices))]
-	b := indices[route.KeyHash(drawn)%uint64(len(indices))]
+	a := indices[random%uint64(len(indices))]
+	b := indices[route.KeyHash(random)%uint64(len(indices))]
 	if weight(&candidates[b]) < weight(&candidates[a]) {
 		return b
 	}
 	return a
 }
 
-// inOrderOf returns the indices of the usable candidates that are first in a prompt's
-// rendezvous order, maxOrdered at most.
-func inOrderOf(candidates []Candidate, key uint64) []int {
+// rendezvousOrder returns the indices of the usable candidates in the prompt's rendezvous order, at most
+// maxOrdered.
+func rendezvousOrder(candidates []Candidate, key uint64) []int {
 	type scored struct {
 		index int
 		score uint64
--- a/gateway/outlier/limits_test.go
+++ b/gateway/outlier/limits_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEjects checks which records eject an endpoint under the gateway's limits.
+// TestEjects checks which records eject an endpoint.
 func TestEjects(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -27,11 +27,11 @@
 	}
 }
 
-// TestTerm checks how long successive ejections last.
-func TestTerm(t *testing.T) {
+// TestEjectionDuration checks the duration of successive ejections.
+func TestEjectionDuration(t *testing.T) {
 	for _, test := range []struct {
-		earlier int
-		term    time.Duration
+		earlier  int
+		duration time.Duration
 	}{
 		{0, 1500 * time.Millisecond},
 		{1, 3 * time.Second},
@@ -39,7 +39,7 @@
 		{3, 6 * time.Second},
 		{1 << 40, 6 * time.Second},
 	} {
-		assert.Equal(t, term(test.earlier), test.term)
+		assert.Equal(t, ejectionDuration(test.earlier), test.duration)
 	}
 }
 
@@ -48,7 +48,7 @@
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
 		name               string
-		sent, lastResponse time.Duration // ago; zero lastResponse: never
+		sent, lastResponse time.Duration // elapsed; zero lastResponse: never
 		silent             bool
 	}{
 		{"sent a second ago", time.Second, 0, false},
--- a/gateway/slowstart/replay_test.go
+++ b/gateway/slowstart/replay_test.go
@@ -13,61 +13,61 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// A replayed fleet: routers before endpoints of which a third are cold at once. All is drawn from a
-// seed, and time is simulated.
+// A simulated fleet in which a third of the endpoints are cold at the same time. Time is simulated,
+// and all random numbers come from a seed.
 const (
-	replayedRate      = 9.6 // requests a second that a cold endpoint bears
-	replayedEndpoints = 1.8 // endpoints for each router
-	replayedDemand    = 11  // requests a second and endpoint: twice the usual
-	replayedHot       = 0.1 // part of the requests that want the first endpoint, which is cold
-	replayedLength    = 4 * time.Second
-	replayedSkew      = 40 * time.Millisecond // by which routers' clocks differ at the most
+	simRate      = 9.6 // requests a second that a cold endpoint can handle
+	simEndpoints = 1.8 // endpoints per router
+	simDemand    = 11  // requests a second per endpoint, twice the normal load
+	simHotShare  = 0.1 // share of requests for the first endpoint, which is cold
+	simDuration  = 4 * time.Second
+	simSkew      = 40 * time.Millisecond // maximum difference between the routers' clocks
 )
 
-// A replayedRouter is what one router knows.
-type replayedRouter struct {
-	fleet  Fleet // its Clock is what its clock is ahead of the time
+// A simRouter is the state of one router.
+type simRouter struct {
+	fleet  Fleet // Clock is the offset of the router's clock
 	table  *Table
 	random *rand.Rand
-	tokens map[int]float64 // by endpoint, of the ways that count them
+	tokens map[int]float64 // by endpoint, for strategies with token buckets
 	at     map[int]time.Duration
-	wanted map[int]float64 // requests a second that it was seen to need, by endpoint
+	demand map[int]float64 // requests seen for each endpoint
 }
 
-// A way decides whether a router sends a cold endpoint a request now.
-type way struct {
+// A strategy decides whether a router sends a cold endpoint a request now.
+type strategy struct {
 	name string
-	send func(r *replayedRouter, endpoint int, hash uint64, now time.Duration) bool
+	send func(r *simRouter, endpoint int, hash uint64, now time.Duration) bool
 }
 
-// ways are those that were weighed; the one in force is the last.
-var ways = []way{
-	{"nothing", func(*replayedRouter, int, uint64, time.Duration) bool { return false }},
-	{"equal parts", func(r *replayedRouter, endpoint int, _ uint64, now time.Duration) bool {
-		return r.spend(endpoint, now, replayedRate/float64(r.fleet.Routers))
+// strategies are compared by the simulation. The last one is the one in use.
+var strategies = []strategy{
+	{"none", func(*simRouter, int, uint64, time.Duration) bool { return false }},
+	{"equal shares", func(r *simRouter, endpoint int, _ uint64, now time.Duration) bool {
+		return r.spend(endpoint, now, simRate/float64(r.fleet.Routers))
 	}},
-	{"three routers each", func(r *replayedRouter, endpoint int, hash uint64, now time.Duration) bool {
+	{"three routers per endpoint", func(r *simRouter, endpoint int, hash uint64, now time.Duration) bool {
 		const holders = 3
 		place := (int(hash%uint64(r.fleet.Routers)) + r.fleet.Rank) % r.fleet.Routers
-		return place < holders && r.spend(endpoint, now, replayedRate/holders)
+		return place < holders && r.spend(endpoint, now, simRate/holders)
 	}},
-	{"parts by need", func(r *replayedRouter, endpoint int, _ uint64, now time.Duration) bool {
-		// Each takes its need to be the mean one's: it knows no other's.
-		r.wanted[endpoint]++
-		need := r.wanted[endpoint] / max(0.5, now.Seconds())
-		return r.spend(endpoint, now, min(need, 2*replayedRate/float64(r.fleet.Routers)))
+	{"shares by demand", func(r *simRouter, endpoint int, _ uint64, now time.Duration) bool {
+		// Each router takes its own demand for the mean, since it doesn't know the others'.
+		r.demand[endpoint]++
+		need := r.demand[endpoint] / max(0.5, now.Seconds())
+		return r.spend(endpoint, now, min(need, 2*simRate/float64(r.fleet.Routers)))
 	}},
-	{"turns", func(r *replayedRouter, endpoint int, hash uint64, now time.Duration) bool {
+	{"time slots", func(r *simRouter, endpoint int, hash uint64, now time.Duration) bool {
 		f := r.fleet
 		f.Clock += now + time.Hour
-		turn, valid := f.Turn(hash, replayedRate)
-		return valid && r.table.Take(ryeford.EndpointID(fmt.Sprint(endpoint)), turn)
+		slot, valid := f.Turn(hash, simRate)
+		return valid && r.table.Take(ryeford.EndpointID(fmt.Sprint(endpoint)), slot)
 	}},
 }
 
-// spend takes a token of an endpoint, which come at a rate, one at most; at first there is a part of
-// one.
-func (r *replayedRouter) spend(endpoint int, now time.Duration, rate float64) bool {
+// spend takes a token from the endpoint's bucket, which holds at most one and starts with a random
+// fraction, and reports whether there was one.
+func (r *simRouter) spend(endpoint int, now time.Duration, rate float64) bool {
 	if _, ok := r.at[endpoint]; !ok {
 		r.tokens[endpoint] = r.random.Float64()
 	}
@@ -80,83 +80,83 @@
 	return true
 }
 
-// replayed is what a replay has shown.
-type replayed struct {
-	most      int     // requests in any second at any cold endpoint
-	elsewhere float64 // part of the requests that wanted a cold endpoint and went to others
-	used      float64 // part of what the cold endpoints bear
+// A simResult is the result of a simulation.
+type simResult struct {
+	maxPerSecond int     // maximum requests in any second at any cold endpoint
+	elsewhere    float64 // share of requests for a cold endpoint that went to others
+	used         float64 // used share of the cold endpoints' rate
 }
 
-// replay plays a way. Some routers know a quarter of the others less, and some have just started.
-func replay(w way, routers int, seed uint64) replayed {
+// simulate runs a simulation. Some routers know only three quarters of the others, as after a start.
+func simulate(w strategy, routers int, seed uint64) simResult {
 	random := rand.New(rand.NewPCG(seed, uint64(routers)))
-	fleet := make([]*replayedRouter, routers)
+	fleet := make([]*simRouter, routers)
 	for i := range fleet {
 		known, rank := routers, i
 		if random.Float64() < 0.2 {
 			known, rank = max(1, routers*3/4), i*3/4
 		}
-		fleet[i] = &replayedRouter{
-			fleet: Fleet{Rank: rank, Routers: known, Clock: time.Duration(random.Int64N(int64(replayedSkew)))},
+		fleet[i] = &simRouter{
+			fleet: Fleet{Rank: rank, Routers: known, Clock: time.Duration(random.Int64N(int64(simSkew)))},
 			table: New(), random: random,
-			tokens: make(map[int]float64), at: make(map[int]time.Duration), wanted: make(map[int]float64),
+			tokens: make(map[int]float64), at: make(map[int]time.Duration), demand: make(map[int]float64),
 		}
 	}
-	endpoints := int(replayedEndpoints * float64(routers))
+	endpoints := int(simEndpoints * float64(routers))
 	cold := max(1, endpoints/3)
 	arrived := make([][]time.Duration, cold)
-	wanted, sent := 0, 0
-	perSecond := float64(replayedDemand * endpoints)
-	for now := time.Duration(0); now < replayedLength; now += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)) {
+	demand, sent := 0, 0
+	perSecond := float64(simDemand * endpoints)
+	for now := time.Duration(0); now < simDuration; now += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)) {
 		endpoint := random.IntN(endpoints)
-		if random.Float64() < replayedHot {
+		if random.Float64() < simHotShare {
 			endpoint = 0
 		}
 		if endpoint >= cold {
 			continue
 		}
-		wanted++
+		demand++
 		if w.send(fleet[random.IntN(routers)], endpoint, route.NameHash(fmt.Sprint(endpoint)), now) {
 			arrived[endpoint] = append(arrived[endpoint], now)
 			sent++
 		}
 	}
-	result := replayed{
-		elsewhere: 1 - float64(sent)/float64(wanted),
-		used:      float64(sent) / (replayedRate * replayedLength.Seconds() * float64(cold)),
+	result := simResult{
+		elsewhere: 1 - float64(sent)/float64(demand),
+		used:      float64(sent) / (simRate * simDuration.Seconds() * float64(cold)),
 	}
 	for _, times := range arrived {
-		result.most = max(result.most, mostInSecond(times))
+		result.maxPerSecond = max(result.maxPerSecond, maxInSecond(times))
 	}
 	return result
 }
 
-// mostInSecond returns how many of some times, in order, lie within one second.
-func mostInSecond(times []time.Duration) int {
-	most := 0
+// maxInSecond returns the maximum number of times within one second. times is sorted.
+func maxInSecond(times []time.Duration) int {
+	maxPerSecond := 0
 	for i, from := range times {
 		n, _ := slices.BinarySearch(times, from+time.Second)
-		most = max(most, n-i)
+		maxPerSecond = max(maxPerSecond, n-i)
 	}
-	return most
+	return maxPerSecond
 }
 
-// TestReplay plays cold endpoints in a crowd at twice the usual load, of which one is wanted by a
-// tenth of all requests, and compares the ways to share what they bear. With turns no endpoint gets
-// more in any second than it bears, but for what different views of the fleet add.
-func TestReplay(t *testing.T) {
+// TestSimulation guards against time slots that let a cold endpoint exceed its rate in any second, with a
+// margin for routers that know different peers. It logs a comparison with other strategies at twice the
+// normal load, of which a tenth is for one cold endpoint.
+func TestSimulation(t *testing.T) {
 	for _, routers := range []int{4, 27, 103, 390} {
-		for _, w := range ways {
-			var worst replayed
+		for _, w := range strategies {
+			var worst simResult
 			for seed := range uint64(3) {
-				r := replay(w, routers, seed)
-				worst.most = max(worst.most, r.most)
+				r := simulate(w, routers, seed)
+				worst.maxPerSecond = max(worst.maxPerSecond, r.maxPerSecond)
 				worst.elsewhere += r.elsewhere / 3
 				worst.used += r.used / 3
 			}
-			t.Logf("%3d routers, %-18s: at most %3d a second, %.2f went elsewhere, %.2f of the allowance used", routers, w.name, worst.most, worst.elsewhere, worst.used)
-			if w.name == "turns" {
-				assert.Check(t, float64(worst.most) <= 1.3*replayedRate, "%d routers", routers)
+			t.Logf("%3d routers, %-26s: at most %3d a second, %.2f went elsewhere, %.2f of the rate used", routers, w.name, worst.maxPerSecond, worst.elsewhere, worst.used)
+			if w.name == "time slots" {
+				assert.Check(t, float64(worst.maxPerSecond) <= 1.3*simRate, "%d routers", routers)
 			}
 		}
 	}
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOutage checks that without successes an account's further attempts are at most
-// its reserve, however many requests come, and that each account has its own.
-func TestOutage(t *testing.T) {
+// TestBudgetReserve guards against an account exceeding its reserve without successes, and against accounts
+// that share one reserve.
+func TestBudgetReserve(t *testing.T) {
 	b := NewBudget(BudgetLimits{PerSuccess: 0.1, Reserve: 16})
 	attempts := 0
 	for range 10_000 {
