--- a/gateway/quarantine/record.go
+++ b/gateway/quarantine/record.go
@@ -9,24 +9,24 @@
 	// crashesToHold is how many endpoints must have ended, one after the other. With two, one of
 	// 156 bystanders would have been held on a day on which 35 endpoints ended; with three, none.
 	crashesToHold = 3
-	// manyCrashes is how many must have ended if only fewCrashes followed each other: a request that comes
+	// totalCrashesToHold is how many must have ended if only fewCrashes followed each other: a request that comes
 	// several times at once ends as many endpoints at once.
-	manyCrashes = 5
-	fewCrashes  = 2
+	totalCrashesToHold   = 5
+	minSuccessiveCrashes = 2
 	// MaxCrashes is how many ends a Record keeps at most: some overlap, and don't count each.
 	MaxCrashes = 8
-	// trialAfter is how long after it was held a request is tried again, and trialFactor how many
+	// trialDelay is how long after it was held a request is tried again, and trialFactor how many
 	// times longer after each trial that has not ended well. An engine that is mended is rolled out in
 	// minutes at the least; each trial of one that is not costs an engine and its streams.
-	trialAfter  = 10 * time.Minute
-	trialFactor = 6
+	trialDelay       = 10 * time.Minute
+	trialDelayFactor = 6
 	// maxTrials is how often a request is tried again in all: together with an attempt that is under way
 	// as it is held, at most three endpoints end after that.
 	maxTrials = 2
-	// suspectTTL is for how long ends count that have not led to a hold, and holdTTL for how long
+	// crashTTL is for how long ends count that have not led to a hold, and holdTTL for how long
 	// a request is held that did not come again.
-	suspectTTL = time.Hour
-	holdTTL    = 24 * time.Hour
+	crashTTL = time.Hour
+	holdTTL  = 24 * time.Hour
 	// answeredTTL is for how long a success is remembered, so that late word of earlier ends has no
 	// effect.
 	answeredTTL = time.Minute
@@ -57,7 +57,7 @@
 // again.
 func (c Crash) same(other Crash) bool {
 	overlap := c.Began.Before(other.Ended) && other.Began.Before(c.Ended)
-	return c.Endpoint == other.Endpoint && (overlap || c.Ended.Sub(other.Ended).Abs() < sameMoment)
+	return c.Endpoint == other.Endpoint && (overlap || c.Ended.Sub(other.Ended).Abs() < timeTolerance)
 }
 
 // add adds an end, unless it is known or doesn't count.
@@ -77,15 +77,15 @@
 
 // hold holds the requests if enough endpoints have ended.
 func (r *Record) hold() {
-	n := successive(r.Crashes)
-	if r.Held.IsZero() && (n >= crashesToHold || n >= fewCrashes && len(r.Crashes) >= manyCrashes) {
+	n := countSuccessive(r.Crashes)
+	if r.Held.IsZero() && (n >= crashesToHold || n >= minSuccessiveCrashes && len(r.Crashes) >= totalCrashesToHold) {
 		r.Held = r.Crashes[len(r.Crashes)-1].Ended
 	}
 }
 
-// successive returns the most ends, ordered by their time, of which each attempt began after the end
+// countSuccessive returns the most ends, ordered by their time, of which each attempt began after the end
 // before. To take the earliest end that fits each time gives the most.
-func successive(crashes []Crash) int {
+func countSuccessive(crashes []Crash) int {
 	count, ended := 0, time.Time{}
 	for _, crash := range crashes {
 		if crash.Began.Before(ended) {
@@ -96,9 +96,9 @@
 	return count
 }
 
-// answer forgets what was known before a success at a time, and reports whether that changed
+// recordAnswer forgets what was known before a success at a time, and reports whether that changed
 // anything.
-func (r *Record) answer(at time.Time) bool {
+func (r *Record) recordAnswer(at time.Time) bool {
 	if !at.After(r.Answered) {
 		return false
 	}
@@ -111,30 +111,30 @@
 }
 
 // merge adds what a peer knows, and reports whether it was news.
-func (r *Record) merge(other *Record) (news bool) {
-	news = !other.Answered.IsZero() && r.answerOf(other.Answered)
+func (r *Record) merge(other *Record) (changed bool) {
+	changed = !other.Answered.IsZero() && r.mergeAnswer(other.Answered)
 	for _, crash := range other.Crashes {
-		news = r.add(crash) || news
+		changed = r.add(crash) || changed
 	}
 	if r.Held.IsZero() && other.Held.After(r.Answered) {
-		r.Held, news = other.Held, true
+		r.Held, changed = other.Held, true
 	}
 	if !r.Held.IsZero() && other.Trials > r.Trials {
-		r.Trials, r.Tried, news = other.Trials, other.Tried, true
+		r.Trials, r.Tried, changed = other.Trials, other.Tried, true
 	}
-	return news
+	return changed
 }
 
-// sameMoment is by how much the times of one event may differ that come by several messages, each as
+// timeTolerance is by how much the times of one event may differ that come by several messages, each as
 // an age of whole milliseconds and some time under way.
-const sameMoment = time.Second
+const timeTolerance = time.Second
 
-// answerOf is answer for a success that a peer knows of: it may be known already.
-func (r *Record) answerOf(at time.Time) bool {
-	if !r.Answered.IsZero() && at.Sub(r.Answered) < sameMoment {
+// mergeAnswer is answer for a success that a peer knows of: it may be known already.
+func (r *Record) mergeAnswer(at time.Time) bool {
+	if !r.Answered.IsZero() && at.Sub(r.Answered) < timeTolerance {
 		return false
 	}
-	return r.answer(at)
+	return r.recordAnswer(at)
 }
 
 // trialDue returns when the next attempt of a held request may be made, and false if there is none.
@@ -142,9 +142,9 @@
 	if r.Trials >= maxTrials {
 		return time.Time{}, false
 	}
-	since, wait := r.Held, trialAfter
+	since, wait := r.Held, trialDelay
 	for range r.Trials {
-		since, wait = r.Tried, wait*trialFactor
+		since, wait = r.Tried, wait*trialDelayFactor
 	}
 	return since.Add(wait), true
 }
@@ -153,7 +153,7 @@
 func (r *Record) expires() time.Time {
 	last := r.Answered.Add(answeredTTL)
 	if n := len(r.Crashes); n > 0 {
-		last = later(last, r.Crashes[n-1].Ended.Add(suspectTTL))
+		last = later(last, r.Crashes[n-1].Ended.Add(crashTTL))
 	}
 	if !r.Held.IsZero() {
 		last = later(last, later(r.Held, r.Tried).Add(holdTTL))
--- a/gateway/quarantine/record_test.go
+++ b/gateway/quarantine/record_test.go
@@ -12,11 +12,11 @@
 	return time.Unix(10_000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// ends returns the record of attempts at different endpoints that began and ended at such seconds.
-func ends(spans ...[2]float64) *Record {
+// crashed returns the record of attempts at different endpoints that began and ended at such seconds.
+func crashed(intervals ...[2]float64) *Record {
 	record := &Record{}
-	for i, span := range spans {
-		record.add(Crash{Endpoint: uint32(i), Began: at(span[0]), Ended: at(span[1])})
+	for i, interval := range intervals {
+		record.add(Crash{Endpoint: uint32(i), Began: at(interval[0]), Ended: at(interval[1])})
 	}
 	return record
 }
@@ -29,16 +29,16 @@
 		record *Record
 		held   bool
 	}{
-		{"none", ends(), false},
-		{"two", ends([2]float64{0, 1}, [2]float64{2, 3}), false},
-		{"three", ends([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5}), true},
-		{"each right after the other", ends([2]float64{0, 1}, [2]float64{1, 2}, [2]float64{2, 3}), true},
-		{"word of the first comes last", ends([2]float64{4, 5}, [2]float64{2, 3}, [2]float64{0, 1}), true},
-		{"five at once, as of a failure domain", ends([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{0.1, 1}, [2]float64{0.2, 1}, [2]float64{0.3, 1}), false},
-		{"twice some at once", ends([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{2, 3}, [2]float64{2.5, 3}), false},
-		{"twice many at once", ends([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{0, 1}, [2]float64{2, 3}, [2]float64{2.5, 3}), true},
-		{"three among others that overlap", ends([2]float64{0, 1}, [2]float64{0.5, 1.5}, [2]float64{1.2, 2}, [2]float64{1.8, 2.6}, [2]float64{2.1, 3}), true},
-		{"a long attempt over all", ends([2]float64{0, 9}, [2]float64{1, 2}, [2]float64{3, 4}), false},
+		{"none", crashed(), false},
+		{"two", crashed([2]float64{0, 1}, [2]float64{2, 3}), false},
+		{"three", crashed([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5}), true},
+		{"each right after the other", crashed([2]float64{0, 1}, [2]float64{1, 2}, [2]float64{2, 3}), true},
+		{"word of the first comes last", crashed([2]float64{4, 5}, [2]float64{2, 3}, [2]float64{0, 1}), true},
+		{"five at once, as of a failure domain", crashed([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{0.1, 1}, [2]float64{0.2, 1}, [2]float64{0.3, 1}), false},
+		{"twice some at once", crashed([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{2, 3}, [2]float64{2.5, 3}), false},
+		{"twice many at once", crashed([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{0, 1}, [2]float64{2, 3}, [2]float64{2.5, 3}), true},
+		{"three among others that overlap", crashed([2]float64{0, 1}, [2]float64{0.5, 1.5}, [2]float64{1.2, 2}, [2]float64{1.8, 2.6}, [2]float64{2.1, 3}), true},
+		{"a long attempt over all", crashed([2]float64{0, 9}, [2]float64{1, 2}, [2]float64{3, 4}), false},
 	} {
 		assert.Equal(t, !test.record.Held.IsZero(), test.held, test.name)
 	}
@@ -61,14 +61,14 @@
 // TestAnswer checks that a success ends what came before it, and that late word of that has no
 // effect.
 func TestAnswer(t *testing.T) {
-	record := ends([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5})
-	assert.Assert(t, record.answer(at(6)))
+	record := crashed([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5})
+	assert.Assert(t, record.recordAnswer(at(6)))
 	assert.Assert(t, record.Held.IsZero() && len(record.Crashes) == 0)
-	late := ends([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5.5})
+	late := crashed([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5.5})
 	assert.Assert(t, !record.merge(late))
 	assert.Assert(t, record.Held.IsZero() && len(record.Crashes) == 0)
-	for i, span := range [][2]float64{{7, 8}, {9, 10}, {11, 12}} {
-		record.add(Crash{Endpoint: uint32(i), Began: at(span[0]), Ended: at(span[1])})
+	for i, interval := range [][2]float64{{7, 8}, {9, 10}, {11, 12}} {
+		record.add(Crash{Endpoint: uint32(i), Began: at(interval[0]), Ended: at(interval[1])})
 	}
 	assert.Equal(t, record.Held, at(12))
 	assert.Assert(t, !record.merge(&Record{Answered: at(6.01)}), "the same success, by another message")
@@ -78,7 +78,7 @@
 // TestMerge checks that routers that have each seen one end hold the requests once they know of all,
 // and that it doesn't matter in which order they hear of them, or how often.
 func TestMerge(t *testing.T) {
-	parts := []*Record{ends([2]float64{0, 1}), {}, {}}
+	parts := []*Record{crashed([2]float64{0, 1}), {}, {}}
 	parts[1].add(Crash{Endpoint: 11, Began: at(2), Ended: at(3)})
 	parts[2].add(Crash{Endpoint: 12, Began: at(4), Ended: at(5)})
 	for _, order := range [][]int{{0, 1, 2}, {2, 1, 0}, {1, 1, 2, 2, 0, 1}} {
@@ -89,9 +89,9 @@
 		assert.Equal(t, record.Held, at(5))
 		assert.Equal(t, len(record.Crashes), 3)
 	}
-	var told Record
-	assert.Assert(t, told.merge(&Record{Held: at(5)}), "a peer holds them, whatever it has left of the ends")
-	assert.Equal(t, told.Held, at(5))
+	var receiver Record
+	assert.Assert(t, receiver.merge(&Record{Held: at(5)}), "a peer holds them, whatever it has left of the ends")
+	assert.Equal(t, receiver.Held, at(5))
 }
 
 // TestTrialDue checks when held requests are tried again, and that it ends.
--- a/gateway/quarantine/table.go
+++ b/gateway/quarantine/table.go
@@ -11,25 +11,25 @@
 const (
 	// maxRecords bounds the records, of which one takes some 500 bytes (TestTableMemory).
 	maxRecords = 2048
-	// sendings is in how many messages of a router a record goes out after each change: with eight
+	// sendsPerChange is in how many messages of a router a record goes out after each change: with eight
 	// peers a message, all of 390 have it after three routers' messages.
-	sendings = 4
-	// trialLength is for how long a trial counts as under way: no other one begins.
-	trialLength = time.Minute
+	sendsPerChange = 4
+	// trialDuration is for how long a trial counts as under way: no other one begins.
+	trialDuration = time.Minute
 )
 
 // A Table holds the records of a router. It is safe for concurrent use.
 type Table struct {
-	mu      sync.Mutex
-	records map[Fingerprint]*entry
-	filters map[Filter]int // how many records have it
-	next    int            // of the held records, that is sent in its turn
+	mu       sync.Mutex
+	records  map[Fingerprint]*entry
+	filters  map[Filter]int // how many records have it
+	nextHeld int            // of the held records, that is sent in its turn
 }
 
 // An entry is a record and what is still to be done with it.
 type entry struct {
 	Record
-	sendings int // messages that it is still to go out with
+	sendsLeft int // messages that it is still to go out with
 }
 
 // New returns a Table without records.
@@ -51,7 +51,7 @@
 	defer t.mu.Unlock()
 	e := t.entry(now, fingerprint, account)
 	if e.add(crash) {
-		e.sendings = sendings
+		e.sendsLeft = sendsPerChange
 	}
 	return e.copy()
 }
@@ -66,8 +66,8 @@
 	}
 	wasHeld = !e.Held.IsZero()
 	if len(e.Crashes) > 0 || wasHeld {
-		e.answer(now)
-		e.sendings = sendings
+		e.recordAnswer(now)
+		e.sendsLeft = sendsPerChange
 	}
 	return wasHeld
 }
@@ -99,9 +99,9 @@
 	case now.Before(due):
 		return Verdict{Held: true, Left: due.Sub(now)}
 	case !mayTry:
-		return Verdict{Held: true, Left: trialLength}
+		return Verdict{Held: true, Left: trialDuration}
 	}
-	e.Trials, e.Tried, e.sendings = e.Trials+1, now, sendings
+	e.Trials, e.Tried, e.sendsLeft = e.Trials+1, now, sendsPerChange
 	return Verdict{Trial: true, Record: e.copy()}
 }
 
@@ -117,7 +117,7 @@
 		e := t.entry(now, other.Fingerprint, other.Account)
 		before := e.Held
 		if e.merge(other) {
-			e.sendings = sendings
+			e.sendsLeft = sendsPerChange
 		}
 		if before.IsZero() && !e.Held.IsZero() {
 			held = append(held, e.copy())
@@ -129,22 +129,22 @@
 // Outgoing returns the records that go out with the next message, at most so many: those that changed
 // lately, what is held and what has the most ends first; and one that is held, in turn, for peers that
 // have just started or were cut off.
-func (t *Table) Outgoing(now time.Time, most int) []Record {
+func (t *Table) Outgoing(now time.Time, limit int) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.records) == 0 || most <= 0 {
+	if len(t.records) == 0 || limit <= 0 {
 		return nil
 	}
 	t.expire(now)
 	changed, held := t.outgoing()
 	var result []Record
-	for _, e := range changed[:min(len(changed), most)] {
-		e.sendings--
+	for _, e := range changed[:min(len(changed), limit)] {
+		e.sendsLeft--
 		result = append(result, e.copy())
 	}
-	if len(held) > 0 && len(result) < most {
-		t.next = (t.next + 1) % len(held)
-		result = append(result, held[t.next].copy())
+	if len(held) > 0 && len(result) < limit {
+		t.nextHeld = (t.nextHeld + 1) % len(held)
+		result = append(result, held[t.nextHeld].copy())
 	}
 	return result
 }
@@ -154,7 +154,7 @@
 func (t *Table) outgoing() (changed, held []*entry) {
 	for _, e := range t.records {
 		switch {
-		case e.sendings > 0:
+		case e.sendsLeft > 0:
 			changed = append(changed, e)
 		case !e.Held.IsZero():
 			held = append(held, e)
@@ -172,7 +172,7 @@
 	if !e.Held.IsZero() {
 		return crashesToHold + 1
 	}
-	return successive(e.Crashes)
+	return countSuccessive(e.Crashes)
 }
 
 // Held returns the records that are held.
@@ -204,7 +204,7 @@
 		t.expire(now)
 	}
 	if len(t.records) >= maxRecords {
-		t.makeRoom(t.largestAccount())
+		t.evict(t.largestAccount())
 	}
 	e := &entry{Record: Record{Fingerprint: fingerprint, Account: account}}
 	t.records[fingerprint] = e
@@ -225,9 +225,9 @@
 	})
 }
 
-// makeRoom removes the records of an account that matter least, an eighth of them: those with the
+// evict removes the records of an account that matter least, an eighth of them: those with the
 // fewest ends, and of these the ones that expire first. t.mu is held.
-func (t *Table) makeRoom(account uint32) {
+func (t *Table) evict(account uint32) {
 	var entries []*entry
 	for _, e := range t.records {
 		if e.Account == account {
--- a/gateway/quarantine/table_test.go
+++ b/gateway/quarantine/table_test.go
@@ -14,8 +14,8 @@
 // poison is the fingerprint of a request that ends what runs it.
 var poison = FingerprintOf("bank", "/stream/a", []byte("body"))
 
-// holdIt notes as many ends as hold a request, from a second on.
-func holdIt(t *Table, fingerprint Fingerprint, account uint32, second float64) {
+// crashUntilHeld notes as many ends as hold a request, from a second on.
+func crashUntilHeld(t *Table, fingerprint Fingerprint, account uint32, second float64) {
 	for i := range crashesToHold {
 		began := second + float64(i)
 		t.Crashed(at(began+0.5), fingerprint, account, Crash{Endpoint: uint32(i), Began: at(began), Ended: at(began + 0.5)})
@@ -26,17 +26,17 @@
 func TestCheck(t *testing.T) {
 	table := New()
 	assert.Assert(t, !table.Suspects(poison.Filter()))
-	holdIt(table, poison, 1, 0)
+	crashUntilHeld(table, poison, 1, 0)
 	assert.Assert(t, table.Suspects(poison.Filter()))
-	assert.DeepEqual(t, table.Check(at(3), poison, true), Verdict{Held: true, Left: trialAfter - 500*time.Millisecond})
+	assert.DeepEqual(t, table.Check(at(3), poison, true), Verdict{Held: true, Left: trialDelay - 500*time.Millisecond})
 	assert.DeepEqual(t, table.Check(at(3), FingerprintOf("church", "/stream/a", []byte("body")), true), Verdict{})
 
-	due := at(2.5).Add(trialAfter)
-	assert.DeepEqual(t, table.Check(due, poison, false), Verdict{Held: true, Left: trialLength})
+	due := at(2.5).Add(trialDelay)
+	assert.DeepEqual(t, table.Check(due, poison, false), Verdict{Held: true, Left: trialDuration})
 	trial := table.Check(due, poison, true)
 	assert.Assert(t, trial.Trial && !trial.Held)
 	assert.Equal(t, trial.Record.Trials, 1)
-	assert.DeepEqual(t, table.Check(due, poison, true), Verdict{Held: true, Left: trialFactor * trialAfter})
+	assert.DeepEqual(t, table.Check(due, poison, true), Verdict{Held: true, Left: trialDelayFactor * trialDelay})
 	assert.Assert(t, table.Answered(due.Add(time.Second), poison))
 	assert.DeepEqual(t, table.Check(due.Add(time.Second), poison, false), Verdict{})
 	assert.Equal(t, len(table.Held()), 0)
@@ -46,7 +46,7 @@
 // comes.
 func TestTrials(t *testing.T) {
 	table := New()
-	holdIt(table, poison, 1, 0)
+	crashUntilHeld(table, poison, 1, 0)
 	trials := 0
 	for minute := range 24 * 60 {
 		if table.Check(at(float64(60*minute)), poison, true).Trial {
@@ -56,17 +56,17 @@
 	assert.Equal(t, trials, maxTrials)
 }
 
-// TestSpread checks that what one router of many has seen reaches all by messages that each go to eight
+// TestGossipReachesAll checks that what one router of many has seen reaches all by messages that each go to eight
 // others, and within how many rounds; and that one that starts later has it from anyone's turns.
-func TestSpread(t *testing.T) {
+func TestGossipReachesAll(t *testing.T) {
 	for _, routers := range []int{4, 27, 103, 390} {
 		tables := make([]*Table, routers)
 		for i := range tables {
 			tables[i] = New()
 		}
-		holdIt(tables[0], poison, 1, 0)
+		crashUntilHeld(tables[0], poison, 1, 0)
 		rounds := 0
-		for spread(tables, poison) < routers {
+		for countHolding(tables, poison) < routers {
 			rounds++
 			assert.Assert(t, rounds < 20, "%d routers", routers)
 			for i, table := range tables {
@@ -77,18 +77,18 @@
 			}
 		}
 		t.Logf("%d routers: %d rounds", routers, rounds)
-		newcomer := New()
+		joined := New()
 		for _, table := range tables {
-			for range 2 * sendings {
-				newcomer.Merge(at(4), table.Outgoing(at(4), 6))
+			for range 2 * sendsPerChange {
+				joined.Merge(at(4), table.Outgoing(at(4), 6))
 			}
 		}
-		assert.Equal(t, len(newcomer.Held()), 1)
+		assert.Equal(t, len(joined.Held()), 1)
 	}
 }
 
-// spread returns how many tables hold a request.
-func spread(tables []*Table, fingerprint Fingerprint) int {
+// countHolding returns how many tables hold a request.
+func countHolding(tables []*Table, fingerprint Fingerprint) int {
 	n := 0
 	for _, table := range tables {
 		if table.Check(at(3), fingerprint, false).Held {
@@ -106,11 +106,11 @@
 		fingerprint := FingerprintOf("bank", fmt.Sprint(i), nil)
 		table.Crashed(at(1), fingerprint, 1, Crash{Endpoint: 1, Began: at(0), Ended: at(1)})
 	}
-	holdIt(table, poison, 1, 2)
+	crashUntilHeld(table, poison, 1, 2)
 	first := table.Outgoing(at(5), 3)
 	assert.Equal(t, len(first), 3)
 	assert.Equal(t, first[0].Fingerprint, poison)
-	for range 21 * sendings {
+	for range 21 * sendsPerChange {
 		table.Outgoing(at(5), 3)
 	}
 	later := table.Outgoing(at(6), 3)
@@ -122,21 +122,21 @@
 func TestExpiry(t *testing.T) {
 	table := New()
 	table.Crashed(at(1), FingerprintOf("bank", "/once", nil), 1, Crash{Endpoint: 1, Began: at(0), Ended: at(1)})
-	holdIt(table, poison, 1, 0)
-	table.Outgoing(at(1).Add(suspectTTL), 1)
+	crashUntilHeld(table, poison, 1, 0)
+	table.Outgoing(at(1).Add(crashTTL), 1)
 	assert.Equal(t, table.Len(), 1)
 	table.Outgoing(at(2.5).Add(holdTTL), 1)
 	assert.Equal(t, table.Len(), 0)
 	assert.Assert(t, !table.Suspects(poison.Filter()))
 }
 
-// TestMasses checks that an account which sends many requests that end endpoints neither takes more
+// TestEvictionPerAccount checks that an account which sends many requests that end endpoints neither takes more
 // memory than is set aside nor pushes another account's record out.
-func TestMasses(t *testing.T) {
+func TestEvictionPerAccount(t *testing.T) {
 	table := New()
-	holdIt(table, poison, 1, 0)
+	crashUntilHeld(table, poison, 1, 0)
 	for i := range 3 * maxRecords {
-		holdIt(table, FingerprintOf("other", fmt.Sprint(i), nil), 2, 10)
+		crashUntilHeld(table, FingerprintOf("other", fmt.Sprint(i), nil), 2, 10)
 	}
 	assert.Assert(t, table.Len() <= maxRecords && table.Len() > maxRecords*7/8)
 	assert.Assert(t, table.Check(at(20), poison, false).Held)
@@ -149,7 +149,7 @@
 	runtime.ReadMemStats(&before)
 	table := New()
 	for i := range maxRecords {
-		holdIt(table, FingerprintOf(ryeford.AccountID(fmt.Sprint(i)), "/stream/a", nil), uint32(i), 0)
+		crashUntilHeld(table, FingerprintOf(ryeford.AccountID(fmt.Sprint(i)), "/stream/a", nil), uint32(i), 0)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
