--- a/gateway/quarantine/doc.go
+++ b/gateway/quarantine/doc.go
@@ -1,22 +1,18 @@
-// Package quarantine decides which requests are sent to no endpoint any more, since they end what
-// runs them.
+// Package quarantine detects poison requests, which crash the endpoints that run them, and holds them: they
+// are no longer sent to any endpoint.
 //
-// Rule: a request that is the same as earlier ones but for its ID (a Fingerprint) is held once
-// crashesToHold endpoints have ended, one after the other, while they ran such a request, or manyCrashes
-// of which only fewCrashes followed each other, and none was answered since. An attempt follows
-// another one if it began after the endpoint of that one had ended. A single success of such a
-// request, at any router, ends it.
+// Rule: requests with the same Fingerprint are held once crashesToHold endpoints have crashed one after the
+// other while running them, or totalCrashesToHold endpoints of which minSuccessiveCrashes crashed one after the
+// other, without a success since. Crashes are successive if the later attempt began after the earlier
+// endpoint had ended. One success of such a request, at any router, ends the quarantine.
 //
-// Why: an engine that crashes takes all its streams with it, and is away for seconds; a request that is
-// sent again and again as its callers repeat it takes engine after engine. What runs beside it on
-// an engine breaks off as well, so that two ends prove little: on a day of 35 ends one of 156
-// bystanders ran on two endpoints that ended, none on three, and requests that are popular are
-// answered well in between. Ends at the same moment, as of a failure domain, count as one.
+// Why: a crash of an engine ends all its streams, and callers that retry a poison request crash one engine
+// after the other. The requests that run beside it are lost too, so that a few crashes don't identify it.
+// Simultaneous crashes, such as those of a failure domain, count as one.
 //
-// A held request is tried again, one attempt at a time in the whole fleet: trialAfter after
-// it was held, and once more after a longer time, since an engine may have been mended. What callers
-// are told is when that is.
+// A held request is tried again, one attempt at a time in the whole fleet: trialDelay after it was held, and
+// once more after a longer delay, since the engine may have been fixed. Callers are told to retry at that time.
 //
-// Routers send each other ends, successes and what is held; each counts for itself. The package does
-// no I/O and reads no clock.
+// Routers send each other crashes, successes and held requests, and each router applies the rule itself. The
+// package does no I/O and reads no clock.
 package quarantine
--- a/gateway/quarantine/fingerprint.go
+++ b/gateway/quarantine/fingerprint.go
@@ -10,23 +10,23 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Fingerprint tells requests apart: those of one client account with the same target and body
-// have the same one. The ID of a request, its other headers and its key are no part of it. Nobody can
-// make a request that has the fingerprint of another account's: most of it is a cryptographic hash.
+// A Fingerprint identifies requests with the same client account, target and body. It does not cover the
+// request's ID, its headers or the caller's key. It contains a cryptographic hash, so that no caller can craft
+// a request with the fingerprint of another account's request.
 type Fingerprint [16]byte
 
-// A Filter is the part of a fingerprint that is quick to work out, so that most requests need no more
-// of it: it doesn't depend on what the body holds.
+// A Filter is the part of a fingerprint that needs no hash of the body. It rules out most requests
+// without computing their fingerprints.
 type Filter uint32
 
-// FilterOf returns the filter of a request's fingerprint, given the length of its body in bytes.
+// FilterOf returns the filter of a request's fingerprint. length is the length of the body in bytes.
 func FilterOf(account ryeford.AccountID, target string, length int) Filter {
 	var hash xxhash.Digest
 	hash.Reset()
 	var number [8]byte
 	for _, text := range []string{string(account), target} {
-		// The length goes first, so that no part can pass for the end of another one. A hash's
-		// writes do not fail.
+		// A length prefix keeps different pairs of texts from having the same hash. Writes to a hash do not
+		// fail.
 		_, _ = hash.Write(binary.BigEndian.AppendUint64(number[:0], uint64(len(text))))
 		_, _ = hash.WriteString(text)
 	}
@@ -34,8 +34,7 @@
 	return Filter(hash.Sum64())
 }
 
-// FingerprintOf returns the fingerprint of a request. The account is empty if it belongs to none.
-// BenchmarkFingerprintOf gives its time.
+// FingerprintOf returns the fingerprint of a request. account is empty if the request has none.
 func FingerprintOf(account ryeford.AccountID, target string, body []byte) Fingerprint {
 	hash := sha256.New()
 	head := make([]byte, 0, 16+len(account)+len(target))
--- a/gateway/quarantine/fingerprint_test.go
+++ b/gateway/quarantine/fingerprint_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFingerprintOf checks that requests have the same fingerprint only if account, target and body
-// are the same, wherever one ends and the next begins.
+// TestFingerprintOf checks that requests have the same fingerprint only if account, target and body are the same,
+// also where their concatenation is the same.
 func TestFingerprintOf(t *testing.T) {
 	same := FingerprintOf("bank", "/stream/a", []byte("body"))
 	assert.Equal(t, FingerprintOf("bank", "/stream/a", []byte("body")), same)
@@ -27,7 +27,7 @@
 	assert.Equal(t, len(same.String()), 32)
 }
 
-// BenchmarkFingerprintOf gives the time for bodies of 1 KiB and 1 MiB.
+// BenchmarkFingerprintOf measures bodies of 1 KiB and 1 MiB.
 func BenchmarkFingerprintOf(b *testing.B) {
 	for name, size := range map[string]int{"1KiB": 1 << 10, "1MiB": 1 << 20} {
 		body := bytes.Repeat([]byte("x"), size)
--- a/gateway/quarantine/record.go
+++ b/gateway/quarantine/record.go
@@ -6,61 +6,62 @@
 )
 
 const (
-	// crashesToHold is how many endpoints must have ended, one after the other. With two, one of
-	// 156 bystanders would have been held on a day on which 35 endpoints ended; with three, none.
+	// crashesToHold is the number of successive crashes after which requests are held. A smaller number
+	// would hold requests that only ran beside a poison request.
 	crashesToHold = 3
-	// totalCrashesToHold is how many must have ended if only fewCrashes followed each other: a request that comes
-	// several times at once ends as many endpoints at once.
+	// totalCrashesToHold and minSuccessiveCrashes are the alternative condition. They apply to a poison
+	// request that is sent several times at once and so crashes several endpoints at once.
 	totalCrashesToHold   = 5
 	minSuccessiveCrashes = 2
-	// MaxCrashes is how many ends a Record keeps at most: some overlap, and don't count each.
+	// MaxCrashes is the maximum number of crashes in a Record. It exceeds totalCrashesToHold, since
+	// crashes may overlap.
 	MaxCrashes = 8
-	// trialDelay is how long after it was held a request is tried again, and trialFactor how many
-	// times longer after each trial that has not ended well. An engine that is mended is rolled out in
-	// minutes at the least; each trial of one that is not costs an engine and its streams.
+	// trialDelay is the time from the hold to the first trial. trialDelayFactor is the factor by which the
+	// delay grows after each unsuccessful trial. Each may crash an engine, and a fix takes minutes to roll out.
 	trialDelay       = 10 * time.Minute
 	trialDelayFactor = 6
-	// maxTrials is how often a request is tried again in all: together with an attempt that is under way
-	// as it is held, at most three endpoints end after that.
+	// maxTrials is the maximum number of trials of held requests. It limits the number of crashes after the
+	// hold.
 	maxTrials = 2
-	// crashTTL is for how long ends count that have not led to a hold, and holdTTL for how long
-	// a request is held that did not come again.
+	// crashTTL is how long crashes count that have not led to a hold. holdTTL is how long requests stay
+	// held after the hold or the last trial.
 	crashTTL = time.Hour
 	holdTTL  = 24 * time.Hour
-	// answeredTTL is for how long a success is remembered, so that late word of earlier ends has no
-	// effect.
+	// answeredTTL is how long a success is recorded, so that late reports of earlier crashes are
+	// ignored.
 	answeredTTL = time.Minute
 )
 
-// A Crash is an endpoint that ended while it ran a request.
+// A Crash records that an endpoint ended while it ran a request.
 type Crash struct {
 	Endpoint uint32    // the low half of route.NameHash of its ID
-	Began    time.Time // the attempt
-	Ended    time.Time // the endpoint
+	Began    time.Time // start of the attempt
+	Ended    time.Time // end of the endpoint
 }
 
-// A Record is what is known of the requests with one fingerprint. Times are of the steady clock.
+// A Record holds the crashes, successes and trials of the requests with one fingerprint. Its times are on the
+// monotonic clock.
 type Record struct {
 	Fingerprint Fingerprint
 	Account     uint32  // the low half of route.NameHash of the client account
-	Crashes     []Crash // by Ended
-	// Answered is when one was last answered; zero if none was. Earlier attempts don't count.
+	Crashes     []Crash // ordered by Ended
+	// Answered is the time of the last success, or zero. Attempts that began earlier don't count.
 	Answered time.Time
-	// Held is since when they are held; zero if they are not.
+	// Held is when the requests were held, or zero if they are not.
 	Held time.Time
-	// Trials counts the trials since then, and Tried is when the last one began.
+	// Trials is the number of trials since Held, and Tried is when the last one began.
 	Trials int
 	Tried  time.Time
 }
 
-// same reports whether two records are of one end: an endpoint may be back under its ID and end
-// again.
+// same reports whether c and other are the same crash of one endpoint. An endpoint may restart under its ID and
+// crash again.
 func (c Crash) same(other Crash) bool {
 	overlap := c.Began.Before(other.Ended) && other.Began.Before(c.Ended)
 	return c.Endpoint == other.Endpoint && (overlap || c.Ended.Sub(other.Ended).Abs() < timeTolerance)
 }
 
-// add adds an end, unless it is known or doesn't count.
+// add adds a crash. It reports false if the crash is already recorded or precedes the last success.
 func (r *Record) add(crash Crash) (added bool) {
 	known := func(other Crash) bool { return crash.same(other) }
 	if !crash.Began.After(r.Answered) || slices.ContainsFunc(r.Crashes, known) {
@@ -75,7 +76,7 @@
 	return true
 }
 
-// hold holds the requests if enough endpoints have ended.
+// hold marks the requests as held if enough endpoints have crashed.
 func (r *Record) hold() {
 	n := countSuccessive(r.Crashes)
 	if r.Held.IsZero() && (n >= crashesToHold || n >= minSuccessiveCrashes && len(r.Crashes) >= totalCrashesToHold) {
@@ -83,8 +84,8 @@
 	}
 }
 
-// countSuccessive returns the most ends, ordered by their time, of which each attempt began after the end
-// before. To take the earliest end that fits each time gives the most.
+// countSuccessive returns the largest number of successive crashes among crashes, which are ordered by Ended.
+// Taking the earliest possible crash each time yields the maximum.
 func countSuccessive(crashes []Crash) int {
 	count, ended := 0, time.Time{}
 	for _, crash := range crashes {
@@ -96,8 +97,8 @@
 	return count
 }
 
-// recordAnswer forgets what was known before a success at a time, and reports whether that changed
-// anything.
+// recordAnswer records a success. It removes the crashes and the hold that precede it, and reports whether
+// anything changed.
 func (r *Record) recordAnswer(at time.Time) bool {
 	if !at.After(r.Answered) {
 		return false
@@ -110,7 +111,7 @@
 	return true
 }
 
-// merge adds what a peer knows, and reports whether it was news.
+// merge adds a peer's record, and reports whether anything changed.
 func (r *Record) merge(other *Record) (changed bool) {
 	changed = !other.Answered.IsZero() && r.mergeAnswer(other.Answered)
 	for _, crash := range other.Crashes {
@@ -125,11 +126,11 @@
 	return changed
 }
 
-// timeTolerance is by how much the times of one event may differ that come by several messages, each as
-// an age of whole milliseconds and some time under way.
+// timeTolerance is the maximum difference between the times of one event in several messages. Messages state
+// ages in whole milliseconds, and their transmission times differ.
 const timeTolerance = time.Second
 
-// mergeAnswer is answer for a success that a peer knows of: it may be known already.
+// mergeAnswer is recordAnswer for a success from a peer's record, which may already be recorded.
 func (r *Record) mergeAnswer(at time.Time) bool {
 	if !r.Answered.IsZero() && at.Sub(r.Answered) < timeTolerance {
 		return false
@@ -137,7 +138,7 @@
 	return r.recordAnswer(at)
 }
 
-// trialDue returns when the next attempt of a held request may be made, and false if there is none.
+// trialDue returns when the next trial of a held request is due, and false if there are no more trials.
 func (r *Record) trialDue() (time.Time, bool) {
 	if r.Trials >= maxTrials {
 		return time.Time{}, false
@@ -149,7 +150,7 @@
 	return since.Add(wait), true
 }
 
-// expires returns when a record is of no use any more, if nothing more is heard.
+// expires returns when the record can be removed unless it changes.
 func (r *Record) expires() time.Time {
 	last := r.Answered.Add(answeredTTL)
 	if n := len(r.Crashes); n > 0 {
--- a/gateway/quarantine/record_test.go
+++ b/gateway/quarantine/record_test.go
@@ -7,12 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// at returns a moment, in seconds.
+// at returns a time, given in seconds.
 func at(seconds float64) time.Time {
 	return time.Unix(10_000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// crashed returns the record of attempts at different endpoints that began and ended at such seconds.
+// crashed returns a record with crashes of different endpoints. Each interval is the start and the end of an
+// attempt, in seconds.
 func crashed(intervals ...[2]float64) *Record {
 	record := &Record{}
 	for i, interval := range intervals {
@@ -21,8 +22,8 @@
 	return record
 }
 
-// TestHold checks after which ends requests are held: three that follow each other, however many more
-// overlap and in whatever order word of them comes.
+// TestHold checks after which crashes requests are held, whatever other crashes overlap them and in whatever order
+// they are reported.
 func TestHold(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -44,8 +45,8 @@
 	}
 }
 
-// TestSameEndpoint checks that one endpoint's end counts once, of however many attempts and whenever
-// word of it comes, and that an endpoint which is back under its ID counts again.
+// TestSameEndpoint checks that one crash of an endpoint counts once, whatever the number of attempts and the order
+// of reports, and that a crash after a restart under the same ID counts again.
 func TestSameEndpoint(t *testing.T) {
 	var record Record
 	for i := range 5 {
@@ -58,8 +59,7 @@
 	assert.Assert(t, !record.Held.IsZero())
 }
 
-// TestAnswer checks that a success ends what came before it, and that late word of that has no
-// effect.
+// TestAnswer checks that a success removes earlier crashes and the hold, and that late reports of these are ignored.
 func TestAnswer(t *testing.T) {
 	record := crashed([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5})
 	assert.Assert(t, record.recordAnswer(at(6)))
@@ -75,8 +75,8 @@
 	assert.Equal(t, record.Held, at(12))
 }
 
-// TestMerge checks that routers that have each seen one end hold the requests once they know of all,
-// and that it doesn't matter in which order they hear of them, or how often.
+// TestMerge checks that routers that each recorded one crash hold the requests after they have merged all records,
+// in whatever order and however often.
 func TestMerge(t *testing.T) {
 	parts := []*Record{crashed([2]float64{0, 1}), {}, {}}
 	parts[1].add(Crash{Endpoint: 11, Began: at(2), Ended: at(3)})
@@ -94,7 +94,7 @@
 	assert.Equal(t, receiver.Held, at(5))
 }
 
-// TestTrialDue checks when held requests are tried again, and that it ends.
+// TestTrialDue checks when held requests are tried again, and that the number of trials is limited.
 func TestTrialDue(t *testing.T) {
 	record := Record{Held: at(0)}
 	for _, want := range []time.Duration{10 * time.Minute, time.Hour} {
--- a/gateway/quarantine/table.go
+++ b/gateway/quarantine/table.go
@@ -9,43 +9,44 @@
 )
 
 const (
-	// maxRecords bounds the records, of which one takes some 500 bytes (TestTableMemory).
+	// maxRecords bounds the memory for records, of about 500 bytes each.
 	maxRecords = 2048
-	// sendsPerChange is in how many messages of a router a record goes out after each change: with eight
-	// peers a message, all of 390 have it after three routers' messages.
+	// sendsPerChange is the number of messages that contain a record after each change. With several
+	// receivers for each message it reaches all routers.
 	sendsPerChange = 4
-	// trialDuration is for how long a trial counts as under way: no other one begins.
+	// trialDuration is the time that a trial may take. Callers are told to retry after it while a trial is due
+	// that this router may not start.
 	trialDuration = time.Minute
 )
 
-// A Table holds the records of a router. It is safe for concurrent use.
+// A Table holds the records of one router. It is safe for concurrent use.
 type Table struct {
 	mu       sync.Mutex
 	records  map[Fingerprint]*entry
-	filters  map[Filter]int // how many records have it
-	nextHeld int            // of the held records, that is sent in its turn
+	filters  map[Filter]int // number of records by filter
+	nextHeld int            // index of the held record that was sent last
 }
 
-// An entry is a record and what is still to be done with it.
+// An entry is a record and its send state.
 type entry struct {
 	Record
-	sendsLeft int // messages that it is still to go out with
+	sendsLeft int // number of further messages to include the record in
 }
 
-// New returns a Table without records.
+// New returns an empty Table.
 func New() *Table {
 	return &Table{records: make(map[Fingerprint]*entry), filters: make(map[Filter]int)}
 }
 
-// Suspects reports whether any record may be of a request whose fingerprint has a filter.
+// Suspects reports whether a record may match a request whose fingerprint has the filter.
 func (t *Table) Suspects(filter Filter) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.filters[filter] > 0
 }
 
-// Crashed notes that an endpoint ended while it ran a request of an account. It returns what is now known
-// of the request.
+// Crashed records that an endpoint ended while it ran a request of an account. It returns a copy of the
+// request's record.
 func (t *Table) Crashed(now time.Time, fingerprint Fingerprint, account uint32, crash Crash) Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -56,7 +57,7 @@
 	return e.copy()
 }
 
-// Answered notes that a request was answered with a success, and reports whether it was held.
+// Answered records that a request was answered with a success, and reports whether it was held.
 func (t *Table) Answered(now time.Time, fingerprint Fingerprint) (wasHeld bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,19 +73,18 @@
 	return wasHeld
 }
 
-// A Verdict says whether a request may be sent to an endpoint.
+// A Verdict states whether a request may be sent to an endpoint.
 type Verdict struct {
 	Held bool
-	// Left is how long a held request is not tried again.
+	// Left is the time until a held request may be tried again, or until its record expires.
 	Left time.Duration
-	// Trial says that the request may be sent though others like it are held, and Record what
-	// is known of them with that.
+	// Trial reports that the request may be sent as a trial of a held request. Record is the record
+	// including this trial.
 	Trial  bool
 	Record Record
 }
 
-// Check returns the verdict on a request, of which this router may be the one that tries held ones
-// again.
+// Check returns the verdict on a request. mayTry reports whether this router may start a trial now.
 func (t *Table) Check(now time.Time, fingerprint Fingerprint, mayTry bool) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,7 +105,7 @@
 	return Verdict{Trial: true, Record: e.copy()}
 }
 
-// Merge adds what a peer knows, and returns the records that are held since.
+// Merge adds the records of a peer, and returns the records that are held as a result.
 func (t *Table) Merge(now time.Time, records []Record) (held []Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -126,9 +126,9 @@
 	return held
 }
 
-// Outgoing returns the records that go out with the next message, at most so many: those that changed
-// lately, what is held and what has the most ends first; and one that is held, in turn, for peers that
-// have just started or were cut off.
+// Outgoing returns the records to include in the next message to peers, up to limit. Recently changed records
+// come first, by weight. If there is room, one other held record follows in rotation, for peers that have just
+// started or were partitioned.
 func (t *Table) Outgoing(now time.Time, limit int) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,8 +149,8 @@
 	return result
 }
 
-// outgoing returns the records that changed lately, the most important first, and the other ones that
-// are held. t.mu is held.
+// outgoing returns the records that still have messages to go out with, by descending weight, and the other held
+// records. t.mu is held.
 func (t *Table) outgoing() (changed, held []*entry) {
 	for _, e := range t.records {
 		switch {
@@ -167,7 +167,7 @@
 	return changed, held
 }
 
-// weight returns how much a record matters: most if requests are held.
+// weight returns the priority of the record: held requests have the highest.
 func (e *entry) weight() int {
 	if !e.Held.IsZero() {
 		return crashesToHold + 1
@@ -175,7 +175,7 @@
 	return countSuccessive(e.Crashes)
 }
 
-// Held returns the records that are held.
+// Held returns the records of held requests.
 func (t *Table) Held() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -188,14 +188,14 @@
 	return held
 }
 
-// Len returns how many records there are.
+// Len returns the number of records.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.records)
 }
 
-// entry returns the entry of a fingerprint, a new one if there is none. t.mu is held.
+// entry returns the entry of a fingerprint, and creates it if needed. t.mu is held.
 func (t *Table) entry(now time.Time, fingerprint Fingerprint, account uint32) *entry {
 	if e := t.records[fingerprint]; e != nil {
 		return e
@@ -212,8 +212,8 @@
 	return e
 }
 
-// largestAccount returns the account with the most records: it makes room, so that an account which
-// sends many requests that crash engines pushes no other's records out. t.mu is held.
+// largestAccount returns the account with the most records. Records are evicted from this account, so that an
+// account with many poison requests does not displace the records of others. t.mu is held.
 func (t *Table) largestAccount() uint32 {
 	counts := make(map[uint32]int)
 	for _, e := range t.records {
@@ -225,8 +225,8 @@
 	})
 }
 
-// evict removes the records of an account that matter least, an eighth of them: those with the
-// fewest ends, and of these the ones that expire first. t.mu is held.
+// evict removes an eighth of an account's records: those with the lowest weight, and among these those that
+// expire first. t.mu is held.
 func (t *Table) evict(account uint32) {
 	var entries []*entry
 	for _, e := range t.records {
@@ -242,7 +242,7 @@
 	}
 }
 
-// expire removes the records that are of no use any more. t.mu is held.
+// expire removes the expired records. t.mu is held.
 func (t *Table) expire(now time.Time) {
 	for _, e := range t.records {
 		if !now.Before(e.expires()) {
@@ -260,7 +260,7 @@
 	}
 }
 
-// copy returns a copy that shares nothing with e.
+// copy returns a deep copy of the record.
 func (e *entry) copy() Record {
 	record := e.Record
 	record.Crashes = slices.Clone(e.Crashes)
--- a/gateway/quarantine/table_test.go
+++ b/gateway/quarantine/table_test.go
@@ -11,10 +11,10 @@
 	"github.com/ryeford/ryeford"
 )
 
-// poison is the fingerprint of a request that ends what runs it.
+// poison is the fingerprint of a poison request.
 var poison = FingerprintOf("bank", "/stream/a", []byte("body"))
 
-// crashUntilHeld notes as many ends as hold a request, from a second on.
+// crashUntilHeld records enough crashes for a request to be held, one each second.
 func crashUntilHeld(t *Table, fingerprint Fingerprint, account uint32, second float64) {
 	for i := range crashesToHold {
 		began := second + float64(i)
@@ -22,7 +22,7 @@
 	}
 }
 
-// TestCheck follows a request from its first end to a trial that ends well.
+// TestCheck checks the verdicts on a request from its first crash to a successful trial.
 func TestCheck(t *testing.T) {
 	table := New()
 	assert.Assert(t, !table.Suspects(poison.Filter()))
@@ -42,8 +42,7 @@
 	assert.Equal(t, len(table.Held()), 0)
 }
 
-// TestTrials checks that a request which ends what runs it is tried twice, and never again while it
-// comes.
+// TestTrials checks that a poison request that keeps coming is tried maxTrials times and never again.
 func TestTrials(t *testing.T) {
 	table := New()
 	crashUntilHeld(table, poison, 1, 0)
@@ -56,8 +55,8 @@
 	assert.Equal(t, trials, maxTrials)
 }
 
-// TestGossipReachesAll checks that what one router of many has seen reaches all by messages that each go to eight
-// others, and within how many rounds; and that one that starts later has it from anyone's turns.
+// TestGossipReachesAll checks that the record of one router reaches all others within a limited number of rounds,
+// and that a router that starts later receives it.
 func TestGossipReachesAll(t *testing.T) {
 	for _, routers := range []int{4, 27, 103, 390} {
 		tables := make([]*Table, routers)
@@ -87,7 +86,7 @@
 	}
 }
 
-// countHolding returns how many tables hold a request.
+// countHolding returns the number of tables that hold a request.
 func countHolding(tables []*Table, fingerprint Fingerprint) int {
 	n := 0
 	for _, table := range tables {
@@ -98,8 +97,8 @@
 	return n
 }
 
-// TestOutgoing checks that what is held goes out before what is only suspected, that no message is
-// larger than asked for, and that what is held goes out again by turns.
+// TestOutgoing checks that held records go out before others, that the limit is kept, and that held records are
+// sent again in rotation.
 func TestOutgoing(t *testing.T) {
 	table := New()
 	for i := range 20 {
@@ -118,7 +117,7 @@
 	assert.Equal(t, later[0].Fingerprint, poison)
 }
 
-// TestExpiry checks that suspects are forgotten after their time, and held requests later.
+// TestExpiry checks that records of crashes expire, and those of held requests later.
 func TestExpiry(t *testing.T) {
 	table := New()
 	table.Crashed(at(1), FingerprintOf("bank", "/once", nil), 1, Crash{Endpoint: 1, Began: at(0), Ended: at(1)})
@@ -130,8 +129,8 @@
 	assert.Assert(t, !table.Suspects(poison.Filter()))
 }
 
-// TestEvictionPerAccount checks that an account which sends many requests that end endpoints neither takes more
-// memory than is set aside nor pushes another account's record out.
+// TestEvictionPerAccount checks that an account with many poison requests neither exceeds the memory bound nor
+// evicts another account's record.
 func TestEvictionPerAccount(t *testing.T) {
 	table := New()
 	crashUntilHeld(table, poison, 1, 0)
@@ -142,7 +141,7 @@
 	assert.Assert(t, table.Check(at(20), poison, false).Held)
 }
 
-// TestTableMemory gives the bytes of a full table.
+// TestTableMemory logs the memory of a full table.
 func TestTableMemory(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
