--- a/gateway/quarantine/record_test.go
+++ b/gateway/quarantine/record_test.go
@@ -33,13 +33,13 @@
 		{"none", crashed(), false},
 		{"two", crashed([2]float64{0, 1}, [2]float64{2, 3}), false},
 		{"three", crashed([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5}), true},
-		{"each right after the other", crashed([2]float64{0, 1}, [2]float64{1, 2}, [2]float64{2, 3}), true},
-		{"word of the first comes last", crashed([2]float64{4, 5}, [2]float64{2, 3}, [2]float64{0, 1}), true},
+		{"each right after the previous one", crashed([2]float64{0, 1}, [2]float64{1, 2}, [2]float64{2, 3}), true},
+		{"the first is reported last", crashed([2]float64{4, 5}, [2]float64{2, 3}, [2]float64{0, 1}), true},
 		{"five at once, as of a failure domain", crashed([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{0.1, 1}, [2]float64{0.2, 1}, [2]float64{0.3, 1}), false},
-		{"twice some at once", crashed([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{2, 3}, [2]float64{2.5, 3}), false},
-		{"twice many at once", crashed([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{0, 1}, [2]float64{2, 3}, [2]float64{2.5, 3}), true},
-		{"three among others that overlap", crashed([2]float64{0, 1}, [2]float64{0.5, 1.5}, [2]float64{1.2, 2}, [2]float64{1.8, 2.6}, [2]float64{2.1, 3}), true},
-		{"a long attempt over all", crashed([2]float64{0, 9}, [2]float64{1, 2}, [2]float64{3, 4}), false},
+		{"two groups of two at once", crashed([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{2, 3}, [2]float64{2.5, 3}), false},
+		{"groups of three and two at once", crashed([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{0, 1}, [2]float64{2, 3}, [2]float64{2.5, 3}), true},
+		{"three among overlapping ones", crashed([2]float64{0, 1}, [2]float64{0.5, 1.5}, [2]float64{1.2, 2}, [2]float64{1.8, 2.6}, [2]float64{2.1, 3}), true},
+		{"one attempt overlaps all others", crashed([2]float64{0, 9}, [2]float64{1, 2}, [2]float64{3, 4}), false},
 	} {
 		assert.Equal(t, !test.record.Held.IsZero(), test.held, test.name)
 	}
@@ -71,7 +71,7 @@
 		record.add(Crash{Endpoint: uint32(i), Began: at(interval[0]), Ended: at(interval[1])})
 	}
 	assert.Equal(t, record.Held, at(12))
-	assert.Assert(t, !record.merge(&Record{Answered: at(6.01)}), "the same success, by another message")
+	assert.Assert(t, !record.merge(&Record{Answered: at(6.01)}), "the same success in another message")
 	assert.Equal(t, record.Held, at(12))
 }
 
@@ -90,7 +90,7 @@
 		assert.Equal(t, len(record.Crashes), 3)
 	}
 	var receiver Record
-	assert.Assert(t, receiver.merge(&Record{Held: at(5)}), "a peer holds them, whatever it has left of the ends")
+	assert.Assert(t, receiver.merge(&Record{Held: at(5)}), "a hold is merged without its crashes")
 	assert.Equal(t, receiver.Held, at(5))
 }
 
