--- a/gateway/endpoint/connection.go
+++ b/gateway/endpoint/connection.go
@@ -57,16 +57,16 @@
 }
 
 func setAckTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(ackTimeout.Milliseconds()))
+		setErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(ackTimeout.Milliseconds()))
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, setErr)
 }
 
-// silent reports whether nothing has arrived on an idle connection: neither its end
+// nothingReceived reports whether nothing has arrived on an idle connection: neither its end
 // nor bytes, which would belong to no request.
-func (c *connection) silent() bool {
+func (c *connection) nothingReceived() bool {
 	sysConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -75,14 +75,14 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = n <= 0 && (err == syscall.EAGAIN || err == syscall.EWOULDBLOCK)
+		empty = n <= 0 && (err == syscall.EAGAIN || err == syscall.EWOULDBLOCK)
 		return true
 	})
-	return err == nil && silent
+	return err == nil && empty
 }
 
 // readKeepAlive sets maxIdle from a response's Keep-Alive header, which states whole
--- a/gateway/endpoint/endpoint_test.go
+++ b/gateway/endpoint/endpoint_test.go
@@ -47,8 +47,8 @@
 	return err == nil && n > 0
 }
 
-// answer is a whole response to request r.
-const answer = "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
+// okResponse is a whole response to request r.
+const okResponse = "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
 
 // send sends request r to an endpoint and returns the body of the response.
 func send(ctx context.Context, pool *endpoint.Pool, to *ryeford.Endpoint) (string, error) {
@@ -71,7 +71,7 @@
 func TestSilentIdleConnection(t *testing.T) {
 	to, count := listen(t, func(conn net.Conn) {
 		if readRequest(conn) {
-			_, _ = io.WriteString(conn, answer)
+			_, _ = io.WriteString(conn, okResponse)
 		}
 		<-t.Context().Done() // silent from here on
 		_ = conn.Close()
@@ -80,7 +80,7 @@
 	body, err := send(t.Context(), pool, to)
 	assert.NilError(t, err)
 	assert.Equal(t, body, "ok")
-	time.Sleep(unproven)
+	time.Sleep(beyondOnceMaxIdle)
 	once := &endpoint.Request{ID: "r", Method: "POST", Target: "/", Host: "h", Header: http.Header{}, Once: true}
 	got, err := pool.Send(t.Context(), to, once, func() error { return nil })
 	assert.NilError(t, err)
@@ -96,8 +96,8 @@
 	assert.Equal(t, count.Load(), int64(2))
 }
 
-// unproven is longer than a connection may be idle before a request that can't be repeated.
-const unproven = 250 * time.Millisecond
+// beyondOnceMaxIdle is longer than a connection may be idle before a request that can't be repeated.
+const beyondOnceMaxIdle = 250 * time.Millisecond
 
 // TestReuse checks that a connection is used again, unless the endpoint has closed it
 // meanwhile: then a new one is opened, and no request is lost.
@@ -108,7 +108,7 @@
 			if !readRequest(conn) {
 				return
 			}
-			_, _ = io.WriteString(conn, answer)
+			_, _ = io.WriteString(conn, okResponse)
 		}
 		_ = conn.Close()
 		closed <- struct{}{}
@@ -137,7 +137,7 @@
 	for name, reply := range map[string]string{
 		"nothing":         "",
 		"half a head":     "HTTP/1.1 200 OK\r\nRyeford-Requ",
-		"half a body":     answer[:len(answer)-1],
+		"half a body":     okResponse[:len(okResponse)-1],
 		"another's":       "HTTP/1.1 200 OK\r\nRyeford-Request-Id: x\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nno",
 		"nobody's":        "HTTP/1.1 200 OK\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nno",
 		"unsigned":        "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nContent-Length: 2\r\n\r\nno",
@@ -160,7 +160,7 @@
 func TestKeepAlive(t *testing.T) {
 	to, count := listen(t, func(conn net.Conn) {
 		for readRequest(conn) {
-			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\n"+answer[len("HTTP/1.1 200 OK\r\n"):])
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\n"+okResponse[len("HTTP/1.1 200 OK\r\n"):])
 		}
 	})
 	pool := newPool()
--- a/gateway/endpoint/fuzz_test.go
+++ b/gateway/endpoint/fuzz_test.go
@@ -33,17 +33,17 @@
 		}()
 		c := &connection{Conn: near, reader: bufio.NewReader(near)}
 		defer func() { _ = c.Close() }()
-		answer, err := pool.exchange(t.Context(), c, request)
+		response, err := pool.exchange(t.Context(), c, request)
 		if err != nil {
 			return
 		}
-		if answer.Meta.Request != ryeford.RequestID("r1") {
-			t.Fatalf("an answer to %q was accepted", answer.Meta.Request)
+		if response.Meta.Request != ryeford.RequestID("r1") {
+			t.Fatalf("an answer to %q was accepted", response.Meta.Request)
 		}
-		if answer.Status < 300 && !answer.Meta.Signed {
+		if response.Status < 300 && !response.Meta.Signed {
 			t.Fatal("a success without a signature was accepted")
 		}
-		if body, err := answer.ReadAll(1 << 20); err == nil && !answer.whole {
+		if body, err := response.ReadAll(1 << 20); err == nil && !response.complete {
 			t.Fatalf("a body of %d bytes that is not whole", len(body))
 		}
 	})
--- a/gateway/endpoint/pool.go
+++ b/gateway/endpoint/pool.go
@@ -34,12 +34,12 @@
 	// idleMargin is taken off the time that the endpoint states, so that a request
 	// does not cross the endpoint's close. Endpoints round that time to seconds.
 	idleMargin = 700 * time.Millisecond
-	// onceIdle is how long a connection that was used last may be idle before it is not taken
+	// onceMaxIdle is how long a connection that was used last may be idle before it is not taken
 	// for a request that must not be sent again, and for how long it is kept after one: it may
 	// have gone silent meanwhile, which nothing shows until a request is lost on it. With
 	// a new one for each request a handshake takes a slot's time in a crowd: at 30 times the
 	// traffic of a service of 15 ms 0.937 of its requests were answered in time, 0.965 so.
-	onceIdle = 100 * time.Millisecond
+	onceMaxIdle = 100 * time.Millisecond
 	// maxIdlePerEndpoint is how many idle connections are kept to one endpoint.
 	maxIdlePerEndpoint = 16
 )
@@ -66,14 +66,14 @@
 // if there is none, and closes those that it finds unfit. If it is for a request that must not
 // be sent again, it was used lately.
 func (p *Pool) idleConnection(id ryeford.EndpointID, once bool) *connection {
-	now, woke := clock.Now(), clock.Woke()
+	now, resumed := clock.Now(), clock.Woke()
 	usedSince := time.Time{}
 	if once {
-		usedSince = now.Add(-onceIdle)
+		usedSince = now.Add(-onceMaxIdle)
 	}
 	for c := p.pop(id, usedSince); c != nil; c = p.pop(id, usedSince) {
 		// One that was open in a suspension of the machine may have gone silent meanwhile.
-		if now.Before(c.idleUntil) && !c.usedAt.Before(woke) && c.silent() {
+		if now.Before(c.idleUntil) && !c.usedAt.Before(resumed) && c.nothingReceived() {
 			return c
 		}
 		c.close()
--- a/gateway/endpoint/response.go
+++ b/gateway/endpoint/response.go
@@ -17,10 +17,10 @@
 	pool       *Pool
 	connection *connection // nil once closed
 	body       io.ReadCloser
-	// keep says that the request was written whole and that the endpoint does not
+	// reusable says that the request was written whole and that the endpoint does not
 	// close the connection after the response.
-	keep  bool
-	whole bool // the body was read to its end
+	reusable bool
+	complete bool // the body was read to its end
 	// stop ends the effect of the request's context on the connection. It reports
 	// false if that context has already ended.
 	stop func() bool
@@ -30,7 +30,7 @@
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if err == io.EOF {
-		r.whole = true
+		r.complete = true
 	}
 	return n, err
 }
@@ -59,7 +59,7 @@
 	c := r.connection
 	r.connection = nil
 	stopped := r.stop()
-	if r.whole && r.keep && stopped {
+	if r.complete && r.reusable && stopped {
 		r.pool.put(c)
 		return
 	}
--- a/gateway/endpoint/reuse_test.go
+++ b/gateway/endpoint/reuse_test.go
@@ -80,7 +80,7 @@
 		assert.NilError(t, err)
 		pool := New(platform.Protocol{})
 		c := &connection{Conn: near, endpoint: "e", reader: reader, maxIdle: test.maxIdle}
-		response := &Response{pool: pool, connection: c, keep: test.keep, whole: test.whole, stop: func() bool { return test.stopped }}
+		response := &Response{pool: pool, connection: c, reusable: test.keep, complete: test.whole, stop: func() bool { return test.stopped }}
 		response.Close()
 		response.Close() // does nothing
 		assert.Equal(t, len(pool.idle["e"]) == 1, test.want, test.name)
@@ -151,7 +151,7 @@
 		assert.NilError(t, err)
 		got.Close()
 		c := pool.idle["e"][0]
-		assert.Equal(t, c.idleUntil.Sub(c.usedAt), map[bool]time.Duration{false: defaultMaxIdle, true: onceIdle}[once])
+		assert.Equal(t, c.idleUntil.Sub(c.usedAt), map[bool]time.Duration{false: defaultMaxIdle, true: onceMaxIdle}[once])
 		pool.CloseIdle("e")
 		server.Close()
 	}
--- a/gateway/endpoint/send.go
+++ b/gateway/endpoint/send.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// maxStray is how many responses to other requests are skipped before the one
+	// maxStrayResponses is how many responses to other requests are skipped before the one
 	// that is due: endpoints may send one too many.
-	maxStray = 2
-	// maxStrayBody is the size from which such a response is not skipped, in bytes.
-	maxStrayBody = 1 << 20
-	// headSize is the memory set aside for a request's head, in bytes; a larger one
+	maxStrayResponses = 2
+	// maxStrayBodyBytes is the size from which such a response is not skipped, in bytes.
+	maxStrayBodyBytes = 1 << 20
+	// headBufferSize is the memory set aside for a request's head, in bytes; a larger one
 	// grows it.
-	headSize = 1 << 10
+	headBufferSize = 1 << 10
 )
 
-// past is a deadline that has passed: it ends what waits on a connection.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline that has passed: it ends what waits on a connection.
+var expiredDeadline = time.Unix(1, 0)
 
 // A Request is what is sent to an endpoint.
 type Request struct {
@@ -45,7 +45,7 @@
 // encode returns the bytes of a request. A body is framed by its length.
 func (r *Request) encode() []byte {
 	var b bytes.Buffer
-	b.Grow(len(r.Body) + headSize)
+	b.Grow(len(r.Body) + headBufferSize)
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
 	_ = r.Header.Write(&b) // a buffer's writes do not fail
 	if r.HasBody {
@@ -73,7 +73,7 @@
 		return nil, &UnsentError{Err: err}
 	}
 	// A deadline can't be set only on a closed connection, which ends as well.
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(past) })
+	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(expiredDeadline) })
 	response, err := p.exchange(ctx, c, request)
 	if err != nil {
 		stop()
@@ -83,7 +83,7 @@
 	response.stop = stop
 	if request.Once {
 		// Kept for longer, those of many routers fill an endpoint's limit, and it resets others.
-		c.maxIdle = min(c.maxIdle, onceIdle)
+		c.maxIdle = min(c.maxIdle, onceMaxIdle)
 	}
 	return response, nil
 }
@@ -105,7 +105,7 @@
 	if writeErr != nil && provablyUnsent(n, ctx.Err()) {
 		return nil, &UnsentError{Err: writeErr}
 	}
-	for range maxStray + 1 {
+	for range maxStrayResponses + 1 {
 		head, err := readHead(c, request.Method)
 		if err != nil {
 			if writeErr != nil {
@@ -117,7 +117,7 @@
 		if meta.Request == request.ID {
 			return p.accept(c, head, meta, writeErr == nil)
 		}
-		if meta.Request == "" || !skip(head) {
+		if meta.Request == "" || !skipResponse(head) {
 			break
 		}
 	}
@@ -146,7 +146,7 @@
 		pool:       p,
 		connection: c,
 		body:       head.Body,
-		keep:       written && !head.Close,
+		reusable:   written && !head.Close,
 	}, nil
 }
 
@@ -163,9 +163,9 @@
 	}
 }
 
-// skip reads a response to another request to its end, and reports whether the one
+// skipResponse reads a response to another request to its end, and reports whether the one
 // that is due may follow. If not, the connection is closed, whatever the error was.
-func skip(head *http.Response) bool {
-	n, err := io.Copy(io.Discard, io.LimitReader(head.Body, maxStrayBody))
-	return err == nil && n < maxStrayBody && !head.Close
+func skipResponse(head *http.Response) bool {
+	n, err := io.Copy(io.Discard, io.LimitReader(head.Body, maxStrayBodyBytes))
+	return err == nil && n < maxStrayBodyBytes && !head.Close
 }
