--- a/gateway/endpoint/connection.go
+++ b/gateway/endpoint/connection.go
@@ -18,13 +18,12 @@
 const (
 	// dialTimeout bounds the time to open a connection.
 	dialTimeout = 400 * time.Millisecond
-	// ackTimeout is how long sent bytes may stay unacknowledged before the kernel
-	// closes the connection: an endpoint that lost its network or its power sends
-	// nothing at all.
+	// ackTimeout is how long sent bytes may stay unacknowledged before the kernel closes the connection.
+	// It detects endpoints that have lost power or network and send nothing.
 	ackTimeout = 3 * time.Second
-	// readBuffer is the memory of a connection for what it reads, in bytes.
+	// readBuffer is the size of a connection's read buffer, in bytes.
 	readBuffer = 4 << 10
-	// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+	// tcpUserTimeout is TCP_USER_TIMEOUT on Linux, which package syscall lacks.
 	tcpUserTimeout = 18
 )
 
@@ -32,9 +31,9 @@
 	net.Conn
 	endpoint ryeford.EndpointID
 	reader   *bufio.Reader
-	// maxIdle is how long the endpoint leaves the connection open without a request.
+	// maxIdle is how long the connection may be idle before the endpoint could close it.
 	maxIdle   time.Duration
-	usedAt    time.Time // when it was opened, or its last response ended
+	usedAt    time.Time // when it was opened or its last response ended
 	idleUntil time.Time
 }
 
@@ -64,8 +63,8 @@
 	return errors.Join(err, setErr)
 }
 
-// nothingReceived reports whether nothing has arrived on an idle connection: neither its end
-// nor bytes, which would belong to no request.
+// nothingReceived reports whether an idle connection has no pending input: neither EOF nor bytes that belong
+// to no request.
 func (c *connection) nothingReceived() bool {
 	sysConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -85,8 +84,8 @@
 	return err == nil && empty
 }
 
-// readKeepAlive sets maxIdle from a response's Keep-Alive header, which states whole
-// seconds. One that cannot be read changes nothing.
+// readKeepAlive sets maxIdle from a response's Keep-Alive header, which is in whole seconds. It ignores a
+// malformed header.
 func (c *connection) readKeepAlive(header http.Header) {
 	for field := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		text, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
@@ -99,6 +98,6 @@
 	}
 }
 
-// close closes the connection. Its error is dropped: it could only say that
-// the connection was broken before.
+// close closes the connection. It ignores the error, which could only report that the connection was already
+// broken.
 func (c *connection) close() { _ = c.Close() }
--- a/gateway/endpoint/disconnect.go
+++ b/gateway/endpoint/disconnect.go
@@ -9,20 +9,20 @@
 	"syscall"
 )
 
-// Refuses reports whether the host at an address answers that nothing listens there: the process
-// that did has ended. It is false if a connection opens, and if nothing answers.
+// Refuses reports whether a connection to an address is refused, which means that no process listens there. It
+// is false if the connection opens, and if the host does not answer.
 func Refuses(ctx context.Context, address netip.AddrPort) bool {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", address.String())
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	_ = conn.Close() // it was opened for its handshake only
+	_ = conn.Close() // only the handshake matters
 	return false
 }
 
-// BrokeOff reports whether an error says that the endpoint's end of a connection is gone: it was
-// closed or reset amid a response, or before one. A response that is late or unusable says nothing.
+// BrokeOff reports whether an error means that the endpoint closed or reset a connection before the end of a
+// response. It is false for late and for unusable responses.
 func BrokeOff(err error) bool {
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, cause) {
--- a/gateway/endpoint/disconnect_test.go
+++ b/gateway/endpoint/disconnect_test.go
@@ -24,7 +24,7 @@
 	assert.Assert(t, Refuses(t.Context(), address))
 }
 
-// TestBrokeOff checks which ends of an attempt say that the endpoint's end of the connection is gone.
+// TestBrokeOff checks which errors mean that the endpoint closed or reset the connection.
 func TestBrokeOff(t *testing.T) {
 	reset := &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 	for _, test := range []struct {
--- a/gateway/endpoint/endpoint_test.go
+++ b/gateway/endpoint/endpoint_test.go
@@ -19,8 +19,7 @@
 	"github.com/ryeford/ryeford/platform"
 )
 
-// listen returns an endpoint whose connections are served by a function, and a
-// count of them.
+// listen returns an endpoint that serves each connection with serve, and the number of connections.
 func listen(t *testing.T, serve func(conn net.Conn)) (*ryeford.Endpoint, *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,7 +46,7 @@
 	return err == nil && n > 0
 }
 
-// okResponse is a whole response to request r.
+// okResponse is a complete response to request r.
 const okResponse = "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
 
 // send sends request r to an endpoint and returns the body of the response.
@@ -65,15 +64,14 @@
 	return endpoint.New(platform.Protocol{})
 }
 
-// TestSilentIdleConnection checks that a request that can't be repeated is not lost on an idle
-// connection that has gone silent: no reset, no end, and nothing that is sent on it is read.
-// One that can be repeated is, and costs a retry.
+// TestSilentIdleConnection checks that a request that must not be repeated is not lost on an idle connection that
+// is broken without notice. A repeatable request may use it, and costs a retry.
 func TestSilentIdleConnection(t *testing.T) {
 	to, count := listen(t, func(conn net.Conn) {
 		if readRequest(conn) {
 			_, _ = io.WriteString(conn, okResponse)
 		}
-		<-t.Context().Done() // silent from here on
+		<-t.Context().Done() // no further response, and no close
 		_ = conn.Close()
 	})
 	pool := newPool()
@@ -96,11 +94,10 @@
 	assert.Equal(t, count.Load(), int64(2))
 }
 
-// beyondOnceMaxIdle is longer than a connection may be idle before a request that can't be repeated.
+// beyondOnceMaxIdle exceeds the idle time that is allowed before a request that must not be repeated.
 const beyondOnceMaxIdle = 250 * time.Millisecond
 
-// TestReuse checks that a connection is used again, unless the endpoint has closed it
-// meanwhile: then a new one is opened, and no request is lost.
+// TestReuse checks that a connection is reused, and replaced without losing a request if the endpoint has closed it.
 func TestReuse(t *testing.T) {
 	closed := make(chan struct{}, 8)
 	to, count := listen(t, func(conn net.Conn) {
@@ -125,8 +122,8 @@
 	assert.Equal(t, count.Load(), int64(3))
 }
 
-// TestUnsent checks that a request that cannot have reached its endpoint ends with an
-// UnsentError, and one whose response is lost, broken or not its own with a LostError.
+// TestUnsent checks that a request that cannot have reached its endpoint fails with an UnsentError, and one with a
+// lost, malformed or foreign response with a LostError.
 func TestUnsent(t *testing.T) {
 	dead := &ryeford.Endpoint{ID: "e", Address: freeport.Next()}
 	var unsent *endpoint.UnsentError
@@ -155,8 +152,7 @@
 	}
 }
 
-// TestKeepAlive checks that a connection is not used after the idle time that its
-// endpoint allows.
+// TestKeepAlive checks that a connection is not reused after the idle time that its endpoint allows.
 func TestKeepAlive(t *testing.T) {
 	to, count := listen(t, func(conn net.Conn) {
 		for readRequest(conn) {
@@ -171,7 +167,7 @@
 	assert.Equal(t, count.Load(), int64(3))
 }
 
-// TestCancel checks that a request whose context ends closes its connection.
+// TestCancel checks that the end of a request's context closes its connection.
 func TestCancel(t *testing.T) {
 	ended := make(chan struct{})
 	got := make(chan struct{})
@@ -192,7 +188,7 @@
 	<-ended
 }
 
-// TestNotReady checks that a request whose last check fails is not sent.
+// TestNotReady checks that a request is not sent if the check before the first byte fails.
 func TestNotReady(t *testing.T) {
 	received := make(chan bool, 1) // whether a request came before the connection ended
 	to, _ := listen(t, func(conn net.Conn) { received <- readRequest(conn) })
--- a/gateway/endpoint/fuzz_test.go
+++ b/gateway/endpoint/fuzz_test.go
@@ -9,9 +9,8 @@
 	"github.com/ryeford/ryeford/platform"
 )
 
-// FuzzAnswer checks that whatever bytes an endpoint sends, an answer that is
-// accepted bears the request's own id and, for a success, the signature, and that
-// no bytes crash the reader.
+// FuzzAnswer checks that an accepted response has the request's own ID and, if it is a success, the signature,
+// whatever bytes an endpoint sends, and that no bytes crash the reader.
 func FuzzAnswer(f *testing.F) {
 	const head = "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r1\r\nRyeford-Server-Stamp: s\r\n"
 	f.Add([]byte(head + "Content-Length: 2\r\n\r\nok"))
--- a/gateway/endpoint/pool.go
+++ b/gateway/endpoint/pool.go
@@ -1,20 +1,18 @@
-// Package endpoint sends requests to endpoints over HTTP/1.1 and keeps the
-// connections to them. Each request is written to one connection, once.
+// Package endpoint sends requests to endpoints over HTTP/1.1 and pools the connections to them. Each request is
+// written to one connection, once.
 //
-// An attempt ends in one of three ways, and the type of its error is what it proves:
+// The type of the error states what an attempt proves:
 //
-//   - *UnsentError: the endpoint got nothing of the request, which did not run.
-//   - *LostError: the request was sent, whole or in part, and no usable response
-//     came. It may have run.
-//   - no error: the head of the endpoint's own response to this request. What it
-//     says of the request is the caller's to judge; the body may still be lost.
+//   - *UnsentError: the endpoint received nothing of the request, which did not run.
+//   - *LostError: the request was sent, in full or in part, and got no usable response. It may have run.
+//   - no error: the endpoint responded to this request, and the head of the response was read. The caller
+//     interprets it; the body may still be lost.
 //
-// When a connection is used again stands with Response.Close and Pool.idleConnection.
+// Response.Close and Pool.idleConnection state when a connection is reused.
 //
-// The package owns the idle connections. It relies on the ryeford.Protocol for the
-// ID, the signature and the load in a response's header, and on net/http's codec to
-// read responses. net/http's client is not used: it repeats requests on its own, and
-// takes whatever response comes for the one to its request.
+// The package owns the idle connections. The ryeford.Protocol parses the request ID, the signature and the load
+// from a response's header, and net/http's codec reads responses. The package does not use net/http's client,
+// which retries requests by itself and does not verify that a response belongs to its request.
 package endpoint
 
 import (
@@ -28,29 +26,25 @@
 )
 
 const (
-	// defaultMaxIdle is how long a connection may be idle if the endpoint does not
-	// say.
+	// defaultMaxIdle is how long a connection may be idle if the endpoint states no limit.
 	defaultMaxIdle = 4 * time.Second
-	// idleMargin is taken off the time that the endpoint states, so that a request
-	// does not cross the endpoint's close. Endpoints round that time to seconds.
+	// idleMargin is subtracted from the idle time that the endpoint states, so that no request is sent
+	// while the endpoint closes the connection. Endpoints round that time to seconds.
 	idleMargin = 700 * time.Millisecond
-	// onceMaxIdle is how long a connection that was used last may be idle before it is not taken
-	// for a request that must not be sent again, and for how long it is kept after one: it may
-	// have gone silent meanwhile, which nothing shows until a request is lost on it. With
-	// a new one for each request a handshake takes a slot's time in a crowd: at 30 times the
-	// traffic of a service of 15 ms 0.937 of its requests were answered in time, 0.965 so.
+	// onceMaxIdle is how long a connection may be idle before it is no longer used for a request that
+	// must not be sent again, and how long it is kept after one. A connection that was idle longer may
+	// be broken without notice. A shorter limit would cost such requests a handshake each.
 	onceMaxIdle = 100 * time.Millisecond
-	// maxIdlePerEndpoint is how many idle connections are kept to one endpoint.
+	// maxIdlePerEndpoint is the maximum number of idle connections to one endpoint.
 	maxIdlePerEndpoint = 16
 )
 
-// A Pool sends requests to endpoints and holds the idle connections to them. It may
-// be used concurrently.
+// A Pool sends requests to endpoints and holds the idle connections to them. It is safe for concurrent use.
 type Pool struct {
 	protocol ryeford.Protocol
 
 	mu   sync.Mutex
-	idle map[ryeford.EndpointID][]*connection // the last one was used last
+	idle map[ryeford.EndpointID][]*connection // in order of use, the last is the most recent
 }
 
 // New returns an empty Pool.
@@ -61,10 +55,9 @@
 	}
 }
 
-// idleConnection takes the connection to an endpoint that was used last, provided
-// that its time is not over and that nothing has arrived on it since. It returns nil
-// if there is none, and closes those that it finds unfit. If it is for a request that must not
-// be sent again, it was used lately.
+// idleConnection takes the most recently used idle connection to an endpoint that has not expired and has no
+// pending input, or returns nil. It closes unusable connections that it finds. once reports that the connection
+// is for a request that must not be sent again; it must then have been used within onceMaxIdle.
 func (p *Pool) idleConnection(id ryeford.EndpointID, once bool) *connection {
 	now, resumed := clock.Now(), clock.Woke()
 	usedSince := time.Time{}
@@ -72,7 +65,7 @@
 		usedSince = now.Add(-onceMaxIdle)
 	}
 	for c := p.pop(id, usedSince); c != nil; c = p.pop(id, usedSince) {
-		// One that was open in a suspension of the machine may have gone silent meanwhile.
+		// A connection from before a suspension of the VM may be broken without notice.
 		if now.Before(c.idleUntil) && !c.usedAt.Before(resumed) && c.nothingReceived() {
 			return c
 		}
@@ -81,8 +74,8 @@
 	return nil
 }
 
-// pop takes the idle connection to an endpoint that was used last, or returns nil if none was
-// used since a time.
+// pop takes the most recently used idle connection to an endpoint, or returns nil if none was used at or after
+// usedSince.
 func (p *Pool) pop(id ryeford.EndpointID, usedSince time.Time) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,8 +88,8 @@
 	return list[last]
 }
 
-// put makes a connection idle after a response. It closes one on which bytes are left over, which
-// belong to no request, or which the endpoint does not leave open for long enough.
+// put makes a connection idle after a response. It closes the connection if bytes are left over, which belong to
+// no request, or if the endpoint allows no idle time.
 func (p *Pool) put(c *connection) {
 	if c.reader.Buffered() > 0 || c.maxIdle <= 0 || c.SetDeadline(time.Time{}) != nil {
 		c.close()
@@ -107,7 +100,7 @@
 	p.putBack(c)
 }
 
-// putBack makes a connection idle on which nothing was sent since it was opened or taken.
+// putBack makes a connection idle on which nothing was sent since it was opened or taken from the pool.
 func (p *Pool) putBack(c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,9 +118,8 @@
 	}
 }
 
-// CloseUnused closes the idle connections to an endpoint on which no response has ended since
-// a time. Those that were used since are not silent: in a crowd, in which many requests are
-// late, closing them as well would cost each a handshake.
+// CloseUnused closes the idle connections to an endpoint on which no response has ended since a time.
+// Connections with a later response are known to work and are kept, to avoid handshakes under load.
 func (p *Pool) CloseUnused(id ryeford.EndpointID, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,7 +132,7 @@
 	p.idle[id] = slices.DeleteFunc(p.idle[id], unused)
 }
 
-// CloseExpired closes the connections that have been idle for too long.
+// CloseExpired closes the connections that have exceeded their idle time.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gateway/endpoint/response.go
+++ b/gateway/endpoint/response.go
@@ -7,8 +7,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Response is the head of an endpoint's response, and its body to be read. It is
-// for one goroutine, which must call Close.
+// A Response is the head of an endpoint's response, with the body to be read. It is not safe for concurrent use.
+// The caller must call Close.
 type Response struct {
 	Status int
 	Header http.Header
@@ -17,16 +17,16 @@
 	pool       *Pool
 	connection *connection // nil once closed
 	body       io.ReadCloser
-	// reusable says that the request was written whole and that the endpoint does not
-	// close the connection after the response.
+	// reusable reports that the request was written in full and that the endpoint leaves the connection
+	// open after the response.
 	reusable bool
 	complete bool // the body was read to its end
-	// stop ends the effect of the request's context on the connection. It reports
-	// false if that context has already ended.
+	// stop detaches the connection from the request's context. It reports false if that context has already
+	// ended.
 	stop func() bool
 }
 
-// Read implements io.Reader. io.EOF says that the response is whole.
+// Read implements io.Reader. io.EOF means that the response is complete.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if err == io.EOF {
@@ -35,8 +35,8 @@
 	return n, err
 }
 
-// ReadAll reads the body, of at most limit bytes. The error is a *LostError; of a
-// longer body it wraps a *TooLargeError.
+// ReadAll reads the body, of at most limit bytes. The error is a *LostError, which wraps a *TooLargeError if the
+// body is longer.
 func (r *Response) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
@@ -48,10 +48,9 @@
 	return body, nil
 }
 
-// Close ends the use of a response. Its connection becomes idle if the request was
-// written whole, the response read whole, the endpoint leaves the connection open and
-// the request's context has not ended. Otherwise it is closed, at which the endpoint
-// stops its work on the request.
+// Close releases a response's connection. The connection becomes idle if the request was written in full, the
+// response was read in full, the endpoint leaves the connection open and the request's context has not ended.
+// Otherwise it is closed, upon which the endpoint cancels the request.
 func (r *Response) Close() {
 	if r.connection == nil {
 		return
--- a/gateway/endpoint/reuse_test.go
+++ b/gateway/endpoint/reuse_test.go
@@ -19,7 +19,7 @@
 	"github.com/ryeford/ryeford/platform"
 )
 
-// TestProvablyUnsent checks what a write that failed proves.
+// TestProvablyUnsent checks which failed writes prove that nothing was sent.
 func TestProvablyUnsent(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -36,8 +36,7 @@
 	}
 }
 
-// TestReadKeepAlive checks how long a connection may be idle, by what its endpoint
-// states.
+// TestReadKeepAlive checks the idle time of a connection for each Keep-Alive header.
 func TestReadKeepAlive(t *testing.T) {
 	tests := []struct {
 		keepAlive string
@@ -56,13 +55,12 @@
 	}
 }
 
-// TestKeepConnection checks when the connection of a response that is closed becomes
-// idle.
+// TestKeepConnection checks when the connection of a closed response becomes idle.
 func TestKeepConnection(t *testing.T) {
 	tests := []struct {
 		name                 string
 		keep, whole, stopped bool
-		rest                 string // what follows the response
+		rest                 string // bytes that follow the response
 		maxIdle              time.Duration
 		want                 bool
 	}{
@@ -93,8 +91,7 @@
 	}
 }
 
-// TestPutBack checks that a connection on which nothing was sent, since the request was
-// withdrawn, is idle for no longer than without that.
+// TestPutBack checks that the idle time of a connection is not extended by a request that was not sent.
 func TestPutBack(t *testing.T) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = near.Close(); _ = far.Close() })
@@ -108,13 +105,13 @@
 	assert.Equal(t, pool.idle["e"][0].idleUntil, idleUntil)
 }
 
-// TestConnectionForOnce checks that a request that must not be sent again gets no connection
-// that was not used lately, which stays for others.
+// TestConnectionForOnce checks that a request that must not be sent again uses only a recently used connection, and
+// leaves others in the pool.
 func TestConnectionForOnce(t *testing.T) {
 	for _, test := range []struct {
 		name         string
-		used         time.Duration // from now; far off, so that the test's own time is nothing
-		once, repeat bool          // whether a request that must run once, or another, gets it
+		used         time.Duration // from now; large compared to the duration of the test
+		once, repeat bool          // whether a request with or without Once uses it
 	}{
 		{"used just now", time.Hour, true, true},
 		{"used long ago", -time.Hour, false, true},
@@ -134,8 +131,7 @@
 	}
 }
 
-// TestConnectionAfterOnce checks that a connection is not kept for long after a request that
-// must not be sent again.
+// TestConnectionAfterOnce checks that a connection is kept only briefly after a request that must not be sent again.
 func TestConnectionAfterOnce(t *testing.T) {
 	for _, once := range []bool{false, true} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -157,8 +153,7 @@
 	}
 }
 
-// TestCloseUnused checks that of an endpoint's idle connections those are closed that were not
-// used since a time.
+// TestCloseUnused checks that only idle connections without a response since a time are closed.
 func TestCloseUnused(t *testing.T) {
 	pool, now := New(platform.Protocol{}), time.Now()
 	for _, used := range []time.Duration{-2 * time.Second, -time.Second, time.Second} {
--- a/gateway/endpoint/send.go
+++ b/gateway/endpoint/send.go
@@ -12,42 +12,41 @@
 )
 
 const (
-	// maxStrayResponses is how many responses to other requests are skipped before the one
-	// that is due: endpoints may send one too many.
+	// maxStrayResponses is the maximum number of responses to other requests that are skipped before the
+	// expected one.
 	maxStrayResponses = 2
-	// maxStrayBodyBytes is the size from which such a response is not skipped, in bytes.
+	// maxStrayBodyBytes is the body size from which such a response is not skipped.
 	maxStrayBodyBytes = 1 << 20
-	// headBufferSize is the memory set aside for a request's head, in bytes; a larger one
-	// grows it.
+	// headBufferSize is the initial buffer size for a request's head, in bytes.
 	headBufferSize = 1 << 10
 )
 
-// expiredDeadline is a deadline that has passed: it ends what waits on a connection.
+// expiredDeadline is a deadline in the past. It interrupts pending reads and writes.
 var expiredDeadline = time.Unix(1, 0)
 
-// A Request is what is sent to an endpoint.
+// A Request is a request to an endpoint.
 type Request struct {
 	ID     ryeford.RequestID
 	Method string
-	Target string // as the caller wrote it, byte for byte
+	Target string // exactly as received from the caller
 	Host   string
-	// Header holds neither a length nor any other hop-by-hop header.
+	// Header has no Content-Length and no other hop-by-hop header.
 	Header http.Header
 	Body   []byte
-	// HasBody says that the caller sent a body, though it may be empty.
+	// HasBody reports whether the caller sent a body, which may be empty.
 	HasBody bool
-	// Once says that the request must not be sent again if it gets no response. Unless a
-	// connection was used just before (onceIdle), a new one is opened, whose handshake proves
-	// that the endpoint is reached.
+	// Once reports that the request must not be sent again if it gets no response. It uses a connection
+	// that was idle for at most onceMaxIdle, or a new one, whose handshake proves that the endpoint is
+	// reachable.
 	Once bool
 }
 
-// encode returns the bytes of a request. A body is framed by its length.
+// encode returns the request in wire format. A body has a Content-Length.
 func (r *Request) encode() []byte {
 	var b bytes.Buffer
 	b.Grow(len(r.Body) + headBufferSize)
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
-	_ = r.Header.Write(&b) // a buffer's writes do not fail
+	_ = r.Header.Write(&b) // writes to a buffer do not fail
 	if r.HasBody {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(r.Body))
 	}
@@ -56,13 +55,12 @@
 	return b.Bytes()
 }
 
-// Send sends a request to an endpoint and waits for the response's head. When ctx
-// ends, the connection is closed, so that the endpoint stops its work; until the
-// response is closed that holds for its body too. The error is an *UnsentError or a
+// Send sends a request to an endpoint and waits for the head of the response. If ctx ends before the response is
+// closed, the connection is closed, so that the endpoint cancels the request. The error is an *UnsentError or a
 // *LostError.
 //
-// check is called right before the first byte is sent. Its error stops the request
-// there and is the cause of the *UnsentError.
+// Send calls check right before it writes the first byte. If check fails, the request is not sent and the
+// *UnsentError wraps the error.
 func (p *Pool) Send(ctx context.Context, to *ryeford.Endpoint, request *Request, check func() error) (*Response, error) {
 	c, err := p.connection(ctx, to, request.Once)
 	if err != nil {
@@ -72,7 +70,7 @@
 		p.putBack(c)
 		return nil, &UnsentError{Err: err}
 	}
-	// A deadline can't be set only on a closed connection, which ends as well.
+	// SetDeadline fails only on a closed connection, on which the exchange ends anyway.
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(expiredDeadline) })
 	response, err := p.exchange(ctx, c, request)
 	if err != nil {
@@ -82,14 +80,14 @@
 	}
 	response.stop = stop
 	if request.Once {
-		// Kept for longer, those of many routers fill an endpoint's limit, and it resets others.
+		// Idle connections of many routers could exceed an endpoint's connection limit, so that it resets others.
 		c.maxIdle = min(c.maxIdle, onceMaxIdle)
 	}
 	return response, nil
 }
 
-// connection returns an idle connection to an endpoint, or a new one. once says that it is for
-// a request that must not be sent again. The error is an *UnsentError.
+// connection returns an idle connection to an endpoint, or a new one. once reports that it is for a request that
+// must not be sent again. The error is an *UnsentError.
 func (p *Pool) connection(ctx context.Context, to *ryeford.Endpoint, once bool) (*connection, error) {
 	if c := p.idleConnection(to.ID, once); c != nil {
 		return c, nil
@@ -97,9 +95,8 @@
 	return dial(ctx, to)
 }
 
-// exchange writes a request and reads the head of its response. A response is awaited
-// even if a part of the request could not be written: an endpoint may respond early
-// and close.
+// exchange writes a request and reads the head of its response. It reads a response even if the request was
+// written only in part: an endpoint may respond early and close the connection.
 func (p *Pool) exchange(ctx context.Context, c *connection, request *Request) (*Response, error) {
 	n, writeErr := c.Write(request.encode())
 	if writeErr != nil && provablyUnsent(n, ctx.Err()) {
@@ -124,15 +121,14 @@
 	return nil, &LostError{Err: &UnusableResponseError{Problem: "another request's"}}
 }
 
-// provablyUnsent reports whether a write that failed after some bytes proves that the
-// endpoint got nothing of the request. After the end of the request's context, which
-// interrupts the write, nothing is concluded.
+// provablyUnsent reports whether a failed write of some bytes proves that the endpoint received nothing of the
+// request. The end of the request's context interrupts the write, so that a failure proves nothing after it.
 func provablyUnsent(written int, contextErr error) bool {
 	return written == 0 && contextErr == nil
 }
 
-// accept returns the response that was due, unless its body is not the endpoint's
-// own. written says that the whole request was.
+// accept returns the expected response, unless its body is not proven to be the endpoint's. written reports
+// whether the request was written in full.
 func (p *Pool) accept(c *connection, head *http.Response, meta ryeford.ResponseMeta, written bool) (*Response, error) {
 	success := head.StatusCode >= 200 && head.StatusCode < 300
 	if meta.Encoded || (success && !meta.Signed) {
@@ -150,7 +146,7 @@
 	}, nil
 }
 
-// readHead reads the head of the next response that is not an interim one (1xx).
+// readHead reads the head of the next final response and skips interim ones (1xx).
 func readHead(c *connection, method string) (*http.Response, error) {
 	for {
 		head, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -163,8 +159,8 @@
 	}
 }
 
-// skipResponse reads a response to another request to its end, and reports whether the one
-// that is due may follow. If not, the connection is closed, whatever the error was.
+// skipResponse reads a response to another request to its end. It reports whether another response may follow; if
+// not, the connection must be closed.
 func skipResponse(head *http.Response) bool {
 	n, err := io.Copy(io.Discard, io.LimitReader(head.Body, maxStrayBodyBytes))
 	return err == nil && n < maxStrayBodyBytes && !head.Close
