--- a/gateway/endpoint/disconnect_test.go
+++ b/gateway/endpoint/disconnect_test.go
@@ -33,11 +33,11 @@
 		want bool
 	}{
 		{"closed before a response", &LostError{Err: io.EOF}, true},
-		{"closed amid a response", &LostError{Err: io.ErrUnexpectedEOF}, true},
+		{"closed during a response", &LostError{Err: io.ErrUnexpectedEOF}, true},
 		{"reset", &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: reset}, true},
 		{"silent", &LostError{Err: os.ErrDeadlineExceeded}, false},
-		{"unusable", &LostError{Err: &UnusableResponseError{Problem: "another request's"}}, false},
-		{"an error of the endpoint's own", &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineError, Err: errors.New("status 500")}, false},
+		{"unusable", &LostError{Err: &UnusableResponseError{Problem: "it belongs to another request"}}, false},
+		{"an error response of the endpoint", &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineError, Err: errors.New("status 500")}, false},
 		{"none", nil, false},
 	} {
 		assert.Equal(t, BrokeOff(test.err), test.want, test.name)
--- a/gateway/endpoint/endpoint_test.go
+++ b/gateway/endpoint/endpoint_test.go
@@ -85,7 +85,7 @@
 	_, err = got.ReadAll(100)
 	assert.NilError(t, err)
 	got.Close()
-	assert.Equal(t, count.Load(), int64(2), "it went over a new connection")
+	assert.Equal(t, count.Load(), int64(2), "the request used a new connection")
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err = send(ctx, pool, to)
@@ -132,15 +132,15 @@
 
 	var lost *endpoint.LostError
 	for name, reply := range map[string]string{
-		"nothing":         "",
-		"half a head":     "HTTP/1.1 200 OK\r\nRyeford-Requ",
-		"half a body":     okResponse[:len(okResponse)-1],
-		"another's":       "HTTP/1.1 200 OK\r\nRyeford-Request-Id: x\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nno",
-		"nobody's":        "HTTP/1.1 200 OK\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nno",
-		"unsigned":        "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nContent-Length: 2\r\n\r\nno",
-		"encoded":         "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nno",
-		"a broken chunk":  "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\nzz\r\n",
-		"too much of all": "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Length: 200\r\n\r\n" + string(make([]byte, 200)),
+		"no response":          "",
+		"truncated head":       "HTTP/1.1 200 OK\r\nRyeford-Requ",
+		"truncated body":       okResponse[:len(okResponse)-1],
+		"another request's ID": "HTTP/1.1 200 OK\r\nRyeford-Request-Id: x\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nno",
+		"no request ID":        "HTTP/1.1 200 OK\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nno",
+		"unsigned":             "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nContent-Length: 2\r\n\r\nno",
+		"encoded":              "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nno",
+		"malformed chunk":      "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\nzz\r\n",
+		"body over the limit":  "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Length: 200\r\n\r\n" + string(make([]byte, 200)),
 	} {
 		to, _ := listen(t, func(conn net.Conn) {
 			readRequest(conn)
--- a/gateway/endpoint/errors.go
+++ b/gateway/endpoint/errors.go
@@ -5,7 +5,7 @@
 	Err error
 }
 
-func (e *UnsentError) Error() string { return "not sent: " + e.Err.Error() }
+func (e *UnsentError) Error() string { return "request not sent: " + e.Err.Error() }
 
 func (e *UnsentError) Unwrap() error { return e.Err }
 
@@ -14,7 +14,7 @@
 	Err error
 }
 
-func (e *LostError) Error() string { return "answer lost: " + e.Err.Error() }
+func (e *LostError) Error() string { return "response lost: " + e.Err.Error() }
 
 func (e *LostError) Unwrap() error { return e.Err }
 
@@ -23,9 +23,9 @@
 	Problem string
 }
 
-func (e *UnusableResponseError) Error() string { return "the answer is " + e.Problem }
+func (e *UnusableResponseError) Error() string { return "unusable response: " + e.Problem }
 
 // A TooLargeError reports that a response exceeds the reader's limit.
 type TooLargeError struct{}
 
-func (e *TooLargeError) Error() string { return "the answer is too large" }
+func (e *TooLargeError) Error() string { return "response too large" }
--- a/gateway/endpoint/fuzz_test.go
+++ b/gateway/endpoint/fuzz_test.go
@@ -37,13 +37,13 @@
 			return
 		}
 		if response.Meta.Request != ryeford.RequestID("r1") {
-			t.Fatalf("an answer to %q was accepted", response.Meta.Request)
+			t.Fatalf("a response to %q was accepted", response.Meta.Request)
 		}
 		if response.Status < 300 && !response.Meta.Signed {
 			t.Fatal("a success without a signature was accepted")
 		}
 		if body, err := response.ReadAll(1 << 20); err == nil && !response.complete {
-			t.Fatalf("a body of %d bytes that is not whole", len(body))
+			t.Fatalf("a body of %d bytes that is not complete was accepted", len(body))
 		}
 	})
 }
--- a/gateway/endpoint/reuse_test.go
+++ b/gateway/endpoint/reuse_test.go
@@ -29,7 +29,7 @@
 	}{
 		{"nothing was written", 0, nil, true},
 		{"a part was written", 1, nil, false},
-		{"the request's time was over", 0, context.DeadlineExceeded, false},
+		{"the request's deadline had passed", 0, context.DeadlineExceeded, false},
 	}
 	for _, test := range tests {
 		assert.Equal(t, provablyUnsent(test.written, test.contextErr), test.want, test.name)
@@ -64,9 +64,9 @@
 		maxIdle              time.Duration
 		want                 bool
 	}{
-		{"all is well", true, true, true, "", time.Second, true},
-		{"the endpoint closes it, or has not got the request whole", false, true, true, "", time.Second, false},
-		{"the response was not read whole", true, false, true, "", time.Second, false},
+		{"reusable", true, true, true, "", time.Second, true},
+		{"the endpoint closes it, or the request was not written in full", false, true, true, "", time.Second, false},
+		{"the response was not read in full", true, false, true, "", time.Second, false},
 		{"the request's context has ended", true, true, false, "", time.Second, false},
 		{"bytes follow the response", true, true, true, "x", time.Second, false},
 		{"the endpoint allows no idle time", true, true, true, "", -time.Second, false},
--- a/gateway/endpoint/send.go
+++ b/gateway/endpoint/send.go
@@ -118,7 +118,7 @@
 			break
 		}
 	}
-	return nil, &LostError{Err: &UnusableResponseError{Problem: "another request's"}}
+	return nil, &LostError{Err: &UnusableResponseError{Problem: "it belongs to another request"}}
 }
 
 // provablyUnsent reports whether a failed write of some bytes proves that the endpoint received nothing of the
@@ -132,7 +132,7 @@
 func (p *Pool) accept(c *connection, head *http.Response, meta ryeford.ResponseMeta, written bool) (*Response, error) {
 	success := head.StatusCode >= 200 && head.StatusCode < 300
 	if meta.Encoded || (success && !meta.Signed) {
-		return nil, &LostError{Err: &UnusableResponseError{Problem: "not the endpoint's own"}}
+		return nil, &LostError{Err: &UnusableResponseError{Problem: "it is encoded or lacks the endpoint's signature"}}
 	}
 	c.readKeepAlive(head.Header)
 	return &Response{
