--- a/gateway/evacuation/table.go
+++ b/gateway/evacuation/table.go
@@ -24,14 +24,14 @@
 	"github.com/ryeford/ryeford"
 )
 
-// keepTime is how long after a restore of the source an order stays in force that it lacks: for the
+// keepDuration is how long after a restore of the source an order stays in force that it lacks: for the
 // operators to write it again, which they do at once, and for reading that.
-const keepTime = 5 * time.Second
+const keepDuration = 5 * time.Second
 
 // A Table holds the evacuations that are known. It is safe for concurrent use.
 type Table struct {
-	mu    sync.Mutex
-	known ryeford.Evacuations // as they were read; of revision zero: none were yet
+	mu       sync.Mutex
+	lastRead ryeford.Evacuations // as they were read; of revision zero: none were yet
 	// kept are orders that a restored source has not been seen to have, until keptUntil.
 	kept      []ryeford.Evacuation
 	keptUntil time.Time
@@ -43,11 +43,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before := t.inForce()
-	if read.Revision > t.known.Revision {
-		if t.known.Revision > 0 && read.Revision.Era() > t.known.Revision.Era() {
-			t.kept, t.keptUntil = before.Orders, now.Add(keepTime)
+	if read.Revision > t.lastRead.Revision {
+		if t.lastRead.Revision > 0 && read.Revision.Era() > t.lastRead.Revision.Era() {
+			t.kept, t.keptUntil = before.Orders, now.Add(keepDuration)
 		}
-		t.known = read
+		t.lastRead = read
 		t.kept = without(t.kept, &read) // the source has them: it also says when they end
 	}
 	if !now.Before(t.keptUntil) {
@@ -59,7 +59,7 @@
 
 // inForce returns what is known and what is kept. t.mu is held.
 func (t *Table) inForce() ryeford.Evacuations {
-	result := ryeford.Evacuations{Revision: t.known.Revision, Orders: slices.Concat(t.known.Orders, t.kept)}
+	result := ryeford.Evacuations{Revision: t.lastRead.Revision, Orders: slices.Concat(t.lastRead.Orders, t.kept)}
 	slices.SortFunc(result.Orders, func(a, b ryeford.Evacuation) int { return cmp.Compare(a.FailureDomain, b.FailureDomain) })
 	return result
 }
@@ -79,5 +79,5 @@
 func (t *Table) Known() ryeford.Evacuations {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.known
+	return t.lastRead
 }
--- a/gateway/evacuation/table_test.go
+++ b/gateway/evacuation/table_test.go
@@ -12,14 +12,14 @@
 // start is when the tests begin.
 var start = time.Unix(1000, 0)
 
-// at returns evacuations of some failure domains, ordered at revisions, as read at another one.
-func at(revision ryeford.Revision, orders ...ryeford.Evacuation) ryeford.Evacuations {
+// readAt returns evacuations of some failure domains, ordered readAt revisions, as read readAt another one.
+func readAt(revision ryeford.Revision, orders ...ryeford.Evacuation) ryeford.Evacuations {
 	return ryeford.Evacuations{Revision: revision, Orders: orders}
 }
 
-// TestLearn checks that what was read at the newest revision counts, in whatever order word of it
+// TestMerge checks that what was read at the newest revision counts, in whatever order word of it
 // comes, and that an order which was withdrawn and given again is another one.
-func TestLearn(t *testing.T) {
+func TestMerge(t *testing.T) {
 	a4, a9, b7 := ryeford.Evacuation{FailureDomain: "a", State: 4}, ryeford.Evacuation{FailureDomain: "a", State: 9}, ryeford.Evacuation{FailureDomain: "b", State: 7}
 	var table Table
 	for _, test := range []struct {
@@ -28,15 +28,15 @@
 		changed bool
 		known   ryeford.Evacuations
 	}{
-		{"none", at(3), false, at(3)},
-		{"an order", at(5, a4), true, at(5, a4)},
-		{"the same later", at(6, a4), false, at(6, a4)},
-		{"late word of none", at(3), false, at(6, a4)},
-		{"another domain", at(8, a4, b7), true, at(8, a4, b7)},
-		{"withdrawn and given again", at(10, a9, b7), true, at(10, a9, b7)},
-		{"late word of the first order", at(9, a4, b7), false, at(10, a9, b7)},
-		{"nothing read", at(0), false, at(10, a9, b7)},
-		{"withdrawn", at(11, b7), true, at(11, b7)},
+		{"none", readAt(3), false, readAt(3)},
+		{"an order", readAt(5, a4), true, readAt(5, a4)},
+		{"the same later", readAt(6, a4), false, readAt(6, a4)},
+		{"late word of none", readAt(3), false, readAt(6, a4)},
+		{"another domain", readAt(8, a4, b7), true, readAt(8, a4, b7)},
+		{"withdrawn and given again", readAt(10, a9, b7), true, readAt(10, a9, b7)},
+		{"late word of the first order", readAt(9, a4, b7), false, readAt(10, a9, b7)},
+		{"nothing read", readAt(0), false, readAt(10, a9, b7)},
+		{"withdrawn", readAt(11, b7), true, readAt(11, b7)},
 	} {
 		inForce, changed := table.Learn(start, test.read)
 		assert.Equal(t, changed, test.changed, test.name)
@@ -45,10 +45,10 @@
 	}
 }
 
-// TestLearnRestored checks what is in force after the source is back from a copy: an order that the copy
+// TestMergeRestored checks what is in force after the source is back from a copy: an order that the copy
 // lacks for a time, or until it was read again and is withdrawn; one that only the copy has; and that
 // peers are sent what was read.
-func TestLearnRestored(t *testing.T) {
+func TestMergeRestored(t *testing.T) {
 	era2 := func(number int64) ryeford.Revision {
 		revision, err := ryeford.NewRevision(2, number)
 		assert.NilError(t, err)
@@ -63,14 +63,14 @@
 		read    ryeford.Evacuations
 		inForce string
 	}{
-		{"before the restore", 0, at(9, a, b), "ab"},
-		{"the copy", 0, at(era2(3), c), "abc"},
-		{"late word of the era before", time.Second, at(10, a), "abc"},
-		{"written again", time.Second, at(era2(4), again, c), "abc"},
-		{"and withdrawn", 2 * time.Second, at(era2(5), c), "bc"},
-		{"nothing new", keepTime - 1, at(era2(5), c), "bc"},
-		{"not written again in time", keepTime, at(era2(5), c), "c"},
-		{"later", 2 * keepTime, at(era2(6), c), "c"},
+		{"before the restore", 0, readAt(9, a, b), "ab"},
+		{"the copy", 0, readAt(era2(3), c), "abc"},
+		{"late word of the era before", time.Second, readAt(10, a), "abc"},
+		{"written again", time.Second, readAt(era2(4), again, c), "abc"},
+		{"and withdrawn", 2 * time.Second, readAt(era2(5), c), "bc"},
+		{"nothing new", keepDuration - 1, readAt(era2(5), c), "bc"},
+		{"not written again in time", keepDuration, readAt(era2(5), c), "c"},
+		{"later", 2 * keepDuration, readAt(era2(6), c), "c"},
 	} {
 		inForce, _ := table.Learn(start.Add(test.after), test.read)
 		domains := ""
