--- a/gateway/evacuation/table.go
+++ b/gateway/evacuation/table.go
@@ -1,16 +1,15 @@
-// Package evacuation keeps which failure domains the operators have evacuated.
+// Package evacuation holds the failure domains that the operators have evacuated.
 //
-// Rule: what was read at the newest revision of the operators' source counts, whoever has read it.
-// A router that relies on its configuration up to a moment knows the evacuations as of that
-// moment: whatever confirms the one brings the other.
+// Rule: the evacuations with the newest revision of the operators' source apply, whichever router has read
+// them. A router with a valid configuration has the evacuations of the same time: each confirmation of the
+// configuration includes them.
 //
-// Why: routers read the source in turns and live on their peers' word meanwhile. Revisions order
-// what they say, however late it comes and through however many it has passed; an order that was
-// withdrawn and given again has another revision. The set is small, so that each message can hold
-// it whole, and there are no gaps to fill.
+// Why: routers read the source in time slots and rely on peers in between. Revisions order the updates, however
+// late they arrive and however many routers they pass; an order that was withdrawn and issued again has
+// another revision. The set is small enough for each message to contain all of it.
 //
-// A source that is back from a copy may lack an order that was in force: it stays in force until the
-// operators have had keepTime to write it again, or has been read again.
+// A source that was restored from a backup may lack an order that was in force. The order stays in force
+// until it has been read again, or until keepDuration has passed, in which the operators can issue it again.
 //
 // The package does no I/O.
 package evacuation
@@ -24,21 +23,21 @@
 	"github.com/ryeford/ryeford"
 )
 
-// keepDuration is how long after a restore of the source an order stays in force that it lacks: for the
-// operators to write it again, which they do at once, and for reading that.
+// keepDuration is how long after a restore of the source an order that it lacks stays in force. It covers the
+// time for the operators to issue the order again and for the router to read it.
 const keepDuration = 5 * time.Second
 
-// A Table holds the evacuations that are known. It is safe for concurrent use.
+// A Table holds the evacuations. It is safe for concurrent use.
 type Table struct {
 	mu       sync.Mutex
-	lastRead ryeford.Evacuations // as they were read; of revision zero: none were yet
-	// kept are orders that a restored source has not been seen to have, until keptUntil.
+	lastRead ryeford.Evacuations // as last read; revision zero if never read
+	// kept holds orders from before a restore that were not read again yet. They are in force until keptUntil.
 	kept      []ryeford.Evacuation
 	keptUntil time.Time
 }
 
-// Learn takes evacuations that were read at their revision. It returns those that are in force now,
-// and whether that has changed.
+// Learn applies evacuations that were read from the source by this router or a peer. It returns the evacuations
+// that are in force now, and whether they have changed.
 func (t *Table) Learn(now time.Time, read ryeford.Evacuations) (inForce ryeford.Evacuations, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,7 +47,7 @@
 			t.kept, t.keptUntil = before.Orders, now.Add(keepDuration)
 		}
 		t.lastRead = read
-		t.kept = without(t.kept, &read) // the source has them: it also says when they end
+		t.kept = without(t.kept, &read) // the restored source has these orders, and determines their end
 	}
 	if !now.Before(t.keptUntil) {
 		t.kept = nil
@@ -57,14 +56,14 @@
 	return inForce, !slices.Equal(inForce.Orders, before.Orders)
 }
 
-// inForce returns what is known and what is kept. t.mu is held.
+// inForce returns the orders as last read and the kept ones. t.mu is held.
 func (t *Table) inForce() ryeford.Evacuations {
 	result := ryeford.Evacuations{Revision: t.lastRead.Revision, Orders: slices.Concat(t.lastRead.Orders, t.kept)}
 	slices.SortFunc(result.Orders, func(a, b ryeford.Evacuation) int { return cmp.Compare(a.FailureDomain, b.FailureDomain) })
 	return result
 }
 
-// without returns the orders for other failure domains than those of evacuations.
+// without returns the orders for failure domains that are not in evacuations.
 func without(orders []ryeford.Evacuation, evacuations *ryeford.Evacuations) []ryeford.Evacuation {
 	var others []ryeford.Evacuation
 	for _, order := range orders {
@@ -75,7 +74,7 @@
 	return others
 }
 
-// Known returns the evacuations as they were read at their revision.
+// Known returns the evacuations as last read, without kept orders.
 func (t *Table) Known() ryeford.Evacuations {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/gateway/evacuation/table_test.go
+++ b/gateway/evacuation/table_test.go
@@ -9,16 +9,15 @@
 	"github.com/ryeford/ryeford"
 )
 
-// start is when the tests begin.
 var start = time.Unix(1000, 0)
 
-// readAt returns evacuations of some failure domains, ordered readAt revisions, as read readAt another one.
+// readAt returns orders as read at a revision.
 func readAt(revision ryeford.Revision, orders ...ryeford.Evacuation) ryeford.Evacuations {
 	return ryeford.Evacuations{Revision: revision, Orders: orders}
 }
 
-// TestMerge checks that what was read at the newest revision counts, in whatever order word of it
-// comes, and that an order which was withdrawn and given again is another one.
+// TestMerge checks that the evacuations with the newest revision apply, in whatever order updates arrive, and that
+// an order that was withdrawn and issued again counts as a change.
 func TestMerge(t *testing.T) {
 	a4, a9, b7 := ryeford.Evacuation{FailureDomain: "a", State: 4}, ryeford.Evacuation{FailureDomain: "a", State: 9}, ryeford.Evacuation{FailureDomain: "b", State: 7}
 	var table Table
@@ -45,9 +44,8 @@
 	}
 }
 
-// TestMergeRestored checks what is in force after the source is back from a copy: an order that the copy
-// lacks for a time, or until it was read again and is withdrawn; one that only the copy has; and that
-// peers are sent what was read.
+// TestMergeRestored checks that after a restore of the source an order that the backup lacks stays in force for
+// keepDuration or until it was read again, and that peers are sent the evacuations as read.
 func TestMergeRestored(t *testing.T) {
 	era2 := func(number int64) ryeford.Revision {
 		revision, err := ryeford.NewRevision(2, number)
