--- a/gateway/evacuation/table_test.go
+++ b/gateway/evacuation/table_test.go
@@ -29,12 +29,12 @@
 	}{
 		{"none", readAt(3), false, readAt(3)},
 		{"an order", readAt(5, a4), true, readAt(5, a4)},
-		{"the same later", readAt(6, a4), false, readAt(6, a4)},
-		{"late word of none", readAt(3), false, readAt(6, a4)},
+		{"the same order at a later revision", readAt(6, a4), false, readAt(6, a4)},
+		{"delayed update without orders", readAt(3), false, readAt(6, a4)},
 		{"another domain", readAt(8, a4, b7), true, readAt(8, a4, b7)},
-		{"withdrawn and given again", readAt(10, a9, b7), true, readAt(10, a9, b7)},
-		{"late word of the first order", readAt(9, a4, b7), false, readAt(10, a9, b7)},
-		{"nothing read", readAt(0), false, readAt(10, a9, b7)},
+		{"withdrawn and issued again", readAt(10, a9, b7), true, readAt(10, a9, b7)},
+		{"delayed update with the first order", readAt(9, a4, b7), false, readAt(10, a9, b7)},
+		{"never read", readAt(0), false, readAt(10, a9, b7)},
 		{"withdrawn", readAt(11, b7), true, readAt(11, b7)},
 	} {
 		inForce, changed := table.Learn(start, test.read)
@@ -62,12 +62,12 @@
 		inForce string
 	}{
 		{"before the restore", 0, readAt(9, a, b), "ab"},
-		{"the copy", 0, readAt(era2(3), c), "abc"},
-		{"late word of the era before", time.Second, readAt(10, a), "abc"},
-		{"written again", time.Second, readAt(era2(4), again, c), "abc"},
+		{"the backup", 0, readAt(era2(3), c), "abc"},
+		{"delayed update of the earlier era", time.Second, readAt(10, a), "abc"},
+		{"issued again", time.Second, readAt(era2(4), again, c), "abc"},
 		{"and withdrawn", 2 * time.Second, readAt(era2(5), c), "bc"},
 		{"nothing new", keepDuration - 1, readAt(era2(5), c), "bc"},
-		{"not written again in time", keepDuration, readAt(era2(5), c), "c"},
+		{"not issued again in time", keepDuration, readAt(era2(5), c), "c"},
 		{"later", 2 * keepDuration, readAt(era2(6), c), "c"},
 	} {
 		inForce, _ := table.Learn(start.Add(test.after), test.read)
