--- a/gateway/catalog/catalog_test.go
+++ b/gateway/catalog/catalog_test.go
@@ -96,11 +96,11 @@
 			last := int64(0)
 			for version := int64(start); version < 1000; version += 7 {
 				current.Put(New(&ryeford.Configuration{Version: version}))
-				now := current.Get().Version()
-				if now < last || now < version {
-					t.Errorf("version %d in force after %d, %d put", now, last, version)
+				inForce := current.Get().Version()
+				if inForce < last || inForce < version {
+					t.Errorf("version %d in force after %d, %d put", inForce, last, version)
 				}
-				last = now
+				last = inForce
 			}
 		})
 	}
--- a/gateway/catalog/current.go
+++ b/gateway/catalog/current.go
@@ -15,11 +15,11 @@
 // version is in force.
 func (c *Current) Put(next *Catalog) bool {
 	for {
-		now := c.catalog.Load()
-		if now != nil && next.Version() <= now.Version() {
+		current := c.catalog.Load()
+		if current != nil && next.Version() <= current.Version() {
 			return false
 		}
-		if c.catalog.CompareAndSwap(now, next) {
+		if c.catalog.CompareAndSwap(current, next) {
 			return true
 		}
 	}
