--- a/gateway/catalog/catalog.go
+++ b/gateway/catalog/catalog.go
@@ -1,8 +1,8 @@
-// Package catalog looks up, in the operators' configuration, the route of a request
-// and the client account of a key.
+// Package catalog looks up the route of a request and the client account of a key in the operators'
+// configuration.
 //
-// It owns the configuration in force and relies on its callers to change none that
-// they have handed over. It does no I/O.
+// It holds the configuration in force. Callers must not change a configuration that they have passed in. The
+// package does no I/O.
 package catalog
 
 import (
@@ -14,17 +14,15 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Catalog is an index of one configuration. It never changes, and may be used by
-// several goroutines at once.
+// A Catalog is an immutable index of one configuration. It is safe for concurrent use.
 type Catalog struct {
 	configuration *ryeford.Configuration
 	hosts         map[string]*hostRoutes
 	accounts      map[string]*ryeford.AccountRule // by key
 	services      map[string]*ryeford.ServiceRule
-	priorities    []ryeford.Priority // the highest first
+	priorities    []ryeford.Priority // in descending order
 }
 
-// hostRoutes are the routes of one host.
 type hostRoutes struct {
 	byPrefix map[string]*ryeford.RouteRule
 	longest  int // length of the longest prefix, in bytes
@@ -58,7 +56,7 @@
 // Configuration returns the configuration, which must not be changed.
 func (c *Catalog) Configuration() *ryeford.Configuration { return c.configuration }
 
-// prioritiesOf returns the priorities that requests may have, the highest first.
+// prioritiesOf returns the distinct priorities of routes and accounts in descending order.
 func prioritiesOf(configuration *ryeford.Configuration) []ryeford.Priority {
 	found := make(map[ryeford.Priority]bool)
 	for i := range configuration.Routes {
@@ -72,27 +70,26 @@
 	return slices.SortedFunc(maps.Keys(found), func(a, b ryeford.Priority) int { return cmp.Compare(b, a) })
 }
 
-// Priorities returns the priorities that requests may have, the highest first. The
-// caller must not change them.
+// Priorities returns the priorities that requests may have, in descending order. The caller must not change them.
 func (c *Catalog) Priorities() []ryeford.Priority { return c.priorities }
 
 // Version returns the configuration's version.
 func (c *Catalog) Version() int64 { return c.configuration.Version }
 
-// Limits returns the bounds on what callers send.
+// Limits returns the limits on callers' requests.
 func (c *Catalog) Limits() *ryeford.RequestLimits { return &c.configuration.Limits }
 
-// Keyed reports whether requests carry keys. With no accounts at all they need none;
-// with an empty list of them no key is valid.
+// Keyed reports whether requests need keys. They don't if the configuration has no list of accounts. If the
+// list is empty, no key is valid.
 func (c *Catalog) Keyed() bool { return c.configuration.Accounts != nil }
 
 // Account returns the client account that a key belongs to, or nil.
 func (c *Catalog) Account(key string) *ryeford.AccountRule { return c.accounts[key] }
 
-// noService stands for a service of which the operators say nothing.
+// noService is the rule of services without a configured rule.
 var noService ryeford.ServiceRule
 
-// Service returns what the operators say of a service. The caller must not change it.
+// Service returns the rule of a service, which the caller must not change. It is empty if none is configured.
 func (c *Catalog) Service(name string) *ryeford.ServiceRule {
 	if rule := c.services[name]; rule != nil {
 		return rule
@@ -100,8 +97,7 @@
 	return &noService
 }
 
-// Route returns the route of a request: of its host's routes the one with the
-// longest prefix of the path, or nil.
+// Route returns the route of a request, or nil: the route of the host with the longest matching path prefix.
 func (c *Catalog) Route(host, path string) *ryeford.RouteRule {
 	routes := c.hosts[normalizeHost(host)]
 	if routes == nil {
@@ -110,7 +106,7 @@
 	return routes.find(path)
 }
 
-// host returns the routes of a host, empty ones if it has none yet.
+// host returns the routes of a host, and creates them if needed.
 func (c *Catalog) host(name string) *hostRoutes {
 	name = normalizeHost(name)
 	routes := c.hosts[name]
@@ -121,15 +117,14 @@
 	return routes
 }
 
-// add adds a route, in place of an earlier one with the same prefix.
+// add adds a route. It replaces an earlier one with the same prefix.
 func (r *hostRoutes) add(rule *ryeford.RouteRule) {
 	r.byPrefix[rule.Prefix] = rule
 	r.longest = max(r.longest, len(rule.Prefix))
 }
 
-// find returns the route with the longest prefix of a path, or nil. It looks at no more of
-// the path than the longest prefix takes: callers choose the path's length, and each slash
-// in it would cost a look-up of all that stands before.
+// find returns the route with the longest matching prefix of a path, or nil. It searches only as much of the path
+// as the longest prefix could match. Callers choose the path, and each slash in it costs a lookup.
 func (r *hostRoutes) find(path string) *ryeford.RouteRule {
 	path = path[:min(r.longest, len(path))]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
--- a/gateway/catalog/catalog_bench_test.go
+++ b/gateway/catalog/catalog_bench_test.go
@@ -8,10 +8,10 @@
 	"github.com/ryeford/ryeford"
 )
 
-// benchSizes are the numbers of routes that are measured.
+// benchSizes are the numbers of routes.
 var benchSizes = []int{100, 1000, 3000, 10000}
 
-// benchConfiguration returns a configuration of so many routes, 40 to a host.
+// benchConfiguration returns a configuration with 40 routes for each host.
 func benchConfiguration(routes int) *ryeford.Configuration {
 	c := &ryeford.Configuration{}
 	for i := range routes {
@@ -22,7 +22,7 @@
 	return c
 }
 
-// BenchmarkNew measures the building of a catalog.
+// BenchmarkNew measures building a catalog.
 func BenchmarkNew(b *testing.B) {
 	for _, routes := range benchSizes {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// BenchmarkRoute measures the look-up of a route, among many routes and for long paths.
+// BenchmarkRoute measures looking up a route, among many routes and for long paths.
 func BenchmarkRoute(b *testing.B) {
 	for _, routes := range benchSizes {
 		c := New(benchConfiguration(routes))
--- a/gateway/catalog/catalog_test.go
+++ b/gateway/catalog/catalog_test.go
@@ -11,8 +11,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestRoute checks that the longest prefix wins, and that a host's port and case
-// do not matter.
+// TestRoute checks that the longest prefix wins, and that a host's port and case are ignored.
 func TestRoute(t *testing.T) {
 	c := New(&ryeford.Configuration{Routes: []ryeford.RouteRule{
 		{Name: "all", Host: "a.example", Prefix: "/"},
@@ -39,8 +38,7 @@
 	}
 }
 
-// TestPriorities checks that the priorities of routes and client accounts are listed
-// once each, the highest first.
+// TestPriorities checks that the priorities of routes and client accounts are distinct and in descending order.
 func TestPriorities(t *testing.T) {
 	priority := ryeford.Priority(8)
 	c := New(&ryeford.Configuration{
@@ -50,7 +48,7 @@
 	assert.DeepEqual(t, c.Priorities(), []ryeford.Priority{9, 8, 5})
 }
 
-// TestRouteLongest checks the choice of a route against the plain definition.
+// TestRouteLongest compares the choice of a route with a linear search.
 func TestRouteLongest(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a", "b", "c"})
 	rapid.Check(t, func(t *rapid.T) {
@@ -74,8 +72,7 @@
 	})
 }
 
-// TestAccounts checks that without accounts no keys are needed, and that with an empty
-// list of them keys are.
+// TestAccounts checks that keys are needed with a list of accounts, even an empty one, and not without it.
 func TestAccounts(t *testing.T) {
 	open := New(&ryeford.Configuration{})
 	assert.Assert(t, !open.Keyed())
@@ -86,8 +83,7 @@
 	assert.Assert(t, New(&ryeford.Configuration{Accounts: []ryeford.AccountRule{}}).Keyed())
 }
 
-// TestCurrentNeverReverts checks that no older version comes into force, though many
-// goroutines put versions in force at once.
+// TestCurrentNeverReverts checks that no older version comes into force when many goroutines put versions at once.
 func TestCurrentNeverReverts(t *testing.T) {
 	var current Current
 	var group sync.WaitGroup
