--- a/gateway/prefixcache/index.go
+++ b/gateway/prefixcache/index.go
@@ -36,8 +36,8 @@
 }
 
 type holder struct {
-	id ryeford.EndpointID
-	at time.Time // when it was last sent the part
+	id     ryeford.EndpointID
+	sentAt time.Time // when it was last sent the part
 }
 
 // New returns an empty Index.
@@ -55,14 +55,14 @@
 // add puts an endpoint first among a part's holders; the last one makes room.
 func (x *Index) add(now time.Time, id ryeford.EndpointID, part uint64) {
 	if _, known := x.parts[part]; !known && len(x.parts) >= maxParts {
-		x.makeRoom(now)
+		x.evict(now)
 	}
-	list := slices.Insert(without(x.parts[part], id), 0, holder{id: id, at: now})
+	list := slices.Insert(without(x.parts[part], id), 0, holder{id: id, sentAt: now})
 	x.parts[part] = list[:min(len(list), maxHolders)]
 }
 
-// makeRoom drops the parts whose holders have all expired, or else any one part.
-func (x *Index) makeRoom(now time.Time) {
+// evict drops the parts whose holders have all expired, or else any one part.
+func (x *Index) evict(now time.Time) {
 	before := len(x.parts)
 	maps.DeleteFunc(x.parts, func(_ uint64, list []holder) bool { return !list[0].holds(now) })
 	if len(x.parts) < before {
@@ -80,7 +80,7 @@
 }
 
 // holds reports whether an endpoint is still believed to hold what it was sent.
-func (h holder) holds(now time.Time) bool { return now.Sub(h.at) <= holderTTL }
+func (h holder) holds(now time.Time) bool { return now.Sub(h.sentAt) <= holderTTL }
 
 // Longest returns the endpoint that is likely to hold the longest beginning of a
 // prompt, and of how many parts: the latest one for which allowed returns true. It
--- a/gateway/prefixcache/index_test.go
+++ b/gateway/prefixcache/index_test.go
@@ -22,19 +22,19 @@
 
 // longest returns who holds the longest beginning of a prompt, some endpoints apart, and
 // of how many parts that is.
-func longest(m *Index, now time.Time, prompt []ryeford.PromptPart, without ...ryeford.EndpointID) (ryeford.EndpointID, int) {
-	return m.Longest(now, prompt, func(id ryeford.EndpointID) bool { return !slices.Contains(without, id) })
+func longest(index *Index, now time.Time, prompt []ryeford.PromptPart, without ...ryeford.EndpointID) (ryeford.EndpointID, int) {
+	return index.Longest(now, prompt, func(id ryeford.EndpointID) bool { return !slices.Contains(without, id) })
 }
 
-// TestBest checks that the holder of the longest beginning of a prompt is found, and of
+// TestLongest checks that the holder of the longest beginning of a prompt is found, and of
 // several holders the latest.
-func TestBest(t *testing.T) {
-	m := New()
-	id, depth := longest(m, start, parts(1, 2))
+func TestLongest(t *testing.T) {
+	index := New()
+	id, depth := longest(index, start, parts(1, 2))
 	assert.Equal(t, id, ryeford.EndpointID(""))
 	assert.Equal(t, depth, 0)
-	m.Add(start, "a", parts(1, 2))
-	m.Add(start, "b", parts(1, 3))
+	index.Add(start, "a", parts(1, 2))
+	index.Add(start, "b", parts(1, 3))
 	for _, test := range []struct {
 		prompt  []ryeford.PromptPart
 		without ryeford.EndpointID
@@ -47,45 +47,45 @@
 		{parts(1, 2), "a", "b", 1},
 		{parts(5, 6), "", "", 0},
 	} {
-		id, depth := longest(m, start, test.prompt, test.without)
+		id, depth := longest(index, start, test.prompt, test.without)
 		assert.Equal(t, id, test.id)
 		assert.Equal(t, depth, test.depth)
 	}
 }
 
-// TestForgetting checks that entries are dropped after their TTL, with their endpoint,
+// TestEviction checks that entries are dropped after their TTL, with their endpoint,
 // and beyond the limits.
-func TestForgetting(t *testing.T) {
-	m := New()
-	m.Add(start, "a", parts(1))
-	_, depth := longest(m, start.Add(holderTTL+1), parts(1))
+func TestEviction(t *testing.T) {
+	index := New()
+	index.Add(start, "a", parts(1))
+	_, depth := longest(index, start.Add(holderTTL+1), parts(1))
 	assert.Equal(t, depth, 0)
 	later := []ryeford.EndpointID{"b", "c", "d", "e"}
 	assert.Equal(t, len(later), maxHolders)
 	for _, id := range later {
-		m.Add(start, id, parts(1)) // the last one pushes out a, the oldest
+		index.Add(start, id, parts(1)) // the last one pushes out a, the oldest
 	}
-	id, _ := longest(m, start, parts(1), later...)
+	id, _ := longest(index, start, parts(1), later...)
 	assert.Equal(t, id, ryeford.EndpointID(""))
-	m.Forget("e")
-	id, _ = longest(m, start, parts(1))
+	index.Forget("e")
+	id, _ = longest(index, start, parts(1))
 	assert.Equal(t, id, ryeford.EndpointID("d"))
 	for i := range uint64(maxParts + 100) {
-		m.Add(start, "d", parts(i))
+		index.Add(start, "d", parts(i))
 	}
-	assert.Assert(t, len(m.parts) <= maxParts)
+	assert.Assert(t, len(index.parts) <= maxParts)
 }
 
-// TestHeld checks how many tokens an endpoint holds: those of the longest beginning of
+// TestHeldTokens checks how many tokens an endpoint holds: those of the longest beginning of
 // the prompt that it was sent.
-func TestHeld(t *testing.T) {
-	m := New()
+func TestHeldTokens(t *testing.T) {
+	index := New()
 	prompt := []ryeford.PromptPart{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 20}}
-	m.Add(start, "a", prompt[:1])
-	m.Add(start, "b", prompt)
-	held := m.HeldTokens(start, prompt)
+	index.Add(start, "a", prompt[:1])
+	index.Add(start, "b", prompt)
+	held := index.HeldTokens(start, prompt)
 	assert.Equal(t, held["a"], 100)
 	assert.Equal(t, held["b"], 120)
 	assert.Equal(t, held["c"], 0)
-	assert.Equal(t, len(m.HeldTokens(start.Add(holderTTL+1), prompt)), 0, "forgotten")
+	assert.Equal(t, len(index.HeldTokens(start.Add(holderTTL+1), prompt)), 0, "forgotten")
 }
