--- a/gateway/prefixcache/index.go
+++ b/gateway/prefixcache/index.go
@@ -1,11 +1,9 @@
-// Package prefixcache is an index of which endpoints are likely to have which
-// parts of prompts in their prefix caches: an endpoint that was sent a part has
-// read it, and keeps it unless it needs the memory.
+// Package prefixcache estimates which endpoints have which parts of prompts in their prefix caches: an endpoint
+// that was sent a part has cached it, and keeps it until it needs the memory.
 //
-// It owns what this router and its peers have sent where. It relies on the caller
-// to forget endpoints that are gone, and never learns what an endpoint evicts: what
-// it returns is a belief, and a wrong one costs a fetch that finds nothing. It does
-// no I/O.
+// The index contains what this router and its peers have sent to which endpoint. The caller removes endpoints
+// that are gone. The index is not notified of evictions, so its results are estimates. A wrong one costs a fetch
+// that finds nothing. The package does no I/O.
 package prefixcache
 
 import (
@@ -17,22 +15,20 @@
 	"github.com/ryeford/ryeford"
 )
 
-// The limits of the gateway's index.
 const (
-	// maxParts is how many parts of prompts are indexed. It bounds memory.
+	// maxParts is the maximum number of indexed parts. It bounds memory.
 	maxParts = 4096
-	// maxHolders is how many endpoints are kept for each part, the latest first.
+	// maxHolders is the maximum number of endpoints for each part. The most recent ones are kept.
 	maxHolders = 4
-	// holderTTL is the time after which an endpoint is no longer believed to hold
-	// what it was sent.
+	// holderTTL is how long an endpoint is assumed to hold a part after it was sent.
 	holderTTL = time.Minute
 )
 
-// An Index maps each part of a prompt to the endpoints that are likely to have it
-// cached. A part's ID stands for the part with all that precedes it.
+// An Index maps each part of a prompt to the endpoints that are likely to have it cached. The ID of a part
+// identifies the part together with all parts before it. An Index is safe for concurrent use.
 type Index struct {
 	mu    sync.Mutex
-	parts map[uint64][]holder // the latest first
+	parts map[uint64][]holder // the most recent first
 }
 
 type holder struct {
@@ -43,7 +39,7 @@
 // New returns an empty Index.
 func New() *Index { return &Index{parts: make(map[uint64][]holder)} }
 
-// Add notes that an endpoint has read the parts.
+// Add records that an endpoint was sent the parts.
 func (x *Index) Add(now time.Time, id ryeford.EndpointID, parts []ryeford.PromptPart) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -52,7 +48,7 @@
 	}
 }
 
-// add puts an endpoint first among a part's holders; the last one makes room.
+// add makes an endpoint the first holder of a part, and drops the last one if there are too many.
 func (x *Index) add(now time.Time, id ryeford.EndpointID, part uint64) {
 	if _, known := x.parts[part]; !known && len(x.parts) >= maxParts {
 		x.evict(now)
@@ -61,7 +57,7 @@
 	x.parts[part] = list[:min(len(list), maxHolders)]
 }
 
-// evict drops the parts whose holders have all expired, or else any one part.
+// evict removes all parts whose holders have expired, or an arbitrary part if there are none.
 func (x *Index) evict(now time.Time) {
 	before := len(x.parts)
 	maps.DeleteFunc(x.parts, func(_ uint64, list []holder) bool { return !list[0].holds(now) })
@@ -79,12 +75,12 @@
 	return slices.DeleteFunc(list, func(h holder) bool { return h.id == id })
 }
 
-// holds reports whether an endpoint is still believed to hold what it was sent.
+// holds reports whether the endpoint is still assumed to hold the part.
 func (h holder) holds(now time.Time) bool { return now.Sub(h.sentAt) <= holderTTL }
 
-// Longest returns the endpoint that is likely to hold the longest beginning of a
-// prompt, and of how many parts: the latest one for which allowed returns true. It
-// returns "" and 0 if there is none. allowed must not call the Index.
+// Longest returns the endpoint that is likely to hold the longest prefix of a prompt, and the number of parts of
+// that prefix. Among several holders it returns the most recent one. It considers only endpoints for which
+// allowed returns true, and returns "" and 0 if there is none. allowed must not call the Index.
 func (x *Index) Longest(now time.Time, parts []ryeford.PromptPart, allowed func(ryeford.EndpointID) bool) (ryeford.EndpointID, int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -98,8 +94,8 @@
 	return "", 0
 }
 
-// HeldTokens returns, for each endpoint that is likely to hold any beginning of a
-// prompt, how many tokens the longest one has.
+// HeldTokens returns the endpoints that are likely to hold a prefix of a prompt, with the number of tokens of the
+// longest one.
 func (x *Index) HeldTokens(now time.Time, parts []ryeford.PromptPart) map[ryeford.EndpointID]int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -116,7 +112,7 @@
 	return held
 }
 
-// Forget drops an endpoint that is gone.
+// Forget removes an endpoint that is gone.
 func (x *Index) Forget(id ryeford.EndpointID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/gateway/prefixcache/index_test.go
+++ b/gateway/prefixcache/index_test.go
@@ -20,14 +20,12 @@
 	return result
 }
 
-// longest returns who holds the longest beginning of a prompt, some endpoints apart, and
-// of how many parts that is.
+// longest calls Longest without some endpoints.
 func longest(index *Index, now time.Time, prompt []ryeford.PromptPart, without ...ryeford.EndpointID) (ryeford.EndpointID, int) {
 	return index.Longest(now, prompt, func(id ryeford.EndpointID) bool { return !slices.Contains(without, id) })
 }
 
-// TestLongest checks that the holder of the longest beginning of a prompt is found, and of
-// several holders the latest.
+// TestLongest checks that the most recent holder of the longest prefix of a prompt is found.
 func TestLongest(t *testing.T) {
 	index := New()
 	id, depth := longest(index, start, parts(1, 2))
@@ -53,8 +51,7 @@
 	}
 }
 
-// TestEviction checks that entries are dropped after their TTL, with their endpoint,
-// and beyond the limits.
+// TestEviction checks that entries are removed after their TTL, with their endpoint, and beyond the limits.
 func TestEviction(t *testing.T) {
 	index := New()
 	index.Add(start, "a", parts(1))
@@ -63,7 +60,7 @@
 	later := []ryeford.EndpointID{"b", "c", "d", "e"}
 	assert.Equal(t, len(later), maxHolders)
 	for _, id := range later {
-		index.Add(start, id, parts(1)) // the last one pushes out a, the oldest
+		index.Add(start, id, parts(1)) // the last one evicts a, the oldest
 	}
 	id, _ := longest(index, start, parts(1), later...)
 	assert.Equal(t, id, ryeford.EndpointID(""))
@@ -76,8 +73,7 @@
 	assert.Assert(t, len(index.parts) <= maxParts)
 }
 
-// TestHeldTokens checks how many tokens an endpoint holds: those of the longest beginning of
-// the prompt that it was sent.
+// TestHeldTokens checks that the tokens of the longest prefix are returned for each endpoint.
 func TestHeldTokens(t *testing.T) {
 	index := New()
 	prompt := []ryeford.PromptPart{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 20}}
