--- a/gateway/prefixcache/index_test.go
+++ b/gateway/prefixcache/index_test.go
@@ -83,5 +83,5 @@
 	assert.Equal(t, held["a"], 100)
 	assert.Equal(t, held["b"], 120)
 	assert.Equal(t, held["c"], 0)
-	assert.Equal(t, len(index.HeldTokens(start.Add(holderTTL+1), prompt)), 0, "forgotten")
+	assert.Equal(t, len(index.HeldTokens(start.Add(holderTTL+1), prompt)), 0, "holders have expired")
 }
