--- a/gateway/watch/next.go
+++ b/gateway/watch/next.go
@@ -21,19 +21,19 @@
 //	             in a row, and with no wait until the source answers:
 //	             that it is back is to be noticed at once
 
-// A verdict says what an answer of a source is good for.
-type verdict int
+// A outcome says what an answer of a source is good for.
+type outcome int
 
 const (
-	current     verdict = iota // as new as what is known, or newer
+	current     outcome = iota // as new as what is known, or newer
 	stale                      // older than what is known
 	historyLost                // the source no longer has the changes since a revision
 	failed                     // the source did not answer
 )
 
-// judge returns the verdict on an answer: its revision, or its error, given the
+// classify returns the verdict on an answer: its revision, or its error, given the
 // newest revision that is known. The returned revision is the one to go on from.
-func judge(known, answered ryeford.Revision, err error) (verdict, ryeford.Revision) {
+func classify(known, answered ryeford.Revision, err error) (outcome, ryeford.Revision) {
 	var lost *ryeford.HistoryLostError
 	switch {
 	case errors.As(err, &lost):
@@ -48,42 +48,42 @@
 
 // A poll is one read of a source: of the whole, or of what has changed.
 type poll struct {
-	whole    bool             // read the whole; else, ask for changes since revision
-	lost     bool             // the source no longer has the changes since what is known
-	revision ryeford.Revision // the newest that is known
-	failures int              // in a row, before this poll
-	// hold is how long the source may wait for a change before it answers, unless it failed
+	full        bool             // read the whole; else, ask for changes since revision
+	historyLost bool             // the source no longer has the changes since what is known
+	revision    ryeford.Revision // the newest that is known
+	failures    int              // in a row, before this poll
+	// maxWait is how long the source may wait for a change before it answers, unless it failed
 	// before.
-	hold time.Duration
+	maxWait time.Duration
 }
 
 // wait returns how long the source may wait for a change before it answers.
 func (p poll) wait() time.Duration {
-	if p.failures > 0 || p.whole {
+	if p.failures > 0 || p.full {
 		return 0
 	}
-	return p.hold
+	return p.maxWait
 }
 
-// awaySince returns since when the source may have been away if p failed.
+// downSince returns since when the source may have been away if p failed.
 //
 // A source that ends a poll before its wait is over was there until then; one that
 // lets it time out may have been away ever since the poll was sent.
-func (p poll) awaySince(sent, failed time.Time) time.Time {
+func (p poll) downSince(sent, failed time.Time) time.Time {
 	if failed.Sub(sent) < p.wait() {
 		return failed
 	}
 	return sent
 }
 
-// after returns the poll that follows p and the verdict on its answer.
-func (p poll) after(v verdict, revision ryeford.Revision) poll {
-	next := poll{whole: p.whole, lost: p.lost, revision: revision}
-	switch v {
+// advance returns the poll that follows p and the verdict on its answer.
+func (p poll) advance(result outcome, revision ryeford.Revision) poll {
+	next := poll{full: p.full, historyLost: p.historyLost, revision: revision}
+	switch result {
 	case current:
-		next.whole, next.lost = false, false
+		next.full, next.historyLost = false, false
 	case historyLost:
-		next.whole, next.lost = true, true
+		next.full, next.historyLost = true, true
 		next.failures = p.failures
 	case failed, stale:
 		next.failures = p.failures + 1
@@ -92,11 +92,11 @@
 }
 
 // pause returns the pause between an answer and the poll p that follows.
-func (p poll) pause(v verdict, changed bool, options *Options) time.Duration {
+func (p poll) pause(result outcome, changed bool, options *Options) time.Duration {
 	switch {
-	case v == current && changed:
+	case result == current && changed:
 		return options.Settle
-	case v == stale, v == failed:
+	case result == stale, result == failed:
 		return jitter(backoff(p.failures, options))
 	}
 	return 0
--- a/gateway/watch/watch.go
+++ b/gateway/watch/watch.go
@@ -18,7 +18,7 @@
 type Options struct {
 	// Turn returns in how long a poll is due, now if that is zero, and how long the source
 	// waits for a change before it answers that. It is asked again before the poll.
-	Turn func(now time.Time) (in, hold time.Duration)
+	Turn func(now time.Time) (in, maxWait time.Duration)
 	// Known returns the newest revision that is known, also from elsewhere than the source,
 	// or zero if none is: then the whole is read.
 	Known func() ryeford.Revision
@@ -31,7 +31,7 @@
 	MinPause time.Duration
 	MaxPause func() time.Duration
 	// Sent is called before each poll, and Failed after each that failed, with when it was sent.
-	Sent   func(whole bool)
+	Sent   func(full bool)
 	Failed func(sent time.Time)
 }
 
@@ -42,26 +42,26 @@
 // Run follows a source until ctx ends. apply takes an answer, the revision since which it was
 // asked for and when, and reports whether it holds any change; it and what outage calls are called from one goroutine.
 func Run(ctx context.Context, source ryeford.EndpointSource, options Options, apply func(update *ryeford.EndpointUpdate, since ryeford.Revision, sent time.Time) bool, outage *Outage) {
-	next := poll{whole: true}
+	next := poll{full: true}
 	for ctx.Err() == nil {
-		in, hold := options.Turn(clock.Now())
+		in, maxWait := options.Turn(clock.Now())
 		if in > 0 {
 			clock.Sleep(ctx, min(in, MaxSleep))
 			continue
 		}
-		next.hold = hold
+		next.maxWait = maxWait
 		if known := options.Known(); known > 0 {
-			next.whole, next.revision = next.lost, known
+			next.full, next.revision = next.historyLost, known
 		}
-		options.Sent(next.whole)
+		options.Sent(next.full)
 		sent := clock.Now()
 		update, err := send(ctx, source, next)
 		if ctx.Err() != nil {
 			return
 		}
-		v, revision := judge(next.revision, update.Revision, err)
+		result, revision := classify(next.revision, update.Revision, err)
 		changed := false
-		switch v {
+		switch result {
 		case current:
 			outage.Answered()
 			changed = apply(&update, next.revision, sent)
@@ -69,10 +69,10 @@
 			outage.Answered()
 		case failed:
 			options.Failed(sent)
-			outage.failedSince(next.awaySince(sent, clock.Now()), sent, err)
+			outage.recordFailure(next.downSince(sent, clock.Now()), sent, err)
 		}
-		next = next.after(v, revision)
-		if pause := next.pause(v, changed, &options); pause > 0 {
+		next = next.advance(result, revision)
+		if pause := next.pause(result, changed, &options); pause > 0 {
 			clock.Sleep(ctx, pause)
 		}
 	}
@@ -80,7 +80,7 @@
 
 // send sends a poll to a source.
 func send(ctx context.Context, source ryeford.EndpointSource, p poll) (ryeford.EndpointUpdate, error) {
-	if p.whole {
+	if p.full {
 		return source.Endpoints(ctx)
 	}
 	return source.EndpointsSince(ctx, p.revision, p.wait())
@@ -98,17 +98,17 @@
 }
 
 // Failed notes that the source did not answer a read that was sent at a time.
-func (o *Outage) Failed(sent time.Time, err error) { o.failedSince(sent, sent, err) }
+func (o *Outage) Failed(sent time.Time, err error) { o.recordFailure(sent, sent, err) }
 
-// failedSince notes that a read failed that was sent at a time, and since when the
+// recordFailure notes that a read failed that was sent at a time, and since when the
 // source may have been away if this is the first to fail.
-func (o *Outage) failedSince(away, sent time.Time, err error) {
+func (o *Outage) recordFailure(down, sent time.Time, err error) {
 	o.downtime.LastFailed = sent
 	if o.lost {
 		return
 	}
 	o.lost = true
-	o.downtime.Began = away
+	o.downtime.Began = down
 	o.Lost(err)
 }
 
--- a/gateway/watch/watch_test.go
+++ b/gateway/watch/watch_test.go
@@ -19,12 +19,12 @@
 type step struct {
 	revision ryeford.Revision
 	err      error
-	takes    time.Duration
+	delay    time.Duration
 }
 
 // A receivedPoll is one poll as the source got it.
 type receivedPoll struct {
-	whole bool
+	full  bool
 	since ryeford.Revision
 	wait  time.Duration
 }
@@ -39,28 +39,28 @@
 	began    time.Time
 }
 
-// A sourceStandIn answers each poll of a watch.
-type sourceStandIn func(receivedPoll) (ryeford.EndpointUpdate, error)
+// A fakeSource answers each poll of a watch.
+type fakeSource func(receivedPoll) (ryeford.EndpointUpdate, error)
 
 // Endpoints implements ryeford.EndpointSource.
-func (answer sourceStandIn) Endpoints(context.Context) (ryeford.EndpointUpdate, error) {
-	return answer(receivedPoll{whole: true})
+func (respond fakeSource) Endpoints(context.Context) (ryeford.EndpointUpdate, error) {
+	return respond(receivedPoll{full: true})
 }
 
 // EndpointsSince implements ryeford.EndpointSource.
-func (answer sourceStandIn) EndpointsSince(_ context.Context, since ryeford.Revision, wait time.Duration) (ryeford.EndpointUpdate, error) {
-	return answer(receivedPoll{since: since, wait: wait})
+func (respond fakeSource) EndpointsSince(_ context.Context, since ryeford.Revision, wait time.Duration) (ryeford.EndpointUpdate, error) {
+	return respond(receivedPoll{since: since, wait: wait})
 }
 
-// play runs a watch on a source that answers by steps, one after the other. The poll
+// runSteps runs a watch on a source that answers by steps, one after the other. The poll
 // after the last step ends it.
-func play(t *testing.T, steps ...step) *recording {
+func runSteps(t *testing.T, steps ...step) *recording {
 	t.Helper()
 	r := &recording{}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		r.began = time.Now()
-		answer := func(p receivedPoll) (ryeford.EndpointUpdate, error) {
+		respond := func(p receivedPoll) (ryeford.EndpointUpdate, error) {
 			r.polls = append(r.polls, p)
 			r.times = append(r.times, time.Since(r.began))
 			if len(r.polls) > len(steps) {
@@ -68,14 +68,14 @@
 				return ryeford.EndpointUpdate{}, context.Canceled
 			}
 			now := steps[len(r.polls)-1]
-			time.Sleep(now.takes)
+			time.Sleep(now.delay)
 			return ryeford.EndpointUpdate{Revision: now.revision}, now.err
 		}
 		known := ryeford.Revision(0)
 		options := Options{
-			Turn:     func(time.Time) (in, hold time.Duration) { return 0, time.Second },
+			Turn:     func(time.Time) (in, maxWait time.Duration) { return 0, time.Second },
 			Known:    func() ryeford.Revision { return known },
-			MinPause: 10 * time.Millisecond, MaxPause: longest, Settle: settle,
+			MinPause: 10 * time.Millisecond, MaxPause: maxPause, Settle: settle,
 			Sent: func(bool) {}, Failed: func(time.Time) {},
 		}
 		apply := func(update *ryeford.EndpointUpdate, _ ryeford.Revision, _ time.Time) bool {
@@ -83,7 +83,7 @@
 			r.applied = append(r.applied, update.Revision)
 			return len(r.applied) > 1 && r.applied[len(r.applied)-2] < update.Revision
 		}
-		Run(ctx, sourceStandIn(answer), options, apply, &Outage{
+		Run(ctx, fakeSource(respond), options, apply, &Outage{
 			Lost:     func(error) { r.lost++ },
 			Regained: func(downtime ryeford.Downtime) { r.regained = append(r.regained, downtime) },
 		})
@@ -91,11 +91,11 @@
 	return r
 }
 
-// TestFollow checks that a watch reads the whole once and then the changes.
-func TestFollow(t *testing.T) {
-	r := play(t, step{revision: 3, takes: time.Millisecond}, step{revision: 3, takes: time.Second}, step{revision: 7})
+// TestRun checks that a watch reads the whole once and then the changes.
+func TestRun(t *testing.T) {
+	r := runSteps(t, step{revision: 3, delay: time.Millisecond}, step{revision: 3, delay: time.Second}, step{revision: 7})
 	assert.DeepEqual(t, r.applied, []ryeford.Revision{3, 3, 7})
-	assert.Equal(t, r.polls[0], receivedPoll{whole: true})
+	assert.Equal(t, r.polls[0], receivedPoll{full: true})
 	assert.Equal(t, r.polls[1], receivedPoll{since: 3, wait: time.Second})
 	assert.Equal(t, r.polls[3], receivedPoll{since: 7, wait: time.Second})
 }
@@ -103,7 +103,7 @@
 // TestSettle checks that changes in a row are read together: a watch waits after an
 // answer with a change, and not after one without.
 func TestSettle(t *testing.T) {
-	r := play(t, step{revision: 1}, step{revision: 2}, step{revision: 2}, step{revision: 5})
+	r := runSteps(t, step{revision: 1}, step{revision: 2}, step{revision: 2}, step{revision: 5})
 	assert.DeepEqual(t, r.applied, []ryeford.Revision{1, 2, 2, 5})
 	assert.DeepEqual(t, r.times, []time.Duration{0, 0, settle, settle, 2 * settle})
 }
@@ -111,16 +111,16 @@
 // TestStale checks that an answer older than what is known is not applied and confirms
 // nothing.
 func TestStale(t *testing.T) {
-	r := play(t, step{revision: 9}, step{revision: 4}, step{revision: 9})
+	r := runSteps(t, step{revision: 9}, step{revision: 4}, step{revision: 9})
 	assert.DeepEqual(t, r.applied, []ryeford.Revision{9, 9})
 }
 
 // TestHistoryLost checks that the whole is read again once the source no longer has the
 // changes.
 func TestHistoryLost(t *testing.T) {
-	r := play(t, step{revision: 9}, step{err: &ryeford.HistoryLostError{}}, step{revision: 12})
+	r := runSteps(t, step{revision: 9}, step{err: &ryeford.HistoryLostError{}}, step{revision: 12})
 	assert.DeepEqual(t, r.applied, []ryeford.Revision{9, 12})
-	assert.Equal(t, r.polls[2], receivedPoll{whole: true})
+	assert.Equal(t, r.polls[2], receivedPoll{full: true})
 	assert.Equal(t, r.lost, 0)
 }
 
@@ -128,7 +128,7 @@
 // return is noticed at once, and that an outage is reported once, as is its end.
 func TestOutage(t *testing.T) {
 	out := step{err: errors.New("out")}
-	r := play(t, step{revision: 2}, out, out, out, step{revision: 2})
+	r := runSteps(t, step{revision: 2}, out, out, out, step{revision: 2})
 	assert.DeepEqual(t, r.applied, []ryeford.Revision{2, 2})
 	assert.Equal(t, r.lost, 1)
 	assert.Equal(t, len(r.regained), 1)
@@ -149,10 +149,10 @@
 		first step
 		began time.Duration
 	}{
-		"reset while held": {step{err: out, takes: held}, held},
-		"timed out":        {step{err: out, takes: 1700 * time.Millisecond}, 0},
+		"reset while held": {step{err: out, delay: held}, held},
+		"timed out":        {step{err: out, delay: 1700 * time.Millisecond}, 0},
 	} {
-		r := play(t, step{revision: 2}, test.first, step{err: out, takes: time.Second}, step{revision: 2, takes: time.Millisecond})
+		r := runSteps(t, step{revision: 2}, test.first, step{err: out, delay: time.Second}, step{revision: 2, delay: time.Millisecond})
 		assert.Equal(t, len(r.regained), 1, name)
 		downtime := r.regained[0]
 		assert.Equal(t, downtime.Began, r.began.Add(test.began), name)
