--- a/gateway/watch/next.go
+++ b/gateway/watch/next.go
@@ -8,31 +8,31 @@
 	"github.com/ryeford/ryeford"
 )
 
-// What follows which answer of a source.
+// The next poll after each kind of response.
 //
-// Rule, by the verdict on the answer:
+// Rule, by the outcome of the poll:
 //
-//	current      apply it, then ask for changes after its revision; pause for
-//	             Settle first if it holds a change
-//	stale        ignore it: it is older than what is known and confirms nothing;
-//	             ask again as after a failure
-//	historyLost  read the whole at once
-//	failed       ask the same again after a pause that doubles with each failure
-//	             in a row, and with no wait until the source answers:
-//	             that it is back is to be noticed at once
+//	current      apply the update, then ask for changes after its revision;
+//	             pause for Settle first if it contains a change
+//	stale        ignore the update, which is older than the known revision and
+//	             confirms nothing; ask again as after a failure
+//	historyLost  read the full list at once
+//	failed       repeat the poll after a pause that doubles with each failure in
+//	             a row, and without a wait for changes until the source
+//	             responds, so that its return is noticed at once
 
 // A outcome says what an answer of a source is good for.
 type outcome int
 
 const (
-	current     outcome = iota // as new as what is known, or newer
-	stale                      // older than what is known
-	historyLost                // the source no longer has the changes since a revision
-	failed                     // the source did not answer
+	current     outcome = iota // as new as the known revision, or newer
+	stale                      // older than the known revision
+	historyLost                // the source no longer has the changes since the revision
+	failed                     // the source did not respond
 )
 
-// classify returns the verdict on an answer: its revision, or its error, given the
-// newest revision that is known. The returned revision is the one to go on from.
+// classify returns the outcome of a poll from the revision of the response or its error, and the revision to
+// continue from. known is the newest known revision.
 func classify(known, answered ryeford.Revision, err error) (outcome, ryeford.Revision) {
 	var lost *ryeford.HistoryLostError
 	switch {
@@ -46,18 +46,18 @@
 	return current, answered
 }
 
-// A poll is one read of a source: of the whole, or of what has changed.
+// A poll is one read of a source: of the full list, or of changes.
 type poll struct {
-	full        bool             // read the whole; else, ask for changes since revision
-	historyLost bool             // the source no longer has the changes since what is known
-	revision    ryeford.Revision // the newest that is known
-	failures    int              // in a row, before this poll
-	// maxWait is how long the source may wait for a change before it answers, unless it failed
-	// before.
+	full        bool             // read the full list instead of the changes since revision
+	historyLost bool             // the source no longer has the changes since the known revision
+	revision    ryeford.Revision // the newest known revision
+	failures    int              // number in a row before this poll
+	// maxWait is how long the source may wait for a change before it responds. It does not apply after
+	// a failure.
 	maxWait time.Duration
 }
 
-// wait returns how long the source may wait for a change before it answers.
+// wait returns how long the source may wait for a change before it responds.
 func (p poll) wait() time.Duration {
 	if p.failures > 0 || p.full {
 		return 0
@@ -65,10 +65,10 @@
 	return p.maxWait
 }
 
-// downSince returns since when the source may have been away if p failed.
+// downSince returns when the outage of the source began at the earliest, if p failed.
 //
-// A source that ends a poll before its wait is over was there until then; one that
-// lets it time out may have been away ever since the poll was sent.
+// If the poll failed before its wait was over, the source was up until then. If it timed out, the source may have
+// been down since the poll was sent.
 func (p poll) downSince(sent, failed time.Time) time.Time {
 	if failed.Sub(sent) < p.wait() {
 		return failed
@@ -76,7 +76,7 @@
 	return sent
 }
 
-// advance returns the poll that follows p and the verdict on its answer.
+// advance returns the poll that follows p and its outcome.
 func (p poll) advance(result outcome, revision ryeford.Revision) poll {
 	next := poll{full: p.full, historyLost: p.historyLost, revision: revision}
 	switch result {
@@ -91,7 +91,7 @@
 	return next
 }
 
-// pause returns the pause between an answer and the poll p that follows.
+// pause returns the pause between a response with the given result and the poll p that follows it.
 func (p poll) pause(result outcome, changed bool, options *Options) time.Duration {
 	switch {
 	case result == current && changed:
@@ -102,10 +102,10 @@
 	return 0
 }
 
-// backoff returns the longest pause after some failures in a row: MinPause, doubled
-// with each failure after the first, up to MaxPause.
+// backoff returns the maximum pause after a number of failures in a row: MinPause, doubled with each failure after
+// the first, up to MaxPause.
 func backoff(failures int, options *Options) time.Duration {
-	const maxDoublings = 16 // keeps the shift from overflowing
+	const maxDoublings = 16 // prevents an overflow of the shift
 	doublings := failures - 1
 	longest := options.MaxPause()
 	if doublings >= maxDoublings {
@@ -114,8 +114,8 @@
 	return min(longest, options.MinPause<<doublings)
 }
 
-// jitter returns a time drawn between a half and the whole of d, so that routers
-// that lost a source together do not come back to it at once.
+// jitter returns a random duration between d/2 and d, so that routers don't return to a source all at once after
+// an outage.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(rand.Int64N(int64(d/2)+1))
 }
--- a/gateway/watch/next_test.go
+++ b/gateway/watch/next_test.go
@@ -11,11 +11,9 @@
 	"github.com/ryeford/ryeford"
 )
 
-// maxPause is the maxPause pause in these tests.
 func maxPause() time.Duration { return 100 * time.Millisecond }
 
-// TestNext checks what follows each kind of answer, for a watch that knows revision
-// 7 and has failed twice.
+// TestNext checks which poll follows each kind of response, for a watch that has revision 7 and has failed twice.
 func TestNext(t *testing.T) {
 	options := &Options{Settle: 300 * time.Millisecond, MinPause: 10 * time.Millisecond, MaxPause: maxPause}
 	last := poll{revision: 7, failures: 2, maxWait: time.Second}
@@ -48,8 +46,7 @@
 	}
 }
 
-// TestBackoff checks that the pause doubles up to its maximum, however many
-// failures there were.
+// TestBackoff checks that the pause doubles up to its maximum, whatever the number of failures.
 func TestBackoff(t *testing.T) {
 	options := &Options{MinPause: 10 * time.Millisecond, MaxPause: maxPause}
 	for failures, want := range map[int]time.Duration{
--- a/gateway/watch/watch.go
+++ b/gateway/watch/watch.go
@@ -1,9 +1,7 @@
-// Package watch follows the list of endpoints, which can be read whole and then asked,
-// with a wait, for what has changed since.
+// Package watch follows the list of endpoints by long polling: it reads the full list, then waits for changes.
 //
-// It owns the newest revision that the list's source has answered. What is polled next, and
-// when, depends on the last answer (next.go); the package relies on the source to
-// return once the wait is over.
+// Which poll follows, and when, depends on the response to the last one (next.go). The source must respond once
+// the wait of a poll is over.
 package watch
 
 import (
@@ -14,33 +12,34 @@
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
-// Options are how a source is followed.
+// Options configure how a source is followed.
 type Options struct {
-	// Turn returns in how long a poll is due, now if that is zero, and how long the source
-	// waits for a change before it answers that. It is asked again before the poll.
+	// Turn returns the time until the next poll is due, zero if it is due now, and how long the source may
+	// wait for a change before it responds. It is called again before the poll.
 	Turn func(now time.Time) (in, maxWait time.Duration)
-	// Known returns the newest revision that is known, also from elsewhere than the source,
-	// or zero if none is: then the whole is read.
+	// Known returns the newest revision that the router has from any source, or zero if it has none. The
+	// full list is read if it is zero.
 	Known func() ryeford.Revision
-	// Settle is the pause after an answer that holds a change, so that changes in
-	// a row come in one answer.
+	// Settle is the pause after a response with a change, so that the next response contains several
+	// changes.
 	Settle time.Duration
-	// MinPause is the pause after a first failure, before jitter takes off up to half
-	// of it; it doubles with each failure in a row up to MaxPause. It is also the pause
-	// after a stale answer.
+	// MinPause is the pause after the first failure, of which jitter subtracts up to half. It doubles with
+	// each failure in a row, up to MaxPause. It is also the pause after a stale response.
 	MinPause time.Duration
 	MaxPause func() time.Duration
-	// Sent is called before each poll, and Failed after each that failed, with when it was sent.
+	// Sent is called before each poll, and Failed after each failed poll with the time at which it was
+	// sent.
 	Sent   func(full bool)
 	Failed func(sent time.Time)
 }
 
-// MaxSleep is how long a watch waits at the most before it asks anew whether a poll is due: what
-// is known from elsewhere may make it due sooner.
+// MaxSleep is the maximum time between two calls of Options.Turn: a revision received from elsewhere may change
+// when the next poll is due.
 const MaxSleep = 50 * time.Millisecond
 
-// Run follows a source until ctx ends. apply takes an answer, the revision since which it was
-// asked for and when, and reports whether it holds any change; it and what outage calls are called from one goroutine.
+// Run follows a source until ctx ends. It calls apply with each update, the revision since which changes were asked
+// for and the time of the poll; apply reports whether the update contains a change. apply and the functions of
+// outage are called from one goroutine.
 func Run(ctx context.Context, source ryeford.EndpointSource, options Options, apply func(update *ryeford.EndpointUpdate, since ryeford.Revision, sent time.Time) bool, outage *Outage) {
 	next := poll{full: true}
 	for ctx.Err() == nil {
@@ -78,7 +77,6 @@
 	}
 }
 
-// send sends a poll to a source.
 func send(ctx context.Context, source ryeford.EndpointSource, p poll) (ryeford.EndpointUpdate, error) {
 	if p.full {
 		return source.Endpoints(ctx)
@@ -86,10 +84,10 @@
 	return source.EndpointsSince(ctx, p.revision, p.wait())
 }
 
-// An Outage follows whether a source answers. The zero Outage is of one that does.
+// An Outage tracks whether a source responds. The zero Outage is of a source that does.
 type Outage struct {
-	// Lost is called at the first failure after an answer, Regained at the first
-	// answer after failures.
+	// Lost is called at the first failure after a success, Regained at the first success after a
+	// failure.
 	Lost     func(err error)
 	Regained func(downtime ryeford.Downtime)
 
@@ -97,11 +95,11 @@
 	downtime ryeford.Downtime // set while lost
 }
 
-// Failed notes that the source did not answer a read that was sent at a time.
+// Failed records that the source did not respond to a read that was sent at a time.
 func (o *Outage) Failed(sent time.Time, err error) { o.recordFailure(sent, sent, err) }
 
-// recordFailure notes that a read failed that was sent at a time, and since when the
-// source may have been away if this is the first to fail.
+// recordFailure records that a read failed that was sent at a time. down is when the outage began if this is its
+// first failure.
 func (o *Outage) recordFailure(down, sent time.Time, err error) {
 	o.downtime.LastFailed = sent
 	if o.lost {
@@ -112,7 +110,7 @@
 	o.Lost(err)
 }
 
-// Answered notes that the source has answered.
+// Answered records that the source has responded.
 func (o *Outage) Answered() {
 	if !o.lost {
 		return
--- a/gateway/watch/watch_test.go
+++ b/gateway/watch/watch_test.go
@@ -12,34 +12,34 @@
 	"github.com/ryeford/ryeford"
 )
 
-// settle is the pause after a change in these tests.
+// settle is the pause after a change.
 const settle = 300 * time.Millisecond
 
-// A step is how the source answers one poll.
+// A step is the source's response to one poll.
 type step struct {
 	revision ryeford.Revision
 	err      error
 	delay    time.Duration
 }
 
-// A receivedPoll is one poll as the source got it.
+// A receivedPoll is one poll as received by the source.
 type receivedPoll struct {
 	full  bool
 	since ryeford.Revision
 	wait  time.Duration
 }
 
-// A recording is what a watch did.
+// A recording is the behavior of a watch.
 type recording struct {
 	polls    []receivedPoll
-	times    []time.Duration    // of the polls, since the watch began
+	times    []time.Duration    // of the polls, since began
 	applied  []ryeford.Revision // revisions
-	lost     int                // calls of the handler
+	lost     int                // calls of Outage.Lost
 	regained []ryeford.Downtime
 	began    time.Time
 }
 
-// A fakeSource answers each poll of a watch.
+// A fakeSource responds to each poll of a watch.
 type fakeSource func(receivedPoll) (ryeford.EndpointUpdate, error)
 
 // Endpoints implements ryeford.EndpointSource.
@@ -52,8 +52,7 @@
 	return respond(receivedPoll{since: since, wait: wait})
 }
 
-// runSteps runs a watch on a source that answers by steps, one after the other. The poll
-// after the last step ends it.
+// runSteps runs a watch on a source that responds by one step after the other. The poll after the last step ends it.
 func runSteps(t *testing.T, steps ...step) *recording {
 	t.Helper()
 	r := &recording{}
@@ -91,7 +90,7 @@
 	return r
 }
 
-// TestRun checks that a watch reads the whole once and then the changes.
+// TestRun checks that a watch reads the full list once and then the changes.
 func TestRun(t *testing.T) {
 	r := runSteps(t, step{revision: 3, delay: time.Millisecond}, step{revision: 3, delay: time.Second}, step{revision: 7})
 	assert.DeepEqual(t, r.applied, []ryeford.Revision{3, 3, 7})
@@ -100,23 +99,20 @@
 	assert.Equal(t, r.polls[3], receivedPoll{since: 7, wait: time.Second})
 }
 
-// TestSettle checks that changes in a row are read together: a watch waits after an
-// answer with a change, and not after one without.
+// TestSettle checks that successive changes are read together: a watch pauses after a response with a change only.
 func TestSettle(t *testing.T) {
 	r := runSteps(t, step{revision: 1}, step{revision: 2}, step{revision: 2}, step{revision: 5})
 	assert.DeepEqual(t, r.applied, []ryeford.Revision{1, 2, 2, 5})
 	assert.DeepEqual(t, r.times, []time.Duration{0, 0, settle, settle, 2 * settle})
 }
 
-// TestStale checks that an answer older than what is known is not applied and confirms
-// nothing.
+// TestStale checks that an update older than the known revision is not applied and confirms nothing.
 func TestStale(t *testing.T) {
 	r := runSteps(t, step{revision: 9}, step{revision: 4}, step{revision: 9})
 	assert.DeepEqual(t, r.applied, []ryeford.Revision{9, 9})
 }
 
-// TestHistoryLost checks that the whole is read again once the source no longer has the
-// changes.
+// TestHistoryLost checks that the full list is read again once the source no longer has the changes.
 func TestHistoryLost(t *testing.T) {
 	r := runSteps(t, step{revision: 9}, step{err: &ryeford.HistoryLostError{}}, step{revision: 12})
 	assert.DeepEqual(t, r.applied, []ryeford.Revision{9, 12})
@@ -124,8 +120,8 @@
 	assert.Equal(t, r.lost, 0)
 }
 
-// TestOutage checks that a source that fails is polled without a wait, so that its
-// return is noticed at once, and that an outage is reported once, as is its end.
+// TestOutage checks that a failed source is polled without a wait, so that its return is noticed at once, and that an
+// outage and its end are each reported once.
 func TestOutage(t *testing.T) {
 	out := step{err: errors.New("out")}
 	r := runSteps(t, step{revision: 2}, out, out, out, step{revision: 2})
@@ -139,9 +135,8 @@
 	assert.Equal(t, r.polls[5].wait, time.Second)
 }
 
-// TestDowntime checks since when a source counts as away, when it last failed and when
-// it is back: a poll that the source ends was held until then, and one that times out
-// may never have reached it.
+// TestDowntime checks the beginning, last failure and end of a downtime: a poll that fails early proves that the
+// source was up until then, and one that times out may never have reached it.
 func TestDowntime(t *testing.T) {
 	out := errors.New("out")
 	const held = 400 * time.Millisecond // less than the wait of a poll
