--- a/gateway/watch/next.go
+++ b/gateway/watch/next.go
@@ -21,7 +21,7 @@
 //	             a row, and without a wait for changes until the source
 //	             responds, so that its return is noticed at once
 
-// A outcome says what an answer of a source is good for.
+// An outcome is the kind of response that a source gave to a poll.
 type outcome int
 
 const (
--- a/gateway/watch/watch.go
+++ b/gateway/watch/watch.go
@@ -33,8 +33,8 @@
 	Failed func(sent time.Time)
 }
 
-// MaxSleep is the maximum time between two calls of Options.Turn: a revision received from elsewhere may change
-// when the next poll is due.
+// MaxSleep is the maximum time that a watch sleeps before it checks again whether a poll is due: a revision that is
+// received from elsewhere may make a poll due earlier.
 const MaxSleep = 50 * time.Millisecond
 
 // Run follows a source until ctx ends. It calls apply with each update, the revision since which changes were asked
@@ -98,15 +98,15 @@
 // Failed records that the source did not respond to a read that was sent at a time.
 func (o *Outage) Failed(sent time.Time, err error) { o.recordFailure(sent, sent, err) }
 
-// recordFailure records that a read failed that was sent at a time. down is when the outage began if this is its
-// first failure.
-func (o *Outage) recordFailure(down, sent time.Time, err error) {
+// recordFailure records that a read failed that was sent at a time. downSince is when the outage began if this is
+// its first failure.
+func (o *Outage) recordFailure(downSince, sent time.Time, err error) {
 	o.downtime.LastFailed = sent
 	if o.lost {
 		return
 	}
 	o.lost = true
-	o.downtime.Began = down
+	o.downtime.Began = downSince
 	o.Lost(err)
 }
 
