--- a/gateway/endpoint/endpoint_test.go
+++ b/gateway/endpoint/endpoint_test.go
@@ -64,9 +64,9 @@
 	return endpoint.New(platform.Protocol{})
 }
 
-// TestSilentIdleConnection checks that a request that must not be repeated is not lost on an idle connection that
+// TestUnresponsiveIdleConnection checks that a request that must not be repeated is not lost on an idle connection that
 // is broken without notice. A repeatable request may use it, and costs a retry.
-func TestSilentIdleConnection(t *testing.T) {
+func TestUnresponsiveIdleConnection(t *testing.T) {
 	to, count := listen(t, func(conn net.Conn) {
 		if readRequest(conn) {
 			_, _ = io.WriteString(conn, okResponse)
