--- a/gateway/roster/evacuated.go
+++ b/gateway/roster/evacuated.go
@@ -17,7 +17,7 @@
 		if !evacuations.Has(domain) {
 			ended = append(ended, domain)
 			delete(r.evacuated, domain)
-			r.returned[domain] = now
+			r.evacuationEnded[domain] = now
 		}
 	}
 	for _, order := range evacuations.Orders {
@@ -30,10 +30,10 @@
 	for id, entry := range r.entries {
 		if slices.Contains(began, entry.FailureDomain) || slices.Contains(ended, entry.FailureDomain) {
 			changed := *entry // callers may hold the old one
-			changed.Evacuated, changed.Returned = r.evacuated[entry.FailureDomain], r.returned[entry.FailureDomain]
+			changed.Evacuated, changed.Returned = r.evacuated[entry.FailureDomain], r.evacuationEnded[entry.FailureDomain]
 			r.entries[id] = &changed
 		}
 	}
-	r.index()
+	r.rebuildIndex()
 	return began, ended
 }
--- a/gateway/roster/evacuated_test.go
+++ b/gateway/roster/evacuated_test.go
@@ -13,15 +13,15 @@
 // those that are listed later, that they stay known, and that they accept again after it.
 func TestSetEvacuated(t *testing.T) {
 	r := New()
-	in := func(id ryeford.EndpointID, domain string) ryeford.Endpoint {
+	endpointIn := func(id ryeford.EndpointID, domain string) ryeford.Endpoint {
 		return ryeford.Endpoint{ID: id, Service: "s", FailureDomain: domain}
 	}
-	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{in("a1", "a"), in("b1", "b")}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{endpointIn("a1", "a"), endpointIn("b1", "b")}}, noSuspects)
 	evacuated := ryeford.Evacuations{Revision: 2, Orders: []ryeford.Evacuation{{FailureDomain: "a", State: 2}}}
 	began, ended := r.SetEvacuated(start, evacuated)
 	assert.DeepEqual(t, began, []string{"a"})
 	assert.Equal(t, len(ended), 0)
-	r.Apply(start, &ryeford.EndpointUpdate{Revision: 3, Present: []ryeford.Endpoint{in("a2", "a")}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Revision: 3, Present: []ryeford.Endpoint{endpointIn("a2", "a")}}, noSuspects)
 	for id, accepts := range map[ryeford.EndpointID]bool{"a1": false, "a2": false, "b1": true} {
 		assert.Equal(t, r.Entry(id).Accepts(), accepts, id)
 		assert.Assert(t, r.Knows(id), id)
--- a/gateway/roster/leaving.go
+++ b/gateway/roster/leaving.go
@@ -20,11 +20,11 @@
 const (
 	// maxLeaving bounds the memory for endpoints that have said so, as far as they are off the list.
 	maxLeaving = 4096
-	// leavingForgotten is how many of them are forgotten at once, so that it is seldom.
-	leavingForgotten = maxLeaving / 4
-	// leavingPassed is for how long all messages name an endpoint from when this router learnt of it: each
+	// leavingEvictionBatch is how many of them are forgotten at once, so that it is seldom.
+	leavingEvictionBatch = maxLeaving / 4
+	// leavingGossipWindow is for how long all messages name an endpoint from when this router learnt of it: each
 	// router learns of a life once, so that the word ends.
-	leavingPassed = 3 * time.Second
+	leavingGossipWindow = 3 * time.Second
 )
 
 // Leave takes that an endpoint has said with a response, to this router or to a peer, that it leaves, and
@@ -35,9 +35,9 @@
 	if _, known := r.leaving[id]; known {
 		return false
 	}
-	r.leaving[id], r.learntLeaving = now, now
+	r.leaving[id], r.lastLeaving = now, now
 	if len(r.leaving) > maxLeaving {
-		r.forgetLeaving()
+		r.evictLeaving()
 	}
 	entry := r.entries[id]
 	if entry == nil || !entry.Status.accepts() {
@@ -46,22 +46,22 @@
 	changed := *entry // callers may hold the old one
 	changed.Status, changed.withheld = StatusDraining, false
 	r.entries[id] = &changed
-	r.index()
+	r.rebuildIndex()
 	return true
 }
 
 // LatelyLeaving returns the endpoints of which this router learnt a short time ago that they leave, the latest
 // first, at most some.
-func (r *Roster) LatelyLeaving(now time.Time, most int) []ryeford.EndpointID {
-	return r.LeavingSince(now.Add(-leavingPassed), most)
+func (r *Roster) LatelyLeaving(now time.Time, limit int) []ryeford.EndpointID {
+	return r.LeavingSince(now.Add(-leavingGossipWindow), limit)
 }
 
 // LeavingSince returns the endpoints of which this router has learnt since a time that they leave, the latest
 // first, at most some.
-func (r *Roster) LeavingSince(since time.Time, most int) []ryeford.EndpointID {
+func (r *Roster) LeavingSince(since time.Time, limit int) []ryeford.EndpointID {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	if r.learntLeaving.Before(since) {
+	if r.lastLeaving.Before(since) {
 		return nil // as almost always
 	}
 	var leaving []ryeford.EndpointID
@@ -73,11 +73,11 @@
 	slices.SortFunc(leaving, func(a, b ryeford.EndpointID) int {
 		return cmp.Or(r.leaving[b].Compare(r.leaving[a]), cmp.Compare(a, b))
 	})
-	return leaving[:min(len(leaving), most)]
+	return leaving[:min(len(leaving), limit)]
 }
 
-// forgetLeaving forgets that some endpoints leave which are off the list: those that have said so first.
-func (r *Roster) forgetLeaving() {
+// evictLeaving forgets that some endpoints leave which are off the list: those that have said so first.
+func (r *Roster) evictLeaving() {
 	var unlisted []ryeford.EndpointID
 	for id := range r.leaving {
 		if r.entries[id] == nil {
@@ -87,7 +87,7 @@
 	slices.SortFunc(unlisted, func(a, b ryeford.EndpointID) int {
 		return cmp.Or(r.leaving[a].Compare(r.leaving[b]), cmp.Compare(a, b))
 	})
-	for _, id := range unlisted[:min(len(unlisted), leavingForgotten)] {
+	for _, id := range unlisted[:min(len(unlisted), leavingEvictionBatch)] {
 		delete(r.leaving, id)
 	}
 }
--- a/gateway/roster/leaving_test.go
+++ b/gateway/roster/leaving_test.go
@@ -23,46 +23,46 @@
 		{"nothing", func(*Roster) {}, 0, "b"},
 		{"a day passes", func(*Roster) {}, 24 * time.Hour, "b"},
 		{"its entry says ready, written earlier", func(r *Roster) {
-			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{of(ready(first), 4)}}, never)
+			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(ready(first), 4)}}, noSuspects)
 		}, 0, "b"},
 		{"its entry says ready, written later", func(r *Roster) {
-			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{of(ready(first), 9)}}, never)
+			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(ready(first), 9)}}, noSuspects)
 		}, 0, "b"},
 		{"the whole list is read", func(r *Roster) {
-			r.Apply(start, snapshot(revisionOf(1, 3), of(ready(first), 9), ready("b")), never)
+			r.Apply(start, snapshot(revisionOf(1, 3), withSequence(ready(first), 9), ready("b")), noSuspects)
 		}, 0, "b"},
 		{"the source is restored", func(r *Roster) {
-			r.Apply(start, snapshot(revisionOf(2, 1), of(ready(first), 9), ready("b")), never)
-		}, 2 * withholdTime, "b"},
+			r.Apply(start, snapshot(revisionOf(2, 1), withSequence(ready(first), 9), ready("b")), noSuspects)
+		}, 2 * withholdDuration, "b"},
 		{"its entry says that it leaves, and the source is restored", func(r *Roster) {
-			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{of(draining(first), 6)}}, never)
-			r.Apply(start, snapshot(revisionOf(2, 1), of(ready(first), 5), ready("b")), never)
-		}, 2 * withholdTime, "b"},
+			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(draining(first), 6)}}, noSuspects)
+			r.Apply(start, snapshot(revisionOf(2, 1), withSequence(ready(first), 5), ready("b")), noSuspects)
+		}, 2 * withholdDuration, "b"},
 		{"a peer withholds others", func(r *Roster) {
 			r.Withhold(start, []ryeford.WithheldEndpoint{{ID: "c", Gone: true}}, time.Second)
-		}, 2 * withholdTime, "b"},
+		}, 2 * withholdDuration, "b"},
 		{"a peer withholds it for a time", func(r *Roster) {
 			r.Withhold(start, []ryeford.WithheldEndpoint{{ID: ryeford.EndpointID(first), Gone: true}}, time.Second)
-		}, 2 * withholdTime, "b"},
+		}, 2 * withholdDuration, "b"},
 		{"its entry lapses in an outage, and comes back", func(r *Roster) {
 			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Removed: []ryeford.EndpointID{"a"}}, start.Add(time.Second))
-			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 4), Present: []ryeford.Endpoint{of(ready(first), 12)}}, never)
+			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 4), Present: []ryeford.Endpoint{withSequence(ready(first), 12)}}, noSuspects)
 		}, 0, "b"},
 		{"its failure domain is evacuated, and taken back", func(r *Roster) {
 			r.SetEvacuated(start, ryeford.Evacuations{Revision: 2, Orders: []ryeford.Evacuation{{FailureDomain: "", State: 2}}})
 			r.SetEvacuated(start, ryeford.Evacuations{Revision: 4})
 		}, 0, "b"},
 		{"it starts again", func(r *Roster) {
-			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{ready(second)}}, never)
+			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{ready(second)}}, noSuspects)
 		}, 0, second + "b"},
 		{"it starts again, and a restored source has the life before", func(r *Roster) {
-			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{ready(second)}}, never)
-			r.Apply(start, snapshot(revisionOf(2, 1), of(ready(first), 5), ready("b")), never)
-		}, 2 * withholdTime, "b"},
+			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{ready(second)}}, noSuspects)
+			r.Apply(start, snapshot(revisionOf(2, 1), withSequence(ready(first), 5), ready("b")), noSuspects)
+		}, 2 * withholdDuration, "b"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := New()
-			r.Apply(start, snapshot(revisionOf(1, 2), of(ready(first), 5), ready("b")), never)
+			r.Apply(start, snapshot(revisionOf(1, 2), withSequence(ready(first), 5), ready("b")), noSuspects)
 			assert.Assert(t, r.Leave(start, ryeford.EndpointID(first)))
 			assert.Assert(t, !r.Leave(start, ryeford.EndpointID(first)), "it is said once")
 			assert.Equal(t, serving(r), "b")
@@ -77,7 +77,7 @@
 func TestLeaveUnlisted(t *testing.T) {
 	r := New()
 	r.Leave(start, "a")
-	r.Apply(start, snapshot(1, ready("a"), ready("b")), never)
+	r.Apply(start, snapshot(1, ready("a"), ready("b")), noSuspects)
 	assert.Equal(t, serving(r), "b")
 }
 
@@ -85,32 +85,32 @@
 // first which are off the list and have said so first.
 func TestLeaveBound(t *testing.T) {
 	r := New()
-	r.Apply(start, snapshot(1, ready("a"), ready("b")), never)
+	r.Apply(start, snapshot(1, ready("a"), ready("b")), noSuspects)
 	r.Leave(start, "a")
 	for i := range 2 * maxLeaving {
 		r.Leave(start.Add(time.Duration(i)*time.Second), ryeford.EndpointID(fmt.Sprintf("gone-%d", i)))
 	}
 	assert.Assert(t, len(r.leaving) <= maxLeaving, "%d", len(r.leaving))
-	r.Apply(start, snapshot(2, ready("a"), ready("b")), never)
+	r.Apply(start, snapshot(2, ready("a"), ready("b")), noSuspects)
 	assert.Equal(t, serving(r), "b")
-	_, first := r.leaving["gone-0"]
-	_, last := r.leaving[ryeford.EndpointID(fmt.Sprintf("gone-%d", 2*maxLeaving-1))]
-	assert.Assert(t, !first && last)
+	_, hasFirst := r.leaving["gone-0"]
+	_, hasLast := r.leaving[ryeford.EndpointID(fmt.Sprintf("gone-%d", 2*maxLeaving-1))]
+	assert.Assert(t, !hasFirst && hasLast)
 }
 
 // TestLatelyLeaving checks which endpoints peers are told of: those of which this router learnt a short time
 // ago, the latest first, each once.
-func TestLatelyLeaving(t *testing.T) {
+func TestRecentlyLeaving(t *testing.T) {
 	r := New()
-	r.Apply(start, snapshot(1, ready("a"), ready("b")), never)
+	r.Apply(start, snapshot(1, ready("a"), ready("b")), noSuspects)
 	assert.Equal(t, len(r.LatelyLeaving(start, 2)), 0)
 	for i, id := range []ryeford.EndpointID{"a", "b", "c"} {
 		r.Leave(start.Add(time.Duration(i)*time.Second), id)
 	}
 	assert.DeepEqual(t, r.LatelyLeaving(start.Add(2*time.Second), 2), []ryeford.EndpointID{"c", "b"})
-	assert.DeepEqual(t, r.LatelyLeaving(start.Add(leavingPassed), 8), []ryeford.EndpointID{"c", "b", "a"})
-	r.Leave(start.Add(leavingPassed), "a") // a peer's late word
-	assert.DeepEqual(t, r.LatelyLeaving(start.Add(leavingPassed+1), 8), []ryeford.EndpointID{"c", "b"})
+	assert.DeepEqual(t, r.LatelyLeaving(start.Add(leavingGossipWindow), 8), []ryeford.EndpointID{"c", "b", "a"})
+	r.Leave(start.Add(leavingGossipWindow), "a") // a peer's late word
+	assert.DeepEqual(t, r.LatelyLeaving(start.Add(leavingGossipWindow+1), 8), []ryeford.EndpointID{"c", "b"})
 	assert.Equal(t, len(r.LatelyLeaving(start.Add(time.Hour), 8)), 0)
 	assert.DeepEqual(t, r.LeavingSince(time.Time{}, 8), []ryeford.EndpointID{"c", "b", "a"})
 	assert.Equal(t, serving(r), "")
--- a/gateway/roster/queries.go
+++ b/gateway/roster/queries.go
@@ -6,7 +6,7 @@
 func (r *Roster) Known() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.known
+	return r.loaded
 }
 
 // Serving returns the endpoints of a service that accept requests, and those that would if
--- a/gateway/roster/roster.go
+++ b/gateway/roster/roster.go
@@ -20,38 +20,38 @@
 
 // A Roster is the list of endpoints.
 type Roster struct {
-	mu        sync.RWMutex
-	entries   map[ryeford.EndpointID]*Entry
-	lives     map[ryeford.EndpointID]ryeford.EndpointID // the life that is known, by name
-	serving   map[string][]*Entry                       // by service, sorted by ID: those that accept requests
-	draining  map[string][]*Entry                       // by service, sorted by ID: the others
-	accepting map[string]int                            // by service: how many accept requests
-	known     bool
-	revision  ryeford.Revision
-
-	evacuated map[string]bool      // failure domains
-	returned  map[string]time.Time // when failure domains were last taken back
-
-	left map[ryeford.EndpointID]departure // lives that leave or are gone
+	mu           sync.RWMutex
+	entries      map[ryeford.EndpointID]*Entry
+	incarnations map[ryeford.EndpointID]ryeford.EndpointID // the life that is known, by name
+	serving      map[string][]*Entry                       // by service, sorted by ID: those that accept requests
+	draining     map[string][]*Entry                       // by service, sorted by ID: the others
+	accepting    map[string]int                            // by service: how many accept requests
+	loaded       bool
+	revision     ryeford.Revision
+
+	evacuated       map[string]bool      // failure domains
+	evacuationEnded map[string]time.Time // when failure domains were last taken back
+
+	departures map[ryeford.EndpointID]departure // lives that leave or are gone
 	// leaving holds the lives that have said with a response that they leave, and when.
-	leaving       map[ryeford.EndpointID]time.Time
-	learntLeaving time.Time // the last of these
+	leaving     map[ryeford.EndpointID]time.Time
+	lastLeaving time.Time // the last of these
 	// withholdUntil is until when these are believed against what the list had at the revision
 	// restoredAt.
-	withholdUntil time.Time
-	restoredAt    ryeford.Revision
-	withholdEra   int64 // in which it was set
+	withholdUntil   time.Time
+	restoreRevision ryeford.Revision
+	withholdEra     int64 // in which it was set
 }
 
 // New returns an empty Roster.
 func New() *Roster {
 	return &Roster{
-		entries:   make(map[ryeford.EndpointID]*Entry),
-		lives:     make(map[ryeford.EndpointID]ryeford.EndpointID),
-		evacuated: make(map[string]bool),
-		returned:  make(map[string]time.Time),
-		left:      make(map[ryeford.EndpointID]departure),
-		leaving:   make(map[ryeford.EndpointID]time.Time),
+		entries:         make(map[ryeford.EndpointID]*Entry),
+		incarnations:    make(map[ryeford.EndpointID]ryeford.EndpointID),
+		evacuated:       make(map[string]bool),
+		evacuationEnded: make(map[string]time.Time),
+		departures:      make(map[ryeford.EndpointID]departure),
+		leaving:         make(map[ryeford.EndpointID]time.Time),
 	}
 }
 
@@ -79,11 +79,11 @@
 		return change
 	}
 	switch {
-	case !r.known:
+	case !r.loaded:
 		// What peers have withheld before this first list counts against it.
-		r.restoredAt, r.withholdEra = update.Revision, update.Revision.Era()
+		r.restoreRevision, r.withholdEra = update.Revision, update.Revision.Era()
 	case update.Revision.Era() > r.revision.Era():
-		r.restored(now, update.Revision)
+		r.startWithholding(now, update.Revision)
 	}
 	r.revision = update.Revision
 	present := make(map[ryeford.EndpointID]bool, len(update.Present))
@@ -92,41 +92,41 @@
 		r.put(now, endpoint, &change)
 	}
 	for _, name := range update.Removed {
-		r.drop(now, r.lives[name], suspectUntil, &change)
+		r.markUnlisted(now, r.incarnations[name], suspectUntil, &change)
 	}
 	if update.Snapshot {
 		for id, entry := range r.entries {
 			if !present[id] && !entry.Status.expires() {
-				r.drop(now, id, suspectUntil, &change)
+				r.markUnlisted(now, id, suspectUntil, &change)
 			}
 		}
 	}
-	r.known = true
-	r.index()
+	r.loaded = true
+	r.rebuildIndex()
 	return change
 }
 
 // put enters an endpoint that the list names.
 func (r *Roster) put(now time.Time, endpoint ryeford.Endpoint, change *Change) {
 	withheld := r.withholds(now, &endpoint)
-	if life, known := r.lives[endpoint.ID.Name()]; withheld && known && life != endpoint.ID {
+	if incarnation, known := r.incarnations[endpoint.ID.Name()]; withheld && known && incarnation != endpoint.ID {
 		return // the copy has an earlier life, and lacks the one that is known
 	}
-	r.endLife(now, endpoint.ID, change)
+	r.endIncarnation(now, endpoint.ID, change)
 	old := r.entries[endpoint.ID]
 	entry := &Entry{Endpoint: endpoint, Status: r.statusOf(&endpoint), Hash: route.NameHash(string(endpoint.ID)),
-		Evacuated: r.evacuated[endpoint.FailureDomain], Returned: r.returned[endpoint.FailureDomain]}
+		Evacuated: r.evacuated[endpoint.FailureDomain], Returned: r.evacuationEnded[endpoint.FailureDomain]}
 	switch {
 	case old != nil:
 		entry.FirstSeen = old.FirstSeen
-	case r.known:
+	case r.loaded:
 		entry.FirstSeen = now
 	}
 	if withheld {
 		entry.Status, entry.withheld = StatusDraining, true
 		change.Withheld = append(change.Withheld, endpoint.ID)
 	} else if endpoint.State == ryeford.EndpointDraining {
-		r.noteDraining(now, &endpoint)
+		r.recordDraining(now, &endpoint)
 	}
 	if old != nil && old.Endpoint.SaysSame(&endpoint) {
 		entry.ColdUntil = old.ColdUntil // the same word again
@@ -142,29 +142,29 @@
 	r.entries[endpoint.ID] = entry
 }
 
-// endLife forgets another life of an endpoint of which the list names a life from now on: nothing is
+// endIncarnation forgets another life of an endpoint of which the list names a life from now on: nothing is
 // left of it, and it may be later or earlier by the clock of the endpoint's VM.
-func (r *Roster) endLife(now time.Time, id ryeford.EndpointID, change *Change) {
+func (r *Roster) endIncarnation(now time.Time, id ryeford.EndpointID, change *Change) {
 	name := id.Name()
-	if other, known := r.lives[name]; known && other != id {
+	if other, known := r.incarnations[name]; known && other != id {
 		delete(r.entries, other)
-		r.noteGone(now, other)
+		r.recordGone(now, other)
 		change.Dropped = append(change.Dropped, other)
 		change.Restarted = append(change.Restarted, id)
 	}
-	r.lives[name] = id
+	r.incarnations[name] = id
 }
 
-// forget drops an endpoint.
-func (r *Roster) forget(id ryeford.EndpointID) {
+// remove drops an endpoint.
+func (r *Roster) remove(id ryeford.EndpointID) {
 	delete(r.entries, id)
-	if name := id.Name(); r.lives[name] == id {
-		delete(r.lives, name)
+	if name := id.Name(); r.incarnations[name] == id {
+		delete(r.incarnations, name)
 	}
 }
 
-// drop gives its new status to an endpoint that the list no longer names.
-func (r *Roster) drop(now time.Time, id ryeford.EndpointID, suspectUntil time.Time, change *Change) {
+// markUnlisted gives its new status to an endpoint that the list no longer names.
+func (r *Roster) markUnlisted(now time.Time, id ryeford.EndpointID, suspectUntil time.Time, change *Change) {
 	entry := r.entries[id]
 	if entry == nil {
 		return
@@ -172,7 +172,7 @@
 	expires := suspectUntil
 	status := droppedStatus(entry.Status, now.Before(suspectUntil))
 	if status != StatusSuspect {
-		r.noteGone(now, id)
+		r.recordGone(now, id)
 	}
 	switch status {
 	case StatusSuspect:
@@ -181,7 +181,7 @@
 		change.Departed = append(change.Departed, id)
 		expires = now.Add(departedTTL)
 	default:
-		r.forget(id)
+		r.remove(id)
 		change.Dropped = append(change.Dropped, id)
 		return
 	}
@@ -199,38 +199,38 @@
 	for id, entry := range r.entries {
 		if entry.Status.expires() && now.After(entry.expires) {
 			if entry.Status == StatusSuspect {
-				r.noteGone(now, id)
+				r.recordGone(now, id)
 			}
-			r.forget(id)
+			r.remove(id)
 			expired = append(expired, id)
 		}
 	}
 	released = r.release(now)
 	if expired != nil || released != nil {
-		r.index()
+		r.rebuildIndex()
 	}
 	return expired, released
 }
 
 // UntilExpiry returns how long it is until Expire has an endpoint to forget, but most at
 // most.
-func (r *Roster) UntilExpiry(now time.Time, most time.Duration) time.Duration {
+func (r *Roster) UntilExpiry(now time.Time, limit time.Duration) time.Duration {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	for _, entry := range r.entries {
 		if entry.Status.expires() {
-			most = min(most, entry.expires.Sub(now)+1) // Expire wants the time to be over
+			limit = min(limit, entry.expires.Sub(now)+1) // Expire wants the time to be over
 		}
 		if entry.withheld {
-			most = min(most, r.withholdUntil.Sub(now))
+			limit = min(limit, r.withholdUntil.Sub(now))
 		}
 	}
-	return most
+	return limit
 }
 
-// index builds the lists by service anew; lists that were handed out stay as they
+// rebuildIndex builds the lists by service anew; lists that were handed out stay as they
 // are.
-func (r *Roster) index() {
+func (r *Roster) rebuildIndex() {
 	r.serving = make(map[string][]*Entry)
 	r.draining = make(map[string][]*Entry)
 	r.accepting = make(map[string]int)
--- a/gateway/roster/roster_test.go
+++ b/gateway/roster/roster_test.go
@@ -12,8 +12,8 @@
 // start is when the tests begin.
 var start = time.Unix(1000, 0)
 
-// never suspects no endpoint.
-var never time.Time
+// noSuspects suspects no endpoint.
+var noSuspects time.Time
 
 // ready returns an endpoint that is ready.
 func ready(id string) ryeford.Endpoint {
@@ -46,31 +46,31 @@
 func TestChanges(t *testing.T) {
 	r := New()
 	assert.Assert(t, !r.Known())
-	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("b"), ready("a")}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("b"), ready("a")}}, noSuspects)
 	assert.Equal(t, serving(r), "ab")
-	r.Apply(start, &ryeford.EndpointUpdate{Revision: 2, Present: []ryeford.Endpoint{draining("a"), ready("c")}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Revision: 2, Present: []ryeford.Endpoint{draining("a"), ready("c")}}, noSuspects)
 	assert.Equal(t, serving(r), "bc")
 	assert.Equal(t, len(r.Draining("s")), 1)
 	assert.Assert(t, !r.Entry("a").Accepts() && r.Entry("c").Accepts() && !r.Entry("d").Accepts())
 	assert.Assert(t, r.Serving("s")[0].FirstSeen.IsZero())
 	assert.Equal(t, r.Serving("s")[1].FirstSeen, start)
-	r.Apply(start, &ryeford.EndpointUpdate{Revision: 3, Removed: []ryeford.EndpointID{"a", "b"}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Revision: 3, Removed: []ryeford.EndpointID{"a", "b"}}, noSuspects)
 	assert.Equal(t, serving(r), "c")
 	// An update that was delayed changes nothing.
-	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 2, Present: []ryeford.Endpoint{ready("b")}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 2, Present: []ryeford.Endpoint{ready("b")}}, noSuspects)
 	assert.Equal(t, serving(r), "c")
 }
 
-// TestDoubt checks that ready endpoints missing from a list shortly after an outage are
+// TestSuspect checks that ready endpoints missing from a list shortly after an outage are
 // kept as suspect until a time, and that draining ones are not.
-func TestDoubt(t *testing.T) {
+func TestSuspect(t *testing.T) {
 	r := New()
-	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), draining("d")}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), draining("d")}}, noSuspects)
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 5}, start.Add(time.Second))
 	assert.Equal(t, serving(r), "ab")
 	assert.Equal(t, len(r.Draining("s")), 0)
 	// One of them is back on a later list, which does not drop the other.
-	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 6, Present: []ryeford.Endpoint{ready("b")}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 6, Present: []ryeford.Endpoint{ready("b")}}, noSuspects)
 	assert.Equal(t, serving(r), "ab")
 	assert.Equal(t, len(expired(r, start.Add(time.Second))), 0)
 	assert.DeepEqual(t, expired(r, start.Add(time.Second+1)), []ryeford.EndpointID{"a"})
@@ -82,8 +82,8 @@
 // that had drained is dropped with its entry.
 func TestDeparted(t *testing.T) {
 	r := New()
-	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), draining("d")}}, never)
-	change := r.Apply(start, &ryeford.EndpointUpdate{Revision: 2, Removed: []ryeford.EndpointID{"a", "d"}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), draining("d")}}, noSuspects)
+	change := r.Apply(start, &ryeford.EndpointUpdate{Revision: 2, Removed: []ryeford.EndpointID{"a", "d"}}, noSuspects)
 	assert.DeepEqual(t, change.Departed, []ryeford.EndpointID{"a"})
 	assert.DeepEqual(t, change.Dropped, []ryeford.EndpointID{"d"})
 	assert.Equal(t, serving(r), "b")
@@ -91,7 +91,7 @@
 	assert.Equal(t, len(r.Draining("s")), 1)
 	assert.Assert(t, r.Knows("a") && !r.Knows("d"))
 	// A whole list that lacks it too changes nothing.
-	change = r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 3, Present: []ryeford.Endpoint{ready("b")}}, never)
+	change = r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 3, Present: []ryeford.Endpoint{ready("b")}}, noSuspects)
 	assert.Assert(t, change.Empty())
 	assert.Equal(t, r.UntilExpiry(start, time.Second), time.Second)
 	assert.Equal(t, r.UntilExpiry(start.Add(time.Second), time.Second), departedTTL-time.Second+1)
@@ -100,13 +100,13 @@
 	assert.Equal(t, len(r.Draining("s")), 0)
 }
 
-// TestDoubtEnds checks that what several lists drop after an outage is believed in until
+// TestSuspectEnds checks that what several lists drop after an outage is believed in until
 // the same time, and that a list that comes later than that, or that names an endpoint
 // again, leaves none suspect.
-func TestDoubtEnds(t *testing.T) {
+func TestSuspectEnds(t *testing.T) {
 	r := New()
 	until := start.Add(time.Second)
-	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), ready("c"), ready("d")}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), ready("c"), ready("d")}}, noSuspects)
 	r.Apply(start, &ryeford.EndpointUpdate{Revision: 2, Removed: []ryeford.EndpointID{"a", "b"}}, until)
 	r.Apply(until.Add(-1), &ryeford.EndpointUpdate{Revision: 3, Removed: []ryeford.EndpointID{"c"}, Present: []ryeford.Endpoint{ready("b")}}, until)
 	assert.Equal(t, serving(r), "abcd")
@@ -118,13 +118,13 @@
 	assert.Equal(t, serving(r), "b")
 }
 
-// TestEntryWithoutNews checks that an entry that is written again as it was changes
+// TestUnchangedEntry checks that an entry that is written again as it was changes
 // nothing, and that the time since which it is known stays.
-func TestEntryWithoutNews(t *testing.T) {
+func TestUnchangedEntry(t *testing.T) {
 	r := New()
-	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1}, never)
-	r.Apply(start, &ryeford.EndpointUpdate{Revision: 2, Present: []ryeford.Endpoint{ready("a"), draining("d")}}, never)
-	change := r.Apply(start.Add(time.Second), &ryeford.EndpointUpdate{Revision: 3, Present: []ryeford.Endpoint{ready("a"), draining("d")}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1}, noSuspects)
+	r.Apply(start, &ryeford.EndpointUpdate{Revision: 2, Present: []ryeford.Endpoint{ready("a"), draining("d")}}, noSuspects)
+	change := r.Apply(start.Add(time.Second), &ryeford.EndpointUpdate{Revision: 3, Present: []ryeford.Endpoint{ready("a"), draining("d")}}, noSuspects)
 	assert.Assert(t, change.Empty(), "%+v", change)
 	assert.Equal(t, serving(r), "a")
 	assert.Equal(t, r.Entry("a").FirstSeen, start)
--- a/gateway/roster/status.go
+++ b/gateway/roster/status.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// suspectTime is how long after the end of an outage an endpoint may be suspect.
+	// suspectDuration is how long after the end of an outage an endpoint may be suspect.
 	// Endpoints whose entries lapsed in an outage of the store have written them again
 	// about two seconds after its return.
-	suspectTime = 2 * time.Second
+	suspectDuration = 2 * time.Second
 	// suspectMargin is left between the last moment at which an endpoint may be suspect
 	// and the one from which the router is held to its bounds again: for the way of a
 	// request to the endpoint.
 	suspectMargin = 100 * time.Millisecond
-	// minLapse is the shortest outage in which entries may have lapsed. They lapse after
+	// minOutageForLapse is the shortest outage in which entries may have lapsed. They lapse after
 	// three heartbeats (1.2 s each on the users' sites), but a router that pauses after
 	// a change (settings, SettleEndpoints) notices up to a second of an outage late.
 	// Shorter ones are single calls that the store rejects or resets.
-	minLapse = 500 * time.Millisecond
+	minOutageForLapse = 500 * time.Millisecond
 	// departedTTL is how long an endpoint that left the list without draining may
 	// still serve cached prefixes to others: it drains for as long as one that
 	// announced it, and its address is not given to another endpoint sooner.
@@ -34,7 +34,7 @@
 // The time is fixed once for a downtime. Whatever the list loses until then, in its
 // first answer or in a later one, is not believed in for longer.
 func SuspectUntil(downtime *ryeford.Downtime, contact time.Duration) time.Time {
-	if downtime.Length() < minLapse {
+	if downtime.Length() < minOutageForLapse {
 		return time.Time{}
 	}
 	return RestoredUntil(downtime, contact)
@@ -43,9 +43,9 @@
 // RestoredUntil is SuspectUntil for a source that is back from a copy: however short the downtime
 // was, the copy lacks the endpoints that are younger, until they write again.
 func RestoredUntil(downtime *ryeford.Downtime, contact time.Duration) time.Time {
-	until := downtime.Ended.Add(suspectTime)
-	if held := downtime.LastFailed.Add(contact - suspectMargin); held.Before(until) {
-		return held
+	until := downtime.Ended.Add(suspectDuration)
+	if latest := downtime.LastFailed.Add(contact - suspectMargin); latest.Before(until) {
+		return latest
 	}
 	return until
 }
--- a/gateway/roster/withheld.go
+++ b/gateway/roster/withheld.go
@@ -20,13 +20,13 @@
 // from then on the list is right by itself, and nothing stays out for good.
 
 const (
-	// withholdTime is for three heartbeats of 1.2 s, after which the entry of an endpoint that has ended
+	// withholdDuration is for three heartbeats of 1.2 s, after which the entry of an endpoint that has ended
 	// is gone, and for reading that.
-	withholdTime = 5 * time.Second
-	// leftTTL is how long it is remembered that an endpoint has left: copies are some seconds old.
-	leftTTL = time.Minute
-	// maxLeft bounds the memory for endpoints that have left.
-	maxLeft = 4096
+	withholdDuration = 5 * time.Second
+	// departureRecordTTL is how long it is remembered that an endpoint has left: copies are some seconds old.
+	departureRecordTTL = time.Minute
+	// maxDepartureRecords bounds the memory for endpoints that have left.
+	maxDepartureRecords = 4096
 )
 
 // A departure is that a life of an endpoint leaves or is gone.
@@ -37,36 +37,36 @@
 	gone     bool
 }
 
-// overrules reports whether an endpoint leaves though a copy of the list has it as ready.
-func (d *departure) overrules(endpoint *ryeford.Endpoint) bool {
+// overrides reports whether an endpoint leaves though a copy of the list has it as ready.
+func (d *departure) overrides(endpoint *ryeford.Endpoint) bool {
 	return d.gone || endpoint.Sequence <= d.sequence
 }
 
-// noteDraining remembers that an endpoint has announced that it leaves.
-func (r *Roster) noteDraining(now time.Time, endpoint *ryeford.Endpoint) {
-	r.noteDeparture(endpoint.ID, departure{at: now, sequence: endpoint.Sequence})
+// recordDraining remembers that an endpoint has announced that it leaves.
+func (r *Roster) recordDraining(now time.Time, endpoint *ryeford.Endpoint) {
+	r.recordDeparture(endpoint.ID, departure{at: now, sequence: endpoint.Sequence})
 }
 
-// noteGone remembers that the entry of an endpoint is gone.
-func (r *Roster) noteGone(now time.Time, id ryeford.EndpointID) {
-	r.noteDeparture(id, departure{at: now, gone: true})
+// recordGone remembers that the entry of an endpoint is gone.
+func (r *Roster) recordGone(now time.Time, id ryeford.EndpointID) {
+	r.recordDeparture(id, departure{at: now, gone: true})
 }
 
-func (r *Roster) noteDeparture(id ryeford.EndpointID, d departure) {
-	if len(r.left) >= maxLeft {
-		r.forgetLeft(d.at)
+func (r *Roster) recordDeparture(id ryeford.EndpointID, d departure) {
+	if len(r.departures) >= maxDepartureRecords {
+		r.expireDepartures(d.at)
 	}
-	if len(r.left) >= maxLeft {
-		clear(r.left)
+	if len(r.departures) >= maxDepartureRecords {
+		clear(r.departures)
 	}
-	r.left[id] = d
+	r.departures[id] = d
 }
 
-// forgetLeft forgets the endpoints that left long ago.
-func (r *Roster) forgetLeft(now time.Time) {
-	for id, d := range r.left {
-		if now.Sub(d.at) > leftTTL {
-			delete(r.left, id)
+// expireDepartures forgets the endpoints that left long ago.
+func (r *Roster) expireDepartures(now time.Time) {
+	for id, d := range r.departures {
+		if now.Sub(d.at) > departureRecordTTL {
+			delete(r.departures, id)
 		}
 	}
 }
@@ -74,69 +74,69 @@
 // withholds reports whether an endpoint that the list has as ready is sent nothing. What is known of
 // its leaving is forgotten otherwise: its own entry is newer.
 func (r *Roster) withholds(now time.Time, endpoint *ryeford.Endpoint) bool {
-	d, known := r.left[endpoint.ID]
+	d, known := r.departures[endpoint.ID]
 	if !known || endpoint.State != ryeford.EndpointReady {
 		return false
 	}
-	inCopy := endpoint.Written <= r.restoredAt
-	if inCopy && now.Before(r.withholdUntil) && d.overrules(endpoint) {
+	fromBackup := endpoint.Written <= r.restoreRevision
+	if fromBackup && now.Before(r.withholdUntil) && d.overrides(endpoint) {
 		return true
 	}
-	delete(r.left, endpoint.ID)
+	delete(r.departures, endpoint.ID)
 	return false
 }
 
-// restored takes that the source is back from a copy, and was at a revision when this router learnt
+// startWithholding takes that the source is back from a copy, and was at a revision when this router learnt
 // of it.
-func (r *Roster) restored(now time.Time, at ryeford.Revision) {
-	r.withholdUntil, r.restoredAt, r.withholdEra = now.Add(withholdTime), at, at.Era()
-	r.forgetLeft(now)
+func (r *Roster) startWithholding(now time.Time, at ryeford.Revision) {
+	r.withholdUntil, r.restoreRevision, r.withholdEra = now.Add(withholdDuration), at, at.Era()
+	r.expireDepartures(now)
 }
 
-// believesPeers reports whether what peers withhold counts now, for as long as they say. It does for a time
+// acceptsPeerReport reports whether what peers withhold counts now, for as long as they say. It does for a time
 // that is opened once in an era: messages that are late, and pass each other, would extend it without end.
-func (r *Roster) believesPeers(now time.Time, left time.Duration) bool {
-	first := r.withholdUntil.IsZero() || r.known && r.revision.Era() > r.withholdEra
-	if first {
-		r.withholdUntil = now.Add(min(left, withholdTime))
-		r.restoredAt, r.withholdEra = r.revision, r.revision.Era()
+func (r *Roster) acceptsPeerReport(now time.Time, remaining time.Duration) bool {
+	starts := r.withholdUntil.IsZero() || r.loaded && r.revision.Era() > r.withholdEra
+	if starts {
+		r.withholdUntil = now.Add(min(remaining, withholdDuration))
+		r.restoreRevision, r.withholdEra = r.revision, r.revision.Era()
 	}
 	return now.Before(r.withholdUntil)
 }
 
 // Withheld returns the endpoints that are sent nothing though the list has them as ready, at most some,
 // and for how long.
-func (r *Roster) Withheld(now time.Time, most int) (withheld []ryeford.WithheldEndpoint, left time.Duration) {
+func (r *Roster) Withheld(now time.Time, limit int) (withheld []ryeford.WithheldEndpoint, remaining time.Duration) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	left = r.withholdUntil.Sub(now)
-	if left <= 0 {
+	remaining = r.withholdUntil.Sub(now)
+	if remaining <= 0 {
 		return nil, 0
 	}
 	for id, entry := range r.entries {
 		if entry.withheld {
-			d := r.left[id]
+			d := r.departures[id]
 			withheld = append(withheld, ryeford.WithheldEndpoint{ID: id, Sequence: d.sequence, Gone: d.gone})
 		}
 	}
 	slices.SortFunc(withheld, func(a, b ryeford.WithheldEndpoint) int { return cmp.Compare(a.ID, b.ID) })
-	return withheld[:min(len(withheld), most)], left
+	return withheld[:min(len(withheld), limit)], remaining
 }
 
 // Withhold takes from a peer which endpoints are sent nothing, and for how long, and returns those of
 // which this router didn't know it.
-func (r *Roster) Withhold(now time.Time, withheld []ryeford.WithheldEndpoint, left time.Duration) []ryeford.EndpointID {
+func (r *Roster) Withhold(now time.Time, withheld []ryeford.WithheldEndpoint, remaining time.Duration) []ryeford.EndpointID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(withheld) == 0 || left <= 0 || !r.believesPeers(now, left) {
+	if len(withheld) == 0 || remaining <= 0 || !r.acceptsPeerReport(now, remaining) {
 		return nil
 	}
-	var learnt []ryeford.EndpointID
+	var added []ryeford.EndpointID
 	for _, w := range withheld {
-		if _, known := r.left[w.ID]; known {
+		if _, known := r.departures[w.ID]; known {
 			continue
 		}
-		r.noteDeparture(w.ID, departure{at: now, sequence: w.Sequence, gone: w.Gone})
+		r.recordDeparture(w.ID, departure{at: now, sequence: w.Sequence, gone: w.Gone})
 		entry := r.entries[w.ID]
 		if entry == nil || !entry.Status.accepts() || !r.withholds(now, &entry.Endpoint) {
 			continue
@@ -144,10 +144,10 @@
 		changed := *entry // callers may hold the old one
 		changed.Status, changed.withheld = StatusDraining, true
 		r.entries[w.ID] = &changed
-		learnt = append(learnt, w.ID)
+		added = append(added, w.ID)
 	}
-	r.index()
-	return learnt
+	r.rebuildIndex()
+	return added
 }
 
 // release takes the endpoints back that were withheld, once that is over, and returns them.
@@ -163,7 +163,7 @@
 		changed := *entry // callers may hold the old one
 		changed.Status, changed.withheld = r.statusOf(&entry.Endpoint), false
 		r.entries[id] = &changed
-		delete(r.left, id)
+		delete(r.departures, id)
 		released = append(released, id)
 	}
 	return released
--- a/gateway/roster/withheld_test.go
+++ b/gateway/roster/withheld_test.go
@@ -24,8 +24,8 @@
 	return &ryeford.EndpointUpdate{Snapshot: true, Revision: revision, Present: endpoints}
 }
 
-// of returns an endpoint with a sequence.
-func of(e ryeford.Endpoint, sequence int64) ryeford.Endpoint {
+// withSequence returns an endpoint with a sequence.
+func withSequence(e ryeford.Endpoint, sequence int64) ryeford.Endpoint {
 	e.Sequence = sequence
 	return e
 }
@@ -36,34 +36,34 @@
 func TestWithheld(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		known   *ryeford.EndpointUpdate // after a and b were ready
+		update  *ryeford.EndpointUpdate // after a and b were ready
 		after   time.Duration           // from that to the restore
-		copy    []ryeford.Endpoint      // what the source has then
+		backup  []ryeford.Endpoint      // what the source has then
 		serving string                  // right after the restore
 		later   string                  // once the time is over
 	}{
-		{"leaving, in an older copy", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{of(draining("a"), 9)}},
-			time.Second, []ryeford.Endpoint{of(ready("a"), 8), ready("b")}, "b", "ab"},
-		{"leaving, and ready by its later word", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{of(draining("a"), 9)}},
-			time.Second, []ryeford.Endpoint{of(ready("a"), 10), ready("b")}, "ab", "ab"},
-		{"leaving, and the copy says it too", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{of(draining("a"), 9)}},
-			time.Second, []ryeford.Endpoint{of(draining("a"), 9), ready("b")}, "b", "b"},
+		{"leaving, in an older copy", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(draining("a"), 9)}},
+			time.Second, []ryeford.Endpoint{withSequence(ready("a"), 8), ready("b")}, "b", "ab"},
+		{"leaving, and ready by its later word", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(draining("a"), 9)}},
+			time.Second, []ryeford.Endpoint{withSequence(ready("a"), 10), ready("b")}, "ab", "ab"},
+		{"leaving, and the copy says it too", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(draining("a"), 9)}},
+			time.Second, []ryeford.Endpoint{withSequence(draining("a"), 9), ready("b")}, "b", "b"},
 		{"gone", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Removed: []ryeford.EndpointID{"a"}},
-			time.Second, []ryeford.Endpoint{of(ready("a"), 50), ready("b")}, "b", "ab"},
+			time.Second, []ryeford.Endpoint{withSequence(ready("a"), 50), ready("b")}, "b", "ab"},
 		{"gone long ago", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Removed: []ryeford.EndpointID{"a"}},
-			leftTTL + time.Second, []ryeford.Endpoint{of(ready("a"), 50), ready("b")}, "ab", "ab"},
+			departureRecordTTL + time.Second, []ryeford.Endpoint{withSequence(ready("a"), 50), ready("b")}, "ab", "ab"},
 		{"never left", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3)},
-			time.Second, []ryeford.Endpoint{of(ready("a"), 1), ready("b")}, "ab", "ab"},
+			time.Second, []ryeford.Endpoint{withSequence(ready("a"), 1), ready("b")}, "ab", "ab"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := New()
-			r.Apply(start, snapshot(revisionOf(1, 2), of(ready("a"), 5), ready("b")), never)
-			r.Apply(start, test.known, never)
+			r.Apply(start, snapshot(revisionOf(1, 2), withSequence(ready("a"), 5), ready("b")), noSuspects)
+			r.Apply(start, test.update, noSuspects)
 			r.Expire(start.Add(2 * departedTTL))
 			restored := start.Add(test.after)
-			r.Apply(restored, snapshot(revisionOf(2, 2), test.copy...), never)
+			r.Apply(restored, snapshot(revisionOf(2, 2), test.backup...), noSuspects)
 			assert.Equal(t, serving(r), test.serving)
-			expired, released := r.Expire(restored.Add(withholdTime))
+			expired, released := r.Expire(restored.Add(withholdDuration))
 			assert.Equal(t, len(expired), 0)
 			assert.Equal(t, len(released), len(test.later)-len(test.serving))
 			assert.Equal(t, serving(r), test.later)
@@ -73,33 +73,33 @@
 
 // TestWithheldOwnWord checks that an endpoint that was gone, and is back by its own word after a restore, is
 // sent requests: only what the copy has may be older than what is known.
-func TestWithheldOwnWord(t *testing.T) {
+func TestWithheldNewEntry(t *testing.T) {
 	r := New()
-	r.Apply(start, snapshot(revisionOf(1, 2), ready("a"), ready("b")), never)
-	r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Removed: []ryeford.EndpointID{"a"}}, never)
-	copied := ready("a")
-	copied.Written = revisionOf(2, 1)
-	r.Apply(start, snapshot(revisionOf(2, 2), copied, ready("b")), never)
+	r.Apply(start, snapshot(revisionOf(1, 2), ready("a"), ready("b")), noSuspects)
+	r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Removed: []ryeford.EndpointID{"a"}}, noSuspects)
+	fromBackup := ready("a")
+	fromBackup.Written = revisionOf(2, 1)
+	r.Apply(start, snapshot(revisionOf(2, 2), fromBackup, ready("b")), noSuspects)
 	assert.Equal(t, serving(r), "b")
 	again := ready("a")
 	again.Written = revisionOf(2, 3)
-	r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(2, 3), Present: []ryeford.Endpoint{again}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(2, 3), Present: []ryeford.Endpoint{again}}, noSuspects)
 	assert.Equal(t, serving(r), "ab")
 
-	r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(2, 4), Removed: []ryeford.EndpointID{"b"}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(2, 4), Removed: []ryeford.EndpointID{"b"}}, noSuspects)
 	back := ready("b")
 	back.Written = revisionOf(2, 5)
-	r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(2, 5), Present: []ryeford.Endpoint{back}}, never)
+	r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(2, 5), Present: []ryeford.Endpoint{back}}, noSuspects)
 	assert.Equal(t, serving(r), "ab", "it went and came back after the restore")
 }
 
 // TestWithheldLife checks that a copy that has an earlier life of an endpoint doesn't end the life that is
 // known, and that another life of one that was known to leave is sent requests.
-func TestWithheldLife(t *testing.T) {
+func TestWithheldIncarnation(t *testing.T) {
 	earlier, later := ready(string(ryeford.NewEndpointID("a", 1))), ready(string(ryeford.NewEndpointID("a", 2)))
 	r := New()
-	r.Apply(start, snapshot(revisionOf(1, 1), earlier), never)
-	r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 2), Present: []ryeford.Endpoint{later}}, never)
+	r.Apply(start, snapshot(revisionOf(1, 1), earlier), noSuspects)
+	r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 2), Present: []ryeford.Endpoint{later}}, noSuspects)
 	until := start.Add(2 * time.Second)
 	change := r.Apply(start, snapshot(revisionOf(2, 1), earlier), until)
 	assert.DeepEqual(t, change.Suspected, []ryeford.EndpointID{later.ID})
@@ -114,30 +114,30 @@
 // long, and passes it on; that what it knows itself stands; and that a peer can't withhold for longer than a
 // restore does.
 func TestWithhold(t *testing.T) {
-	knowing, started := New(), New()
-	knowing.Apply(start, snapshot(revisionOf(1, 2), of(ready("a"), 5), ready("b")), never)
-	knowing.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{of(draining("a"), 9)}}, never)
-	copied := snapshot(revisionOf(2, 2), of(ready("a"), 8), ready("b"))
-	knowing.Apply(start, copied, never)
-	started.Apply(start, copied, never)
-	assert.Equal(t, serving(started), "ab")
+	informed, restarted := New(), New()
+	informed.Apply(start, snapshot(revisionOf(1, 2), withSequence(ready("a"), 5), ready("b")), noSuspects)
+	informed.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(draining("a"), 9)}}, noSuspects)
+	fromBackup := snapshot(revisionOf(2, 2), withSequence(ready("a"), 8), ready("b"))
+	informed.Apply(start, fromBackup, noSuspects)
+	restarted.Apply(start, fromBackup, noSuspects)
+	assert.Equal(t, serving(restarted), "ab")
 
 	now := start.Add(time.Second)
-	withheld, left := knowing.Withheld(now, 8)
+	withheld, remaining := informed.Withheld(now, 8)
 	assert.DeepEqual(t, withheld, []ryeford.WithheldEndpoint{{ID: "a", Sequence: 9}})
-	assert.Equal(t, left, withholdTime-time.Second)
-	assert.DeepEqual(t, started.Withhold(now, withheld, left), []ryeford.EndpointID{"a"})
-	assert.Equal(t, len(started.Withhold(now, withheld, left)), 0, "it is known")
-	assert.Equal(t, serving(started), "b")
-	passed, _ := started.Withheld(now, 8)
+	assert.Equal(t, remaining, withholdDuration-time.Second)
+	assert.DeepEqual(t, restarted.Withhold(now, withheld, remaining), []ryeford.EndpointID{"a"})
+	assert.Equal(t, len(restarted.Withhold(now, withheld, remaining)), 0, "it is known")
+	assert.Equal(t, serving(restarted), "b")
+	passed, _ := restarted.Withheld(now, 8)
 	assert.DeepEqual(t, passed, withheld)
-	started.Expire(now.Add(left))
-	assert.Equal(t, serving(started), "ab")
+	restarted.Expire(now.Add(remaining))
+	assert.Equal(t, serving(restarted), "ab")
 
-	started.Withhold(now, []ryeford.WithheldEndpoint{{ID: "b", Gone: true}}, time.Hour)
-	assert.Equal(t, serving(started), "a")
-	started.Expire(now.Add(withholdTime))
-	assert.Equal(t, serving(started), "ab")
+	restarted.Withhold(now, []ryeford.WithheldEndpoint{{ID: "b", Gone: true}}, time.Hour)
+	assert.Equal(t, serving(restarted), "a")
+	restarted.Expire(now.Add(withholdDuration))
+	assert.Equal(t, serving(restarted), "ab")
 }
 
 // TestWithholdOnce checks that peers, whose messages may be late and pass each other, neither extend the time
@@ -145,33 +145,33 @@
 // hears of it before it has a list keeps it for that.
 func TestWithholdOnce(t *testing.T) {
 	r := New()
-	r.Apply(start, snapshot(revisionOf(1, 2), ready("a"), ready("b")), never)
-	r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Removed: []ryeford.EndpointID{"a"}}, never)
-	r.Apply(start, snapshot(revisionOf(2, 2), ready("a"), ready("b")), never)
-	withheld, left := r.Withheld(start, 8)
+	r.Apply(start, snapshot(revisionOf(1, 2), ready("a"), ready("b")), noSuspects)
+	r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Removed: []ryeford.EndpointID{"a"}}, noSuspects)
+	r.Apply(start, snapshot(revisionOf(2, 2), ready("a"), ready("b")), noSuspects)
+	withheld, remaining := r.Withheld(start, 8)
 	late := start.Add(time.Second)
-	r.Withhold(late, withheld, left)
-	_, left = r.Withheld(late, 8)
-	assert.Equal(t, left, withholdTime-time.Second, "extended")
-	over := start.Add(withholdTime)
+	r.Withhold(late, withheld, remaining)
+	_, remaining = r.Withheld(late, 8)
+	assert.Equal(t, remaining, withholdDuration-time.Second, "extended")
+	over := start.Add(withholdDuration)
 	r.Expire(over)
 	assert.Equal(t, serving(r), "ab")
-	r.Withhold(over, withheld, withholdTime)
+	r.Withhold(over, withheld, withholdDuration)
 	assert.Equal(t, serving(r), "ab", "opened anew")
 
-	started := New()
-	started.Withhold(start, withheld, withholdTime)
-	started.Apply(start, snapshot(revisionOf(2, 2), ready("a"), ready("b")), never)
-	assert.Equal(t, serving(started), "b", "heard before the first list")
-	started.Expire(over)
-	assert.Equal(t, serving(started), "ab")
+	restarted := New()
+	restarted.Withhold(start, withheld, withholdDuration)
+	restarted.Apply(start, snapshot(revisionOf(2, 2), ready("a"), ready("b")), noSuspects)
+	assert.Equal(t, serving(restarted), "b", "heard before the first list")
+	restarted.Expire(over)
+	assert.Equal(t, serving(restarted), "ab")
 }
 
 // TestLeftBound checks that what is remembered of endpoints that have left is bounded.
-func TestLeftBound(t *testing.T) {
+func TestDepartureBound(t *testing.T) {
 	r := New()
-	for i := range 3 * maxLeft {
-		r.noteGone(start.Add(time.Duration(i)*time.Millisecond), ryeford.EndpointID(fmt.Sprint(i)))
-		assert.Assert(t, len(r.left) <= maxLeft)
+	for i := range 3 * maxDepartureRecords {
+		r.recordGone(start.Add(time.Duration(i)*time.Millisecond), ryeford.EndpointID(fmt.Sprint(i)))
+		assert.Assert(t, len(r.departures) <= maxDepartureRecords)
 	}
 }
