--- a/gateway/roster/entry.go
+++ b/gateway/roster/entry.go
@@ -8,31 +8,31 @@
 
 // An Entry is one endpoint of a Roster.
 type Entry struct {
-	// Endpoint is what the list last said of it, its own State included.
+	// Endpoint is the endpoint as last listed, including its listed State.
 	ryeford.Endpoint
-	// Status is what the router believes of it.
+	// Status is the router's own view of the endpoint.
 	Status Status
 	// Hash is the uniform hash of the ID.
 	Hash uint64
-	// FirstSeen is when the router first saw the endpoint on the list. It is zero
-	// if the first list had it: such an endpoint may have served for long.
+	// FirstSeen is when the router first saw the endpoint on the list. It is zero if the first
+	// list had it: such an endpoint may have been serving for a long time.
 	FirstSeen time.Time
-	// Evacuated endpoints accept no requests, whatever their status: the operators have
-	// evacuated their failure domain.
+	// Evacuated reports that the operators have evacuated the endpoint's failure domain: it accepts
+	// no requests, whatever its status.
 	Evacuated bool
-	// Returned is when the last evacuation of its failure domain ended, or zero.
+	// Returned is when the last evacuation of the failure domain ended, or zero.
 	Returned time.Time
-	// ColdUntil is until when the endpoint is cold by its own word, counted from when this router
-	// learnt of it.
+	// ColdUntil is when the cold period that the endpoint reported ends, counted from when this router
+	// received the report.
 	ColdUntil time.Time
-	// withheld says that the list has the endpoint as ready, and the router knows better.
+	// withheld is set if the endpoint is listed as ready but is withheld (withheld.go).
 	withheld bool
-	// expires is when an endpoint that is off the list is forgotten.
+	// expires is when an endpoint that is no longer listed is removed.
 	expires time.Time
 }
 
-// Hindrance returns why the endpoint accepts no new requests, or nothing: it leaves or is not known, which is
-// what a nil entry stands for, or its failure domain is evacuated.
+// Hindrance returns the reason for which the endpoint accepts no new requests, or "" if it accepts them.
+// A nil entry stands for an unknown endpoint, which counts as leaving.
 func (e *Entry) Hindrance() ryeford.Reason {
 	switch {
 	case e == nil || !e.Listed():
@@ -43,8 +43,8 @@
 	return ""
 }
 
-// Listed reports whether the endpoint accepts new requests, or would if its failure domain were not
-// evacuated.
+// Listed reports whether the endpoint accepts new requests, apart from an evacuation of its failure
+// domain.
 func (e *Entry) Listed() bool { return e.Status.accepts() }
 
 // Accepts reports whether the endpoint accepts new requests.
--- a/gateway/roster/evacuated.go
+++ b/gateway/roster/evacuated.go
@@ -7,9 +7,9 @@
 	"github.com/ryeford/ryeford"
 )
 
-// SetEvacuated sets which failure domains are evacuated, and returns those whose evacuation has
-// begun and those whose evacuation has ended. An order that was withdrawn and given again
-// in between counts as one that goes on.
+// SetEvacuated sets which failure domains are evacuated. It returns those whose evacuation has begun
+// and those whose evacuation has ended. An order that was withdrawn and issued again since the last
+// call counts as one continued evacuation.
 func (r *Roster) SetEvacuated(now time.Time, evacuations ryeford.Evacuations) (began, ended []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,7 +29,7 @@
 	slices.Sort(ended)
 	for id, entry := range r.entries {
 		if slices.Contains(began, entry.FailureDomain) || slices.Contains(ended, entry.FailureDomain) {
-			changed := *entry // callers may hold the old one
+			changed := *entry // callers may hold the old entry
 			changed.Evacuated, changed.Returned = r.evacuated[entry.FailureDomain], r.evacuationEnded[entry.FailureDomain]
 			r.entries[id] = &changed
 		}
--- a/gateway/roster/evacuated_test.go
+++ b/gateway/roster/evacuated_test.go
@@ -9,8 +9,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestSetEvacuated checks that the endpoints of an evacuated failure domain accept nothing, also
-// those that are listed later, that they stay known, and that they accept again after it.
+// TestSetEvacuated checks that endpoints of an evacuated failure domain accept no requests, also those listed
+// later, that they stay in the roster, and that they accept requests again after the evacuation.
 func TestSetEvacuated(t *testing.T) {
 	r := New()
 	endpointIn := func(id ryeford.EndpointID, domain string) ryeford.Endpoint {
@@ -26,7 +26,7 @@
 		assert.Equal(t, r.Entry(id).Accepts(), accepts, id)
 		assert.Assert(t, r.Knows(id), id)
 	}
-	assert.Equal(t, len(r.Serving("s")), 3) // they count for the mean load
+	assert.Equal(t, len(r.Serving("s")), 3) // evacuated endpoints still count for the mean load
 
 	end := start.Add(time.Minute)
 	began, ended = r.SetEvacuated(end, ryeford.Evacuations{Revision: 4})
--- a/gateway/roster/leaving.go
+++ b/gateway/roster/leaving.go
@@ -8,27 +8,26 @@
 	"github.com/ryeford/ryeford"
 )
 
-// What an endpoint says of its leaving with its own responses.
+// Endpoints that report in their responses that they are leaving.
 //
-// Rule: an endpoint that has said with a response that it leaves accepts no requests for the rest of that
-// life, whatever a list, a restored source or a peer says of it, and however long that takes.
+// Rule: an endpoint that has reported in a response that it is leaving accepts no requests for the rest
+// of that incarnation, whatever the list, a restored source or a peer states later.
 //
-// Why: the response is the endpoint's own word, and may come long before the list has it, or instead of
-// that. A list that has it as ready, of any sequence, is the older word: nothing takes back that an
-// endpoint leaves.
+// Why: the report comes from the endpoint itself and may precede its list entry or replace it. Leaving is
+// final, so a list that has the endpoint as ready is out of date, whatever its sequence.
 
 const (
-	// maxLeaving bounds the memory for endpoints that have said so, as far as they are off the list.
+	// maxLeaving is the number of records above which records of unlisted endpoints are evicted.
 	maxLeaving = 4096
-	// leavingEvictionBatch is how many of them are forgotten at once, so that it is seldom.
+	// leavingEvictionBatch is the number of records that are evicted at once, so that evictions are rare.
 	leavingEvictionBatch = maxLeaving / 4
-	// leavingGossipWindow is for how long all messages name an endpoint from when this router learnt of it: each
-	// router learns of a life once, so that the word ends.
+	// leavingGossipWindow is how long an endpoint is included in all messages to peers, from when this
+	// router was notified. Each router records an incarnation once, so that the updates die out.
 	leavingGossipWindow = 3 * time.Second
 )
 
-// Leave takes that an endpoint has said with a response, to this router or to a peer, that it leaves, and
-// reports whether that is new.
+// Leave records that an endpoint has reported, in a response to this router or to a peer, that it is
+// leaving. It reports whether that is new.
 func (r *Roster) Leave(now time.Time, id ryeford.EndpointID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,26 +42,26 @@
 	if entry == nil || !entry.Status.accepts() {
 		return true
 	}
-	changed := *entry // callers may hold the old one
+	changed := *entry // callers may hold the old entry
 	changed.Status, changed.withheld = StatusDraining, false
 	r.entries[id] = &changed
 	r.rebuildIndex()
 	return true
 }
 
-// LatelyLeaving returns the endpoints of which this router learnt a short time ago that they leave, the latest
-// first, at most some.
+// LatelyLeaving returns the endpoints that were recorded as leaving within leavingGossipWindow, the
+// latest first, up to limit.
 func (r *Roster) LatelyLeaving(now time.Time, limit int) []ryeford.EndpointID {
 	return r.LeavingSince(now.Add(-leavingGossipWindow), limit)
 }
 
-// LeavingSince returns the endpoints of which this router has learnt since a time that they leave, the latest
-// first, at most some.
+// LeavingSince returns the endpoints that were recorded as leaving at or after a time, the latest first,
+// up to limit.
 func (r *Roster) LeavingSince(since time.Time, limit int) []ryeford.EndpointID {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	if r.lastLeaving.Before(since) {
-		return nil // as almost always
+		return nil
 	}
 	var leaving []ryeford.EndpointID
 	for id, at := range r.leaving {
@@ -76,7 +75,7 @@
 	return leaving[:min(len(leaving), limit)]
 }
 
-// evictLeaving forgets that some endpoints leave which are off the list: those that have said so first.
+// evictLeaving removes the oldest records of endpoints that are not listed.
 func (r *Roster) evictLeaving() {
 	var unlisted []ryeford.EndpointID
 	for id := range r.leaving {
@@ -92,7 +91,7 @@
 	}
 }
 
-// statusOf returns the status of an endpoint that the list names.
+// statusOf returns the status of a listed endpoint.
 func (r *Roster) statusOf(endpoint *ryeford.Endpoint) Status {
 	if _, leaving := r.leaving[endpoint.ID]; leaving {
 		return StatusDraining
--- a/gateway/roster/leaving_test.go
+++ b/gateway/roster/leaving_test.go
@@ -10,8 +10,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestLeave checks what becomes of an endpoint that has said with a response that it leaves: it accepts no
-// requests for the rest of that life, whatever comes after it, and another life of it does at once.
+// TestLeave checks that an endpoint that has reported in a response that it is leaving gets no requests for the
+// rest of that incarnation, whatever the list or peers state later, and that its next incarnation gets them.
 func TestLeave(t *testing.T) {
 	first, second := string(ryeford.NewEndpointID("a", 1000)), string(ryeford.NewEndpointID("a", 2000))
 	for _, test := range []struct {
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestLeaveUnlisted checks that the word of an endpoint which is not on the list yet binds once it is.
+// TestLeaveUnlisted checks that the report of an endpoint that is not listed yet applies once it is listed.
 func TestLeaveUnlisted(t *testing.T) {
 	r := New()
 	r.Leave(start, "a")
@@ -81,8 +81,8 @@
 	assert.Equal(t, serving(r), "b")
 }
 
-// TestLeaveBound checks that the memory for endpoints that leave is bounded, and that those are forgotten
-// first which are off the list and have said so first.
+// TestLeaveBound checks that the number of records is bounded, and that the oldest records of unlisted
+// endpoints are evicted first.
 func TestLeaveBound(t *testing.T) {
 	r := New()
 	r.Apply(start, snapshot(1, ready("a"), ready("b")), noSuspects)
@@ -98,8 +98,8 @@
 	assert.Assert(t, !hasFirst && hasLast)
 }
 
-// TestLatelyLeaving checks which endpoints peers are told of: those of which this router learnt a short time
-// ago, the latest first, each once.
+// TestRecentlyLeaving checks that peers are notified only of endpoints that were recorded as leaving recently,
+// the latest first, each once.
 func TestRecentlyLeaving(t *testing.T) {
 	r := New()
 	r.Apply(start, snapshot(1, ready("a"), ready("b")), noSuspects)
@@ -109,7 +109,7 @@
 	}
 	assert.DeepEqual(t, r.LatelyLeaving(start.Add(2*time.Second), 2), []ryeford.EndpointID{"c", "b"})
 	assert.DeepEqual(t, r.LatelyLeaving(start.Add(leavingGossipWindow), 8), []ryeford.EndpointID{"c", "b", "a"})
-	r.Leave(start.Add(leavingGossipWindow), "a") // a peer's late word
+	r.Leave(start.Add(leavingGossipWindow), "a") // a delayed report from a peer
 	assert.DeepEqual(t, r.LatelyLeaving(start.Add(leavingGossipWindow+1), 8), []ryeford.EndpointID{"c", "b"})
 	assert.Equal(t, len(r.LatelyLeaving(start.Add(time.Hour), 8)), 0)
 	assert.DeepEqual(t, r.LeavingSince(time.Time{}, 8), []ryeford.EndpointID{"c", "b", "a"})
--- a/gateway/roster/queries.go
+++ b/gateway/roster/queries.go
@@ -9,41 +9,39 @@
 	return r.loaded
 }
 
-// Serving returns the endpoints of a service that accept requests, and those that would if
-// their failure domain were not evacuated. The caller must not change them.
+// Serving returns the endpoints of a service that accept requests, including those that accept none only
+// because their failure domain is evacuated. The caller must not change them.
 func (r *Roster) Serving(service string) []*Entry {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.serving[service]
 }
 
-// Accepting returns how many endpoints of a service accept requests.
+// Accepting returns the number of endpoints of a service that accept requests.
 func (r *Roster) Accepting(service string) int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.accepting[service]
 }
 
-// Draining returns the draining and departed endpoints of a service. The caller
-// must not change them.
+// Draining returns the draining and departed endpoints of a service. The caller must not change them.
 func (r *Roster) Draining(service string) []*Entry {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.draining[service]
 }
 
-// Entry returns an endpoint, or nil if it is not known. The caller must not change
-// it.
+// Entry returns an endpoint, or nil if it is unknown. The caller must not change it.
 func (r *Roster) Entry(id ryeford.EndpointID) *Entry {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.entries[id]
 }
 
-// Knows reports whether an endpoint is known, whatever its status.
+// Knows reports whether the roster has an endpoint, whatever its status.
 func (r *Roster) Knows(id ryeford.EndpointID) bool { return r.Entry(id) != nil }
 
-// Len returns the number of known endpoints, whatever their status.
+// Len returns the number of endpoints, whatever their status.
 func (r *Roster) Len() int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/gateway/roster/restarted_test.go
+++ b/gateway/roster/restarted_test.go
@@ -8,8 +8,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestRestarted checks that another life of an endpoint takes the place of the one before, whichever
-// is later by the clock of its VM, and that a name that leaves takes the life that is known with it.
+// TestRestarted checks that a new incarnation of an endpoint replaces the earlier one, even if its VM's clock
+// has stepped back, and that removing a name removes the current incarnation.
 func TestRestarted(t *testing.T) {
 	r := New()
 	incarnation := func(started int64) ryeford.Endpoint { return ready(string(ryeford.NewEndpointID("a", started))) }
--- a/gateway/roster/roster.go
+++ b/gateway/roster/roster.go
@@ -1,11 +1,9 @@
-// Package roster is the list of endpoints as one router believes it to be: what
-// the platform's list says, what endpoints have said of their leaving, and for a short time
-// what the list has dropped.
+// Package roster holds one router's view of the endpoints. It combines the platform's list with what
+// endpoints report about leaving, and keeps endpoints that were removed from the list for a short time.
 //
-// It owns each endpoint's status. It relies on the caller for the updates, in any
-// order (an update older than the last one is ignored), for the endpoints' own word, and for
-// calling Expire. It does no I/O. The rules and their constants are in status.go (dropped
-// endpoints), leaving.go and withheld.go.
+// It determines the status of each endpoint. The caller passes in list updates, in any order (an update
+// older than the last one is ignored), and endpoint status reports, and calls Expire. The package does no
+// I/O. The rules and their constants are in status.go (removed endpoints), leaving.go and withheld.go.
 package roster
 
 import (
@@ -18,29 +16,28 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// A Roster is the list of endpoints.
+// A Roster is one router's list of endpoints. It is safe for concurrent use.
 type Roster struct {
 	mu           sync.RWMutex
 	entries      map[ryeford.EndpointID]*Entry
-	incarnations map[ryeford.EndpointID]ryeford.EndpointID // the life that is known, by name
-	serving      map[string][]*Entry                       // by service, sorted by ID: those that accept requests
-	draining     map[string][]*Entry                       // by service, sorted by ID: the others
-	accepting    map[string]int                            // by service: how many accept requests
+	incarnations map[ryeford.EndpointID]ryeford.EndpointID // the current incarnation, by name
+	serving      map[string][]*Entry                       // by service, sorted by ID: accepting or only evacuated
+	draining     map[string][]*Entry                       // by service, sorted by ID: all others
+	accepting    map[string]int                            // by service: number that accept requests
 	loaded       bool
 	revision     ryeford.Revision
 
-	evacuated       map[string]bool      // failure domains
-	evacuationEnded map[string]time.Time // when failure domains were last taken back
+	evacuated       map[string]bool      // by failure domain
+	evacuationEnded map[string]time.Time // by failure domain: end of the last evacuation
 
-	departures map[ryeford.EndpointID]departure // lives that leave or are gone
-	// leaving holds the lives that have said with a response that they leave, and when.
+	departures map[ryeford.EndpointID]departure // incarnations that are leaving or gone
+	// leaving holds when each incarnation was recorded as leaving because of its own report.
 	leaving     map[ryeford.EndpointID]time.Time
-	lastLeaving time.Time // the last of these
-	// withholdUntil is until when these are believed against what the list had at the revision
-	// restoredAt.
+	lastLeaving time.Time // the latest time in leaving
+	// withholdUntil is when departures stop overriding entries written up to restoreRevision.
 	withholdUntil   time.Time
 	restoreRevision ryeford.Revision
-	withholdEra     int64 // in which it was set
+	withholdEra     int64 // the era in which withholdUntil was set
 }
 
 // New returns an empty Roster.
@@ -55,12 +52,12 @@
 	}
 }
 
-// A Change is what an update did, as the IDs whose status has changed.
+// A Change holds the IDs of the endpoints whose status an update has changed.
 type Change struct {
 	Added, Drained, Dropped, Suspected, Departed []ryeford.EndpointID
-	// Withheld are those that the list has as ready, and that are sent nothing.
+	// Withheld endpoints are listed as ready but get no requests.
 	Withheld []ryeford.EndpointID
-	// Restarted are the endpoints of which another life is known now; the earlier one is Dropped.
+	// Restarted holds the new incarnations of endpoints; each earlier incarnation is in Dropped.
 	Restarted []ryeford.EndpointID
 }
 
@@ -69,8 +66,8 @@
 	return len(c.Added)+len(c.Drained)+len(c.Dropped)+len(c.Suspected)+len(c.Departed)+len(c.Withheld) == 0
 }
 
-// Apply applies an update, unless it is older than the last one. Until suspectUntil
-// an endpoint that the update drops becomes suspect (SuspectUntil); zero suspects none.
+// Apply applies an update, unless it is older than the last one. Before suspectUntil (see SuspectUntil)
+// an endpoint that the update removes becomes suspect; zero makes none suspect.
 func (r *Roster) Apply(now time.Time, update *ryeford.EndpointUpdate, suspectUntil time.Time) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +77,7 @@
 	}
 	switch {
 	case !r.loaded:
-		// What peers have withheld before this first list counts against it.
+		// Reports of withheld endpoints that peers sent before this first list apply to it.
 		r.restoreRevision, r.withholdEra = update.Revision, update.Revision.Era()
 	case update.Revision.Era() > r.revision.Era():
 		r.startWithholding(now, update.Revision)
@@ -106,11 +103,11 @@
 	return change
 }
 
-// put enters an endpoint that the list names.
+// put adds or updates a listed endpoint.
 func (r *Roster) put(now time.Time, endpoint ryeford.Endpoint, change *Change) {
 	withheld := r.withholds(now, &endpoint)
 	if incarnation, known := r.incarnations[endpoint.ID.Name()]; withheld && known && incarnation != endpoint.ID {
-		return // the copy has an earlier life, and lacks the one that is known
+		return // the backup has an earlier incarnation than the roster
 	}
 	r.endIncarnation(now, endpoint.ID, change)
 	old := r.entries[endpoint.ID]
@@ -129,7 +126,7 @@
 		r.recordDraining(now, &endpoint)
 	}
 	if old != nil && old.Endpoint.SaysSame(&endpoint) {
-		entry.ColdUntil = old.ColdUntil // the same word again
+		entry.ColdUntil = old.ColdUntil // unchanged entry: the cold period goes on
 	} else if endpoint.Cold > 0 {
 		entry.ColdUntil = now.Add(endpoint.Cold)
 	}
@@ -142,8 +139,8 @@
 	r.entries[endpoint.ID] = entry
 }
 
-// endIncarnation forgets another life of an endpoint of which the list names a life from now on: nothing is
-// left of it, and it may be later or earlier by the clock of the endpoint's VM.
+// endIncarnation removes any other incarnation of an endpoint that the list now has with the incarnation id.
+// The removed one may have the later start time, since the clock of the endpoint's VM can step back.
 func (r *Roster) endIncarnation(now time.Time, id ryeford.EndpointID, change *Change) {
 	name := id.Name()
 	if other, known := r.incarnations[name]; known && other != id {
@@ -155,7 +152,6 @@
 	r.incarnations[name] = id
 }
 
-// remove drops an endpoint.
 func (r *Roster) remove(id ryeford.EndpointID) {
 	delete(r.entries, id)
 	if name := id.Name(); r.incarnations[name] == id {
@@ -163,7 +159,7 @@
 	}
 }
 
-// markUnlisted gives its new status to an endpoint that the list no longer names.
+// markUnlisted sets the status of an endpoint that is no longer listed.
 func (r *Roster) markUnlisted(now time.Time, id ryeford.EndpointID, suspectUntil time.Time, change *Change) {
 	entry := r.entries[id]
 	if entry == nil {
@@ -185,14 +181,14 @@
 		change.Dropped = append(change.Dropped, id)
 		return
 	}
-	kept := *entry // callers may hold the old one
+	kept := *entry // callers may hold the old entry
 	kept.Status = status
 	kept.expires = expires
 	r.entries[id] = &kept
 }
 
-// Expire forgets the endpoints that have been off the list for their time, and takes those back that
-// were withheld for theirs. It returns both.
+// Expire removes the unlisted endpoints whose time is up, and releases withheld endpoints once
+// withholding ends. It returns both.
 func (r *Roster) Expire(now time.Time) (expired, released []ryeford.EndpointID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -212,14 +208,13 @@
 	return expired, released
 }
 
-// UntilExpiry returns how long it is until Expire has an endpoint to forget, but most at
-// most.
+// UntilExpiry returns the time until Expire is next due, at most limit.
 func (r *Roster) UntilExpiry(now time.Time, limit time.Duration) time.Duration {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	for _, entry := range r.entries {
 		if entry.Status.expires() {
-			limit = min(limit, entry.expires.Sub(now)+1) // Expire wants the time to be over
+			limit = min(limit, entry.expires.Sub(now)+1) // Expire removes an entry only after this time
 		}
 		if entry.withheld {
 			limit = min(limit, r.withholdUntil.Sub(now))
@@ -228,8 +223,7 @@
 	return limit
 }
 
-// rebuildIndex builds the lists by service anew; lists that were handed out stay as they
-// are.
+// rebuildIndex rebuilds the lists by service. It leaves lists that were returned earlier unchanged.
 func (r *Roster) rebuildIndex() {
 	r.serving = make(map[string][]*Entry)
 	r.draining = make(map[string][]*Entry)
--- a/gateway/roster/roster_test.go
+++ b/gateway/roster/roster_test.go
@@ -9,25 +9,22 @@
 	"github.com/ryeford/ryeford"
 )
 
-// start is when the tests begin.
 var start = time.Unix(1000, 0)
 
-// noSuspects suspects no endpoint.
+// noSuspects makes Apply treat no removed endpoint as suspect.
 var noSuspects time.Time
 
-// ready returns an endpoint that is ready.
 func ready(id string) ryeford.Endpoint {
 	return ryeford.Endpoint{ID: ryeford.EndpointID(id), Service: "s"}
 }
 
-// draining returns an endpoint that drains.
 func draining(id string) ryeford.Endpoint {
 	e := ready(id)
 	e.State = ryeford.EndpointDraining
 	return e
 }
 
-// serving returns the IDs of the endpoints that accept requests, in one text.
+// serving returns the concatenated IDs of the endpoints that accept requests.
 func serving(r *Roster) string {
 	names := ""
 	for _, entry := range r.Serving("s") {
@@ -36,13 +33,13 @@
 	return names
 }
 
-// expired returns the endpoints that are forgotten at a time.
+// expired returns the endpoints that Expire removes at a time.
 func expired(r *Roster, at time.Time) []ryeford.EndpointID {
 	ids, _ := r.Expire(at)
 	return ids
 }
 
-// TestChanges checks that endpoints join, drain and leave as updates say.
+// TestChanges checks that endpoints join, drain and leave as updates state.
 func TestChanges(t *testing.T) {
 	r := New()
 	assert.Assert(t, !r.Known())
@@ -56,20 +53,20 @@
 	assert.Equal(t, r.Serving("s")[1].FirstSeen, start)
 	r.Apply(start, &ryeford.EndpointUpdate{Revision: 3, Removed: []ryeford.EndpointID{"a", "b"}}, noSuspects)
 	assert.Equal(t, serving(r), "c")
-	// An update that was delayed changes nothing.
+	// A delayed update is ignored.
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 2, Present: []ryeford.Endpoint{ready("b")}}, noSuspects)
 	assert.Equal(t, serving(r), "c")
 }
 
-// TestSuspect checks that ready endpoints missing from a list shortly after an outage are
-// kept as suspect until a time, and that draining ones are not.
+// TestSuspect checks that ready endpoints missing from a list shortly after an outage are kept as suspect for
+// a time, and that draining ones are not.
 func TestSuspect(t *testing.T) {
 	r := New()
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), draining("d")}}, noSuspects)
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 5}, start.Add(time.Second))
 	assert.Equal(t, serving(r), "ab")
 	assert.Equal(t, len(r.Draining("s")), 0)
-	// One of them is back on a later list, which does not drop the other.
+	// A later list has one of them again and does not remove the other.
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 6, Present: []ryeford.Endpoint{ready("b")}}, noSuspects)
 	assert.Equal(t, serving(r), "ab")
 	assert.Equal(t, len(expired(r, start.Add(time.Second))), 0)
@@ -77,9 +74,9 @@
 	assert.Equal(t, serving(r), "b")
 }
 
-// TestDeparted checks that an endpoint that leaves the list without draining accepts
-// no requests any more, stays a source of prompts for a time, and is then forgotten; one
-// that had drained is dropped with its entry.
+// TestDeparted checks that an endpoint removed from the list without draining accepts no more requests, stays
+// available as a source of cached prefixes for a time, and is then removed; one that was draining is removed
+// with its entry.
 func TestDeparted(t *testing.T) {
 	r := New()
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("a"), ready("b"), draining("d")}}, noSuspects)
@@ -90,7 +87,7 @@
 	assert.Assert(t, !r.Entry("a").Accepts())
 	assert.Equal(t, len(r.Draining("s")), 1)
 	assert.Assert(t, r.Knows("a") && !r.Knows("d"))
-	// A whole list that lacks it too changes nothing.
+	// A full list that lacks it too changes nothing.
 	change = r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 3, Present: []ryeford.Endpoint{ready("b")}}, noSuspects)
 	assert.Assert(t, change.Empty())
 	assert.Equal(t, r.UntilExpiry(start, time.Second), time.Second)
@@ -100,9 +97,8 @@
 	assert.Equal(t, len(r.Draining("s")), 0)
 }
 
-// TestSuspectEnds checks that what several lists drop after an outage is believed in until
-// the same time, and that a list that comes later than that, or that names an endpoint
-// again, leaves none suspect.
+// TestSuspectEnds checks that endpoints removed by several lists after an outage are suspect until the same
+// time, and that none is suspect if it is removed later or listed again.
 func TestSuspectEnds(t *testing.T) {
 	r := New()
 	until := start.Add(time.Second)
@@ -118,8 +114,7 @@
 	assert.Equal(t, serving(r), "b")
 }
 
-// TestUnchangedEntry checks that an entry that is written again as it was changes
-// nothing, and that the time since which it is known stays.
+// TestUnchangedEntry checks that an entry that is written again unchanged changes nothing, including FirstSeen.
 func TestUnchangedEntry(t *testing.T) {
 	r := New()
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1}, noSuspects)
--- a/gateway/roster/status.go
+++ b/gateway/roster/status.go
@@ -7,32 +7,27 @@
 )
 
 const (
-	// suspectDuration is how long after the end of an outage an endpoint may be suspect.
-	// Endpoints whose entries lapsed in an outage of the store have written them again
-	// about two seconds after its return.
+	// suspectDuration is how long after an outage of the source an endpoint may be suspect: endpoints
+	// whose entries lapsed write them again within this time.
 	suspectDuration = 2 * time.Second
-	// suspectMargin is left between the last moment at which an endpoint may be suspect
-	// and the one from which the router is held to its bounds again: for the way of a
-	// request to the endpoint.
+	// suspectMargin is the margin between the end of the suspect period and the time from which the
+	// router's freshness bounds apply again. It covers the request path to the endpoint.
 	suspectMargin = 100 * time.Millisecond
-	// minOutageForLapse is the shortest outage in which entries may have lapsed. They lapse after
-	// three heartbeats (1.2 s each on the users' sites), but a router that pauses after
-	// a change (settings, SettleEndpoints) notices up to a second of an outage late.
-	// Shorter ones are single calls that the store rejects or resets.
+	// minOutageForLapse is the shortest observed outage in which entries may have lapsed. It is shorter
+	// than the lapse time, since the router may notice an outage late. It excludes single failed calls.
 	minOutageForLapse = 500 * time.Millisecond
-	// departedTTL is how long an endpoint that left the list without draining may
-	// still serve cached prefixes to others: it drains for as long as one that
-	// announced it, and its address is not given to another endpoint sooner.
+	// departedTTL is how long an endpoint that was removed from the list without draining may still
+	// serve cached prefixes to others: it shuts down no faster than one that announced draining, and
+	// its address is not reassigned sooner.
 	departedTTL = 1800 * time.Millisecond
 )
 
-// SuspectUntil returns until when an endpoint that is missing from the list after a
-// downtime of its source may be alive, or the zero time if entries can't have lapsed in
-// so short a time. contact is how long after the end of an outage the router is held to
-// its bounds again (bounds.contact): no endpoint is suspect then.
+// SuspectUntil returns when endpoints that are missing from the list after a downtime of its source stop
+// being suspect. It returns the zero time if the downtime was too short for entries to lapse. contact is how
+// long after the last failed read the router's freshness bounds apply again (bounds.contact); no endpoint
+// is suspect from then on.
 //
-// The time is fixed once for a downtime. Whatever the list loses until then, in its
-// first answer or in a later one, is not believed in for longer.
+// The time is fixed once for each downtime. It applies to all endpoints that the list loses until then.
 func SuspectUntil(downtime *ryeford.Downtime, contact time.Duration) time.Time {
 	if downtime.Length() < minOutageForLapse {
 		return time.Time{}
@@ -40,8 +35,9 @@
 	return RestoredUntil(downtime, contact)
 }
 
-// RestoredUntil is SuspectUntil for a source that is back from a copy: however short the downtime
-// was, the copy lacks the endpoints that are younger, until they write again.
+// RestoredUntil is like SuspectUntil, for a source that was restored from a backup. It has no minimum
+// downtime: the backup lacks endpoints that registered after it was made, until they write their entries
+// again.
 func RestoredUntil(downtime *ryeford.Downtime, contact time.Duration) time.Time {
 	until := downtime.Ended.Add(suspectDuration)
 	if latest := downtime.LastFailed.Add(contact - suspectMargin); latest.Before(until) {
@@ -50,33 +46,30 @@
 	return until
 }
 
-// A Status is what a router believes of an endpoint.
+// A Status is a router's view of an endpoint.
 type Status int
 
-// The statuses. Ready and suspect endpoints accept requests; draining and departed
-// ones only serve cached prefixes to others.
+// The statuses. Ready and suspect endpoints accept requests; draining and departed ones only serve cached
+// prefixes to others.
 const (
-	// StatusReady and StatusDraining endpoints are on the list, which says so.
+	// StatusReady and StatusDraining are the states of listed endpoints.
 	StatusReady Status = iota
 	StatusDraining
-	// StatusSuspect endpoints were ready and are missing from the list shortly after an
-	// outage: it may have lost them only because they could not renew their entries
-	// either.
+	// StatusSuspect endpoints were ready and are missing from the list shortly after an outage, in
+	// which they may have been unable to renew their entries.
 	StatusSuspect
-	// StatusDeparted endpoints were ready and left the list without draining.
+	// StatusDeparted endpoints were ready and were removed from the list without draining.
 	StatusDeparted
-	// StatusGone endpoints are forgotten at once.
+	// StatusGone endpoints are removed at once.
 	StatusGone
 )
 
-// accepts reports whether an endpoint with the status accepts requests.
 func (s Status) accepts() bool { return s == StatusReady || s == StatusSuspect }
 
-// expires reports whether an endpoint with the status is off the list, and so kept
-// only for a time.
+// expires reports whether an endpoint with the status is unlisted and kept only for a limited time.
 func (s Status) expires() bool { return s == StatusSuspect || s == StatusDeparted }
 
-// listedStatus returns the status of an endpoint that the list names.
+// listedStatus returns the status of an endpoint that is listed with a state.
 func listedStatus(state ryeford.EndpointState) Status {
 	if state == ryeford.EndpointDraining {
 		return StatusDraining
@@ -84,12 +77,12 @@
 	return StatusReady
 }
 
-// droppedStatus returns the status of an endpoint that the list no longer names.
-// mayHaveLapsed says that its entry may be missing because of an outage (SuspectUntil).
+// droppedStatus returns the status of an endpoint that is no longer listed. mayHaveLapsed reports that its
+// entry may be missing because of an outage (SuspectUntil).
 //
-// An endpoint that announced that it drains is gone with its entry. A ready one becomes
-// suspect shortly after an outage, and departed at any other time. A suspect one that a
-// list drops again, later than that, is gone.
+// An endpoint that announced draining is gone with its entry. A ready one becomes suspect shortly after an
+// outage, and departed at any other time. A suspect one is gone if it is removed again after the suspect
+// period.
 func droppedStatus(status Status, mayHaveLapsed bool) Status {
 	switch {
 	case status == StatusDraining || status == StatusDeparted:
--- a/gateway/roster/status_test.go
+++ b/gateway/roster/status_test.go
@@ -9,7 +9,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestDroppedStatus checks the status of an endpoint that is no longer on the list.
+// TestDroppedStatus checks the status of an endpoint that is no longer listed.
 func TestDroppedStatus(t *testing.T) {
 	for _, test := range []struct {
 		status        Status
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestStatus checks which statuses accept requests, and which expire.
+// TestStatus checks which statuses accept requests and which expire.
 func TestStatus(t *testing.T) {
 	for _, test := range []struct {
 		status           Status
@@ -46,9 +46,8 @@
 	}
 }
 
-// TestSuspectUntil checks until when endpoints may be suspect after a downtime: no later
-// than the router is held to its bounds again, and not at all if it was too short for an
-// entry to lapse.
+// TestSuspectUntil checks that the suspect period ends before the router's freshness bounds apply again, and
+// that there is none if the downtime was too short for an entry to lapse.
 func TestSuspectUntil(t *testing.T) {
 	const contact = 3 * time.Second
 	began := time.Unix(1000, 0)
--- a/gateway/roster/withheld.go
+++ b/gateway/roster/withheld.go
@@ -8,46 +8,46 @@
 	"github.com/ryeford/ryeford"
 )
 
-// What a router knows of endpoints that leave, when the source comes back from a copy.
+// Endpoints that are withheld after the source was restored from a backup.
 //
-// Rule: an endpoint that this router, or a peer, knows to leave or to be gone is sent nothing though
-// the copy has it as ready, until withholdTime after the router learnt of the restore, unless what
-// the list has was written in another life of the endpoint, after its announcement, or after the
-// router learnt of the restore.
+// Rule: an endpoint that this router or a peer has recorded as leaving or gone gets no requests, although the
+// restored list has it as ready, for withholdDuration after the router noticed the restore. It gets requests
+// sooner if its entry belongs to another incarnation, was written after its announcement, or was written
+// after the router noticed the restore.
 //
-// Why: the copy was made before the endpoint announced that it leaves, or before its entry went. An
-// endpoint that lives writes again with its next heartbeat, and the entry of one that doesn't lapses:
-// from then on the list is right by itself, and nothing stays out for good.
+// Why: the backup is older than the endpoint's announcement or removal. A live endpoint writes its entry again
+// with its next heartbeat, and the entry of a dead one lapses. After that the list is right again, so that no
+// endpoint is withheld for good.
 
 const (
-	// withholdDuration is for three heartbeats of 1.2 s, after which the entry of an endpoint that has ended
-	// is gone, and for reading that.
+	// withholdDuration covers three heartbeats, after which the entry of a dead endpoint has lapsed, and
+	// the time to read that.
 	withholdDuration = 5 * time.Second
-	// departureRecordTTL is how long it is remembered that an endpoint has left: copies are some seconds old.
+	// departureRecordTTL is how long departures are recorded. It exceeds the usual age of a backup.
 	departureRecordTTL = time.Minute
-	// maxDepartureRecords bounds the memory for endpoints that have left.
+	// maxDepartureRecords bounds the memory for departures.
 	maxDepartureRecords = 4096
 )
 
-// A departure is that a life of an endpoint leaves or is gone.
+// A departure records that an incarnation of an endpoint is leaving or gone.
 type departure struct {
-	at time.Time // when the router learnt of it
-	// sequence is that of the announcement, unless the entry is gone.
+	at time.Time // when the router was notified
+	// sequence is the sequence of the announcement; it is not used if the endpoint is gone.
 	sequence int64
 	gone     bool
 }
 
-// overrides reports whether an endpoint leaves though a copy of the list has it as ready.
+// overrides reports whether the departure takes precedence over a ready entry from a backup.
 func (d *departure) overrides(endpoint *ryeford.Endpoint) bool {
 	return d.gone || endpoint.Sequence <= d.sequence
 }
 
-// recordDraining remembers that an endpoint has announced that it leaves.
+// recordDraining records that an endpoint has announced that it is leaving.
 func (r *Roster) recordDraining(now time.Time, endpoint *ryeford.Endpoint) {
 	r.recordDeparture(endpoint.ID, departure{at: now, sequence: endpoint.Sequence})
 }
 
-// recordGone remembers that the entry of an endpoint is gone.
+// recordGone records that the entry of an endpoint was removed.
 func (r *Roster) recordGone(now time.Time, id ryeford.EndpointID) {
 	r.recordDeparture(id, departure{at: now, gone: true})
 }
@@ -62,7 +62,7 @@
 	r.departures[id] = d
 }
 
-// expireDepartures forgets the endpoints that left long ago.
+// expireDepartures removes departures that are older than departureRecordTTL.
 func (r *Roster) expireDepartures(now time.Time) {
 	for id, d := range r.departures {
 		if now.Sub(d.at) > departureRecordTTL {
@@ -71,8 +71,8 @@
 	}
 }
 
-// withholds reports whether an endpoint that the list has as ready is sent nothing. What is known of
-// its leaving is forgotten otherwise: its own entry is newer.
+// withholds reports whether a listed endpoint is withheld. If a ready endpoint is not, its departure is
+// removed, because its entry is newer.
 func (r *Roster) withholds(now time.Time, endpoint *ryeford.Endpoint) bool {
 	d, known := r.departures[endpoint.ID]
 	if !known || endpoint.State != ryeford.EndpointReady {
@@ -86,15 +86,16 @@
 	return false
 }
 
-// startWithholding takes that the source is back from a copy, and was at a revision when this router learnt
-// of it.
+// startWithholding starts the withholding period after a restore of the source. at is the source's revision
+// when this router noticed the restore.
 func (r *Roster) startWithholding(now time.Time, at ryeford.Revision) {
 	r.withholdUntil, r.restoreRevision, r.withholdEra = now.Add(withholdDuration), at, at.Era()
 	r.expireDepartures(now)
 }
 
-// acceptsPeerReport reports whether what peers withhold counts now, for as long as they say. It does for a time
-// that is opened once in an era: messages that are late, and pass each other, would extend it without end.
+// acceptsPeerReport reports whether a peer's report of withheld endpoints is accepted now. remaining is the
+// rest of the peer's withholding period. A peer's report starts a period at most once in an era:
+// delayed or reordered messages would otherwise extend it without end.
 func (r *Roster) acceptsPeerReport(now time.Time, remaining time.Duration) bool {
 	starts := r.withholdUntil.IsZero() || r.loaded && r.revision.Era() > r.withholdEra
 	if starts {
@@ -104,8 +105,7 @@
 	return now.Before(r.withholdUntil)
 }
 
-// Withheld returns the endpoints that are sent nothing though the list has them as ready, at most some,
-// and for how long.
+// Withheld returns the withheld endpoints, up to limit, and the remaining time of the withholding period.
 func (r *Roster) Withheld(now time.Time, limit int) (withheld []ryeford.WithheldEndpoint, remaining time.Duration) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -123,8 +123,8 @@
 	return withheld[:min(len(withheld), limit)], remaining
 }
 
-// Withhold takes from a peer which endpoints are sent nothing, and for how long, and returns those of
-// which this router didn't know it.
+// Withhold applies a peer's report of withheld endpoints and of the remaining time of its withholding period.
+// It returns the endpoints that this router withholds only since this report.
 func (r *Roster) Withhold(now time.Time, withheld []ryeford.WithheldEndpoint, remaining time.Duration) []ryeford.EndpointID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,7 +141,7 @@
 		if entry == nil || !entry.Status.accepts() || !r.withholds(now, &entry.Endpoint) {
 			continue
 		}
-		changed := *entry // callers may hold the old one
+		changed := *entry // callers may hold the old entry
 		changed.Status, changed.withheld = StatusDraining, true
 		r.entries[w.ID] = &changed
 		added = append(added, w.ID)
@@ -150,7 +150,7 @@
 	return added
 }
 
-// release takes the endpoints back that were withheld, once that is over, and returns them.
+// release ends the withholding of endpoints once the period is over, and returns them.
 func (r *Roster) release(now time.Time) []ryeford.EndpointID {
 	if now.Before(r.withholdUntil) {
 		return nil
@@ -160,7 +160,7 @@
 		if !entry.withheld {
 			continue
 		}
-		changed := *entry // callers may hold the old one
+		changed := *entry // callers may hold the old entry
 		changed.Status, changed.withheld = r.statusOf(&entry.Endpoint), false
 		r.entries[id] = &changed
 		delete(r.departures, id)
--- a/gateway/roster/withheld_test.go
+++ b/gateway/roster/withheld_test.go
@@ -10,7 +10,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// revisionOf returns the revision of a number in an era.
+// revisionOf returns the revision with a number in an era.
 func revisionOf(era, number int64) ryeford.Revision {
 	revision, err := ryeford.NewRevision(era, number)
 	if err != nil {
@@ -19,28 +19,28 @@
 	return revision
 }
 
-// snapshot returns a whole list.
+// snapshot returns an update with the full list.
 func snapshot(revision ryeford.Revision, endpoints ...ryeford.Endpoint) *ryeford.EndpointUpdate {
 	return &ryeford.EndpointUpdate{Snapshot: true, Revision: revision, Present: endpoints}
 }
 
-// withSequence returns an endpoint with a sequence.
+// withSequence returns an endpoint with its sequence set.
 func withSequence(e ryeford.Endpoint, sequence int64) ryeford.Endpoint {
 	e.Sequence = sequence
 	return e
 }
 
-// TestWithheld checks what a router that knows endpoints to leave or to be gone sends them once the
-// source is back from a copy: nothing where the copy is older than that, and else what the list says;
-// and that it ends with the time, with the endpoint's own word, and for endpoints that left long ago.
+// TestWithheld checks that an endpoint recorded as leaving or gone gets no requests after the source was restored
+// from an older backup, and that this ends with the withholding period, with a newer entry of the endpoint, and
+// for endpoints that left long ago.
 func TestWithheld(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		update  *ryeford.EndpointUpdate // after a and b were ready
-		after   time.Duration           // from that to the restore
-		backup  []ryeford.Endpoint      // what the source has then
-		serving string                  // right after the restore
-		later   string                  // once the time is over
+		update  *ryeford.EndpointUpdate // applied after a and b were ready
+		after   time.Duration           // from the update to the restore
+		backup  []ryeford.Endpoint      // the restored list
+		serving string                  // serving right after the restore
+		later   string                  // serving after the withholding period
 	}{
 		{"leaving, in an older copy", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(draining("a"), 9)}},
 			time.Second, []ryeford.Endpoint{withSequence(ready("a"), 8), ready("b")}, "b", "ab"},
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestWithheldOwnWord checks that an endpoint that was gone, and is back by its own word after a restore, is
-// sent requests: only what the copy has may be older than what is known.
+// TestWithheldNewEntry checks that an endpoint that was gone gets requests once it writes its entry again after a
+// restore: only entries from the backup can be out of date.
 func TestWithheldNewEntry(t *testing.T) {
 	r := New()
 	r.Apply(start, snapshot(revisionOf(1, 2), ready("a"), ready("b")), noSuspects)
@@ -93,8 +93,8 @@
 	assert.Equal(t, serving(r), "ab", "it went and came back after the restore")
 }
 
-// TestWithheldLife checks that a copy that has an earlier life of an endpoint doesn't end the life that is
-// known, and that another life of one that was known to leave is sent requests.
+// TestWithheldIncarnation checks that a backup with an earlier incarnation of an endpoint doesn't end the current
+// one, and that a new incarnation of an endpoint that was leaving gets requests.
 func TestWithheldIncarnation(t *testing.T) {
 	earlier, later := ready(string(ryeford.NewEndpointID("a", 1))), ready(string(ryeford.NewEndpointID("a", 2)))
 	r := New()
@@ -110,9 +110,8 @@
 	assert.Equal(t, serving(r), string(third.ID))
 }
 
-// TestWithhold checks that a router that knows the copy alone learns from a peer what leaves, and for how
-// long, and passes it on; that what it knows itself stands; and that a peer can't withhold for longer than a
-// restore does.
+// TestWithhold checks that a router that has only the restored list withholds what a peer reports, for the peer's
+// remaining time, and passes it on, and that a peer can't extend the withholding period.
 func TestWithhold(t *testing.T) {
 	informed, restarted := New(), New()
 	informed.Apply(start, snapshot(revisionOf(1, 2), withSequence(ready("a"), 5), ready("b")), noSuspects)
@@ -140,9 +139,8 @@
 	assert.Equal(t, serving(restarted), "ab")
 }
 
-// TestWithholdOnce checks that peers, whose messages may be late and pass each other, neither extend the time
-// nor open it anew: an endpoint that lives would stay out for as long as they go round. A router that
-// hears of it before it has a list keeps it for that.
+// TestWithholdOnce checks that delayed messages from peers neither extend nor reopen the withholding period, which
+// would withhold a live endpoint without end, and that a report received before the first list applies to it.
 func TestWithholdOnce(t *testing.T) {
 	r := New()
 	r.Apply(start, snapshot(revisionOf(1, 2), ready("a"), ready("b")), noSuspects)
@@ -167,7 +165,7 @@
 	assert.Equal(t, serving(restarted), "ab")
 }
 
-// TestLeftBound checks that what is remembered of endpoints that have left is bounded.
+// TestDepartureBound checks that the number of recorded departures is bounded.
 func TestDepartureBound(t *testing.T) {
 	r := New()
 	for i := range 3 * maxDepartureRecords {
