--- a/gateway/roster/leaving_test.go
+++ b/gateway/roster/leaving_test.go
@@ -20,42 +20,42 @@
 		later time.Duration
 		want  string
 	}{
-		{"nothing", func(*Roster) {}, 0, "b"},
+		{"nothing happens", func(*Roster) {}, 0, "b"},
 		{"a day passes", func(*Roster) {}, 24 * time.Hour, "b"},
-		{"its entry says ready, written earlier", func(r *Roster) {
+		{"its entry is ready and older", func(r *Roster) {
 			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(ready(first), 4)}}, noSuspects)
 		}, 0, "b"},
-		{"its entry says ready, written later", func(r *Roster) {
+		{"its entry is ready and newer", func(r *Roster) {
 			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(ready(first), 9)}}, noSuspects)
 		}, 0, "b"},
-		{"the whole list is read", func(r *Roster) {
+		{"the full list is read", func(r *Roster) {
 			r.Apply(start, snapshot(revisionOf(1, 3), withSequence(ready(first), 9), ready("b")), noSuspects)
 		}, 0, "b"},
 		{"the source is restored", func(r *Roster) {
 			r.Apply(start, snapshot(revisionOf(2, 1), withSequence(ready(first), 9), ready("b")), noSuspects)
 		}, 2 * withholdDuration, "b"},
-		{"its entry says that it leaves, and the source is restored", func(r *Roster) {
+		{"its entry is draining, and the source is restored", func(r *Roster) {
 			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(draining(first), 6)}}, noSuspects)
 			r.Apply(start, snapshot(revisionOf(2, 1), withSequence(ready(first), 5), ready("b")), noSuspects)
 		}, 2 * withholdDuration, "b"},
-		{"a peer withholds others", func(r *Roster) {
+		{"a peer withholds other endpoints", func(r *Roster) {
 			r.Withhold(start, []ryeford.WithheldEndpoint{{ID: "c", Gone: true}}, time.Second)
 		}, 2 * withholdDuration, "b"},
-		{"a peer withholds it for a time", func(r *Roster) {
+		{"a peer withholds it for a limited time", func(r *Roster) {
 			r.Withhold(start, []ryeford.WithheldEndpoint{{ID: ryeford.EndpointID(first), Gone: true}}, time.Second)
 		}, 2 * withholdDuration, "b"},
-		{"its entry lapses in an outage, and comes back", func(r *Roster) {
+		{"its entry lapses in an outage and is written again", func(r *Roster) {
 			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Removed: []ryeford.EndpointID{"a"}}, start.Add(time.Second))
 			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 4), Present: []ryeford.Endpoint{withSequence(ready(first), 12)}}, noSuspects)
 		}, 0, "b"},
-		{"its failure domain is evacuated, and taken back", func(r *Roster) {
+		{"its failure domain is evacuated, and the evacuation ends", func(r *Roster) {
 			r.SetEvacuated(start, ryeford.Evacuations{Revision: 2, Orders: []ryeford.Evacuation{{FailureDomain: "", State: 2}}})
 			r.SetEvacuated(start, ryeford.Evacuations{Revision: 4})
 		}, 0, "b"},
-		{"it starts again", func(r *Roster) {
+		{"it restarts", func(r *Roster) {
 			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{ready(second)}}, noSuspects)
 		}, 0, second + "b"},
-		{"it starts again, and a restored source has the life before", func(r *Roster) {
+		{"it restarts, and a restored source has the earlier incarnation", func(r *Roster) {
 			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{ready(second)}}, noSuspects)
 			r.Apply(start, snapshot(revisionOf(2, 1), withSequence(ready(first), 5), ready("b")), noSuspects)
 		}, 2 * withholdDuration, "b"},
@@ -64,7 +64,7 @@
 			r := New()
 			r.Apply(start, snapshot(revisionOf(1, 2), withSequence(ready(first), 5), ready("b")), noSuspects)
 			assert.Assert(t, r.Leave(start, ryeford.EndpointID(first)))
-			assert.Assert(t, !r.Leave(start, ryeford.EndpointID(first)), "it is said once")
+			assert.Assert(t, !r.Leave(start, ryeford.EndpointID(first)), "a repeated report is not new")
 			assert.Equal(t, serving(r), "b")
 			test.then(r)
 			r.Expire(start.Add(test.later))
--- a/gateway/roster/withheld_test.go
+++ b/gateway/roster/withheld_test.go
@@ -42,15 +42,15 @@
 		serving string                  // serving right after the restore
 		later   string                  // serving after the withholding period
 	}{
-		{"leaving, in an older copy", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(draining("a"), 9)}},
+		{"leaving, ready in an older backup", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(draining("a"), 9)}},
 			time.Second, []ryeford.Endpoint{withSequence(ready("a"), 8), ready("b")}, "b", "ab"},
-		{"leaving, and ready by its later word", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(draining("a"), 9)}},
+		{"leaving, ready by a newer entry", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(draining("a"), 9)}},
 			time.Second, []ryeford.Endpoint{withSequence(ready("a"), 10), ready("b")}, "ab", "ab"},
-		{"leaving, and the copy says it too", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(draining("a"), 9)}},
+		{"leaving, also in the backup", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Present: []ryeford.Endpoint{withSequence(draining("a"), 9)}},
 			time.Second, []ryeford.Endpoint{withSequence(draining("a"), 9), ready("b")}, "b", "b"},
-		{"gone", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Removed: []ryeford.EndpointID{"a"}},
+		{"entry removed", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Removed: []ryeford.EndpointID{"a"}},
 			time.Second, []ryeford.Endpoint{withSequence(ready("a"), 50), ready("b")}, "b", "ab"},
-		{"gone long ago", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Removed: []ryeford.EndpointID{"a"}},
+		{"entry removed long ago", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Removed: []ryeford.EndpointID{"a"}},
 			departureRecordTTL + time.Second, []ryeford.Endpoint{withSequence(ready("a"), 50), ready("b")}, "ab", "ab"},
 		{"never left", &ryeford.EndpointUpdate{Revision: revisionOf(1, 3)},
 			time.Second, []ryeford.Endpoint{withSequence(ready("a"), 1), ready("b")}, "ab", "ab"},
@@ -90,7 +90,7 @@
 	back := ready("b")
 	back.Written = revisionOf(2, 5)
 	r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(2, 5), Present: []ryeford.Endpoint{back}}, noSuspects)
-	assert.Equal(t, serving(r), "ab", "it went and came back after the restore")
+	assert.Equal(t, serving(r), "ab", "the entry was removed and written again after the restore")
 }
 
 // TestWithheldIncarnation checks that a backup with an earlier incarnation of an endpoint doesn't end the current
@@ -126,7 +126,7 @@
 	assert.DeepEqual(t, withheld, []ryeford.WithheldEndpoint{{ID: "a", Sequence: 9}})
 	assert.Equal(t, remaining, withholdDuration-time.Second)
 	assert.DeepEqual(t, restarted.Withhold(now, withheld, remaining), []ryeford.EndpointID{"a"})
-	assert.Equal(t, len(restarted.Withhold(now, withheld, remaining)), 0, "it is known")
+	assert.Equal(t, len(restarted.Withhold(now, withheld, remaining)), 0, "a repeated report adds nothing")
 	assert.Equal(t, serving(restarted), "b")
 	passed, _ := restarted.Withheld(now, 8)
 	assert.DeepEqual(t, passed, withheld)
@@ -155,12 +155,12 @@
 	r.Expire(over)
 	assert.Equal(t, serving(r), "ab")
 	r.Withhold(over, withheld, withholdDuration)
-	assert.Equal(t, serving(r), "ab", "opened anew")
+	assert.Equal(t, serving(r), "ab", "reopened")
 
 	restarted := New()
 	restarted.Withhold(start, withheld, withholdDuration)
 	restarted.Apply(start, snapshot(revisionOf(2, 2), ready("a"), ready("b")), noSuspects)
-	assert.Equal(t, serving(restarted), "b", "heard before the first list")
+	assert.Equal(t, serving(restarted), "b", "received before the first list")
 	restarted.Expire(over)
 	assert.Equal(t, serving(restarted), "ab")
 }
