--- a/gateway/quarantine/doc.go
+++ b/gateway/quarantine/doc.go
@@ -11,7 +11,7 @@
 // Simultaneous crashes, such as those of a failure domain, count as one.
 //
 // A held request is tried again, one attempt at a time in the whole fleet: trialDelay after it was held, and
-// once more after a longer delay, since the engine may have been fixed. Callers are told to retry at that time.
+// once more after a longer delay, since the engine may have been fixed. Callers get this time as their retry delay.
 //
 // Routers send each other crashes, successes and held requests, and each router applies the rule itself. The
 // package does no I/O and reads no clock.
--- a/gateway/quarantine/table.go
+++ b/gateway/quarantine/table.go
@@ -14,7 +14,7 @@
 	// sendsPerChange is the number of messages that contain a record after each change. With several
 	// receivers for each message it reaches all routers.
 	sendsPerChange = 4
-	// trialDuration is the time that a trial may take. Callers are told to retry after it while a trial is due
+	// trialDuration is the time that a trial may take. It is the retry delay of callers while a trial is due
 	// that this router may not start.
 	trialDuration = time.Minute
 )
