--- a/gateway/endpoint/disconnect_test.go
+++ b/gateway/endpoint/disconnect_test.go
@@ -35,7 +35,7 @@
 		{"closed before a response", &LostError{Err: io.EOF}, true},
 		{"closed during a response", &LostError{Err: io.ErrUnexpectedEOF}, true},
 		{"reset", &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: reset}, true},
-		{"silent", &LostError{Err: os.ErrDeadlineExceeded}, false},
+		{"no response in time", &LostError{Err: os.ErrDeadlineExceeded}, false},
 		{"unusable", &LostError{Err: &UnusableResponseError{Problem: "it belongs to another request"}}, false},
 		{"an error response of the endpoint", &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineError, Err: errors.New("status 500")}, false},
 		{"none", nil, false},
--- a/gateway/endpoint/endpoint_test.go
+++ b/gateway/endpoint/endpoint_test.go
@@ -190,7 +190,7 @@
 
 // TestNotReady checks that a request is not sent if the check before the first byte fails.
 func TestNotReady(t *testing.T) {
-	received := make(chan bool, 1) // whether a request came before the connection ended
+	received := make(chan bool, 1) // whether a request arrived before the connection was closed
 	to, _ := listen(t, func(conn net.Conn) { received <- readRequest(conn) })
 	refusal := errors.New("no longer")
 	pool := newPool()
--- a/gateway/endpoint/reuse_test.go
+++ b/gateway/endpoint/reuse_test.go
@@ -58,11 +58,11 @@
 // TestKeepConnection checks when the connection of a closed response becomes idle.
 func TestKeepConnection(t *testing.T) {
 	tests := []struct {
-		name                 string
-		keep, whole, stopped bool
-		rest                 string // bytes that follow the response
-		maxIdle              time.Duration
-		want                 bool
+		name                        string
+		reusable, complete, stopped bool
+		rest                        string // bytes that follow the response
+		maxIdle                     time.Duration
+		want                        bool
 	}{
 		{"reusable", true, true, true, "", time.Second, true},
 		{"the endpoint closes it, or the request was not written in full", false, true, true, "", time.Second, false},
@@ -78,7 +78,7 @@
 		assert.NilError(t, err)
 		pool := New(platform.Protocol{})
 		c := &connection{Conn: near, endpoint: "e", reader: reader, maxIdle: test.maxIdle}
-		response := &Response{pool: pool, connection: c, reusable: test.keep, complete: test.whole, stop: func() bool { return test.stopped }}
+		response := &Response{pool: pool, connection: c, reusable: test.reusable, complete: test.complete, stop: func() bool { return test.stopped }}
 		response.Close()
 		response.Close() // does nothing
 		assert.Equal(t, len(pool.idle["e"]) == 1, test.want, test.name)
