--- a/gateway/watch/watch_test.go
+++ b/gateway/watch/watch_test.go
@@ -33,7 +33,7 @@
 type recording struct {
 	polls    []receivedPoll
 	times    []time.Duration    // of the polls, since began
-	applied  []ryeford.Revision // revisions
+	applied  []ryeford.Revision // revisions of the applied updates
 	lost     int                // calls of Outage.Lost
 	regained []ryeford.Downtime
 	began    time.Time
