--- a/gateway/roster/withheld_test.go
+++ b/gateway/roster/withheld_test.go
@@ -151,17 +151,17 @@
 	r.Withhold(late, withheld, remaining)
 	_, remaining = r.Withheld(late, 8)
 	assert.Equal(t, remaining, withholdDuration-time.Second, "extended")
-	over := start.Add(withholdDuration)
-	r.Expire(over)
+	periodEnd := start.Add(withholdDuration)
+	r.Expire(periodEnd)
 	assert.Equal(t, serving(r), "ab")
-	r.Withhold(over, withheld, withholdDuration)
+	r.Withhold(periodEnd, withheld, withholdDuration)
 	assert.Equal(t, serving(r), "ab", "reopened")
 
 	restarted := New()
 	restarted.Withhold(start, withheld, withholdDuration)
 	restarted.Apply(start, snapshot(revisionOf(2, 2), ready("a"), ready("b")), noSuspects)
 	assert.Equal(t, serving(restarted), "b", "received before the first list")
-	restarted.Expire(over)
+	restarted.Expire(periodEnd)
 	assert.Equal(t, serving(restarted), "ab")
 }
 
