--- a/gateway/endpoint/refuses_test.go
+++ b/gateway/endpoint/disconnect_test.go
@@ -24,7 +24,7 @@
 	assert.Assert(t, Refuses(t.Context(), address))
 }
 
-// TestBrokeOff checks which ends of an attempt say that the endpoint's end of the connection is gone.
+// TestBrokeOff checks which errors mean that the endpoint closed or reset the connection.
 func TestBrokeOff(t *testing.T) {
 	reset := &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 	for _, test := range []struct {
@@ -33,11 +33,11 @@
 		want bool
 	}{
 		{"closed before a response", &LostError{Err: io.EOF}, true},
-		{"closed amid a response", &LostError{Err: io.ErrUnexpectedEOF}, true},
+		{"closed during a response", &LostError{Err: io.ErrUnexpectedEOF}, true},
 		{"reset", &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: reset}, true},
-		{"silent", &LostError{Err: os.ErrDeadlineExceeded}, false},
-		{"unusable", &LostError{Err: &UnusableResponseError{Problem: "another request's"}}, false},
-		{"an error of the endpoint's own", &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineError, Err: errors.New("status 500")}, false},
+		{"no response in time", &LostError{Err: os.ErrDeadlineExceeded}, false},
+		{"unusable", &LostError{Err: &UnusableResponseError{Problem: "it belongs to another request"}}, false},
+		{"an error response of the endpoint", &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineError, Err: errors.New("status 500")}, false},
 		{"none", nil, false},
 	} {
 		assert.Equal(t, BrokeOff(test.err), test.want, test.name)
--- a/gateway/endpoint/endpoint_test.go
+++ b/gateway/endpoint/endpoint_test.go
@@ -19,8 +19,7 @@
 	"github.com/ryeford/ryeford/platform"
 )
 
-// listen returns an endpoint whose connections are served by a function, and a
-// count of them.
+// listen returns an endpoint that serves each connection with serve, and the number of connections.
 func listen(t *testing.T, serve func(conn net.Conn)) (*ryeford.Endpoint, *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,8 +46,8 @@
 	return err == nil && n > 0
 }
 
-// answer is a whole response to request r.
-const answer = "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
+// okResponse is a complete response to request r.
+const okResponse = "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
 
 // send sends request r to an endpoint and returns the body of the response.
 func send(ctx context.Context, pool *endpoint.Pool, to *ryeford.Endpoint) (string, error) {
@@ -65,29 +64,28 @@
 	return endpoint.New(platform.Protocol{})
 }
 
-// TestSilentIdleConnection checks that a request that can't be repeated is not lost on an idle
-// connection that has gone silent: no reset, no end, and nothing that is sent on it is read.
-// One that can be repeated is, and costs a retry.
-func TestSilentIdleConnection(t *testing.T) {
+// TestUnresponsiveIdleConnection checks that a request that must not be repeated is not lost on an idle connection that
+// is broken without notice. A repeatable request may use it, and costs a retry.
+func TestUnresponsiveIdleConnection(t *testing.T) {
 	to, count := listen(t, func(conn net.Conn) {
 		if readRequest(conn) {
-			_, _ = io.WriteString(conn, answer)
+			_, _ = io.WriteString(conn, okResponse)
 		}
-		<-t.Context().Done() // silent from here on
+		<-t.Context().Done() // no further response, and no close
 		_ = conn.Close()
 	})
 	pool := newPool()
 	body, err := send(t.Context(), pool, to)
 	assert.NilError(t, err)
 	assert.Equal(t, body, "ok")
-	time.Sleep(unproven)
+	time.Sleep(beyondOnceMaxIdle)
 	once := &endpoint.Request{ID: "r", Method: "POST", Target: "/", Host: "h", Header: http.Header{}, Once: true}
 	got, err := pool.Send(t.Context(), to, once, func() error { return nil })
 	assert.NilError(t, err)
 	_, err = got.ReadAll(100)
 	assert.NilError(t, err)
 	got.Close()
-	assert.Equal(t, count.Load(), int64(2), "it went over a new connection")
+	assert.Equal(t, count.Load(), int64(2), "the request used a new connection")
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err = send(ctx, pool, to)
@@ -96,11 +94,10 @@
 	assert.Equal(t, count.Load(), int64(2))
 }
 
-// unproven is longer than a connection may be idle before a request that can't be repeated.
-const unproven = 250 * time.Millisecond
+// beyondOnceMaxIdle exceeds the idle time that is allowed before a request that must not be repeated.
+const beyondOnceMaxIdle = 250 * time.Millisecond
 
-// TestReuse checks that a connection is used again, unless the endpoint has closed it
-// meanwhile: then a new one is opened, and no request is lost.
+// TestReuse checks that a connection is reused, and replaced without losing a request if the endpoint has closed it.
 func TestReuse(t *testing.T) {
 	closed := make(chan struct{}, 8)
 	to, count := listen(t, func(conn net.Conn) {
@@ -108,7 +105,7 @@
 			if !readRequest(conn) {
 				return
 			}
-			_, _ = io.WriteString(conn, answer)
+			_, _ = io.WriteString(conn, okResponse)
 		}
 		_ = conn.Close()
 		closed <- struct{}{}
@@ -125,8 +122,8 @@
 	assert.Equal(t, count.Load(), int64(3))
 }
 
-// TestUnsent checks that a request that cannot have reached its endpoint ends with an
-// UnsentError, and one whose response is lost, broken or not its own with a LostError.
+// TestUnsent checks that a request that cannot have reached its endpoint fails with an UnsentError, and one with a
+// lost, malformed or foreign response with a LostError.
 func TestUnsent(t *testing.T) {
 	dead := &ryeford.Endpoint{ID: "e", Address: freeport.Next()}
 	var unsent *endpoint.UnsentError
@@ -135,15 +132,15 @@
 
 	var lost *endpoint.LostError
 	for name, reply := range map[string]string{
-		"nothing":         "",
-		"half a head":     "HTTP/1.1 200 OK\r\nRyeford-Requ",
-		"half a body":     answer[:len(answer)-1],
-		"another's":       "HTTP/1.1 200 OK\r\nRyeford-Request-Id: x\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nno",
-		"nobody's":        "HTTP/1.1 200 OK\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nno",
-		"unsigned":        "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nContent-Length: 2\r\n\r\nno",
-		"encoded":         "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nno",
-		"a broken chunk":  "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\nzz\r\n",
-		"too much of all": "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Length: 200\r\n\r\n" + string(make([]byte, 200)),
+		"no response":          "",
+		"truncated head":       "HTTP/1.1 200 OK\r\nRyeford-Requ",
+		"truncated body":       okResponse[:len(okResponse)-1],
+		"another request's ID": "HTTP/1.1 200 OK\r\nRyeford-Request-Id: x\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nno",
+		"no request ID":        "HTTP/1.1 200 OK\r\nRyeford-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nno",
+		"unsigned":             "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nContent-Length: 2\r\n\r\nno",
+		"encoded":              "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nno",
+		"malformed chunk":      "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\nzz\r\n",
+		"body over the limit":  "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r\r\nRyeford-Server-Stamp: s\r\nContent-Length: 200\r\n\r\n" + string(make([]byte, 200)),
 	} {
 		to, _ := listen(t, func(conn net.Conn) {
 			readRequest(conn)
@@ -155,12 +152,11 @@
 	}
 }
 
-// TestKeepAlive checks that a connection is not used after the idle time that its
-// endpoint allows.
+// TestKeepAlive checks that a connection is not reused after the idle time that its endpoint allows.
 func TestKeepAlive(t *testing.T) {
 	to, count := listen(t, func(conn net.Conn) {
 		for readRequest(conn) {
-			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\n"+answer[len("HTTP/1.1 200 OK\r\n"):])
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\n"+okResponse[len("HTTP/1.1 200 OK\r\n"):])
 		}
 	})
 	pool := newPool()
@@ -171,7 +167,7 @@
 	assert.Equal(t, count.Load(), int64(3))
 }
 
-// TestCancel checks that a request whose context ends closes its connection.
+// TestCancel checks that the end of a request's context closes its connection.
 func TestCancel(t *testing.T) {
 	ended := make(chan struct{})
 	got := make(chan struct{})
@@ -192,9 +188,9 @@
 	<-ended
 }
 
-// TestNotReady checks that a request whose last check fails is not sent.
+// TestNotReady checks that a request is not sent if the check before the first byte fails.
 func TestNotReady(t *testing.T) {
-	received := make(chan bool, 1) // whether a request came before the connection ended
+	received := make(chan bool, 1) // whether a request arrived before the connection was closed
 	to, _ := listen(t, func(conn net.Conn) { received <- readRequest(conn) })
 	refusal := errors.New("no longer")
 	pool := newPool()
--- a/gateway/endpoint/fuzz_test.go
+++ b/gateway/endpoint/fuzz_test.go
@@ -9,9 +9,8 @@
 	"github.com/ryeford/ryeford/platform"
 )
 
-// FuzzAnswer checks that whatever bytes an endpoint sends, an answer that is
-// accepted bears the request's own id and, for a success, the signature, and that
-// no bytes crash the reader.
+// FuzzAnswer checks that an accepted response has the request's own ID and, if it is a success, the signature,
+// whatever bytes an endpoint sends, and that no bytes crash the reader.
 func FuzzAnswer(f *testing.F) {
 	const head = "HTTP/1.1 200 OK\r\nRyeford-Request-Id: r1\r\nRyeford-Server-Stamp: s\r\n"
 	f.Add([]byte(head + "Content-Length: 2\r\n\r\nok"))
@@ -33,18 +32,18 @@
 		}()
 		c := &connection{Conn: near, reader: bufio.NewReader(near)}
 		defer func() { _ = c.Close() }()
-		answer, err := pool.exchange(t.Context(), c, request)
+		response, err := pool.exchange(t.Context(), c, request)
 		if err != nil {
 			return
 		}
-		if answer.Meta.Request != ryeford.RequestID("r1") {
-			t.Fatalf("an answer to %q was accepted", answer.Meta.Request)
+		if response.Meta.Request != ryeford.RequestID("r1") {
+			t.Fatalf("a response to %q was accepted", response.Meta.Request)
 		}
-		if answer.Status < 300 && !answer.Meta.Signed {
+		if response.Status < 300 && !response.Meta.Signed {
 			t.Fatal("a success without a signature was accepted")
 		}
-		if body, err := answer.ReadAll(1 << 20); err == nil && !answer.whole {
-			t.Fatalf("a body of %d bytes that is not whole", len(body))
+		if body, err := response.ReadAll(1 << 20); err == nil && !response.complete {
+			t.Fatalf("a body of %d bytes that is not complete was accepted", len(body))
 		}
 	})
 }
--- a/gateway/endpoint/reuse_test.go
+++ b/gateway/endpoint/reuse_test.go
@@ -19,7 +19,7 @@
 	"github.com/ryeford/ryeford/platform"
 )
 
-// TestProvablyUnsent checks what a write that failed proves.
+// TestProvablyUnsent checks which failed writes prove that nothing was sent.
 func TestProvablyUnsent(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -29,15 +29,14 @@
 	}{
 		{"nothing was written", 0, nil, true},
 		{"a part was written", 1, nil, false},
-		{"the request's time was over", 0, context.DeadlineExceeded, false},
+		{"the request's deadline had passed", 0, context.DeadlineExceeded, false},
 	}
 	for _, test := range tests {
 		assert.Equal(t, provablyUnsent(test.written, test.contextErr), test.want, test.name)
 	}
 }
 
-// TestReadKeepAlive checks how long a connection may be idle, by what its endpoint
-// states.
+// TestReadKeepAlive checks the idle time of a connection for each Keep-Alive header.
 func TestReadKeepAlive(t *testing.T) {
 	tests := []struct {
 		keepAlive string
@@ -56,19 +55,18 @@
 	}
 }
 
-// TestKeepConnection checks when the connection of a response that is closed becomes
-// idle.
+// TestKeepConnection checks when the connection of a closed response becomes idle.
 func TestKeepConnection(t *testing.T) {
 	tests := []struct {
-		name                 string
-		keep, whole, stopped bool
-		rest                 string // what follows the response
-		maxIdle              time.Duration
-		want                 bool
+		name                        string
+		reusable, complete, stopped bool
+		rest                        string // bytes that follow the response
+		maxIdle                     time.Duration
+		want                        bool
 	}{
-		{"all is well", true, true, true, "", time.Second, true},
-		{"the endpoint closes it, or has not got the request whole", false, true, true, "", time.Second, false},
-		{"the response was not read whole", true, false, true, "", time.Second, false},
+		{"reusable", true, true, true, "", time.Second, true},
+		{"the endpoint closes it, or the request was not written in full", false, true, true, "", time.Second, false},
+		{"the response was not read in full", true, false, true, "", time.Second, false},
 		{"the request's context has ended", true, true, false, "", time.Second, false},
 		{"bytes follow the response", true, true, true, "x", time.Second, false},
 		{"the endpoint allows no idle time", true, true, true, "", -time.Second, false},
@@ -80,7 +78,7 @@
 		assert.NilError(t, err)
 		pool := New(platform.Protocol{})
 		c := &connection{Conn: near, endpoint: "e", reader: reader, maxIdle: test.maxIdle}
-		response := &Response{pool: pool, connection: c, keep: test.keep, whole: test.whole, stop: func() bool { return test.stopped }}
+		response := &Response{pool: pool, connection: c, reusable: test.reusable, complete: test.complete, stop: func() bool { return test.stopped }}
 		response.Close()
 		response.Close() // does nothing
 		assert.Equal(t, len(pool.idle["e"]) == 1, test.want, test.name)
@@ -93,8 +91,7 @@
 	}
 }
 
-// TestPutBack checks that a connection on which nothing was sent, since the request was
-// withdrawn, is idle for no longer than without that.
+// TestPutBack checks that the idle time of a connection is not extended by a request that was not sent.
 func TestPutBack(t *testing.T) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = near.Close(); _ = far.Close() })
@@ -108,13 +105,13 @@
 	assert.Equal(t, pool.idle["e"][0].idleUntil, idleUntil)
 }
 
-// TestConnectionForOnce checks that a request that must not be sent again gets no connection
-// that was not used lately, which stays for others.
+// TestConnectionForOnce checks that a request that must not be sent again uses only a recently used connection, and
+// leaves others in the pool.
 func TestConnectionForOnce(t *testing.T) {
 	for _, test := range []struct {
 		name         string
-		used         time.Duration // from now; far off, so that the test's own time is nothing
-		once, repeat bool          // whether a request that must run once, or another, gets it
+		used         time.Duration // from now; large compared to the duration of the test
+		once, repeat bool          // whether a request with or without Once uses it
 	}{
 		{"used just now", time.Hour, true, true},
 		{"used long ago", -time.Hour, false, true},
@@ -134,8 +131,7 @@
 	}
 }
 
-// TestConnectionAfterOnce checks that a connection is not kept for long after a request that
-// must not be sent again.
+// TestConnectionAfterOnce checks that a connection is kept only briefly after a request that must not be sent again.
 func TestConnectionAfterOnce(t *testing.T) {
 	for _, once := range []bool{false, true} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -151,14 +147,13 @@
 		assert.NilError(t, err)
 		got.Close()
 		c := pool.idle["e"][0]
-		assert.Equal(t, c.idleUntil.Sub(c.usedAt), map[bool]time.Duration{false: defaultMaxIdle, true: onceIdle}[once])
+		assert.Equal(t, c.idleUntil.Sub(c.usedAt), map[bool]time.Duration{false: defaultMaxIdle, true: onceMaxIdle}[once])
 		pool.CloseIdle("e")
 		server.Close()
 	}
 }
 
-// TestCloseUnused checks that of an endpoint's idle connections those are closed that were not
-// used since a time.
+// TestCloseUnused checks that only idle connections without a response since a time are closed.
 func TestCloseUnused(t *testing.T) {
 	pool, now := New(platform.Protocol{}), time.Now()
 	for _, used := range []time.Duration{-2 * time.Second, -time.Second, time.Second} {
--- a/gateway/quarantine/record_test.go
+++ b/gateway/quarantine/record_test.go
@@ -7,45 +7,46 @@
 	"gotest.tools/v3/assert"
 )
 
-// at returns a moment, in seconds.
+// at returns a time, given in seconds.
 func at(seconds float64) time.Time {
 	return time.Unix(10_000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// ends returns the record of attempts at different endpoints that began and ended at such seconds.
-func ends(spans ...[2]float64) *Record {
+// crashed returns a record with crashes of different endpoints. Each interval is the start and the end of an
+// attempt, in seconds.
+func crashed(intervals ...[2]float64) *Record {
 	record := &Record{}
-	for i, span := range spans {
-		record.add(Crash{Endpoint: uint32(i), Began: at(span[0]), Ended: at(span[1])})
+	for i, interval := range intervals {
+		record.add(Crash{Endpoint: uint32(i), Began: at(interval[0]), Ended: at(interval[1])})
 	}
 	return record
 }
 
-// TestHold checks after which ends requests are held: three that follow each other, however many more
-// overlap and in whatever order word of them comes.
+// TestHold checks after which crashes requests are held, whatever other crashes overlap them and in whatever order
+// they are reported.
 func TestHold(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		record *Record
 		held   bool
 	}{
-		{"none", ends(), false},
-		{"two", ends([2]float64{0, 1}, [2]float64{2, 3}), false},
-		{"three", ends([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5}), true},
-		{"each right after the other", ends([2]float64{0, 1}, [2]float64{1, 2}, [2]float64{2, 3}), true},
-		{"word of the first comes last", ends([2]float64{4, 5}, [2]float64{2, 3}, [2]float64{0, 1}), true},
-		{"five at once, as of a failure domain", ends([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{0.1, 1}, [2]float64{0.2, 1}, [2]float64{0.3, 1}), false},
-		{"twice some at once", ends([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{2, 3}, [2]float64{2.5, 3}), false},
-		{"twice many at once", ends([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{0, 1}, [2]float64{2, 3}, [2]float64{2.5, 3}), true},
-		{"three among others that overlap", ends([2]float64{0, 1}, [2]float64{0.5, 1.5}, [2]float64{1.2, 2}, [2]float64{1.8, 2.6}, [2]float64{2.1, 3}), true},
-		{"a long attempt over all", ends([2]float64{0, 9}, [2]float64{1, 2}, [2]float64{3, 4}), false},
+		{"none", crashed(), false},
+		{"two", crashed([2]float64{0, 1}, [2]float64{2, 3}), false},
+		{"three", crashed([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5}), true},
+		{"each right after the previous one", crashed([2]float64{0, 1}, [2]float64{1, 2}, [2]float64{2, 3}), true},
+		{"the first is reported last", crashed([2]float64{4, 5}, [2]float64{2, 3}, [2]float64{0, 1}), true},
+		{"five at once, as of a failure domain", crashed([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{0.1, 1}, [2]float64{0.2, 1}, [2]float64{0.3, 1}), false},
+		{"two groups of two at once", crashed([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{2, 3}, [2]float64{2.5, 3}), false},
+		{"groups of three and two at once", crashed([2]float64{0, 1}, [2]float64{0, 1}, [2]float64{0, 1}, [2]float64{2, 3}, [2]float64{2.5, 3}), true},
+		{"three among overlapping ones", crashed([2]float64{0, 1}, [2]float64{0.5, 1.5}, [2]float64{1.2, 2}, [2]float64{1.8, 2.6}, [2]float64{2.1, 3}), true},
+		{"one attempt overlaps all others", crashed([2]float64{0, 9}, [2]float64{1, 2}, [2]float64{3, 4}), false},
 	} {
 		assert.Equal(t, !test.record.Held.IsZero(), test.held, test.name)
 	}
 }
 
-// TestSameEndpoint checks that one endpoint's end counts once, of however many attempts and whenever
-// word of it comes, and that an endpoint which is back under its ID counts again.
+// TestSameEndpoint checks that one crash of an endpoint counts once, whatever the number of attempts and the order
+// of reports, and that a crash after a restart under the same ID counts again.
 func TestSameEndpoint(t *testing.T) {
 	var record Record
 	for i := range 5 {
@@ -58,27 +59,26 @@
 	assert.Assert(t, !record.Held.IsZero())
 }
 
-// TestAnswer checks that a success ends what came before it, and that late word of that has no
-// effect.
+// TestAnswer checks that a success removes earlier crashes and the hold, and that late reports of these are ignored.
 func TestAnswer(t *testing.T) {
-	record := ends([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5})
-	assert.Assert(t, record.answer(at(6)))
+	record := crashed([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5})
+	assert.Assert(t, record.recordAnswer(at(6)))
 	assert.Assert(t, record.Held.IsZero() && len(record.Crashes) == 0)
-	late := ends([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5.5})
+	late := crashed([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5.5})
 	assert.Assert(t, !record.merge(late))
 	assert.Assert(t, record.Held.IsZero() && len(record.Crashes) == 0)
-	for i, span := range [][2]float64{{7, 8}, {9, 10}, {11, 12}} {
-		record.add(Crash{Endpoint: uint32(i), Began: at(span[0]), Ended: at(span[1])})
+	for i, interval := range [][2]float64{{7, 8}, {9, 10}, {11, 12}} {
+		record.add(Crash{Endpoint: uint32(i), Began: at(interval[0]), Ended: at(interval[1])})
 	}
 	assert.Equal(t, record.Held, at(12))
-	assert.Assert(t, !record.merge(&Record{Answered: at(6.01)}), "the same success, by another message")
+	assert.Assert(t, !record.merge(&Record{Answered: at(6.01)}), "the same success in another message")
 	assert.Equal(t, record.Held, at(12))
 }
 
-// TestMerge checks that routers that have each seen one end hold the requests once they know of all,
-// and that it doesn't matter in which order they hear of them, or how often.
+// TestMerge checks that routers that each recorded one crash hold the requests after they have merged all records,
+// in whatever order and however often.
 func TestMerge(t *testing.T) {
-	parts := []*Record{ends([2]float64{0, 1}), {}, {}}
+	parts := []*Record{crashed([2]float64{0, 1}), {}, {}}
 	parts[1].add(Crash{Endpoint: 11, Began: at(2), Ended: at(3)})
 	parts[2].add(Crash{Endpoint: 12, Began: at(4), Ended: at(5)})
 	for _, order := range [][]int{{0, 1, 2}, {2, 1, 0}, {1, 1, 2, 2, 0, 1}} {
@@ -89,12 +89,12 @@
 		assert.Equal(t, record.Held, at(5))
 		assert.Equal(t, len(record.Crashes), 3)
 	}
-	var told Record
-	assert.Assert(t, told.merge(&Record{Held: at(5)}), "a peer holds them, whatever it has left of the ends")
-	assert.Equal(t, told.Held, at(5))
+	var receiver Record
+	assert.Assert(t, receiver.merge(&Record{Held: at(5)}), "a hold is merged without its crashes")
+	assert.Equal(t, receiver.Held, at(5))
 }
 
-// TestTrialDue checks when held requests are tried again, and that it ends.
+// TestTrialDue checks when held requests are tried again, and that the number of trials is limited.
 func TestTrialDue(t *testing.T) {
 	record := Record{Held: at(0)}
 	for _, want := range []time.Duration{10 * time.Minute, time.Hour} {
--- a/gateway/roster/status_test.go
+++ b/gateway/roster/status_test.go
@@ -9,7 +9,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestDroppedStatus checks the status of an endpoint that is no longer on the list.
+// TestDroppedStatus checks the status of an endpoint that is no longer listed.
 func TestDroppedStatus(t *testing.T) {
 	for _, test := range []struct {
 		status        Status
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestStatus checks which statuses accept requests, and which expire.
+// TestStatus checks which statuses accept requests and which expire.
 func TestStatus(t *testing.T) {
 	for _, test := range []struct {
 		status           Status
@@ -46,9 +46,8 @@
 	}
 }
 
-// TestSuspectUntil checks until when endpoints may be suspect after a downtime: no later
-// than the router is held to its bounds again, and not at all if it was too short for an
-// entry to lapse.
+// TestSuspectUntil checks that the suspect period ends before the router's freshness bounds apply again, and
+// that there is none if the downtime was too short for an entry to lapse.
 func TestSuspectUntil(t *testing.T) {
 	const contact = 3 * time.Second
 	began := time.Unix(1000, 0)
@@ -58,10 +57,10 @@
 		want              time.Duration // since began, zero for none
 	}{
 		{"a rejected call", 0, 60 * time.Millisecond, 0},
-		{"just too short", 300 * time.Millisecond, minLapse - 1, 0},
-		{"long enough", 300 * time.Millisecond, minLapse, minLapse + suspectTime},
+		{"slightly too short", 300 * time.Millisecond, minOutageForLapse - 1, 0},
+		{"long enough", 300 * time.Millisecond, minOutageForLapse, minOutageForLapse + suspectDuration},
 		{"an outage", 5 * time.Second, 5400 * time.Millisecond, 7400 * time.Millisecond},
-		{"answered just in time", 5 * time.Second, 5900 * time.Millisecond, 7900 * time.Millisecond},
+		{"answered in time", 5 * time.Second, 5900 * time.Millisecond, 7900 * time.Millisecond},
 		{"answered late", 5 * time.Second, 6200 * time.Millisecond, 7900 * time.Millisecond},
 		{"answered after contact", 5 * time.Second, 9 * time.Second, 7900 * time.Millisecond},
 	} {
