--- a/gateway/freshness/confirm.go
+++ b/gateway/freshness/confirm.go
@@ -6,54 +6,53 @@
 	"github.com/ryeford/ryeford"
 )
 
-// What confirms the configuration in force.
+// Which reads and peer messages confirm the configuration in force.
 //
-// Rule: an own read does, unless its revision is older than the newest one that was
-// known when it was sent, or its version than the one in force or one that a peer had reported by then. What
-// peers reported is forgotten if the source contradicts it newsTTL after they last did. A
-// peer's confirmation does if it is of the very version in force here; if the peer has a
-// newer version, or there is none here, the router reads by itself at once; if it has an
-// older one, nothing follows.
+// Rule: a local read confirms it unless the read returned an older revision than the newest one
+// known when the read was sent, or an older version than the one in force or one reported by a
+// peer by then. A peer's confirmation counts if it is for the version in force here. If the peer
+// has a newer version, or no configuration is in force here, the router reads the source at
+// once. An older version is ignored. A version reported by peers is dropped if the source still
+// returns an older one peerReportTTL after the last report.
 //
-// Why: a source whose reads are older than what it has answered before would keep a
-// revoked key alive, and since leases are shared, at every router.
-// A peer does not send the configuration with its word, so that a newer one must be read. Where
-// the source and a peer contradict each other, either may be wrong: of a version that is in
-// force somewhere peers tell in each round of gossip, while a message that was damaged comes
+// Why: a source that returns stale reads would keep a revoked key valid, and, because
+// confirmations are shared, on every router. Gossip does not carry the configuration, so a newer
+// one must be read from the source. If the source and a peer disagree, either may be wrong:
+// peers repeat a version that is in force in each gossip round, but a corrupted message arrives
 // once.
 
-// newsTTL is how long after peers last reported a version the source is not believed against
-// them: some rounds of gossip.
+// peerReportTTL is how long a version reported by peers takes precedence over the source. It
+// covers several gossip rounds.
 const newsTTL = time.Second
 
-// Seen is what is known of the source's configuration.
+// Seen is a state of the source's configuration.
 type Seen struct {
 	Revision ryeford.Revision // of the source
 	Version  int64            // of the configuration
 }
 
-// Confirms reports whether an own read confirms what it says, given the newest that was
-// known when it was sent.
+// Confirms reports whether a local read confirms the configuration that it returned. known is
+// the newest state that was known when the read was sent.
 func Confirms(read, known Seen) bool {
 	return read.Revision >= known.Revision && read.Version >= known.Version
 }
 
-// A PeerAction is what a router does after a peer has confirmed a version.
+// A PeerAction is a router's reaction to a version confirmed by a peer.
 type PeerAction int
 
 // The actions after a peer's confirmation.
 const (
-	// PeerIgnored means that the confirmation is of an older version than the one
-	// here.
+	// PeerIgnored means that the confirmation is for an older version than the one in force
+	// and has no effect.
 	PeerIgnored PeerAction = iota
-	// PeerRenews means that it renews the lease.
+	// PeerRenews means that the confirmation renews the lease.
 	PeerRenews
-	// PeerIsNewer means that the router reads the configuration at once.
+	// PeerIsNewer means that the router must read the configuration from the source at once.
 	PeerIsNewer
 )
 
-// AfterPeer returns what to do after a peer has confirmed the version theirs. own
-// is the version in force here; known is false if there is none.
+// AfterPeer returns what to do after a peer has confirmed the version reported. local is the
+// version in force here; configured is false if there is none.
 func AfterPeer(known bool, own, theirs int64) PeerAction {
 	switch {
 	case !known || own < theirs:
@@ -64,6 +63,6 @@
 	return PeerIgnored
 }
 
-// Forgets reports whether what peers reported is forgotten once the source contradicts it.
-// age is the time since they last did.
+// Forgets reports whether a version reported by peers is dropped when the source contradicts
+// it. age is the time since the last report.
 func Forgets(age time.Duration) bool { return age >= newsTTL }
--- a/gateway/freshness/confirm_test.go
+++ b/gateway/freshness/confirm_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestConfirms checks which own reads confirm the configuration.
+// TestConfirms checks that stale reads do not confirm the configuration.
 func TestConfirms(t *testing.T) {
 	known := Seen{Revision: 7, Version: 3}
 	assert.Assert(t, Confirms(Seen{Revision: 8, Version: 4}, known), "newer than anything known")
@@ -16,13 +16,13 @@
 	assert.Assert(t, !Confirms(Seen{Revision: 8, Version: 2}, known), "a peer has a newer version")
 }
 
-// TestForgets checks when peers' news is forgotten.
+// TestPeerReportExpiry checks when a version reported by peers is dropped.
 func TestForgets(t *testing.T) {
 	assert.Assert(t, !Forgets(time.Second-1))
 	assert.Assert(t, Forgets(time.Second))
 }
 
-// TestAfterPeer checks what a peer's confirmation is worth.
+// TestAfterPeer checks the reaction to a peer's confirmation.
 func TestAfterPeer(t *testing.T) {
 	for _, test := range []struct {
 		name        string
--- a/gateway/freshness/lease.go
+++ b/gateway/freshness/lease.go
@@ -1,9 +1,9 @@
-// Package freshness decides for how long what a process knows of a source may be
-// relied on, and when, and by which process, the source is read again.
+// Package freshness decides how long a cached state of a source may be relied on, and when,
+// and by which process, the source is read again.
 //
-// It owns a Lease; it relies on a steady clock that goes on while the process or
-// the machine is paused, and on the steady clock that the source sends with each
-// answer. It does no I/O and reads no time of day.
+// It owns a Lease. It relies on a steady clock that keeps running while the process or the
+// machine is suspended, and on the source's steady clock, which the source sends with each
+// response. It does no I/O and does not read the time of day.
 package freshness
 
 import (
@@ -12,27 +12,25 @@
 	"time"
 )
 
-// When the configuration may be relied on.
+// How long the configuration may be relied on.
 //
-// Rule: until the time after which a revoked key must not work, less leaseMargin,
-// has passed since a read was sent that confirmed the configuration in force; the
-// read may be this router's own or a peer's.
+// Rule: a read that confirms the configuration in force, by this router or by a peer, allows its
+// use until the revocation bound less leaseMargin has passed since the read was sent.
 //
-// Why: the time counts from before the read was sent since the source may have
-// answered at any moment after that. The lease of a process that was cut off, paused or frozen
-// ends by itself, whatever the process missed. A feed that delivers nothing renews
-// nothing: it may have lost its changes.
+// Why: the lease counts from the sending of the read because the source may have answered at any
+// time after that. The lease of a process that was partitioned or suspended expires without any
+// event. A change feed that delivers nothing renews nothing, because it may have lost changes.
 
-// leaseMargin is left between the end of a lease and the time after which a revoked
-// key must not work: for the way of a request to the endpoint, after the check.
+// leaseMargin is the time between the end of a lease and the revocation bound. It covers the
+// request path from the key check to the endpoint.
 const leaseMargin = 500 * time.Millisecond
 
-// Term returns how long a confirmed configuration may be relied on. revoke is the time
-// from a key's revocation after which no request with it may run (bounds.revoke).
+// Term returns how long a confirmed configuration may be relied on. revoke is the time after
+// which no request with a revoked key may run (bounds.revoke).
 func Term(revoke time.Duration) time.Duration { return revoke - leaseMargin }
 
-// A Lease says until when a state of the source may be relied on that was confirmed by
-// a read of this process or of another one. It is safe for concurrent use.
+// A Lease limits how long a state of the source may be relied on after a read by this or
+// another process confirmed it. It is safe for concurrent use.
 type Lease struct {
 	term    time.Duration
 	started time.Time
@@ -41,39 +39,39 @@
 	clock *SourceClock
 
 	mu        sync.Mutex
-	confirmed time.Duration // of the source's clock, if known
+	confirmed time.Duration // on the source's clock; valid if known
 	known     bool
 }
 
-// NewLease returns an expired Lease, made now, of a source with a clock. A term of zero or less never renews
-// it.
+// NewLease returns an expired Lease, created at now, for a source with the given clock. With a
+// term of zero or less it can't be renewed.
 func NewLease(now time.Time, term time.Duration, clock *SourceClock) *Lease {
 	l := &Lease{term: term, started: now, clock: clock}
 	l.until.Store(-1)
 	return l
 }
 
-// RenewRead renews the lease by a read of this process: when it was sent, when its
-// answer began to come, and what the source's clock showed in between. How long the rest
-// of the answer took says nothing of the clock.
+// RenewRead renews the lease after a read by this process. sent is when the read was sent, begun
+// is when the first byte of the response arrived, and clock is the reading of the source's clock
+// between the two. The duration of the rest of the response is irrelevant.
 func (l *Lease) RenewRead(sent, begun time.Time, clock time.Duration) {
 	l.renew(sent)
 	l.clock.Observe(sent, clock)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// The state is as new as the moment of sending, when the source's clock
-	// showed at least this.
+	// The state is at least as new as the time of sending, when the source's clock read at least
+	// this.
 	l.confirmed, l.known = clock-begun.Sub(sent), true
 }
 
-// RenewFromPeer renews the lease by a read of another process, at which the
-// source's clock showed at least confirmed. It reports whether that was newer than
-// what was known. Before anything has bounded the source's clock it does nothing.
+// RenewFromPeer renews the lease after a read by another process, at which the source's clock
+// read at least confirmed. It reports whether the confirmation was newer than the last one. It
+// does nothing while there is no bound on the source's clock.
 func (l *Lease) RenewFromPeer(now time.Time, confirmed time.Duration) bool {
 	latest, ok := l.clock.Latest(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	restarted := l.confirmed > latest // the clock has started anew: what it showed before says nothing
+	restarted := l.confirmed > latest // the source's clock was reset: earlier readings are not comparable
 	if !ok || confirmed > latest || confirmed <= l.confirmed && !restarted {
 		return false
 	}
@@ -82,16 +80,16 @@
 	return true
 }
 
-// Confirmed returns what the source's clock showed at the newest confirmation, and
-// false if there is none.
+// Confirmed returns the reading of the source's clock at the newest confirmation, and false if
+// there is none.
 func (l *Lease) Confirmed() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.confirmed, l.known
 }
 
-// renew renews the lease by a confirmed read that was sent at a time. An older read
-// than the last one changes nothing.
+// renew extends the lease after a confirming read that was sent at sent. A read older than the
+// last one has no effect.
 func (l *Lease) renew(sent time.Time) {
 	until := int64(sent.Sub(l.started) + l.term)
 	for {
@@ -107,8 +105,8 @@
 	return int64(now.Sub(l.started)) < l.until.Load()
 }
 
-// Age returns how long ago the read was sent that confirmed the state last. It
-// reports false if the state was never confirmed.
+// Age returns the time since the last confirming read was sent, and false if the state was
+// never confirmed.
 func (l *Lease) Age(now time.Time) (time.Duration, bool) {
 	until := l.until.Load()
 	if until < 0 {
@@ -117,7 +115,7 @@
 	return now.Sub(l.started) - (time.Duration(until) - l.term), true
 }
 
-// Left returns the time until the lease ends; it is negative once it has ended.
+// Left returns the time until the lease ends. It is negative after the lease has ended.
 func (l *Lease) Left(now time.Time) time.Duration {
 	return time.Duration(l.until.Load()) - now.Sub(l.started)
 }
--- a/gateway/freshness/lease_test.go
+++ b/gateway/freshness/lease_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLease checks that a lease counts from before the read, and that an older
-// read shortens nothing.
+// TestLease checks that a lease counts from the sending of the read, and that a delayed older
+// response does not shorten it.
 func TestLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLease(time.Now(), time.Second, &SourceClock{})
@@ -17,7 +17,7 @@
 		_, confirmed := l.Age(time.Now())
 		assert.Assert(t, !confirmed)
 		sent := time.Now()
-		time.Sleep(700 * time.Millisecond) // the answer is slow
+		time.Sleep(700 * time.Millisecond) // a slow response
 		l.renew(sent)
 		age, _ := l.Age(time.Now())
 		assert.Equal(t, age, 700*time.Millisecond)
@@ -31,17 +31,17 @@
 		_, confirmed = l.Age(time.Now())
 		assert.Assert(t, confirmed)
 		l.renew(late)
-		l.renew(sent) // an answer that was held up
+		l.renew(sent) // a delayed response
 		assert.Equal(t, l.Left(time.Now()), time.Second)
 	})
 }
 
-// TestFrozen checks that a process that was frozen finds its lease ended.
+// TestLeaseAfterSuspension checks that the lease of a process that was suspended has expired.
 func TestFrozen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLease(time.Now(), time.Second, &SourceClock{})
 		sent := time.Now()
-		time.Sleep(5 * time.Second) // frozen before the answer is read
+		time.Sleep(5 * time.Second) // suspended before the response is read
 		l.renew(sent)
 		assert.Assert(t, !l.Valid(time.Now()))
 	})
--- a/gateway/freshness/outage.go
+++ b/gateway/freshness/outage.go
@@ -1,17 +1,17 @@
 package freshness
 
-// Which requests that need a key are served in an outage of the source.
+// Whether requests that need a key are served during an outage of the source.
 //
-// Rule: such a request is served while the lease is valid. If the operators don't insist that
-// a revoked key stops working in time, it is served after that, too, as long as nothing says
-// that the configuration in force is superseded.
+// Rule: they are served while the lease is valid. If the operators allow bridging an outage, they
+// are also served after the lease has ended, unless the configuration in force is known or
+// suspected to be superseded.
 //
-// Why: a source that is down accepts no revocation either, so that most outages have nothing
-// that could be missed, while each router that insists refuses all its callers.
+// Why: a source that is down accepts no revocations, so a bridging router rarely misses one. A
+// router that does not bridge rejects all requests that need a key.
 
-// ServesKeys reports whether requests that need a key are served. bridges says that the
-// operators allow it in an outage; valid that the lease has not ended; newer that a newer
-// configuration is known, or may have been due for too long.
+// ServesKeys reports whether requests that need a key are served. bridging reports whether the
+// operators allow serving them in an outage, valid whether the lease has not ended, and newer
+// whether a newer configuration is known or its arrival overdue.
 func ServesKeys(bridges, valid, newer bool) bool {
 	return valid || bridges && !newer
 }
--- a/gateway/freshness/outage_test.go
+++ b/gateway/freshness/outage_test.go
@@ -6,7 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestServesKeys checks when requests that need a key are served.
+// TestServesKeys checks that requests that need a key are served after the lease has ended only in a
+// bridged outage.
 func TestServesKeys(t *testing.T) {
 	for _, row := range []struct {
 		rule                  string
--- a/gateway/freshness/refresh_test.go
+++ b/gateway/freshness/refresh_test.go
@@ -7,9 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRefreshAge checks the age of a confirmation at which each router of a shift reads
-// the configuration: of routers that are alive for each other one reads first, and one
-// without peers waits for no other.
+// TestRefreshAge checks that the routers of a fleet read at staggered ages, and that an isolated
+// router reads at the refresh age.
 func TestRefreshAge(t *testing.T) {
 	const refresh = time.Second
 	for _, test := range []struct {
@@ -33,7 +32,7 @@
 	}
 }
 
-// TestShift checks that a shift lasts four seconds of the source's clock.
+// TestTimeSlot checks that a time slot lasts four seconds on the source's clock.
 func TestShift(t *testing.T) {
 	for confirmed, want := range map[time.Duration]uint64{
 		0: 0, 4*time.Second - 1: 0, 4 * time.Second: 1, time.Hour: 900,
@@ -42,8 +41,8 @@
 	}
 }
 
-// TestPauseAfterRead checks that a router reads in a row only if the last read was
-// answered with a configuration.
+// TestPauseAfterRead checks that a router pauses longer after a read that failed or found no
+// configuration.
 func TestPauseAfterRead(t *testing.T) {
 	for _, test := range []struct {
 		answered, configured bool
@@ -58,7 +57,7 @@
 	}
 }
 
-// TestTerm checks that a lease ends before a revoked key must not work any more.
+// TestTerm checks that a lease ends before the revocation bound.
 func TestTerm(t *testing.T) {
 	assert.Equal(t, Term(5*time.Second), 4500*time.Millisecond)
 	assert.Assert(t, !NewLease(time.Now(), Term(400*time.Millisecond), &SourceClock{}).Valid(time.Now()))
--- a/gateway/freshness/sourceclock.go
+++ b/gateway/freshness/sourceclock.go
@@ -5,53 +5,50 @@
 	"time"
 )
 
-// How old a peer's confirmation is.
+// How the age of a peer's confirmation is determined.
 //
-// Rule: it is as old as the difference between what the source's steady clock
-// showed when the source was read and the most that it may show now.
+// Rule: the age is the difference between the reading of the source's steady clock when the
+// source was read and the upper bound on its reading now.
 //
-// Why: a message may take any time and pass through any number of routers, and
-// clocks of routers differ. The source sends its steady clock with each answer, so
-// that each router can bound by its own reads what that clock shows now, and never
-// takes a confirmation for younger than it is.
+// Why: a message may be delayed without limit and pass through any number of routers, and the
+// clocks of routers differ. The source sends its steady clock with each response. From its
+// local reads each router derives an upper bound on that clock, so it never underestimates the
+// age of a confirmation.
 
 const (
-	// clockDrift is by how much two steady clocks may differ in speed: the part of
-	// the elapsed time that is added for safety.
+	// clockDrift is the relative drift between two steady clocks that the bound allows for.
 	clockDrift = 1e-4
-	// clockMemory is how long one answer may bound the source's clock. Two clocks whose
-	// speeds differ by one in a thousand, twice what a machine's clock is corrected by,
-	// drift apart by 54 ms in that time beyond clockDrift: less than an eighth of
-	// leaseMargin. Without it they did by up to clockRestart (TestFastClock).
+	// observationTTL is how long one response may bound the source's clock. It limits the error
+	// if the clocks drift apart faster than clockDrift (TestFastClock).
 	clockMemory = time.Minute
-	// clockRestart is how much later than expected a source's clock must read to
-	// be taken for one that has started anew.
+	// clockResetThreshold is how far ahead of its bound a reading of the source's clock must be
+	// to count as a reset of that clock.
 	clockRestart = 10 * time.Second
 )
 
-// A SourceClock bounds what a source's steady clock shows. It is safe for concurrent use.
+// A SourceClock is an upper bound on a source's steady clock. It is safe for concurrent use.
 type SourceClock struct {
 	mu    sync.Mutex
 	shown time.Duration
-	at    time.Time // no later than when the clock showed shown
+	at    time.Time // no later than when the clock had this reading
 	known bool
 }
 
-// Observe takes what the clock showed, or the most that it may have shown, in the answer to a
-// read that was sent at a time, to the source or to another process that bounds its clock.
+// Observe records the reading of the clock, or an upper bound on it, in the response to a read
+// that was sent at sent to the source or to another process that bounds its clock.
 func (c *SourceClock) Observe(sent time.Time, shown time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	bound, ok := c.latest(sent)
 	recent := ok && sent.Sub(c.at) < clockMemory
 	if recent && shown >= bound && shown-bound < clockRestart {
-		return // the answer was slow: what is known bounds the clock better
+		return // the response was slow: the earlier observation is the tighter bound
 	}
 	c.shown, c.at, c.known = shown, sent, true
 }
 
-// Latest returns the most that the clock may show now, and false if nothing is
-// known of it.
+// Latest returns the upper bound on the clock's reading at now, and false if nothing has been
+// observed.
 func (c *SourceClock) Latest(now time.Time) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/freshness/sourceclock_test.go
+++ b/gateway/freshness/sourceclock_test.go
@@ -13,11 +13,11 @@
 // start is later than the start of each lease in these tests.
 var start = time.Now().Add(time.Hour)
 
-// TestSharedRead checks that a read of one process renews another's lease by no
-// more than the read's own age, however long the message took.
+// TestRenewFromPeer checks that a delayed message does not renew a peer's lease beyond the age of the
+// read that it reports.
 func TestSharedRead(t *testing.T) {
 	reader, other := NewLease(time.Now(), term, &SourceClock{}), NewLease(time.Now(), term, &SourceClock{})
-	// Each process's own read sets its view of the source's clock.
+	// A local read of each process bounds the source's clock.
 	reader.RenewRead(start, start.Add(100*time.Millisecond), 50*time.Second)
 	other.RenewRead(start, start.Add(20*time.Millisecond), 50*time.Second)
 
@@ -27,7 +27,7 @@
 	assert.Assert(t, ok)
 	assert.Equal(t, confirmed, 51900*time.Millisecond)
 
-	now := start.Add(3 * time.Second) // the message is late
+	now := start.Add(3 * time.Second) // the message is delayed
 	assert.Assert(t, other.RenewFromPeer(now, confirmed))
 	age, _ := other.Age(now)
 	assert.Assert(t, age >= time.Second, "%s: not younger than the read", age)
@@ -38,16 +38,16 @@
 	assert.Assert(t, !other.RenewFromPeer(now, confirmed-time.Millisecond), "older")
 }
 
-// TestSharedBeforeOwnRead checks that a process that has never read the source itself,
-// and so doesn't know the age of a confirmation, ignores a peer's.
+// TestRenewFromPeerBeforeLocalRead checks that a process without a bound on the source's clock
+// ignores a peer's confirmation, whose age it can't determine.
 func TestSharedBeforeOwnRead(t *testing.T) {
 	l := NewLease(time.Now(), term, &SourceClock{})
 	assert.Assert(t, !l.RenewFromPeer(start, time.Second))
 	assert.Assert(t, !l.Valid(time.Now()))
 }
 
-// TestSharedFuture checks that a confirmation that lies in the future of the
-// source's clock is not believed: it is of another clock.
+// TestRenewFromPeerInFuture checks that a confirmation ahead of the source's clock is rejected,
+// because it comes from another clock.
 func TestSharedFuture(t *testing.T) {
 	l := NewLease(time.Now(), term, &SourceClock{})
 	l.RenewRead(start, start, 50*time.Second)
@@ -55,8 +55,8 @@
 	assert.Assert(t, l.RenewFromPeer(start.Add(time.Second), 51*time.Second))
 }
 
-// TestSharedFrozen checks that the age of a message counts from the read that it
-// confirms, though the process that receives it was frozen meanwhile.
+// TestRenewFromPeerAfterSuspension checks that a confirmation's age counts from the read even if the
+// receiving process was suspended in between.
 func TestSharedFrozen(t *testing.T) {
 	l := NewLease(time.Now(), term, &SourceClock{})
 	l.RenewRead(start, start, 50*time.Second)
@@ -66,12 +66,10 @@
 	assert.Assert(t, age >= 19*time.Second)
 }
 
-// TestFastClock checks that the bound on the source's clock stays true while that clock
-// runs faster than the process's, by more than clockDrift: that a confirmation is never
-// taken for younger than it is by more than an eighth of leaseMargin, however long the
-// process runs. It failed by 8.6 s after a day of a clock two in ten thousand faster.
+// TestFastClock checks that the age of a confirmation is underestimated by at most an eighth of
+// leaseMargin if the source's clock runs faster than clockDrift allows for.
 func TestFastClock(t *testing.T) {
-	const faster = 1.001 // one in a thousand
+	const faster = 1.001
 	var c SourceClock
 	var worst time.Duration
 	for elapsed := time.Duration(0); elapsed < 24*time.Hour; elapsed += time.Second {
@@ -84,24 +82,24 @@
 	assert.Assert(t, worst <= leaseMargin/8, "%s", worst)
 }
 
-// TestSlowAnswer checks that a slow answer doesn't loosen what is known of the
-// source's clock, and that a clock that started anew is followed.
+// TestObserveSlowResponse checks that a slow response does not loosen the bound on the source's
+// clock, and that a reset of that clock is detected.
 func TestSlowAnswer(t *testing.T) {
 	var c SourceClock
 	c.Observe(start, 50*time.Second)
-	c.Observe(start.Add(time.Second), 52*time.Second) // answered a second late
+	c.Observe(start.Add(time.Second), 52*time.Second) // the response took a second
 	latest, _ := c.Latest(start.Add(time.Second))
 	assert.Assert(t, latest < 51001*time.Millisecond)
-	c.Observe(start.Add(2*time.Second), time.Second) // back
+	c.Observe(start.Add(2*time.Second), time.Second) // reset backward
 	latest, _ = c.Latest(start.Add(2 * time.Second))
 	assert.Equal(t, latest, time.Second)
-	c.Observe(start.Add(3*time.Second), time.Hour) // ahead
+	c.Observe(start.Add(3*time.Second), time.Hour) // reset forward
 	latest, _ = c.Latest(start.Add(3 * time.Second))
 	assert.Equal(t, latest, time.Hour)
 }
 
-// TestRestartedClock checks that a lease is renewed by peers after the source's clock has started anew: a
-// process that only hears its peers would lose its lease with the last confirmation of the old clock.
+// TestClockReset checks that peers' confirmations renew a lease after the source's clock was reset, so
+// that a process without local reads does not lose its lease.
 func TestRestartedClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := &SourceClock{}
@@ -110,7 +108,7 @@
 		assert.Assert(t, l.RenewFromPeer(time.Now(), time.Hour))
 		time.Sleep(time.Second)
 
-		clock.Observe(time.Now(), 100*time.Millisecond) // it has started anew
+		clock.Observe(time.Now(), 100*time.Millisecond) // the clock was reset
 		assert.Assert(t, l.RenewFromPeer(time.Now(), 50*time.Millisecond))
 		assert.Equal(t, l.Left(time.Now()).Round(time.Millisecond), 1950*time.Millisecond)
 		assert.Assert(t, !l.RenewFromPeer(time.Now(), time.Hour), "a confirmation by the clock before")
--- a/gateway/freshness/superseded_test.go
+++ b/gateway/freshness/superseded_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSuperseded checks when a superseded configuration is not used any more.
+// TestSuperseded checks that a superseded configuration is dropped at the bound, but not while the source
+// is unreachable.
 func TestSuperseded(t *testing.T) {
 	const bound, silence = 2 * time.Second, 3 * time.Second
 	for _, test := range []struct {
--- a/gateway/freshness/transfer_test.go
+++ b/gateway/freshness/transfer_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCompares checks which reads only ask what has changed.
+// TestCompares checks which reads compare the configuration instead of transferring it.
 func TestCompares(t *testing.T) {
 	for _, test := range []struct {
 		name  string
