--- a/gateway/freshness/confirm.go
+++ b/gateway/freshness/confirm.go
@@ -23,7 +23,7 @@
 
 // peerReportTTL is how long a version reported by peers takes precedence over the source. It
 // covers several gossip rounds.
-const newsTTL = time.Second
+const peerReportTTL = time.Second
 
 // Seen is a state of the source's configuration.
 type Seen struct {
@@ -53,11 +53,11 @@
 
 // AfterPeer returns what to do after a peer has confirmed the version reported. local is the
 // version in force here; configured is false if there is none.
-func AfterPeer(known bool, own, theirs int64) PeerAction {
+func AfterPeer(configured bool, local, reported int64) PeerAction {
 	switch {
-	case !known || own < theirs:
+	case !configured || local < reported:
 		return PeerIsNewer
-	case own == theirs:
+	case local == reported:
 		return PeerRenews
 	}
 	return PeerIgnored
@@ -65,4 +65,4 @@
 
 // Forgets reports whether a version reported by peers is dropped when the source contradicts
 // it. age is the time since the last report.
-func Forgets(age time.Duration) bool { return age >= newsTTL }
+func Forgets(age time.Duration) bool { return age >= peerReportTTL }
--- a/gateway/freshness/confirm_test.go
+++ b/gateway/freshness/confirm_test.go
@@ -10,14 +10,14 @@
 // TestConfirms checks that stale reads do not confirm the configuration.
 func TestConfirms(t *testing.T) {
 	known := Seen{Revision: 7, Version: 3}
-	assert.Assert(t, Confirms(Seen{Revision: 8, Version: 4}, known), "newer than anything known")
-	assert.Assert(t, Confirms(known, known), "as new as what is known")
-	assert.Assert(t, !Confirms(Seen{Revision: 6, Version: 3}, known), "a stale answer")
-	assert.Assert(t, !Confirms(Seen{Revision: 8, Version: 2}, known), "a peer has a newer version")
+	assert.Assert(t, Confirms(Seen{Revision: 8, Version: 4}, known), "newer than the known state")
+	assert.Assert(t, Confirms(known, known), "equal to the known state")
+	assert.Assert(t, !Confirms(Seen{Revision: 6, Version: 3}, known), "a stale revision")
+	assert.Assert(t, !Confirms(Seen{Revision: 8, Version: 2}, known), "a version older than a peer's")
 }
 
 // TestPeerReportExpiry checks when a version reported by peers is dropped.
-func TestForgets(t *testing.T) {
+func TestPeerReportExpiry(t *testing.T) {
 	assert.Assert(t, !Forgets(time.Second-1))
 	assert.Assert(t, Forgets(time.Second))
 }
@@ -25,16 +25,16 @@
 // TestAfterPeer checks the reaction to a peer's confirmation.
 func TestAfterPeer(t *testing.T) {
 	for _, test := range []struct {
-		name        string
-		known       bool
-		own, theirs int64
-		want        PeerAction
+		name            string
+		configured      bool
+		local, reported int64
+		want            PeerAction
 	}{
 		{"nothing is in force here", false, 0, 3, PeerIsNewer},
 		{"the peer has a newer version", true, 2, 3, PeerIsNewer},
 		{"the peer has the same version", true, 3, 3, PeerRenews},
 		{"the peer has an older version", true, 4, 3, PeerIgnored},
 	} {
-		assert.Equal(t, AfterPeer(test.known, test.own, test.theirs), test.want, test.name)
+		assert.Equal(t, AfterPeer(test.configured, test.local, test.reported), test.want, test.name)
 	}
 }
--- a/gateway/freshness/lease.go
+++ b/gateway/freshness/lease.go
@@ -93,8 +93,8 @@
 func (l *Lease) renew(sent time.Time) {
 	until := int64(sent.Sub(l.started) + l.term)
 	for {
-		now := l.until.Load()
-		if until <= now || l.until.CompareAndSwap(now, until) {
+		current := l.until.Load()
+		if until <= current || l.until.CompareAndSwap(current, until) {
 			return
 		}
 	}
--- a/gateway/freshness/lease_test.go
+++ b/gateway/freshness/lease_test.go
@@ -27,17 +27,17 @@
 		time.Sleep(time.Millisecond)
 		assert.Assert(t, !l.Valid(time.Now()))
 
-		late := time.Now()
+		resent := time.Now()
 		_, confirmed = l.Age(time.Now())
 		assert.Assert(t, confirmed)
-		l.renew(late)
+		l.renew(resent)
 		l.renew(sent) // a delayed response
 		assert.Equal(t, l.Left(time.Now()), time.Second)
 	})
 }
 
 // TestLeaseAfterSuspension checks that the lease of a process that was suspended has expired.
-func TestFrozen(t *testing.T) {
+func TestLeaseAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLease(time.Now(), time.Second, &SourceClock{})
 		sent := time.Now()
--- a/gateway/freshness/outage.go
+++ b/gateway/freshness/outage.go
@@ -12,6 +12,6 @@
 // ServesKeys reports whether requests that need a key are served. bridging reports whether the
 // operators allow serving them in an outage, valid whether the lease has not ended, and newer
 // whether a newer configuration is known or its arrival overdue.
-func ServesKeys(bridges, valid, newer bool) bool {
-	return valid || bridges && !newer
+func ServesKeys(bridging, valid, newer bool) bool {
+	return valid || bridging && !newer
 }
--- a/gateway/freshness/refresh.go
+++ b/gateway/freshness/refresh.go
@@ -18,14 +18,14 @@
 const (
 	// timeSlotDuration is how long one router is the first to read, on the source's steady
 	// clock.
-	shiftLength = 4 * time.Second
+	timeSlotDuration = 4 * time.Second
 	// firstFraction and secondFraction are the fractions of the refresh age at which the first
 	// and the second router of a time slot read.
-	firstPart  = 0.5
-	secondPart = 0.75
+	firstFraction  = 0.5
+	secondFraction = 0.75
 	// staggerFraction is the fraction of the refresh age over which the other routers' reads are
 	// staggered, so that most receive the first router's confirmation before they read.
-	staggerPart = 0.6
+	staggerFraction = 0.6
 	// minReadPause is the minimum time between two reads of a router.
 	minReadPause = 60 * time.Millisecond
 	// slowReadPause is the pause after a failed read, or after a read that found no
@@ -35,7 +35,7 @@
 
 // Shift returns the number of the time slot of a confirmation, given the reading of the source's
 // clock at that confirmation.
-func Shift(confirmed time.Duration) uint64 { return uint64(confirmed / shiftLength) }
+func Shift(confirmed time.Duration) uint64 { return uint64(confirmed / timeSlotDuration) }
 
 // ReadAge returns the age of a confirmation at which a router reads the configuration again.
 // refresh is the age without peers, rank is the router's rank in the time slot, from 0, and peers
@@ -45,11 +45,11 @@
 	case peers == 0:
 		return refresh
 	case rank == 0:
-		return time.Duration(firstPart * float64(refresh))
+		return time.Duration(firstFraction * float64(refresh))
 	case rank == 1:
-		return time.Duration(secondPart * float64(refresh))
+		return time.Duration(secondFraction * float64(refresh))
 	}
-	return time.Duration((1 + staggerPart*float64(rank-1)/float64(peers)) * float64(refresh))
+	return time.Duration((1 + staggerFraction*float64(rank-1)/float64(peers)) * float64(refresh))
 }
 
 // PauseAfterRead returns the minimum time until a router's next read. answered reports whether
--- a/gateway/freshness/refresh_test.go
+++ b/gateway/freshness/refresh_test.go
@@ -33,7 +33,7 @@
 }
 
 // TestTimeSlot checks that a time slot lasts four seconds on the source's clock.
-func TestShift(t *testing.T) {
+func TestTimeSlot(t *testing.T) {
 	for confirmed, want := range map[time.Duration]uint64{
 		0: 0, 4*time.Second - 1: 0, 4 * time.Second: 1, time.Hour: 900,
 	} {
--- a/gateway/freshness/sourceclock.go
+++ b/gateway/freshness/sourceclock.go
@@ -20,31 +20,31 @@
 	clockDrift = 1e-4
 	// observationTTL is how long one response may bound the source's clock. It limits the error
 	// if the clocks drift apart faster than clockDrift (TestFastClock).
-	clockMemory = time.Minute
+	observationTTL = time.Minute
 	// clockResetThreshold is how far ahead of its bound a reading of the source's clock must be
 	// to count as a reset of that clock.
-	clockRestart = 10 * time.Second
+	clockResetThreshold = 10 * time.Second
 )
 
 // A SourceClock is an upper bound on a source's steady clock. It is safe for concurrent use.
 type SourceClock struct {
-	mu    sync.Mutex
-	shown time.Duration
-	at    time.Time // no later than when the clock had this reading
-	known bool
+	mu      sync.Mutex
+	reading time.Duration
+	at      time.Time // no later than when the clock had this reading
+	known   bool
 }
 
 // Observe records the reading of the clock, or an upper bound on it, in the response to a read
 // that was sent at sent to the source or to another process that bounds its clock.
-func (c *SourceClock) Observe(sent time.Time, shown time.Duration) {
+func (c *SourceClock) Observe(sent time.Time, reading time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	bound, ok := c.latest(sent)
-	recent := ok && sent.Sub(c.at) < clockMemory
-	if recent && shown >= bound && shown-bound < clockRestart {
+	bound, ok := c.upperBound(sent)
+	valid := ok && sent.Sub(c.at) < observationTTL
+	if valid && reading >= bound && reading-bound < clockResetThreshold {
 		return // the response was slow: the earlier observation is the tighter bound
 	}
-	c.shown, c.at, c.known = shown, sent, true
+	c.reading, c.at, c.known = reading, sent, true
 }
 
 // Latest returns the upper bound on the clock's reading at now, and false if nothing has been
@@ -52,10 +52,10 @@
 func (c *SourceClock) Latest(now time.Time) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.latest(now)
+	return c.upperBound(now)
 }
 
-func (c *SourceClock) latest(now time.Time) (time.Duration, bool) {
+func (c *SourceClock) upperBound(now time.Time) (time.Duration, bool) {
 	elapsed := now.Sub(c.at)
-	return c.shown + elapsed + time.Duration(clockDrift*float64(elapsed)), c.known
+	return c.reading + elapsed + time.Duration(clockDrift*float64(elapsed)), c.known
 }
--- a/gateway/freshness/sourceclock_test.go
+++ b/gateway/freshness/sourceclock_test.go
@@ -15,7 +15,7 @@
 
 // TestRenewFromPeer checks that a delayed message does not renew a peer's lease beyond the age of the
 // read that it reports.
-func TestSharedRead(t *testing.T) {
+func TestRenewFromPeer(t *testing.T) {
 	reader, other := NewLease(time.Now(), term, &SourceClock{}), NewLease(time.Now(), term, &SourceClock{})
 	// A local read of each process bounds the source's clock.
 	reader.RenewRead(start, start.Add(100*time.Millisecond), 50*time.Second)
@@ -30,17 +30,17 @@
 	now := start.Add(3 * time.Second) // the message is delayed
 	assert.Assert(t, other.RenewFromPeer(now, confirmed))
 	age, _ := other.Age(now)
-	assert.Assert(t, age >= time.Second, "%s: not younger than the read", age)
+	assert.Assert(t, age >= time.Second, "%s is less than the age of the read", age)
 	assert.Assert(t, age < 1200*time.Millisecond, "%s", age)
-	passedOn, _ := other.Confirmed()
-	assert.Equal(t, passedOn, confirmed)
-	assert.Assert(t, !other.RenewFromPeer(now, confirmed), "known already")
-	assert.Assert(t, !other.RenewFromPeer(now, confirmed-time.Millisecond), "older")
+	forwarded, _ := other.Confirmed()
+	assert.Equal(t, forwarded, confirmed)
+	assert.Assert(t, !other.RenewFromPeer(now, confirmed), "a repeated confirmation")
+	assert.Assert(t, !other.RenewFromPeer(now, confirmed-time.Millisecond), "an older confirmation")
 }
 
 // TestRenewFromPeerBeforeLocalRead checks that a process without a bound on the source's clock
 // ignores a peer's confirmation, whose age it can't determine.
-func TestSharedBeforeOwnRead(t *testing.T) {
+func TestRenewFromPeerBeforeLocalRead(t *testing.T) {
 	l := NewLease(time.Now(), term, &SourceClock{})
 	assert.Assert(t, !l.RenewFromPeer(start, time.Second))
 	assert.Assert(t, !l.Valid(time.Now()))
@@ -48,7 +48,7 @@
 
 // TestRenewFromPeerInFuture checks that a confirmation ahead of the source's clock is rejected,
 // because it comes from another clock.
-func TestSharedFuture(t *testing.T) {
+func TestRenewFromPeerInFuture(t *testing.T) {
 	l := NewLease(time.Now(), term, &SourceClock{})
 	l.RenewRead(start, start, 50*time.Second)
 	assert.Assert(t, !l.RenewFromPeer(start.Add(time.Second), 52*time.Second))
@@ -57,7 +57,7 @@
 
 // TestRenewFromPeerAfterSuspension checks that a confirmation's age counts from the read even if the
 // receiving process was suspended in between.
-func TestSharedFrozen(t *testing.T) {
+func TestRenewFromPeerAfterSuspension(t *testing.T) {
 	l := NewLease(time.Now(), term, &SourceClock{})
 	l.RenewRead(start, start, 50*time.Second)
 	now := start.Add(20 * time.Second)
@@ -69,22 +69,22 @@
 // TestFastClock checks that the age of a confirmation is underestimated by at most an eighth of
 // leaseMargin if the source's clock runs faster than clockDrift allows for.
 func TestFastClock(t *testing.T) {
-	const faster = 1.001
+	const clockRate = 1.001
 	var c SourceClock
 	var worst time.Duration
 	for elapsed := time.Duration(0); elapsed < 24*time.Hour; elapsed += time.Second {
 		now := start.Add(elapsed)
-		shown := time.Duration(faster * float64(elapsed))
-		c.Observe(now, shown)
+		reading := time.Duration(clockRate * float64(elapsed))
+		c.Observe(now, reading)
 		latest, _ := c.Latest(now)
-		worst = max(worst, shown-latest)
+		worst = max(worst, reading-latest)
 	}
 	assert.Assert(t, worst <= leaseMargin/8, "%s", worst)
 }
 
 // TestObserveSlowResponse checks that a slow response does not loosen the bound on the source's
 // clock, and that a reset of that clock is detected.
-func TestSlowAnswer(t *testing.T) {
+func TestObserveSlowResponse(t *testing.T) {
 	var c SourceClock
 	c.Observe(start, 50*time.Second)
 	c.Observe(start.Add(time.Second), 52*time.Second) // the response took a second
@@ -100,7 +100,7 @@
 
 // TestClockReset checks that peers' confirmations renew a lease after the source's clock was reset, so
 // that a process without local reads does not lose its lease.
-func TestRestartedClock(t *testing.T) {
+func TestClockReset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := &SourceClock{}
 		l := NewLease(time.Now(), 2*time.Second, clock)
@@ -111,8 +111,8 @@
 		clock.Observe(time.Now(), 100*time.Millisecond) // the clock was reset
 		assert.Assert(t, l.RenewFromPeer(time.Now(), 50*time.Millisecond))
 		assert.Equal(t, l.Left(time.Now()).Round(time.Millisecond), 1950*time.Millisecond)
-		assert.Assert(t, !l.RenewFromPeer(time.Now(), time.Hour), "a confirmation by the clock before")
-		assert.Assert(t, !l.RenewFromPeer(time.Now(), 40*time.Millisecond), "an older one")
+		assert.Assert(t, !l.RenewFromPeer(time.Now(), time.Hour), "a confirmation from before the reset")
+		assert.Assert(t, !l.RenewFromPeer(time.Now(), 40*time.Millisecond), "an older confirmation")
 		time.Sleep(time.Second)
 		assert.Assert(t, l.RenewFromPeer(time.Now(), time.Second))
 	})
--- a/gateway/freshness/superseded_test.go
+++ b/gateway/freshness/superseded_test.go
@@ -17,10 +17,10 @@
 		want                bool
 	}{
 		{"just confirmed", 0, 0, false},
-		{"confirmed almost as long ago as the bound", bound - 1, 0, false},
-		{"confirmed as long ago as the bound", bound, 0, true},
-		{"the source answered lately", time.Minute, silence - 1, true},
-		{"the source is out of reach", time.Minute, silence, false},
+		{"confirmed just within the bound", bound - 1, 0, false},
+		{"the bound has passed", bound, 0, true},
+		{"the source responded recently", time.Minute, silence - 1, true},
+		{"the source is unreachable", time.Minute, silence, false},
 	} {
 		assert.Equal(t, Superseded(test.confirmed, test.answered, bound, silence), test.want, test.name)
 	}
--- a/gateway/freshness/transfer.go
+++ b/gateway/freshness/transfer.go
@@ -19,7 +19,7 @@
 // fullReadAfter is the number of consecutive failures after which one read transfers the whole
 // configuration. If that read fails too, the count starts over. A single failure may be a lost
 // response.
-const wholeAfter = 2
+const fullReadAfter = 2
 
 // A Known is a router's state of the configuration before a read.
 type Known struct {
@@ -31,5 +31,5 @@
 // Compares reports whether a read asks the source to transfer the configuration only if it has
 // changed.
 func Compares(k Known) bool {
-	return k.Size >= minComparedSize && k.Failed%(wholeAfter+1) < wholeAfter && !k.Outdated
+	return k.Size >= minComparedSize && k.Failed%(fullReadAfter+1) < fullReadAfter && !k.Outdated
 }
--- a/gateway/freshness/transfer_test.go
+++ b/gateway/freshness/transfer_test.go
@@ -18,9 +18,9 @@
 		{"large", Known{Size: 64 << 10}, true},
 		{"large, and the last read failed", Known{Size: 64 << 10, Failed: 1}, true},
 		{"large, and the last two failed", Known{Size: 64 << 10, Failed: 2}, false},
-		{"large, and so did the read of the whole", Known{Size: 64 << 10, Failed: 3}, true},
-		{"large, and another failed", Known{Size: 64 << 10, Failed: 4}, true},
-		{"large, and another two failed", Known{Size: 64 << 10, Failed: 5}, false},
+		{"large, and the last two and the full read failed", Known{Size: 64 << 10, Failed: 3}, true},
+		{"large, and one more read failed", Known{Size: 64 << 10, Failed: 4}, true},
+		{"large, and two more reads failed", Known{Size: 64 << 10, Failed: 5}, false},
 		{"large, and a newer version is known", Known{Size: 64 << 10, Outdated: true}, false},
 	} {
 		assert.Equal(t, Compares(test.known), test.want, test.name)
