--- a/gateway/peers/budget.go
+++ b/gateway/peers/budget.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// A Schedule says how many messages of which kind a router sends, within its budget of bytes. It
-// must not be used by two goroutines at once.
+// A Schedule limits the full and brief messages of a router to its budget of bytes. It is not safe
+// for concurrent use.
 type Schedule struct {
 	whole, brief         budget
-	wholeSize, briefSize int // of the last datagrams, in bytes; zero before the first
+	wholeSize, briefSize int // of the last datagram, in bytes; zero before the first
 }
 
-// NewSchedule returns the Schedule of a router that may send so many bytes a second.
+// NewSchedule returns the Schedule of a router that may send bytesPerSecond.
 func NewSchedule(now time.Time, bytesPerSecond int) *Schedule {
 	rate := float64(bytesPerSecond)
 	return &Schedule{
@@ -18,8 +18,8 @@
 	}
 }
 
-// Next returns to how many peers a whole message goes now and to how many others a brief one,
-// given how many are alive.
+// Next returns the number of peers to send a full message to now, and the number of other peers to
+// send a brief one to. alive is the number of live peers.
 func (s *Schedule) Next(now time.Time, alive int) (whole, brief int) {
 	part := briefShare
 	if s.Complete(alive) {
@@ -30,14 +30,14 @@
 	return whole, brief
 }
 
-// Complete reports whether messages hold the loads of all endpoints, given how many peers are
-// alive.
+// Complete reports whether messages contain the loads of all endpoints. alive is the number of live
+// peers.
 func (s *Schedule) Complete(alive int) bool {
 	heard := loadTTL.Seconds() * s.whole.rate / float64(max(1, s.wholeSize))
 	return heard >= minComplete*float64(alive)
 }
 
-// Sent takes that a message of a length in bytes was sent to so many peers.
+// Sent records that a message of length bytes was sent to targets peers.
 func (s *Schedule) Sent(message *Message, length, targets int) {
 	size := length + datagramHeader
 	if message.Brief {
@@ -49,21 +49,21 @@
 	s.whole.bytes -= float64(targets * size)
 }
 
-// A budget bounds the bytes that are sent in a second.
+// A budget limits the bytes that are sent per second.
 type budget struct {
-	rate  float64 // bytes a second, of which a part may be sent
-	bytes float64 // that may be sent now; below zero if too much was sent
+	rate  float64 // bytes per second, before the share of the message kind is applied
+	bytes float64 // available now; negative if the budget is exceeded
 	at    time.Time
 }
 
-// newBudget returns a budget with one second's worth of a part of the rate.
+// newBudget returns a budget that holds the bytes of one second at share of the rate.
 func newBudget(now time.Time, rate, part float64) budget {
 	return budget{rate: rate, bytes: rate * part, at: now}
 }
 
-// sends returns how many datagrams of a size in bytes may be sent now, at most Fanout. The size
-// of a router's first message is not known beforehand: a size of zero allows Fanout, and what is
-// spent beyond the budget delays the next messages.
+// sends returns how many datagrams of size bytes may be sent now, at most Fanout. The size of a
+// router's first message is not known in advance, so a size of zero allows Fanout datagrams. An
+// overdraft delays later messages.
 func (b *budget) sends(now time.Time, size int, part float64) int {
 	rate := b.rate * part
 	b.bytes = min(rate, b.bytes+rate*now.Sub(b.at).Seconds())
--- a/gateway/peers/budget_test.go
+++ b/gateway/peers/budget_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// play plays a schedule for a hundred seconds, with messages of some lengths in bytes, and returns
-// the bytes that are sent and the numbers of messages.
+// simulateSchedule runs a schedule for 100 s of simulated time with messages of the given lengths in
+// bytes, and returns the bytes and the numbers of messages sent.
 func playSchedule(alive, wholeLength, briefLength int) (bytes, whole, brief int) {
 	s := NewSchedule(start, 5000)
 	for i := range 1000 {
@@ -21,8 +21,7 @@
 	return bytes, whole, brief
 }
 
-// TestSchedule checks that no more is sent over time than the rate allows, however
-// large the messages are.
+// TestSchedule checks that the rate of bytes is not exceeded, whatever the size of the messages.
 func TestSchedule(t *testing.T) {
 	for _, length := range []int{100, 700, 2000, 9000} {
 		for _, alive := range []int{1, 10, 1000} {
@@ -34,8 +33,8 @@
 	}
 }
 
-// TestScheduleBrief checks that a router sends brief messages, and whole ones without all loads,
-// only in a fleet that is too large to hear of much of it.
+// TestScheduleBrief checks that brief messages, and full ones without complete loads, are sent only in
+// a fleet too large for complete loads.
 func TestScheduleBrief(t *testing.T) {
 	_, few, brief := playSchedule(20, 500, 100)
 	assert.Equal(t, brief, Fanout, "those that were sent before the size of a message was known")
@@ -48,8 +47,7 @@
 	assert.Assert(t, !s.Complete(41))
 }
 
-// TestScheduleOverdrawn checks that a router that has sent too much sends nothing
-// until it may again: the size of its first messages is not known beforehand.
+// TestScheduleOverdrawn checks that an overdrawn schedule sends nothing until the budget has recovered.
 func TestScheduleOverdrawn(t *testing.T) {
 	s := NewSchedule(start, 1000)
 	whole, brief := s.Next(start, 1000)
--- a/gateway/peers/count.go
+++ b/gateway/peers/count.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Which peers count, and for how much.
+// Which peers are alive, and how long their loads count.
 //
-// Rule: a peer is alive for PeerTTL, and MemberTTL more for each peer that is known, after it
-// last was known to be: by its own message, or by another's that names it, less the age that
-// this says. Its loads count for LoadTTL after the message that held them.
+// Rule: a peer is alive until PeerTTL, plus MemberTTL for each known peer, has passed since it was
+// last known to be alive. Its own messages show that it is alive, and so do messages of other peers
+// that name it, minus the age they state. Its loads count for LoadTTL after the message that held
+// them.
 //
 // The reasons are in docs/decisions.md, Count a peer.
 //
-// Of a peer's messages only the newest counts: a datagram may be duplicated,
-// overtaken by a later one, or come from before the peer was started anew.
+// Only the newest message of a peer counts: a datagram may be duplicated, reordered, or sent before
+// the peer restarted.
 
 const (
-	// peerTTL is how long a peer counts as alive after its last message, and how long
-	// it is kept after it was last seen: twenty rounds of gossip.
+	// peerTTL is how long a peer counts as alive after its last message, and how long it is kept
+	// after it was last seen.
 	peerTTL = 3 * time.Second
-	// memberTTL is added to it for each peer that is known: the same bytes a second name each
-	// of them more rarely.
+	// memberTTL is added to peerTTL for each known peer, because in a larger fleet messages
+	// name each peer less often.
 	memberTTL = 50 * time.Millisecond
 	// loadTTL is how long the loads in a peer's message count.
 	loadTTL = time.Second
-	// maxPeers bounds the memory for peers, at more than twice the 390 routers of
-	// docs/CAPACITY.md.
+	// maxPeers bounds the memory for peers. It exceeds the largest supported fleet
+	// (docs/CAPACITY.md).
 	maxPeers = 1024
 )
 
-// Limits bound a Table. The constants of the same names, which are the gateway's, say
-// what each one is.
+// Limits are the limits of a Table. The constants of the same names describe each one and hold the
+// gateway's values.
 type Limits struct {
 	LoadTTL   time.Duration
 	PeerTTL   time.Duration
@@ -36,12 +37,13 @@
 	MaxPeers  int
 }
 
-// DefaultLimits returns the Limits of a gateway.
+// DefaultLimits returns the gateway's Limits.
 func DefaultLimits() Limits {
 	return Limits{LoadTTL: loadTTL, PeerTTL: peerTTL, MemberTTL: memberTTL, MaxPeers: maxPeers}
 }
 
-// alive reports whether a peer is that was last known to be so long ago, among so many.
+// alive reports whether a peer that was last known to be alive age ago still counts as alive, given
+// the number of known peers.
 func (l *Limits) alive(age time.Duration, known int) bool {
 	return age <= l.PeerTTL+time.Duration(known)*l.MemberTTL
 }
@@ -50,11 +52,11 @@
 
 // A version orders the messages of one sender.
 type version struct {
-	started  int64  // of the sender's process, in nanoseconds of its VM's steady clock
-	sequence uint64 // within that process
+	started  int64  // start of the sender's process, in nanoseconds on its VM's steady clock
+	sequence uint64 // of the message within that process
 }
 
-// after reports whether a message of version v was sent after one of version w.
+// newerThan reports whether a message of version v was sent after one of version w.
 func (v version) after(w version) bool {
 	if v.started != w.started {
 		return v.started > w.started
--- a/gateway/peers/count_test.go
+++ b/gateway/peers/count_test.go
@@ -7,8 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCount checks for how long after a peer was last known to be alive it counts as alive, and
-// for how long its loads count.
+// TestLimits checks how long a peer counts as alive, and how long its loads count.
 func TestCount(t *testing.T) {
 	l := DefaultLimits()
 	for _, test := range []struct {
@@ -31,13 +30,13 @@
 	}
 }
 
-// TestSample checks what the requests of some peers say of those of all.
+// TestSample checks the estimates for all peers from the requests of some.
 func TestSample(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		sample    Sample
-		share     float64 // at an endpoint that does not report its load
-		reporting float64 // at one that does
+		share     float64 // at an endpoint that doesn't report its load
+		reporting float64 // at an endpoint that reports its load
 		mean      float64 // at each of 3 endpoints
 		demand    float64 // of a prompt with 2 requests
 	}{
@@ -55,7 +54,7 @@
 	}
 }
 
-// TestVersionAfter checks which of two messages of one sender is the newer.
+// TestVersionNewerThan checks which of two messages of one sender is the newer.
 func TestVersionAfter(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/gateway/peers/evacuations.go
+++ b/gateway/peers/evacuations.go
@@ -2,7 +2,7 @@
 
 import "github.com/ryeford/ryeford"
 
-// EvacuationsOf returns evacuations as a message holds them, or nil if none were ever read.
+// EvacuationsOf returns the message form of evacuations, or nil if they were never read.
 func EvacuationsOf(known ryeford.Evacuations) *Evacuations {
 	if known.Revision == 0 {
 		return nil
@@ -14,8 +14,8 @@
 	return result
 }
 
-// Read returns the evacuations that a message holds, or none, of revision zero, if it names no
-// revision; e may be nil.
+// Read returns the evacuations of a message. The result is empty, with revision zero, if e is nil
+// or holds an invalid revision.
 func (e *Evacuations) Read() ryeford.Evacuations {
 	if e == nil {
 		return ryeford.Evacuations{}
--- a/gateway/peers/evacuations_test.go
+++ b/gateway/peers/evacuations_test.go
@@ -10,7 +10,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// at returns the revision of a number in an era.
+// at returns the revision with a number in an era.
 func at(era, number int64) ryeford.Revision {
 	revision, err := ryeford.NewRevision(era, number)
 	if err != nil {
@@ -19,8 +19,8 @@
 	return revision
 }
 
-// TestEvacuationsInMessage checks that evacuations come back from a message as they were sent, and
-// how many bytes they take.
+// TestEvacuationsInMessage checks that evacuations survive encoding and decoding, and bounds their
+// encoded size.
 func TestEvacuationsInMessage(t *testing.T) {
 	without, err := cbor.Marshal(&Message{})
 	assert.NilError(t, err)
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestListInMessage checks that a message tells the era of the sender's copy, in how many bytes, and that
-// one whose numbers make no revision tells nothing.
+// TestListInMessage checks that a list survives encoding and decoding, bounds its encoded size, and
+// checks that invalid revisions are rejected.
 func TestListInMessage(t *testing.T) {
 	without, err := cbor.Marshal(&Message{})
 	assert.NilError(t, err)
@@ -64,9 +64,8 @@
 	assert.Equal(t, damaged.Read().Revision, ryeford.Revision(0))
 }
 
-// TestOlderRelease checks that routers of this and of an older release, which sends no era, confirm nothing
-// to each other: neither the list, nor evacuations, nor the configuration, whose confirmation vouches for
-// the evacuations that come with it.
+// TestOlderRelease checks that this release and an older one, which sends no era, don't accept each
+// other's confirmations of the list, the evacuations and the configuration.
 func TestOlderRelease(t *testing.T) {
 	const confirmed, list, evacuations = 12, 19, 20
 	content, err := cbor.Marshal(map[int]any{7: 3, 11: 90, confirmed: true, list: []any{7, 9, false, 90}, evacuations: []any{9, []any{}}})
--- a/gateway/peers/list.go
+++ b/gateway/peers/list.go
@@ -6,14 +6,15 @@
 	"github.com/ryeford/ryeford"
 )
 
-// ListOf returns a List: the revisions from and to, of one era, at which the list of endpoints is as a
-// copy has it; whether the copy was read whole; and when it was last confirmed.
+// ListOf returns the List of a copy of the list of endpoints that is valid for the revisions from to
+// to, both of one era. full reports whether the copy was last read in full, and confirmedAt is the
+// reading of the source's clock at the last confirmation.
 func ListOf(from, to ryeford.Revision, whole bool, confirmedAt time.Duration) *List {
 	return &List{Era: to.Era(), From: from.Number(), To: to.Number(), Whole: whole, ConfirmedAt: confirmedAt}
 }
 
-// Revisions returns the revisions at which the list is as the sender's copy has it, and false if the
-// message doesn't name any.
+// Revisions returns the range of revisions for which the sender's copy is valid, and false if the
+// numbers in the message are not valid revisions.
 func (l *List) Revisions() (from, to ryeford.Revision, ok bool) {
 	from, errFrom := ryeford.NewRevision(l.Era, l.From)
 	to, errTo := ryeford.NewRevision(l.Era, l.To)
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -1,9 +1,9 @@
-// Package peers is the gossip between the routers of a fleet: what a message says,
-// what a router concludes from the messages it receives, and what it sends to whom.
+// Package peers implements the gossip between the routers of a fleet: the format of a message, what
+// a router derives from received messages, and what it sends to which peer.
 //
-// It owns the table of peers. All of it is soft state, rebuilt from messages within
-// seconds: a router without peers works on with what it knows by itself. The package
-// does no I/O; the times that it is given are of the steady clock.
+// It owns the table of peers, which is soft state and is rebuilt from messages within seconds. An
+// isolated router works with its local state. The package does no I/O; its times are times of the
+// steady clock.
 package peers
 
 import (
@@ -13,99 +13,98 @@
 	"github.com/ryeford/ryeford"
 )
 
-// MaxLeaving is how many endpoints that leave a message holds.
+// MaxLeaving is the maximum number of leaving endpoints in a message.
 const MaxLeaving = 32
 
-// A Message is what a router sends its peers every Interval.
+// A Message is sent by a router to its peers every Interval.
 type Message struct {
 	Sender netip.AddrPort `cbor:"1,keyasint"`
-	// Started is when the sender's process was started, in nanoseconds of its VM's steady
-	// clock (clock.Steady). It orders the processes that had one address: by the time of
-	// day, a process that was started after that had stepped back would count as older
-	// than the one before it, and not at all for peerTTL.
+	// Started is the start of the sender's process, in nanoseconds on its VM's steady clock
+	// (clock.Steady). It orders the processes at one address. The time of day would not do:
+	// after a backward step a new process would count as older than its predecessor.
 	Started int64 `cbor:"2,keyasint"`
-	// Sequence numbers the messages of one process, from 1.
+	// Sequence is the number of the message within the process, from 1.
 	Sequence uint64 `cbor:"3,keyasint"`
-	// Brief says that the message holds nothing but what confirms the configuration and the
-	// list of endpoints: it leaves what is known of the sender's requests as it is.
+	// Brief marks a message that only confirms the configuration and the list of endpoints. It
+	// does not replace the sender's last reported requests.
 	Brief bool `cbor:"13,keyasint,omitempty"`
-	// Members are peers that were alive for the sender.
+	// Members are peers that the sender considers alive.
 	Members []Member `cbor:"14,keyasint,omitempty"`
-	// Totals are the sender's requests under way, by service.
+	// Totals are the sender's requests in flight, by service.
 	Totals []Total `cbor:"15,keyasint,omitempty"`
-	// Loads are the sender's requests under way at endpoints that have any: at all of
-	// these if Complete is set, else at those that don't report their load.
+	// Loads are the sender's requests in flight by endpoint, without endpoints that have none. If
+	// Complete is false, endpoints that report their load are left out too.
 	Loads    []Load `cbor:"5,keyasint,omitempty"`
 	Complete bool   `cbor:"16,keyasint,omitempty"`
-	// Demands are the sender's requests under way by prompt.
+	// Demands are the sender's requests in flight, by prompt.
 	Demands []Demand `cbor:"18,keyasint,omitempty"`
-	// Reports are what endpoints have reported of their loads, to any router.
+	// Reports are loads that endpoints have reported to any router.
 	Reports Reports `cbor:"17,keyasint,omitempty"`
-	// Version is that of the configuration in force at the sender, or zero.
+	// Version is the version of the configuration in force at the sender, or zero.
 	//
-	// Keys 4, 8 to 10, 12, 19 and 20 belonged to fields that were removed. They must not be used for
-	// other fields: routers of an older release would misread them. 19 and 20 held numbers of the
-	// source without its era, and 12 confirmed a configuration together with them: a router of either
-	// release that took the confirmation without the evacuations would serve by orders that are over.
+	// Keys 4, 8 to 10, 12, 19 and 20 belonged to removed fields and must not be reused, because
+	// routers of older releases would misread them. Keys 19 and 20 held numbers of the source
+	// without its era, and key 12 confirmed a configuration together with them. A router that
+	// accepts such a confirmation without the evacuations would apply obsolete evacuations.
 	Version int64 `cbor:"7,keyasint"`
-	// ConfirmedAt is what the steady clock of the configuration's source showed when
-	// Version was last known to be the newest.
+	// ConfirmedAt is the reading of the steady clock of the configuration's source when Version
+	// was last known to be the newest.
 	ConfirmedAt time.Duration `cbor:"11,keyasint"`
-	// Confirmed is false if the sender has no confirmation: ConfirmedAt is not set.
+	// Confirmed reports whether the sender has a confirmation. If not, ConfirmedAt is not set.
 	Confirmed bool `cbor:"27,keyasint"`
-	// List is what the sender has of the list of endpoints; nil if it says nothing of it.
+	// List describes the sender's copy of the list of endpoints, or is nil.
 	List *List `cbor:"23,keyasint,omitempty"`
-	// Evacuations are what the sender knows of them; nil if it says nothing of them.
+	// Evacuations are the evacuations known to the sender, or nil.
 	Evacuations *Evacuations `cbor:"24,keyasint,omitempty"`
-	// Quarantined are records of requests that end what runs them: those that changed lately at
-	// the sender, and others by turns.
+	// Quarantined are records of poison requests: those that changed recently at the sender, and
+	// the others in rotation.
 	Quarantined []Quarantined `cbor:"21,keyasint,omitempty"`
-	// HeldRead says that the sender, or a peer of it, has read the held requests that the platform
-	// keeps, and passes them on.
+	// HeldRead reports whether the sender or one of its peers has read the held requests from the
+	// platform's store, so that gossip carries them.
 	HeldRead bool `cbor:"22,keyasint,omitempty"`
-	// Withheld are endpoints that are sent nothing though the list has them as ready, for
-	// WithheldFor from the sending on.
+	// Withheld are endpoints that receive no requests although they are listed as ready.
+	// WithheldFor is the remaining duration when the message was sent.
 	Withheld    []Withheld `cbor:"25,keyasint,omitempty"`
 	WithheldFor Age        `cbor:"26,keyasint,omitempty"`
-	// Leaving are lives of endpoints that have said with a response that they leave, of which the sender
-	// learnt lately, from them or from a peer.
+	// Leaving are incarnations of endpoints that have reported in a response that they are
+	// leaving, and of which the sender was recently notified by them or by a peer.
 	Leaving []ryeford.EndpointID `cbor:"28,keyasint,omitempty"`
-	// Prompts were sent to endpoints since the last message.
+	// Prompts are the prompts sent to endpoints since the last message.
 	Prompts []Prompt `cbor:"6,keyasint,omitempty"`
 }
 
-// An Age is how old something was when it was sent, in milliseconds.
+// An Age is an age at the time of sending, in milliseconds.
 type Age uint32
 
-// AgeOf returns the Age of a time.
+// AgeOf returns d as an Age. A negative duration counts as zero.
 func AgeOf(d time.Duration) Age { return Age(max(0, d.Milliseconds())) }
 
-// Duration returns a as a time.
+// Duration returns a as a time.Duration.
 func (a Age) Duration() time.Duration { return time.Duration(a) * time.Millisecond }
 
-// A Member is a peer that was alive for the sender.
+// A Member is a peer that the sender considers alive.
 type Member struct {
 	_       struct{} `cbor:",toarray"`
 	Address netip.AddrPort
-	// Age is the time since it was last known to be alive.
+	// Age is the time since the peer was last known to be alive.
 	Age Age
 }
 
-// A List says how new a router's copy of the list of endpoints is.
+// A List describes how recent a router's copy of the list of endpoints is.
 type List struct {
 	_ struct{} `cbor:",toarray"`
-	// From and To are the numbers of the source's revisions, within its Era, at which the list is as
-	// the copy has it.
+	// From and To are the first and last revision of the source, as numbers within Era, for which
+	// the copy is valid.
 	Era, From, To int64
-	// Whole says that the copy was read whole and its newest change may be of any revision up to
-	// From.
+	// Whole reports whether the copy was last read in full, so that its newest change may be of any
+	// revision up to From.
 	Whole bool
-	// ConfirmedAt is what the source's steady clock showed when the copy was last known to be
+	// ConfirmedAt is the reading of the source's steady clock when the copy was last known to be
 	// the newest.
 	ConfirmedAt time.Duration
 }
 
-// Evacuations are the evacuations of failure domains as of a revision of their source.
+// Evacuations are the evacuations of failure domains at a revision of their source.
 type Evacuations struct {
 	_           struct{} `cbor:",toarray"`
 	Era, Number int64    // of the revision
@@ -116,10 +115,10 @@
 type Evacuation struct {
 	_             struct{} `cbor:",toarray"`
 	FailureDomain string
-	Number        int64 // of the State of a ryeford.Evacuation, in the era of the Evacuations
+	Number        int64 // of the ryeford.Evacuation's State, in the era of the Evacuations
 }
 
-// A Withheld is as a ryeford.WithheldEndpoint.
+// A Withheld is the message form of a ryeford.WithheldEndpoint.
 type Withheld struct {
 	_        struct{} `cbor:",toarray"`
 	ID       ryeford.EndpointID
@@ -127,34 +126,34 @@
 	Gone     bool
 }
 
-// A Total is how many requests a router has under way at all endpoints of a service.
+// A Total is the number of requests that a router has in flight at all endpoints of a service.
 type Total struct {
 	_        struct{} `cbor:",toarray"`
-	Service  uint32   // the low half of route.NameHash of its name
+	Service  uint32   // the low 32 bits of route.NameHash of its name
 	Requests int
 }
 
-// A Demand is how many requests with a prompt a router has under way.
+// A Demand is the number of requests with a prompt that a router has in flight.
 type Demand struct {
 	_        struct{} `cbor:",toarray"`
-	Prompt   uint32   // the low half of the hash by which its endpoints are found
+	Prompt   uint32   // the low 32 bits of the hash that selects its endpoints
 	Requests int
 }
 
-// A Report is the load that an endpoint has reported with a response.
+// A Report is the load that an endpoint has reported in a response.
 type Report struct {
-	Endpoint uint32        // the low half of route.NameHash of its ID
-	Requests int           // running and waiting, of all routers
-	Age      time.Duration // since the endpoint did
+	Endpoint uint32        // the low 32 bits of route.NameHash of its ID
+	Requests int           // running and waiting, from all routers
+	Age      time.Duration // since the endpoint reported it
 }
 
-// A Load is how many requests a router has under way at an endpoint.
+// A Load is the number of requests that a router has in flight at an endpoint.
 type Load struct {
 	Endpoint ryeford.EndpointID `cbor:"1,keyasint"`
 	Requests int                `cbor:"2,keyasint"`
 }
 
-// A Prompt is the shared parts of a prompt that an endpoint has read.
+// A Prompt identifies the shared parts of a prompt that an endpoint has processed.
 type Prompt struct {
 	Endpoint ryeford.EndpointID `cbor:"1,keyasint"`
 	Parts    []uint64           `cbor:"2,keyasint"`
--- a/gateway/peers/message_bench_test.go
+++ b/gateway/peers/message_bench_test.go
@@ -10,8 +10,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// BenchmarkMessage measures a message of a router with requests at so many
-// endpoints: its bytes, and the time to write and to read it.
+// BenchmarkMessage measures the size of a message with loads, and the time to encode and decode it.
 func BenchmarkMessage(b *testing.B) {
 	for _, loads := range []int{0, 10, 20, 60} {
 		b.Run(fmt.Sprintf("loads=%d", loads), func(b *testing.B) {
--- a/gateway/peers/quarantine.go
+++ b/gateway/peers/quarantine.go
@@ -6,12 +6,12 @@
 	"github.com/ryeford/ryeford/gateway/quarantine"
 )
 
-// MaxQuarantined is how many records of requests that end endpoints a message holds, of some 60 bytes
-// each (TestQuarantinedInMessage).
+// MaxQuarantined is the maximum number of records of poison requests in a message. Their size is
+// checked by TestQuarantinedInMessage.
 const MaxQuarantined = 6
 
-// A Quarantined is a quarantine.Record as it was when it was sent: moments are ages, and moments
-// that a record lacks are nil.
+// A Quarantined is the message form of a quarantine.Record. Times are sent as ages, and are nil if the
+// record has none.
 type Quarantined struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint quarantine.Fingerprint
@@ -23,7 +23,7 @@
 	Tried       *Age
 }
 
-// A Crash is a quarantine.Crash.
+// A Crash is the message form of a quarantine.Crash.
 type Crash struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint uint32
@@ -31,7 +31,7 @@
 	Ended    Age
 }
 
-// QuarantinedOf returns records as a message holds them that is sent now.
+// QuarantinedOf returns the message form of records, with ages relative to now.
 func QuarantinedOf(now time.Time, records []quarantine.Record) []Quarantined {
 	var result []Quarantined
 	for i := range records {
@@ -48,8 +48,8 @@
 	return result
 }
 
-// Records returns the records of a message that came now. What is beyond the bounds of a message is
-// left out.
+// Records returns the records of a message received at now. Entries beyond the limits of a message
+// are dropped.
 func Records(now time.Time, received []Quarantined) []quarantine.Record {
 	var result []quarantine.Record
 	for i := range received[:min(len(received), MaxQuarantined)] {
@@ -68,7 +68,7 @@
 	return result
 }
 
-// ageAt returns the age of a moment, or nil for none.
+// ageAt returns the age of t at now, or nil if t is zero.
 func ageAt(now, moment time.Time) *Age {
 	if moment.IsZero() {
 		return nil
@@ -77,7 +77,7 @@
 	return &age
 }
 
-// momentOf returns the moment of an age; none for nil.
+// timeOf returns the time that was age before now, or the zero time if age is nil.
 func momentOf(now time.Time, age *Age) time.Time {
 	if age == nil {
 		return time.Time{}
--- a/gateway/peers/quarantine_test.go
+++ b/gateway/peers/quarantine_test.go
@@ -10,8 +10,8 @@
 	"github.com/ryeford/ryeford/gateway/quarantine"
 )
 
-// TestQuarantinedInMessage checks that records come back from a message as they were sent, whenever
-// it comes, and how many bytes they take.
+// TestQuarantinedInMessage checks that records survive encoding and decoding, and bounds their encoded
+// size.
 func TestQuarantinedInMessage(t *testing.T) {
 	sent := time.Unix(10_000, 0)
 	ago := func(d time.Duration) time.Time { return sent.Add(-d) }
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestTooManyQuarantined checks that a message with more than its bounds has no effect beyond them.
+// TestTooManyQuarantined checks that entries beyond the limits of a message are dropped.
 func TestTooManyQuarantined(t *testing.T) {
 	many := make([]Quarantined, 1000)
 	for i := range many {
--- a/gateway/peers/reports.go
+++ b/gateway/peers/reports.go
@@ -7,22 +7,21 @@
 	"time"
 )
 
-// Reports are reports as a message holds them: reportSize bytes each, half of what they take as
-// lists of numbers, so that twice as many fit into the same budget.
+// Reports are encoded in reportSize bytes each, about half the size of a CBOR array.
 type Reports []Report
 
 const (
 	reportSize = 4 + 2 + 1
-	// ageUnit is the unit of a report's age in a message, which holds 255 of them at most.
+	// ageUnit is the unit of a report's age in a message. One byte holds up to 255 units.
 	ageUnit = 10 * time.Millisecond
 )
 
-// A ReportsError says that a message's reports have a length that no number of them has.
+// A ReportsError is returned if the length of a message's reports is not a multiple of reportSize.
 type ReportsError struct {
 	Length int // in bytes
 }
 
-// Error returns the text of e.
+// Error implements error.
 func (e *ReportsError) Error() string {
 	return fmt.Sprintf("reports of %d bytes: not a multiple of %d", e.Length, reportSize)
 }
--- a/gateway/peers/reports_test.go
+++ b/gateway/peers/reports_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReports checks that reports are as they were once they have been written and read, up to the
-// greatest load and age that a message holds.
+// TestReports checks that reports survive encoding and decoding, that loads and ages are clamped to the
+// encodable range, and that a malformed length is rejected.
 func TestReports(t *testing.T) {
 	written := &Message{Reports: Reports{
 		{Endpoint: 1, Requests: 0, Age: 0},
--- a/gateway/peers/schedule.go
+++ b/gateway/peers/schedule.go
@@ -5,83 +5,83 @@
 	"time"
 )
 
-// What gossip sends, to how many, and within which budget.
+// What gossip sends, to how many peers, and within which budget.
 //
-// Rule: every Interval a router sends one message to at most Fanout peers drawn at random,
-// and a brief one to as many others, or to fewer if more would exceed its budgets of bytes
-// a second. A message names peers that are alive.
+// Rule: every Interval a router sends a full message to at most Fanout peers, drawn at random, and
+// a brief one to at most Fanout others. It sends fewer if its budgets of bytes per second require
+// it. A message names live peers.
 //
 // The reasons are in docs/decisions.md, Gossip.
 
 const (
 	// Interval is the time between two rounds of messages.
 	Interval = 75 * time.Millisecond
-	// Fanout is how many peers a message is sent to at most. Set with Interval.
+	// Fanout is the maximum number of peers that a message is sent to.
 	Fanout = 8
-	// BytesPerSecond bounds outgoing gossip; the incoming rate is the same on
-	// average. Both ways together make 10 KB/s of control traffic a node.
+	// BytesPerSecond limits outgoing gossip. The incoming rate is the same on average.
 	BytesPerSecond = 5000
-	// briefShare is the part of that for brief messages in a fleet of which a router doesn't
-	// hear enough that messages hold all loads: word of what is new then spreads three times as
-	// fast for half of the bytes.
+	// briefShare is the share of BytesPerSecond for brief messages in a fleet that is too large
+	// for complete loads. Brief messages spread confirmations faster.
 	briefShare = 0.5
-	// MaxPrompts is how many prompts a message holds; more are dropped.
+	// MaxPrompts is the maximum number of prompts in a message. Further ones are dropped.
 	MaxPrompts = 6
-	// MaxPromptParts is how many parts the prompts of a message have together, of up to 9
-	// bytes each: callers may send prompts of any number.
+	// MaxPromptParts is the maximum number of parts of all prompts in a message, of up to 9 bytes
+	// each. Callers may send prompts with any number of parts.
 	MaxPromptParts = 96
-	// MaxMessage is the largest message that is read, in bytes.
+	// MaxMessage is the maximum size of a received message, in bytes.
 	MaxMessage = 16 << 10
 
-	// MaxMembers is how many peers a message names.
+	// MaxMembers is the maximum number of peers that a message names.
 	MaxMembers = 8
-	// MaxDemands is of how many prompts a message holds the requests under way.
+	// MaxDemands is the maximum number of prompts whose requests in flight a message holds.
 	MaxDemands = 16
-	// MaxHighReports is how many reports of endpoints with a high load a message holds.
+	// MaxHighReports is the maximum number of reports of highly loaded endpoints in a message.
 	MaxHighReports = 24
-	// MaxOtherReports is how many reports of other endpoints it holds.
+	// MaxOtherReports is the maximum number of reports of other endpoints in a message.
 	MaxOtherReports = 8
-	// MaxBriefReports is how many reports of endpoints with a high load a brief message holds.
+	// MaxBriefReports is the maximum number of reports of highly loaded endpoints in a brief
+	// message.
 	MaxBriefReports = 8
-	// minComplete is the part of the peers of which a router must hear within loadTTL so
-	// that messages hold the loads of all endpoints: of a smaller part, the endpoints' own
-	// reports tell more for the bytes.
+	// minReceivedFraction is the fraction of the peers from which a router must receive a message
+	// within loadTTL for messages to contain the loads of all endpoints. Below it, the endpoints'
+	// load reports are the better use of the bytes.
 	minComplete = 0.25
-	// datagramHeader is what the IPv4 and UDP headers of a datagram take, in bytes.
+	// datagramHeader is the size of the IPv4 and UDP headers of a datagram, in bytes.
 	datagramHeader = 28
 
-	// LookupInterval is how often a router looks at whether it must look up its
-	// peers.
+	// LookupInterval is how often a router checks whether it must look up its peers.
 	LookupInterval = time.Second
-	// seedPatience is how long after its start a router expects peers that it was given to answer.
+	// seedTimeout is how long after its start a router waits for a message from its configured
+	// peers.
 	seedPatience = time.Second
-	// lookupShiftLength is how long one router is the first to register.
+	// lookupSlotDuration is how long one router is the first to register.
 	lookupShiftLength = 32 * time.Second
-	// RegisterSpread is within what time routers that start together look up their peers: most
-	// then find enough entries.
+	// RegisterSpread is the period over which routers that start together spread their lookups,
+	// so that most find enough entries.
 	RegisterSpread = 500 * time.Millisecond
-	// enoughEntries is how many routers' entries are enough for one that starts.
+	// enoughEntries is the number of entries of other routers at which a starting router does not
+	// add its own.
 	enoughEntries = 8
-	// registerInterval is the age at which a router's own entry in the platform's
-	// list of routers is written anew.
+	// registerInterval is the age at which a router renews its entry in the platform's list of
+	// routers.
 	registerInterval = 10 * time.Minute
 )
 
-// A Lookup is what decides whether a router registers itself with the platform and looks up its
-// peers there. Times are since the router started, and since it registered last.
+// A Lookup decides whether a router registers with the platform and looks up its peers there.
 type Lookup struct {
-	Running    time.Duration
-	Seeded     bool // it was given addresses of peers at its start
-	Registered bool // it has registered
-	Since      time.Duration
-	Heard      bool // a message came from any peer lately
-	First      bool // it is the first in the shift of LookupShift
+	Running    time.Duration // since the router's start
+	Seeded     bool          // addresses of peers were configured
+	Registered bool
+	Since      time.Duration // since the last registration
+	Heard      bool          // a message was received recently
+	First      bool          // the router is the first in the time slot of LookupShift
 }
 
-// Due reports whether it does: while it receives nothing of peers, but not before those that it was given had
-// the time to answer; and if its entry is missing or old and it is its turn, so that the
-// platform's list has some of the routers and parts of the fleet that have lost each other
-// find each other there. Without addresses of peers it registers at its start.
+// Due reports whether a registration and lookup is due. It is while the router receives no
+// messages, but configured peers first get seedTimeout to send one. It is also due if the router's
+// entry is missing or old, without configured peers or in the router's time slot, so that the
+// platform's list always holds some routers and the parts of a partitioned fleet find each other
+// there. Without configured peers a router registers at its start.
 func (l *Lookup) Due() bool {
 	switch {
 	case !l.Heard:
@@ -92,9 +92,9 @@
 	return !l.Seeded || l.First
 }
 
-// EnoughEntries returns how many other routers' entries are enough in the platform's list for a
-// router not to add its own, given whether it has looked there before: then those have not
-// answered, or it is its turn.
+// EnoughEntries returns the number of other routers' entries in the platform's list at which a
+// router does not add its own. tried reports whether the router has looked there before: then it
+// always registers, because those routers did not answer or it is its time slot.
 func EnoughEntries(tried bool) int {
 	if tried {
 		return math.MaxInt
@@ -102,6 +102,6 @@
 	return enoughEntries
 }
 
-// LookupShift returns the shift, in which one router is the first to register, given the time
-// since an epoch that is about the same for all routers.
+// LookupShift returns the number of the time slot in which one router is the first to register.
+// since is the time since an epoch that is about the same for all routers.
 func LookupShift(since time.Duration) uint64 { return uint64(since / lookupShiftLength) }
--- a/gateway/peers/sums.go
+++ b/gateway/peers/sums.go
@@ -2,10 +2,10 @@
 
 import "github.com/ryeford/ryeford"
 
-// A requests is what a message says of its sender's requests under way.
+// requests are a sender's requests in flight, as reported in a message.
 type requests struct {
 	loads    []Load
-	complete bool // loads are those at all endpoints
+	complete bool // loads cover all endpoints
 	totals   []Total
 	demands  []Demand
 }
@@ -14,21 +14,21 @@
 	return requests{loads: message.Loads, complete: message.Complete, totals: message.Totals, demands: message.Demands}
 }
 
-// sums are the requests of the members whose loads count. They are kept from message to
-// message so that an estimate costs the same however many peers there are.
+// sums are the total requests of the members whose loads count. They are updated with each message,
+// so that the cost of an estimate does not depend on the number of peers.
 type sums struct {
 	loads    map[ryeford.EndpointID]int
 	totals   map[uint32]int // by service
 	demands  map[uint32]int // by prompt
-	counted  int            // members
-	complete int            // of these, those that reported all endpoints
+	counted  int            // members whose loads count
+	complete int            // counted members that reported all endpoints
 }
 
 func newSums() sums {
 	return sums{loads: make(map[ryeford.EndpointID]int), totals: make(map[uint32]int), demands: make(map[uint32]int)}
 }
 
-// add adds a member's requests, or takes them out if sign is -1.
+// add adds a member's requests, or subtracts them if sign is -1.
 func (s *sums) add(r *requests, sign int) {
 	for _, load := range r.loads {
 		if s.loads[load.Endpoint] += sign * load.Requests; s.loads[load.Endpoint] == 0 {
@@ -51,16 +51,16 @@
 	}
 }
 
-// A Sample says which part of the peers those are whose loads count.
+// A Sample is the subset of the live peers whose loads count, and its requests at a service.
 type Sample struct {
-	Alive    int // peers
-	Counted  int // of these, those whose loads count
-	Complete int // of these, those that reported all endpoints, also of those that report
-	Requests int // that the counted ones have under way at the service
+	Alive    int // live peers
+	Counted  int // live peers whose loads count
+	Complete int // counted peers that reported all endpoints, including those that report their load
+	Requests int // requests in flight of the counted peers at the service
 }
 
-// Share returns the part of the peers whose requests are known at an endpoint, which may be
-// one that reports its load.
+// Share returns the fraction of the live peers whose requests at an endpoint are known. reports says
+// whether the endpoint reports its load.
 func (s *Sample) Share(reports bool) float64 {
 	known := s.Counted
 	if reports {
@@ -72,9 +72,8 @@
 	return min(1, float64(known)/float64(s.Alive))
 }
 
-// Demand estimates how many requests with a prompt all peers have under way of which the counted
-// ones have some. One that a part of the peers has says nothing of the others: most prompts
-// have few requests.
+// Demand estimates the number of requests with a prompt that all peers have in flight, from the
+// number at the counted peers. One request is not extrapolated, because most prompts have few.
 func (s *Sample) Demand(requests int) float64 {
 	if s.Counted < s.Alive {
 		requests = max(0, requests-1)
@@ -82,8 +81,8 @@
 	return s.All(requests)
 }
 
-// All estimates how many requests all peers have under way of which the counted ones have some,
-// or returns zero if no peer's loads count.
+// All estimates the number of requests that all peers have in flight, from the number at the
+// counted peers. It returns zero if no peer's loads count.
 func (s *Sample) All(requests int) float64 {
 	if s.Counted == 0 {
 		return 0
@@ -91,8 +90,8 @@
 	return float64(requests) * float64(s.Alive) / float64(s.Counted)
 }
 
-// Mean returns how many requests all peers together have at each of so many endpoints of the
-// service, on average, or zero if no peer's loads count.
+// Mean estimates the mean number of requests of all peers at each of the service's endpoints. It
+// returns zero if no peer's loads count.
 func (s *Sample) Mean(endpoints int) float64 {
 	if endpoints == 0 {
 		return 0
--- a/gateway/peers/sums_test.go
+++ b/gateway/peers/sums_test.go
@@ -11,8 +11,7 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// TestSums checks that the sums which are kept from message to message are those
-// that counting all peers anew would give.
+// TestSums checks the incrementally updated sums against a recount over all peers.
 func TestSums(t *testing.T) {
 	type received struct {
 		at            time.Time
--- a/gateway/peers/table.go
+++ b/gateway/peers/table.go
@@ -10,7 +10,7 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// A Table is what a router knows of its peers. It is safe for concurrent use.
+// A Table holds a router's state of its peers. It is safe for concurrent use.
 type Table struct {
 	limits Limits
 	self   netip.AddrPort
@@ -19,32 +19,32 @@
 	mu      sync.Mutex
 	members map[netip.AddrPort]*member
 	sums    sums
-	heard   time.Time // when the last message came
-	alive   int       // members that were alive at the last sweep
-	swept   time.Time
+	heard   time.Time // when the last message was received
+	alive   int       // live members at the last sweep
+	swept   time.Time // time of the last sweep; zero forces the next one
 }
 
-// sweepInterval is how often loads that have grown too old are taken out of the
-// sums, so that a choice costs the same however many peers there are (BenchmarkChoose).
+// sweepInterval is the minimum time between two removals of expired loads from the sums. It keeps the
+// cost of a choice independent of the number of peers (BenchmarkChoose).
 const sweepInterval = 20 * time.Millisecond
 
 type member struct {
 	hash     uint64    // of its address
 	lastSeen time.Time // when it was last known to be alive, or was added
-	known    bool      // it was known to be alive then
+	known    bool      // lastSeen is a time at which it was known to be alive
 	version  version   // of its last message
-	loaded   time.Time // when its last message with loads came
-	requests requests  // of that
-	counted  bool      // they are in the sums
+	loaded   time.Time // when its last full message was received
+	requests requests  // of that message
+	counted  bool      // requests are in the sums
 }
 
-// New returns an empty Table of the router at address self.
+// New returns an empty Table for the router at address self.
 func New(self netip.AddrPort, limits Limits) *Table {
 	return &Table{limits: limits, self: self, hash: route.NameHash(self.String()), members: make(map[netip.AddrPort]*member), sums: newSums()}
 }
 
-// Receive merges a message. It reports whether it was newer than what is known of its sender,
-// and whether it was the first of the sender's process.
+// Receive merges a message. newer reports whether it was newer than the last message of its sender,
+// and first whether it was the first one from the sender's process.
 func (t *Table) Receive(now time.Time, message *Message) (newer, first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,33 +69,33 @@
 	return true, first
 }
 
-// Heard reports whether a message came from any peer lately.
+// Heard reports whether a message was received within PeerTTL.
 func (t *Table) Heard(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.heard.IsZero() && now.Sub(t.heard) <= t.limits.PeerTTL
 }
 
-// name takes that another peer knew a peer to be alive.
+// mergeMember records that a peer considers named alive.
 func (t *Table) name(now time.Time, named *Member) {
 	seen := now.Add(-named.Age.Duration())
 	m := t.members[named.Address]
 	if m == nil && !t.limits.alive(named.Age.Duration(), len(t.members)) {
-		return // it may have been forgotten since then
+		return // it may have expired here since
 	}
 	if m = t.member(seen, named.Address); m != nil {
 		m.seen(seen)
 	}
 }
 
-// seen takes that the peer was alive at a time.
+// markAlive records that the peer was alive at the given time.
 func (m *member) seen(at time.Time) {
 	if !m.known || at.After(m.lastSeen) {
 		m.lastSeen, m.known = at, true
 	}
 }
 
-// Add adds peers that may be stale or down.
+// Add adds peers that are not known to be alive.
 func (t *Table) Add(now time.Time, addresses []netip.AddrPort) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,8 +104,8 @@
 	}
 }
 
-// Requests returns how many requests the peers whose loads count have under way at an
-// endpoint. Sample says which part of all peers these are.
+// Requests returns the number of requests in flight at an endpoint from the peers whose loads count.
+// Sample returns what fraction of all peers these are.
 func (t *Table) Requests(now time.Time, endpoint ryeford.EndpointID) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,7 +113,7 @@
 	return t.sums.loads[endpoint]
 }
 
-// Demand returns how many requests with a prompt the peers whose loads count have under way.
+// Demand returns the number of requests with a prompt in flight from the peers whose loads count.
 func (t *Table) Demand(now time.Time, prompt uint64) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,8 +121,8 @@
 	return t.sums.demands[uint32(prompt)]
 }
 
-// Sample returns what the peers whose loads count are of all peers, and what they have under
-// way at a service.
+// Sample returns the numbers of live and counted peers, and the counted peers' requests in flight at
+// a service.
 func (t *Table) Sample(now time.Time, service string) Sample {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,7 +133,7 @@
 	}
 }
 
-// Alive returns how many peers are alive.
+// Alive returns the number of live peers.
 func (t *Table) Alive(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,8 +142,8 @@
 	return t.alive
 }
 
-// Targets returns at most k peers to send to, drawn at random. Peers that have
-// only been named by others are among them, so that they learn of this router.
+// Targets returns at most k peers to send to, drawn at random. They include peers that were only
+// named by others, so that those are notified of this router.
 func (t *Table) Targets(now time.Time, k int) []netip.AddrPort {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,8 +155,7 @@
 	return draw(addresses, k)
 }
 
-// Members returns at most k peers that are alive, drawn at random, to be named to
-// other peers.
+// Members returns at most k live peers, drawn at random, to be named in a message.
 func (t *Table) Members(now time.Time, k int) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,9 +166,9 @@
 	return members
 }
 
-// Rank returns the place of this router, from 0, among itself and the peers that
-// are alive, in an order that all routers agree on and that differs from shift to
-// shift. It also returns how many peers are alive.
+// Rank returns the rank of this router, from 0, among itself and the live peers, and the number of
+// live peers. Routers that see the same peers as alive agree on the order, which changes with each
+// time slot.
 func (t *Table) Rank(now time.Time, shift uint64) (rank, alive int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -199,7 +198,7 @@
 	}
 }
 
-// sweep brings the sums and the number of live peers up to date.
+// sweep updates the sums and the number of live peers, at most once per sweepInterval.
 func (t *Table) sweep(now time.Time) {
 	if age := now.Sub(t.swept); age >= 0 && age < sweepInterval {
 		return
@@ -217,7 +216,7 @@
 	}
 }
 
-// member returns the entry of a peer, made if there is room, or nil.
+// member returns the entry of a peer and creates it if there is room. Otherwise it returns nil.
 func (t *Table) member(now time.Time, address netip.AddrPort) *member {
 	m := t.members[address]
 	if m == nil && len(t.members) < t.limits.MaxPeers && address.IsValid() && address != t.self {
@@ -250,7 +249,7 @@
 	return alive
 }
 
-// draw returns at most k of some addresses, drawn at random.
+// draw returns at most k of the addresses, drawn at random. It reorders the slice.
 func draw(addresses []netip.AddrPort, k int) []netip.AddrPort {
 	k = min(k, len(addresses))
 	for i := range k {
--- a/gateway/peers/table_test.go
+++ b/gateway/peers/table_test.go
@@ -22,7 +22,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7000)
 }
 
-// message returns a message of a peer with requests at endpoint e.
+// message returns a message of a peer with count requests at endpoint e.
 func message(from byte, started int64, sequence uint64, count int) *Message {
 	return &Message{Sender: address(from), Started: started, Sequence: sequence, Loads: []Load{{Endpoint: "e", Requests: count}}}
 }
@@ -30,14 +30,14 @@
 // requestsAt returns the peers' requests at endpoint e.
 func requestsAt(t *Table, now time.Time) int { return t.Requests(now, "e") }
 
-// newer reports whether a message is newer than what a table knows of its sender.
+// newer reports whether a message is newer than the last one of its sender.
 func newer(t *Table, now time.Time, m *Message) bool {
 	newer, _ := t.Receive(now, m)
 	return newer
 }
 
-// TestLoads checks that loads add up, that only the newest message of the newest
-// process counts, and that old loads do not.
+// TestLoads checks that the loads of all peers are summed, that only the newest message of a peer's
+// newest process counts, and that loads expire.
 func TestLoads(t *testing.T) {
 	table := New(self, limits)
 	assert.Equal(t, table.Sample(start, "s"), Sample{})
@@ -58,8 +58,8 @@
 	assert.Equal(t, table.Alive(start.Add(limits.PeerTTL+1)), 1)
 }
 
-// TestMembers checks that the peers that another names are added, that those which never
-// send a message are dropped, and that their number is bounded.
+// TestMembers checks that peers named by another are added, that they expire without messages, and that
+// their number is bounded.
 func TestMembers(t *testing.T) {
 	table := New(self, limits)
 	assert.Equal(t, len(table.Targets(start, 8)), 0)
@@ -80,8 +80,8 @@
 	assert.Equal(t, len(table.Targets(start.Add(limits.PeerTTL+1), 8)), 0)
 }
 
-// TestMembersAge checks that a peer is as old as the newest word of it, and that old word of it does
-// not bring it back.
+// TestMembersAge checks that a peer's age is that of the newest sign of life, and that an expired peer is
+// not added again by an old one.
 func TestMembersAge(t *testing.T) {
 	table := New(self, limits)
 	named := message(1, 1, 1, 0)
@@ -99,8 +99,8 @@
 	assert.Equal(t, table.Alive(later), 1)
 }
 
-// TestBriefMessage checks that a brief message leaves the loads of its sender as they are, and that a
-// process is a newcomer once.
+// TestBriefMessage checks that a brief message does not replace its sender's loads, and that only the
+// first message of a process is reported as such.
 func TestBriefMessage(t *testing.T) {
 	table := New(self, limits)
 	newer, first := table.Receive(start, message(1, 1, 1, 3))
@@ -115,15 +115,15 @@
 	assert.Assert(t, !table.Heard(start.Add(limits.PeerTTL+1)))
 }
 
-// TestUnknownEndpoint checks that an endpoint without loads has none.
+// TestUnknownEndpoint checks that an endpoint without loads has no requests.
 func TestUnknownEndpoint(t *testing.T) {
 	table := New(self, limits)
 	table.Receive(start, message(1, 1, 1, 3))
 	assert.Equal(t, table.Requests(start, ryeford.EndpointID("other")), 0)
 }
 
-// TestRank checks that routers which are alive for each other agree on their order,
-// that it changes from shift to shift, and that a router without peers is the first.
+// TestRank checks that routers that see each other as alive agree on their order, that the order changes
+// with the time slot, and that an isolated router is the first.
 func TestRank(t *testing.T) {
 	const routers = 4
 	tables := make([]*Table, routers)
--- a/gateway/peers/withheld.go
+++ b/gateway/peers/withheld.go
@@ -6,10 +6,10 @@
 	"github.com/ryeford/ryeford"
 )
 
-// MaxWithheld is how many withheld endpoints a message holds.
+// MaxWithheld is the maximum number of withheld endpoints in a message.
 const MaxWithheld = 32
 
-// SetWithheld sets the endpoints that are withheld, and for how long.
+// SetWithheld sets the withheld endpoints and the remaining duration.
 func (m *Message) SetWithheld(endpoints []ryeford.WithheldEndpoint, left time.Duration) {
 	for _, e := range endpoints {
 		m.Withheld = append(m.Withheld, Withheld{ID: e.ID, Sequence: e.Sequence, Gone: e.Gone})
@@ -19,7 +19,7 @@
 	}
 }
 
-// ReadWithheld returns the endpoints that the message says are withheld, and for how long.
+// ReadWithheld returns the withheld endpoints and the remaining duration.
 func (m *Message) ReadWithheld() ([]ryeford.WithheldEndpoint, time.Duration) {
 	var endpoints []ryeford.WithheldEndpoint
 	for _, w := range m.Withheld {
