--- a/gateway/peers/budget.go
+++ b/gateway/peers/budget.go
@@ -5,36 +5,36 @@
 // A Schedule limits the full and brief messages of a router to its budget of bytes. It is not safe
 // for concurrent use.
 type Schedule struct {
-	whole, brief         budget
-	wholeSize, briefSize int // of the last datagram, in bytes; zero before the first
+	full, brief         budget
+	fullSize, briefSize int // of the last datagram, in bytes; zero before the first
 }
 
 // NewSchedule returns the Schedule of a router that may send bytesPerSecond.
 func NewSchedule(now time.Time, bytesPerSecond int) *Schedule {
 	rate := float64(bytesPerSecond)
 	return &Schedule{
-		whole: newBudget(now, rate, briefShare),
+		full:  newBudget(now, rate, briefShare),
 		brief: newBudget(now, rate, briefShare),
 	}
 }
 
 // Next returns the number of peers to send a full message to now, and the number of other peers to
 // send a brief one to. alive is the number of live peers.
-func (s *Schedule) Next(now time.Time, alive int) (whole, brief int) {
-	part := briefShare
+func (s *Schedule) Next(now time.Time, alive int) (full, brief int) {
+	share := briefShare
 	if s.Complete(alive) {
-		part = 0
+		share = 0
 	}
-	whole = s.whole.sends(now, s.wholeSize, 1-part)
-	brief = s.brief.sends(now, s.briefSize, part)
-	return whole, brief
+	full = s.full.sends(now, s.fullSize, 1-share)
+	brief = s.brief.sends(now, s.briefSize, share)
+	return full, brief
 }
 
 // Complete reports whether messages contain the loads of all endpoints. alive is the number of live
 // peers.
 func (s *Schedule) Complete(alive int) bool {
-	heard := loadTTL.Seconds() * s.whole.rate / float64(max(1, s.wholeSize))
-	return heard >= minComplete*float64(alive)
+	received := loadTTL.Seconds() * s.full.rate / float64(max(1, s.fullSize))
+	return received >= minReceivedFraction*float64(alive)
 }
 
 // Sent records that a message of length bytes was sent to targets peers.
@@ -45,8 +45,8 @@
 		s.brief.bytes -= float64(targets * size)
 		return
 	}
-	s.wholeSize = size
-	s.whole.bytes -= float64(targets * size)
+	s.fullSize = size
+	s.full.bytes -= float64(targets * size)
 }
 
 // A budget limits the bytes that are sent per second.
@@ -57,15 +57,15 @@
 }
 
 // newBudget returns a budget that holds the bytes of one second at share of the rate.
-func newBudget(now time.Time, rate, part float64) budget {
-	return budget{rate: rate, bytes: rate * part, at: now}
+func newBudget(now time.Time, rate, share float64) budget {
+	return budget{rate: rate, bytes: rate * share, at: now}
 }
 
 // sends returns how many datagrams of size bytes may be sent now, at most Fanout. The size of a
 // router's first message is not known in advance, so a size of zero allows Fanout datagrams. An
 // overdraft delays later messages.
-func (b *budget) sends(now time.Time, size int, part float64) int {
-	rate := b.rate * part
+func (b *budget) sends(now time.Time, size int, share float64) int {
+	rate := b.rate * share
 	b.bytes = min(rate, b.bytes+rate*now.Sub(b.at).Seconds())
 	b.at = now
 	if size <= 0 {
--- a/gateway/peers/evacuations_test.go
+++ b/gateway/peers/evacuations_test.go
@@ -60,8 +60,8 @@
 	assert.Equal(t, to, at(3, 70_001))
 	_, _, ok = (&List{Era: 1, To: -1}).Revisions()
 	assert.Assert(t, !ok)
-	damaged := Evacuations{Era: -1, Number: 7}
-	assert.Equal(t, damaged.Read().Revision, ryeford.Revision(0))
+	malformed := Evacuations{Era: -1, Number: 7}
+	assert.Equal(t, malformed.Read().Revision, ryeford.Revision(0))
 }
 
 // TestOlderRelease checks that this release and an older one, which sends no era, don't accept each
--- a/gateway/peers/count.go
+++ b/gateway/peers/limits.go
@@ -57,7 +57,7 @@
 }
 
 // newerThan reports whether a message of version v was sent after one of version w.
-func (v version) after(w version) bool {
+func (v version) newerThan(w version) bool {
 	if v.started != w.started {
 		return v.started > w.started
 	}
--- a/gateway/peers/count_test.go
+++ b/gateway/peers/limits_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestLimits checks how long a peer counts as alive, and how long its loads count.
-func TestCount(t *testing.T) {
+func TestLimits(t *testing.T) {
 	l := DefaultLimits()
 	for _, test := range []struct {
 		age               time.Duration
@@ -41,10 +41,10 @@
 		demand    float64 // of a prompt with 2 requests
 	}{
 		{"no peers", Sample{}, 0, 0, 0, 0},
-		{"none has told", Sample{Alive: 5}, 0, 0, 0, 0},
-		{"all have told all", Sample{Alive: 3, Counted: 3, Complete: 3, Requests: 6}, 1, 1, 2, 2},
-		{"some have told all", Sample{Alive: 4, Counted: 2, Complete: 2, Requests: 6}, 0.5, 0.5, 4, 2},
-		{"some have told a part", Sample{Alive: 10, Counted: 2, Complete: 1, Requests: 6}, 0.2, 0.1, 10, 5},
+		{"none has reported", Sample{Alive: 5}, 0, 0, 0, 0},
+		{"all have reported all endpoints", Sample{Alive: 3, Counted: 3, Complete: 3, Requests: 6}, 1, 1, 2, 2},
+		{"some have reported all endpoints", Sample{Alive: 4, Counted: 2, Complete: 2, Requests: 6}, 0.5, 0.5, 4, 2},
+		{"some have reported some endpoints", Sample{Alive: 10, Counted: 2, Complete: 1, Requests: 6}, 0.2, 0.1, 10, 5},
 	} {
 		assert.Equal(t, test.sample.Share(false), test.share, test.name)
 		assert.Equal(t, test.sample.Share(true), test.reporting, test.name)
@@ -55,7 +55,7 @@
 }
 
 // TestVersionNewerThan checks which of two messages of one sender is the newer.
-func TestVersionAfter(t *testing.T) {
+func TestVersionNewerThan(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		v, w version
@@ -64,10 +64,10 @@
 		{"the first message", version{started: 1, sequence: 1}, version{}, true},
 		{"the next", version{started: 1, sequence: 6}, version{started: 1, sequence: 5}, true},
 		{"duplicated", version{started: 1, sequence: 5}, version{started: 1, sequence: 5}, false},
-		{"overtaken", version{started: 1, sequence: 4}, version{started: 1, sequence: 5}, false},
+		{"reordered", version{started: 1, sequence: 4}, version{started: 1, sequence: 5}, false},
 		{"from a newer process", version{started: 2, sequence: 1}, version{started: 1, sequence: 5}, true},
 		{"from an earlier process", version{started: 1, sequence: 6}, version{started: 2, sequence: 1}, false},
 	} {
-		assert.Equal(t, test.v.after(test.w), test.want, test.name)
+		assert.Equal(t, test.v.newerThan(test.w), test.want, test.name)
 	}
 }
--- a/gateway/peers/quarantine.go
+++ b/gateway/peers/quarantine.go
@@ -56,7 +56,7 @@
 		q := &received[i]
 		record := quarantine.Record{
 			Fingerprint: q.Fingerprint, Account: q.Account, Trials: q.Trials,
-			Answered: momentOf(now, q.Answered), Held: momentOf(now, q.Held), Tried: momentOf(now, q.Tried),
+			Answered: timeOf(now, q.Answered), Held: timeOf(now, q.Held), Tried: timeOf(now, q.Tried),
 		}
 		for _, crash := range q.Crashes[:min(len(q.Crashes), quarantine.MaxCrashes)] {
 			record.Crashes = append(record.Crashes, quarantine.Crash{
@@ -69,16 +69,16 @@
 }
 
 // ageAt returns the age of t at now, or nil if t is zero.
-func ageAt(now, moment time.Time) *Age {
-	if moment.IsZero() {
+func ageAt(now, t time.Time) *Age {
+	if t.IsZero() {
 		return nil
 	}
-	age := AgeOf(now.Sub(moment))
+	age := AgeOf(now.Sub(t))
 	return &age
 }
 
 // timeOf returns the time that was age before now, or the zero time if age is nil.
-func momentOf(now time.Time, age *Age) time.Time {
+func timeOf(now time.Time, age *Age) time.Time {
 	if age == nil {
 		return time.Time{}
 	}
--- a/gateway/peers/reports.go
+++ b/gateway/peers/reports.go
@@ -23,7 +23,7 @@
 
 // Error implements error.
 func (e *ReportsError) Error() string {
-	return fmt.Sprintf("reports of %d bytes: not a multiple of %d", e.Length, reportSize)
+	return fmt.Sprintf("malformed load reports: length %d is not a multiple of %d bytes", e.Length, reportSize)
 }
 
 // MarshalBinary implements encoding.BinaryMarshaler.
--- a/gateway/peers/reports_test.go
+++ b/gateway/peers/reports_test.go
@@ -12,17 +12,17 @@
 // TestReports checks that reports survive encoding and decoding, that loads and ages are clamped to the
 // encodable range, and that a malformed length is rejected.
 func TestReports(t *testing.T) {
-	written := &Message{Reports: Reports{
+	sent := &Message{Reports: Reports{
 		{Endpoint: 1, Requests: 0, Age: 0},
 		{Endpoint: 1 << 31, Requests: 300, Age: 120 * time.Millisecond},
 		{Endpoint: 7, Requests: 1 << 20, Age: time.Hour},
 		{Endpoint: 8, Requests: -1, Age: -time.Second},
 	}}
-	content, err := cbor.Marshal(written)
+	content, err := cbor.Marshal(sent)
 	assert.NilError(t, err)
-	var read Message
-	assert.NilError(t, cbor.Unmarshal(content, &read))
-	assert.DeepEqual(t, read.Reports, Reports{
+	var received Message
+	assert.NilError(t, cbor.Unmarshal(content, &received))
+	assert.DeepEqual(t, received.Reports, Reports{
 		{Endpoint: 1},
 		{Endpoint: 1 << 31, Requests: 300, Age: 120 * time.Millisecond},
 		{Endpoint: 7, Requests: 65535, Age: 2550 * time.Millisecond},
--- a/gateway/peers/schedule.go
+++ b/gateway/peers/schedule.go
@@ -45,7 +45,7 @@
 	// minReceivedFraction is the fraction of the peers from which a router must receive a message
 	// within loadTTL for messages to contain the loads of all endpoints. Below it, the endpoints'
 	// load reports are the better use of the bytes.
-	minComplete = 0.25
+	minReceivedFraction = 0.25
 	// datagramHeader is the size of the IPv4 and UDP headers of a datagram, in bytes.
 	datagramHeader = 28
 
@@ -53,9 +53,9 @@
 	LookupInterval = time.Second
 	// seedTimeout is how long after its start a router waits for a message from its configured
 	// peers.
-	seedPatience = time.Second
+	seedTimeout = time.Second
 	// lookupSlotDuration is how long one router is the first to register.
-	lookupShiftLength = 32 * time.Second
+	lookupSlotDuration = 32 * time.Second
 	// RegisterSpread is the period over which routers that start together spread their lookups,
 	// so that most find enough entries.
 	RegisterSpread = 500 * time.Millisecond
@@ -85,7 +85,7 @@
 func (l *Lookup) Due() bool {
 	switch {
 	case !l.Heard:
-		return !l.Seeded || l.Running >= seedPatience
+		return !l.Seeded || l.Running >= seedTimeout
 	case l.Registered && l.Since <= registerInterval:
 		return false
 	}
@@ -104,4 +104,4 @@
 
 // LookupShift returns the number of the time slot in which one router is the first to register.
 // since is the time since an epoch that is about the same for all routers.
-func LookupShift(since time.Duration) uint64 { return uint64(since / lookupShiftLength) }
+func LookupShift(since time.Duration) uint64 { return uint64(since / lookupSlotDuration) }
--- a/gateway/peers/schedule_test.go
+++ b/gateway/peers/schedule_test.go
@@ -14,18 +14,18 @@
 		lookup Lookup
 		want   bool
 	}{
-		{"at the start, without addresses of peers", Lookup{}, true},
-		{"at the start, with some", Lookup{Seeded: true}, false},
-		{"a second later, and none has answered", Lookup{Seeded: true, Running: time.Second}, true},
-		{"one has answered", Lookup{Seeded: true, Running: time.Second, Heard: true}, false},
-		{"one has answered, and it is the first", Lookup{Seeded: true, Running: time.Second, Heard: true, First: true}, true},
-		{"never registered, without addresses of peers", Lookup{Running: time.Second, Heard: true}, true},
-		{"registered, with peers", Lookup{Registered: true, Since: time.Minute, Heard: true, First: true}, false},
-		{"registered, without peers", Lookup{Registered: true, Since: time.Second}, true},
-		{"an entry of ten minutes", Lookup{Registered: true, Since: 10 * time.Minute, Heard: true}, false},
-		{"an older entry", Lookup{Registered: true, Since: 10*time.Minute + 1, Heard: true}, true},
-		{"an older entry, with addresses of peers", Lookup{Seeded: true, Registered: true, Since: 10*time.Minute + 1, Heard: true}, false},
-		{"the first's older entry", Lookup{Seeded: true, Registered: true, Since: 10*time.Minute + 1, Heard: true, First: true}, true},
+		{"at the start, without configured peers", Lookup{}, true},
+		{"at the start, with configured peers", Lookup{Seeded: true}, false},
+		{"no message from configured peers within a second", Lookup{Seeded: true, Running: time.Second}, true},
+		{"a message from a configured peer", Lookup{Seeded: true, Running: time.Second, Heard: true}, false},
+		{"a message from a configured peer, and first in the time slot", Lookup{Seeded: true, Running: time.Second, Heard: true, First: true}, true},
+		{"never registered, without configured peers", Lookup{Running: time.Second, Heard: true}, true},
+		{"registered, and messages are received", Lookup{Registered: true, Since: time.Minute, Heard: true, First: true}, false},
+		{"registered, but isolated", Lookup{Registered: true, Since: time.Second}, true},
+		{"an entry at the renewal age", Lookup{Registered: true, Since: 10 * time.Minute, Heard: true}, false},
+		{"an entry beyond the renewal age", Lookup{Registered: true, Since: 10*time.Minute + 1, Heard: true}, true},
+		{"an entry beyond the renewal age, with configured peers", Lookup{Seeded: true, Registered: true, Since: 10*time.Minute + 1, Heard: true}, false},
+		{"an entry beyond the renewal age, and first in the time slot", Lookup{Seeded: true, Registered: true, Since: 10*time.Minute + 1, Heard: true, First: true}, true},
 	} {
 		assert.Equal(t, test.lookup.Due(), test.want, test.name)
 	}
--- a/gateway/peers/table.go
+++ b/gateway/peers/table.go
@@ -16,12 +16,12 @@
 	self   netip.AddrPort
 	hash   uint64 // of self
 
-	mu      sync.Mutex
-	members map[netip.AddrPort]*member
-	sums    sums
-	heard   time.Time // when the last message was received
-	alive   int       // live members at the last sweep
-	swept   time.Time // time of the last sweep; zero forces the next one
+	mu       sync.Mutex
+	members  map[netip.AddrPort]*member
+	sums     sums
+	received time.Time // when the last message was received
+	alive    int       // live members at the last sweep
+	swept    time.Time // time of the last sweep; zero forces the next one
 }
 
 // sweepInterval is the minimum time between two removals of expired loads from the sums. It keeps the
@@ -33,7 +33,7 @@
 	lastSeen time.Time // when it was last known to be alive, or was added
 	known    bool      // lastSeen is a time at which it was known to be alive
 	version  version   // of its last message
-	loaded   time.Time // when its last full message was received
+	loadsAt  time.Time // when its last full message was received
 	requests requests  // of that message
 	counted  bool      // requests are in the sums
 }
@@ -50,20 +50,20 @@
 	defer t.mu.Unlock()
 	m := t.member(now, message.Sender)
 	v := version{started: message.Started, sequence: message.Sequence}
-	if m == nil || !v.after(m.version) {
+	if m == nil || !v.newerThan(m.version) {
 		return false, false
 	}
 	first = m.version.started != v.started
-	t.heard = now
-	m.seen(now)
+	t.received = now
+	m.markAlive(now)
 	m.version = v
 	if !message.Brief {
 		t.uncount(m)
-		m.requests, m.loaded = requestsOf(message), now
+		m.requests, m.loadsAt = requestsOf(message), now
 		t.count(m)
 	}
 	for i := range message.Members {
-		t.name(now, &message.Members[i])
+		t.mergeMember(now, &message.Members[i])
 	}
 	t.swept = time.Time{}
 	return true, first
@@ -73,23 +73,23 @@
 func (t *Table) Heard(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.heard.IsZero() && now.Sub(t.heard) <= t.limits.PeerTTL
+	return !t.received.IsZero() && now.Sub(t.received) <= t.limits.PeerTTL
 }
 
 // mergeMember records that a peer considers named alive.
-func (t *Table) name(now time.Time, named *Member) {
+func (t *Table) mergeMember(now time.Time, named *Member) {
 	seen := now.Add(-named.Age.Duration())
 	m := t.members[named.Address]
 	if m == nil && !t.limits.alive(named.Age.Duration(), len(t.members)) {
 		return // it may have expired here since
 	}
 	if m = t.member(seen, named.Address); m != nil {
-		m.seen(seen)
+		m.markAlive(seen)
 	}
 }
 
 // markAlive records that the peer was alive at the given time.
-func (m *member) seen(at time.Time) {
+func (m *member) markAlive(at time.Time) {
 	if !m.known || at.After(m.lastSeen) {
 		m.lastSeen, m.known = at, true
 	}
@@ -169,17 +169,17 @@
 // Rank returns the rank of this router, from 0, among itself and the live peers, and the number of
 // live peers. Routers that see the same peers as alive agree on the order, which changes with each
 // time slot.
-func (t *Table) Rank(now time.Time, shift uint64) (rank, alive int) {
+func (t *Table) Rank(now time.Time, slot uint64) (rank, alive int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	key := route.KeyHash(shift)
-	own := route.Mix(key, t.hash)
+	key := route.KeyHash(slot)
+	local := route.Mix(key, t.hash)
 	for _, m := range t.members {
 		if !t.isAlive(now, m) {
 			continue
 		}
 		alive++
-		if route.Mix(key, m.hash) > own {
+		if route.Mix(key, m.hash) > local {
 			rank++
 		}
 	}
@@ -210,7 +210,7 @@
 		if t.isAlive(now, m) {
 			t.alive++
 		}
-		if !t.limits.loadsCount(now.Sub(m.loaded)) {
+		if !t.limits.loadsCount(now.Sub(m.loadsAt)) {
 			t.uncount(m)
 		}
 	}
--- a/gateway/peers/table_test.go
+++ b/gateway/peers/table_test.go
@@ -44,9 +44,9 @@
 	assert.Assert(t, newer(table, start, message(1, 1, 5, 3)))
 	assert.Assert(t, newer(table, start, message(2, 1, 1, 4)))
 	assert.Equal(t, requestsAt(table, start), 7)
-	assert.Assert(t, !newer(table, start, message(1, 1, 4, 9)), "overtaken")
+	assert.Assert(t, !newer(table, start, message(1, 1, 4, 9)), "reordered")
 	assert.Assert(t, !newer(table, start, message(1, 1, 5, 9)), "duplicated")
-	assert.Assert(t, !newer(table, start, message(0, 1, 1, 9)), "its own")
+	assert.Assert(t, !newer(table, start, message(0, 1, 1, 9)), "sent by the router itself")
 	assert.Assert(t, newer(table, start, message(1, 2, 1, 1)), "a new process")
 	assert.Assert(t, !newer(table, start, message(1, 1, 6, 9)), "an earlier process")
 	assert.Equal(t, requestsAt(table, start), 5)
@@ -65,7 +65,7 @@
 	assert.Equal(t, len(table.Targets(start, 8)), 0)
 	table.Add(start, []netip.AddrPort{address(1), self, {}})
 	assert.DeepEqual(t, table.Targets(start, 8), []netip.AddrPort{address(1)}, cmpopts.EquateComparable(netip.AddrPort{}))
-	assert.Equal(t, len(table.Members(start, 8)), 0, "no message was received yet")
+	assert.Equal(t, len(table.Members(start, 8)), 0, "no message received yet")
 	m := message(1, 1, 1, 0)
 	m.Members = []Member{
 		{Address: address(2), Age: 1000}, {Address: address(3), Age: AgeOf(limits.PeerTTL + time.Second)},
@@ -74,9 +74,9 @@
 	table.Receive(start, m)
 	assert.Equal(t, len(table.Targets(start, 8)), limits.MaxPeers)
 	assert.Equal(t, len(table.Targets(start, 2)), 2)
-	assert.Equal(t, len(table.Members(start, 8)), limits.MaxPeers, "the one that was named as too old is not among them")
+	assert.Equal(t, len(table.Members(start, 8)), limits.MaxPeers, "the member with an expired age is not added")
 	assert.Equal(t, table.Alive(start.Add(limits.PeerTTL-time.Second)), limits.MaxPeers)
-	assert.Equal(t, table.Alive(start.Add(limits.PeerTTL-time.Second+1)), limits.MaxPeers-1, "it was alive a second before")
+	assert.Equal(t, table.Alive(start.Add(limits.PeerTTL-time.Second+1)), limits.MaxPeers-1, "one member was last alive a second earlier")
 	assert.Equal(t, len(table.Targets(start.Add(limits.PeerTTL+1), 8)), 0)
 }
 
@@ -138,18 +138,18 @@
 			}
 		}
 	}
-	firsts := make(map[int]bool)
-	for shift := range uint64(32) {
+	everFirst := make(map[int]bool)
+	for slot := range uint64(32) {
 		var seen [routers]bool
 		for i, table := range tables {
-			rank, alive := table.Rank(start, shift)
+			rank, alive := table.Rank(start, slot)
 			assert.Equal(t, alive, routers-1)
-			assert.Assert(t, !seen[rank], "two routers of one rank")
+			assert.Assert(t, !seen[rank], "two routers have the same rank")
 			seen[rank] = true
 			if rank == 0 {
-				firsts[i] = true
+				everFirst[i] = true
 			}
 		}
 	}
-	assert.Equal(t, len(firsts), routers, "each is the first in some shift")
+	assert.Equal(t, len(everFirst), routers, "not every router was first in some time slot")
 }
--- a/gateway/peers/withheld.go
+++ b/gateway/peers/withheld.go
@@ -10,12 +10,12 @@
 const MaxWithheld = 32
 
 // SetWithheld sets the withheld endpoints and the remaining duration.
-func (m *Message) SetWithheld(endpoints []ryeford.WithheldEndpoint, left time.Duration) {
+func (m *Message) SetWithheld(endpoints []ryeford.WithheldEndpoint, remaining time.Duration) {
 	for _, e := range endpoints {
 		m.Withheld = append(m.Withheld, Withheld{ID: e.ID, Sequence: e.Sequence, Gone: e.Gone})
 	}
 	if len(endpoints) > 0 {
-		m.WithheldFor = AgeOf(left)
+		m.WithheldFor = AgeOf(remaining)
 	}
 }
 
