--- a/gateway/replica/model_test.go
+++ b/gateway/replica/model_test.go
@@ -15,27 +15,27 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// The model checker walks all interleavings of a small fleet: routers read the source, tell each
-// other how new their copies are and read from each other; messages are lost, come late, twice or
-// in any order; routers stand still for as long as they like and start anew.
+// The model checker explores all interleavings of a small fleet: routers read the source, exchange the
+// ranges of their copies and read from each other; messages are lost, delayed, duplicated or reordered;
+// routers are suspended for any time and restart.
 const (
 	modelRouters = 3
-	modelFlight  = 2 // messages under way at once
+	modelFlight  = 2 // messages in flight at once
 )
 
-// modelLogs are, by the source's era, its revisions and what the list has as of each: two changes lie
-// among revisions of something else. The second era goes on from a copy of the first one at the
-// revision modelCopied, and the third from a copy of the second.
+// modelLogs are the contents of the list by era and revision of the source. Some revisions don't change
+// the list. The second era continues from a backup of the first at the revision modelBackup, and the
+// third from a backup of the second.
 var modelLogs = [][]string{
 	{1: "ab", 2: "ab", 3: "a", 4: "a", 5: "ac"},
 	{1: "ab", 2: "ab", 3: "ab", 4: "b", 5: "bd"},
 	{1: "ab", 2: "ab", 3: "b", 4: "b", 5: "be"},
 }
 
-// modelCopied is the number of the last revision that the store still has after a restore.
+// modelBackup is the number of the last revision in the backup.
 const modelCopied = 2
 
-// modelRevision returns the revision of a number in an era.
+// modelRevision returns the revision with a number in an era.
 func modelRevision(era, number int64) ryeford.Revision {
 	revision, err := ryeford.NewRevision(era, number)
 	if err != nil {
@@ -44,10 +44,10 @@
 	return revision
 }
 
-// A modelMessage is under way to a router: the range of a peer's copy, or changes.
+// A modelMessage is a message in flight to a router: the range of a peer's copy, or changes.
 type modelMessage struct {
 	to      int
-	from    int // the peer; it holds what the range is of
+	from    int // the peer whose copy has the range
 	at      Range
 	changes *Changes // nil if the message is a range
 }
@@ -55,7 +55,7 @@
 // A modelState is the state of the whole fleet.
 type modelState struct {
 	revision ryeford.Revision // of the source
-	lastEra  int64            // the source is not restored any more
+	lastEra  int64            // the source is not restored beyond this era
 	routers  [modelRouters]*Replica
 	flight   []modelMessage
 }
@@ -72,7 +72,7 @@
 	return next
 }
 
-// key tells states apart.
+// key returns a text that identifies the state.
 func (s *modelState) key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.revision)
@@ -85,7 +85,7 @@
 	return b.String()
 }
 
-// modelList returns what the list has as of a revision.
+// modelList returns the contents of the list at a revision.
 func modelList(revision ryeford.Revision) []ryeford.EndpointID {
 	var ids []ryeford.EndpointID
 	for _, id := range modelLogs[revision.Era()][revision.Number()] {
@@ -94,8 +94,8 @@
 	return ids
 }
 
-// read returns what the source answers a router now: the whole if its history is lost, since is
-// zero or of another era.
+// read returns the source's response to a router: a snapshot if the history is lost, or if since is zero
+// or of another era.
 func (s *modelState) read(since ryeford.Revision, lost bool) *Changes {
 	update := &ryeford.EndpointUpdate{Revision: s.revision}
 	if since == 0 || lost || since.Era() != s.revision.Era() {
@@ -124,7 +124,7 @@
 	return &c
 }
 
-// next returns the states that may follow.
+// next returns the possible next states.
 func (s *modelState) next() []*modelState {
 	var states []*modelState
 	step := func(change func(n *modelState)) {
@@ -160,13 +160,13 @@
 	}
 	for m := range s.flight {
 		step(func(n *modelState) { n.flight = slices.Delete(n.flight, m, m+1) })                         // lost
-		step(func(n *modelState) { n.deliver(n.flight[m]) })                                             // and once more later
+		step(func(n *modelState) { n.deliver(n.flight[m]) })                                             // delivered, and a duplicate remains
 		step(func(n *modelState) { n.deliver(n.flight[m]); n.flight = slices.Delete(n.flight, m, m+1) }) // delivered
 	}
 	return states
 }
 
-// deliver delivers a message. A router that learns that a peer has changes reads them from it.
+// deliver delivers a message. A router that is notified of a newer copy reads the changes from that peer.
 func (s *modelState) deliver(m modelMessage) {
 	r := s.routers[m.to]
 	if m.changes != nil {
@@ -179,8 +179,8 @@
 	}
 }
 
-// check fails if a copy is not what the list was at each revision of its range: then a gap was
-// applied, or a change was lost.
+// check fails if a copy differs from the list at a revision of its range, because a change was lost or
+// applied after a gap.
 func (s *modelState) check(t *testing.T) {
 	for _, r := range s.routers {
 		for revision := r.at.From; r.at.Known() && revision <= r.at.To; revision++ {
@@ -191,8 +191,8 @@
 	}
 }
 
-// checkConverges fails if a router that reads the source now, or a peer that has, is not as new as
-// the source after it.
+// checkConverges fails if a router is not up to date after it has read the source, or a peer that has read
+// the source.
 func (s *modelState) checkConverges(t *testing.T) {
 	reader := s.clone()
 	for i, r := range reader.routers {
@@ -209,9 +209,9 @@
 	}
 }
 
-// walk walks all interleavings from a state on, and checks that each copy is what the list was at each
-// revision of its range, that none goes back in a router's life, and that a read of the source or of a
-// router that has read it brings any copy up to date.
+// explore visits all interleavings from a state on. It checks each copy against the list at the revisions
+// of its range, that no router's copy goes back until it restarts, and that a read of the source, or of
+// a router that has read it, brings any copy up to date.
 func (s *modelState) walk(t *testing.T, maxStates int) {
 	seen := map[string]bool{s.key(): true}
 	states := []*modelState{s}
@@ -238,7 +238,7 @@
 	t.Logf("%d states, all of %d steps", len(seen), steps)
 }
 
-// TestModel walks the interleavings of a fleet that starts.
+// TestModel checks the interleavings of a starting fleet.
 func TestModel(t *testing.T) {
 	first := &modelState{revision: 1}
 	for i := range first.routers {
@@ -247,16 +247,15 @@
 	first.walk(t, maxModelStates)
 }
 
-// TestModelRestored walks those of a fleet whose source is restored from a copy, once and again: with
-// routers that know more than the copy has, as much, or nothing, and reads and messages of the earlier
-// era that come late.
+// TestModelRestored checks the interleavings of a fleet whose source is restored from a backup twice. The
+// routers' copies are newer than the backup, as new, or empty, and messages of the earlier era arrive late.
 func TestModelRestored(t *testing.T) {
 	for _, number := range []int64{modelCopied, 3, 5} {
 		first := &modelState{revision: modelRevision(0, number), lastEra: 2}
 		for i := range first.routers {
 			first.routers[i] = New()
 		}
-		for i, known := range []int64{number, modelCopied} { // the last one was not read yet
+		for i, known := range []int64{number, modelCopied} { // the last router has not read the list
 			whole := &modelState{revision: modelRevision(0, known)}
 			first.routers[i].Apply(whole.read(0, false))
 		}
@@ -264,16 +263,14 @@
 	}
 }
 
-// These bound the memory and time of the tests: no further steps are walked once there are so many
-// states.
+// The limits on the number of states bound the memory and time of the tests.
 const (
 	maxModelStates    = 20_000
 	maxRestoredStates = 10_000 // from each first state
 )
 
-// TestAge plays fleets whose routers take turns at reading, with messages that are lost or late and
-// routers that stand still: no router that runs has an endpoint on its list for longer than the
-// bound after it has left.
+// TestAge simulates fleets with lost and delayed messages and suspended routers, and checks that the copy
+// of a running router never exceeds the bound.
 func TestAge(t *testing.T) {
 	for seed := range uint64(40) {
 		f := newAgeFleet(seed)
@@ -281,28 +278,28 @@
 	}
 }
 
-// The fleet of TestAge, in simulated time.
+// The parameters of TestAge, in simulated time.
 const (
 	ageStep   = 20 * time.Millisecond
 	ageLength = 25 * time.Second
 	ageBound  = 2 * time.Second
-	ageGossip = 160 * time.Millisecond // between two messages of a router
+	ageGossip = 160 * time.Millisecond // interval between a router's messages
 )
 
-// An ageRouter is a router of the fleet: its copy is as new as the source was at a time.
+// An ageRouter is a router of which only the age of its copy is simulated.
 type ageRouter struct {
-	confirmed   time.Duration // the source's clock
+	confirmed   time.Duration // on the source's clock
 	frozenUntil time.Duration
-	frozen      time.Duration // when it was last
+	frozen      time.Duration // when it was last suspended
 }
 
-// An ageFleet is a fleet whose copies are known by their ages alone.
+// An ageFleet is a fleet of which only the ages of the copies are simulated.
 type ageFleet struct {
 	random  *rand.Rand
 	limits  Limits
 	routers []*ageRouter
 	reads   int
-	loss    float64 // part of the messages that are lost
+	loss    float64 // fraction of the messages that are lost
 }
 
 func newAgeFleet(seed uint64) *ageFleet {
@@ -314,7 +311,7 @@
 	return f
 }
 
-// rank returns the place of a router in the order of a shift, as package peers finds it.
+// rank returns the rank of a router in a time slot, as package peers determines it.
 func (f *ageFleet) rank(router int, shift time.Duration) int {
 	score := func(i int) uint64 { return route.Mix(route.KeyHash(uint64(shift)), route.KeyHash(uint64(i))) }
 	rank := 0
@@ -331,7 +328,7 @@
 		for i, r := range f.routers {
 			f.move(now, i, r)
 			if now < r.frozenUntil || now-r.frozen < 3*ageStep {
-				continue // it can't serve, or has just woken
+				continue // it is suspended, or has just resumed
 			}
 			age := now - r.confirmed
 			assert.Assert(t, age <= ageBound*9/10, "router %d of %d, age %s at %s, loss %g", i, len(f.routers), age, now, f.loss)
@@ -343,7 +340,7 @@
 	}
 }
 
-// move lets a router do what it does in a step.
+// step simulates one step of a router.
 func (f *ageFleet) move(now time.Duration, i int, r *ageRouter) {
 	if now < r.frozenUntil {
 		r.frozen = now
@@ -355,7 +352,7 @@
 	}
 	turn := f.limits.Turn(f.rank(i, r.confirmed/(4*time.Second)), len(f.routers)-1)
 	age := now - r.confirmed
-	// The first's read is held, and confirms once that is over.
+	// The first router's read is held, and confirms the copy when it ends.
 	if age >= max(turn.Age, turn.Hold) {
 		r.confirmed = now
 		f.reads++
--- a/gateway/replica/replica.go
+++ b/gateway/replica/replica.go
@@ -1,10 +1,10 @@
-// Package replica keeps a router's copy of the list of endpoints in step with the list's source
-// and with the copies of its peers, and decides when the source is read, and by which router.
+// Package replica keeps a router's copy of the list of endpoints in sync with its source and with the
+// copies of its peers, and decides when, and by which router, the source is read.
 //
-// It owns what the list says, as of a range of the source's revisions. It relies on the source
-// for revisions that rise with each change and each restore, and on the caller for carrying messages, which may
-// be lost, come late or twice. It does no I/O. What a router believes of the endpoints is
-// package roster's. The rule of who reads is in turns.go.
+// It owns the contents of the list for a range of the source's revisions. It relies on the source to
+// increase the revision with each change and each restore, and on its user to carry messages, which
+// may be lost, delayed or duplicated. It does no I/O. A router's view of the endpoints is in package
+// roster. The rule of which router reads is in schedule.go.
 package replica
 
 import (
@@ -13,36 +13,36 @@
 	"github.com/ryeford/ryeford"
 )
 
-// maxRemoved is how many endpoints that have left the list are remembered, so that peers can be
-// told of them. A peer that lacks more is sent the whole list.
+// maxRemoved is the maximum number of removed endpoints that are kept to be reported to peers. A
+// peer that lacks more removals is sent a snapshot.
 const maxRemoved = 4096
 
-// A Range is the revisions of the source, From to To, at which the list is as a copy has it: the
-// newest change that the copy holds is of From, and there is none up to To.
+// A Range is the range of the source's revisions, From to To, for which a copy of the list is valid.
+// From is the revision of the copy's newest change, and there is no later change up to To.
 type Range struct {
 	From, To ryeford.Revision
 }
 
-// Known reports whether r is the Range of a copy that was read.
+// Known reports whether the copy of r has been read.
 func (r Range) Known() bool { return r.To > 0 }
 
-// Changes are what brings a copy from one range of revisions to another.
+// Changes are an update of a copy from one range of revisions to another.
 type Changes struct {
-	// Snapshot says that Present is the whole list. Otherwise Present and Removed are what
-	// has changed after Since; Removed are names.
+	// Snapshot reports whether Present is the full list. Otherwise Present and Removed are the
+	// changes after Since. Removed holds names.
 	Snapshot bool
 	Since    ryeford.Revision
 	Present  []ryeford.Endpoint
 	Removed  []ryeford.EndpointID
-	// Range is that of a copy that has them.
+	// Range is the range of a copy to which the changes have been applied.
 	Range Range
 }
 
-// FromSource returns the Changes of an answer of the source to a read of what has changed since a
-// revision, or of the whole.
+// FromSource returns the Changes of a response of the source to a read of the changes since a revision
+// or of the full list.
 //
-// A whole list tells not when what it lacks was removed: the newest change may be of any
-// revision up to its own.
+// A snapshot doesn't show when endpoints were removed, so its newest change may be of any revision
+// up to its own.
 func FromSource(update *ryeford.EndpointUpdate, since ryeford.Revision) Changes {
 	c := Changes{
 		Snapshot: update.Snapshot, Since: since, Present: update.Present, Removed: update.Removed,
@@ -54,50 +54,50 @@
 	return c
 }
 
-// Empty reports whether c changes nothing but the range.
+// Empty reports whether c changes only the range.
 func (c *Changes) Empty() bool { return !c.Snapshot && len(c.Present)+len(c.Removed) == 0 }
 
-// A Verdict says what became of Changes.
+// A Verdict is the result of applying Changes.
 type Verdict int
 
 // The verdicts.
 const (
-	// Applied means that the copy has the changes now.
+	// Applied means that the changes were applied.
 	Applied Verdict = iota
-	// Old means that the copy is newer.
+	// Old means that the copy is newer than the changes.
 	Old
-	// Gap means that the copy lacks what came before them.
+	// Gap means that the copy lacks earlier changes.
 	Gap
 )
 
-// A Replica is a copy of the list. It is safe for concurrent use.
+// A Replica is a copy of the list of endpoints. It is safe for concurrent use.
 type Replica struct {
 	mu      sync.Mutex
 	at      Range
-	entries map[ryeford.EndpointID]entry            // by name: of an endpoint's lives the list has one
-	removed map[ryeford.EndpointID]ryeford.Revision // by name: the revision up to which each has left
-	horizon ryeford.Revision                        // removals up to this revision are forgotten
+	entries map[ryeford.EndpointID]entry            // by name: the list has one incarnation of an endpoint
+	removed map[ryeford.EndpointID]ryeford.Revision // by name: the latest possible revision of the removal
+	horizon ryeford.Revision                        // removals up to this revision are no longer kept
 }
 
 // An entry is an endpoint on the list.
 type entry struct {
 	endpoint ryeford.Endpoint
-	changed  ryeford.Revision // no later than this revision
+	changed  ryeford.Revision // latest possible revision of its last change
 }
 
-// New returns a Replica that was not read yet.
+// New returns an empty Replica that has not been read.
 func New() *Replica {
 	return &Replica{entries: make(map[ryeford.EndpointID]entry), removed: make(map[ryeford.EndpointID]ryeford.Revision)}
 }
 
-// Range returns the range of r.
+// Range returns the range of revisions for which r is valid.
 func (r *Replica) Range() Range {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.at
 }
 
-// Apply applies changes, unless r is newer or lacks what came before them.
+// Apply applies changes, unless r is newer or lacks earlier changes.
 func (r *Replica) Apply(c *Changes) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,7 +114,7 @@
 	return Applied
 }
 
-// applyChanges applies changes without a gap to what is known.
+// applyChanges applies incremental changes that follow r without a gap.
 func (r *Replica) applyChanges(c *Changes) {
 	for _, endpoint := range c.Present {
 		r.put(endpoint, c.Range.From)
@@ -128,7 +128,7 @@
 	r.at.To = c.Range.To
 }
 
-// applySnapshot applies a whole list. Only what differs counts as changed.
+// applySnapshot applies a full list. Only entries that differ count as changed.
 func (r *Replica) applySnapshot(c *Changes) {
 	differs := false
 	present := make(map[ryeford.EndpointID]bool, len(c.Present))
@@ -148,8 +148,8 @@
 	}
 	switch {
 	case !r.at.Known() || c.Range.To.Era() > r.at.To.Era():
-		// Revisions don't show what a copy of an earlier era lacks: a peer that has one is sent the
-		// whole list.
+		// Revisions don't show which changes a copy of an earlier era lacks. A peer with such a
+		// copy is sent a snapshot.
 		r.at, r.horizon = c.Range, c.Range.From
 		clear(r.removed)
 	case differs:
@@ -174,7 +174,7 @@
 	r.removed[name] = changed
 }
 
-// Since returns what has changed after a revision: the whole list if r can't tell.
+// Since returns the changes after a revision, or a snapshot if r no longer has all of them.
 func (r *Replica) Since(revision ryeford.Revision) Changes {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -195,20 +195,20 @@
 	return c
 }
 
-// A Relation is how a peer's copy stands to this one.
+// A Relation is the result of comparing a peer's copy with the local one.
 type Relation int
 
-// The relations of a peer's copy.
+// The relations of a peer's copy to the local one.
 const (
-	// Same means that it says the same.
+	// Same means that both copies have the same contents.
 	Same Relation = iota
-	// Newer means that it holds changes that this one lacks.
+	// Newer means that the peer's copy has changes that the local one lacks.
 	Newer
-	// Older means that it lacks changes that this one holds, or was not read yet.
+	// Older means that the peer's copy lacks changes of the local one, or has not been read.
 	Older
 )
 
-// Compare returns how a copy of a range stands to one of another range.
+// Compare returns the relation of a peer's copy with range peer to the copy with range r.
 func (r Range) Compare(theirs Range) Relation {
 	switch {
 	case theirs.From > r.To:
@@ -219,8 +219,8 @@
 	return Same
 }
 
-// Meet takes the range of a peer's copy, and returns how that stands to this one. What the peer
-// knows of revisions at which nothing has changed, r knows from then on.
+// Meet compares the range of a peer's copy with that of r. If both copies have the same contents, the
+// range of r is extended by the peer's.
 func (r *Replica) Meet(theirs Range) Relation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gateway/replica/replica_test.go
+++ b/gateway/replica/replica_test.go
@@ -10,7 +10,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// endpoints returns ready endpoints with some IDs.
+// endpoints returns ready endpoints with the given IDs.
 func endpoints(ids ...ryeford.EndpointID) []ryeford.Endpoint {
 	var list []ryeford.Endpoint
 	for _, id := range ids {
@@ -19,12 +19,12 @@
 	return list
 }
 
-// listed returns the IDs of what a copy has, in order.
+// listed returns the sorted IDs of a copy.
 func (r *Replica) listed() []ryeford.EndpointID {
 	return slices.Sorted(maps.Keys(r.entries))
 }
 
-// whole returns a copy with a, b and c as of revision 10.
+// newSynced returns a copy with the endpoints a, b and c at revision 10.
 func whole(t *testing.T) *Replica {
 	t.Helper()
 	r := New()
@@ -33,8 +33,7 @@
 	return r
 }
 
-// TestApply checks what becomes of answers of the source and of peers: what is older is left, and so
-// is what lacks changes before it.
+// TestApply checks that older changes, and changes after a gap, are not applied.
 func TestApply(t *testing.T) {
 	draining := ryeford.Endpoint{ID: "a", State: ryeford.EndpointDraining}
 	for _, test := range []struct {
@@ -66,8 +65,8 @@
 	}
 }
 
-// TestSince checks what a copy tells a peer that has the list up to a revision: all that has changed
-// since, or the whole list if it can't tell.
+// TestSince checks that a peer is sent all changes since its revision, or a snapshot if they are no longer
+// available.
 func TestSince(t *testing.T) {
 	r := whole(t)
 	for _, update := range []ryeford.EndpointUpdate{
@@ -96,8 +95,7 @@
 	assert.Equal(t, peer.Range(), r.Range())
 }
 
-// TestRemovedForgotten checks that a copy that has forgotten removals tells a peer that may lack
-// them the whole list.
+// TestRemovalsDropped checks that a peer that may lack dropped removals is sent a snapshot.
 func TestRemovedForgotten(t *testing.T) {
 	r := whole(t)
 	for revision := ryeford.Revision(11); revision <= 11+maxRemoved; revision++ {
@@ -109,7 +107,8 @@
 	assert.Assert(t, len(r.removed) <= maxRemoved)
 }
 
-// TestMeet checks how a peer's copy stands to this one, and what this one knows afterwards.
+// TestMeet checks the relation of a peer's copy to the local one, and the range of the local one
+// afterwards.
 func TestMeet(t *testing.T) {
 	for _, test := range []struct {
 		name        string
--- a/gateway/replica/start.go
+++ b/gateway/replica/start.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// When a router that knows nothing reads the source.
+// When a router without a copy reads the source.
 //
-// Rule: after a delay that it draws, few routers a short one and many a long one, unless a
-// peer has told it until then. In its first moments it takes itself for none of the first in the
-// order, for it may not have heard of the others yet.
+// Rule: it reads after a random delay, unless a peer has sent it the list by then. Few routers draw a
+// short delay and many a long one. For JoinTime after its start a router ranks itself behind the
+// first routers of the time slot, because it may not have received messages from all others.
 //
-// Why: when a whole fleet starts none knows anything, nor how many others there are. The few
-// whose delays are the shortest read, and tell the others before theirs are over. Peers that run
-// already answer sooner than any delay is over.
+// Why: when a whole fleet starts, no router has the list or knows the size of the fleet. The few
+// with the shortest delays read and send the list to the others before their delays have elapsed.
+// Peers that are already running reply before any delay elapses.
 
 const (
-	// startSteepness is by which power of e the delays grow more frequent from the
-	// shortest to the longest: of 103 routers 5 draw one of the first half.
+	// startSteepness is the exponent of the delay distribution: the density of the delays grows
+	// by a factor of e to the startSteepness from the shortest to the longest.
 	startSteepness = 6.0
-	// JoinTime is how long a router may not have heard of the others.
+	// JoinTime is how long after its start a router may not have received messages from all
+	// others.
 	JoinTime = time.Second
 )
 
-// StartDelay returns the delay, up to spread, of a router that has drawn a number between 0 and 1.
+// StartDelay returns the start delay, up to spread, for a random number drawn from 0 to 1.
 func StartDelay(spread time.Duration, drawn float64) time.Duration {
 	return time.Duration(float64(spread) * math.Log1p(drawn*math.Expm1(startSteepness)) / startSteepness)
 }
--- a/gateway/replica/turns_test.go
+++ b/gateway/replica/turns_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTurn checks at which age of its copy which router reads the source, and for how long that
-// holds the read.
+// TestSchedule checks the age at which each router reads the source, and how long the source holds the
+// read.
 func TestTurn(t *testing.T) {
 	const ms = time.Millisecond
 	for _, test := range []struct {
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestTurnWithinBound checks that each router reads in time, whatever the bound and the fleet, and
-// that the later in the order the later.
+// TestScheduleWithinBound checks that each router reads within the bound for any bound and fleet size, and
+// that a router of a higher rank reads later.
 func TestTurnWithinBound(t *testing.T) {
 	for _, bound := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, time.Minute} {
 		limits := NewLimits(bound, 0)
@@ -53,16 +53,14 @@
 	}
 }
 
-// TestOutage checks for how long confirmations must be missing to mean more than that one reader
-// has failed.
+// TestOutage checks that the failure of one reading router does not count as an outage.
 func TestOutage(t *testing.T) {
 	limits := NewLimits(2*time.Second, 0)
 	assert.Assert(t, !limits.Outage(limits.Turn(1, 9).Age+50*time.Millisecond), "the second takes over")
 	assert.Assert(t, limits.Outage(limits.Turn(2, 9).Age))
 }
 
-// TestMaxPause checks that a fleet makes 50 reads a second in an outage, and a router alone as many
-// as it did.
+// TestMaxPause checks that the pause limits a fleet to 50 reads per second in an outage.
 func TestMaxPause(t *testing.T) {
 	const least = 400 * time.Millisecond
 	assert.Equal(t, MaxPause(least, 0), least)
@@ -71,7 +69,7 @@
 	assert.Equal(t, MaxPause(least, 389), 7800*time.Millisecond)
 }
 
-// TestStartDelay checks that few of many routers that start together draw a short delay.
+// TestStartDelay checks that few of the routers that start together draw a short delay.
 func TestStartDelay(t *testing.T) {
 	const spread = 400 * time.Millisecond
 	early := 0
