--- a/gateway/replica/model_test.go
+++ b/gateway/replica/model_test.go
@@ -33,7 +33,7 @@
 }
 
 // modelBackup is the number of the last revision in the backup.
-const modelCopied = 2
+const modelBackup = 2
 
 // modelRevision returns the revision with a number in an era.
 func modelRevision(era, number int64) ryeford.Revision {
@@ -135,8 +135,8 @@
 	if s.revision.Number() < int64(len(modelLogs[s.revision.Era()])-1) {
 		step(func(n *modelState) { n.revision++ })
 	}
-	if s.revision.Number() >= modelCopied && s.revision.Era() < s.lastEra {
-		step(func(n *modelState) { n.revision = modelRevision(s.revision.Era()+1, modelCopied) })
+	if s.revision.Number() >= modelBackup && s.revision.Era() < s.lastEra {
+		step(func(n *modelState) { n.revision = modelRevision(s.revision.Era()+1, modelBackup) })
 	}
 	for i := range s.routers {
 		if s.routers[i].at.Known() {
@@ -185,7 +185,7 @@
 	for _, r := range s.routers {
 		for revision := r.at.From; r.at.Known() && revision <= r.at.To; revision++ {
 			if !slices.Equal(r.listed(), modelList(revision)) {
-				t.Fatalf("a copy of revisions %v has %v, the list %v at %d: %s", r.at, r.listed(), modelList(revision), revision, s.key())
+				t.Fatalf("copy of revisions %v: got %v, want %v at revision %d: %s", r.at, r.listed(), modelList(revision), revision, s.key())
 			}
 		}
 	}
@@ -197,13 +197,13 @@
 	reader := s.clone()
 	for i, r := range reader.routers {
 		if r.Apply(reader.read(r.at.To, false)) != Applied || r.at.To != s.revision {
-			t.Fatalf("%d reads the source in vain: %s", i, s.key())
+			t.Fatalf("router %d is not up to date after a read of the source: %s", i, s.key())
 		}
 		follower := s.clone()
 		for j, f := range follower.routers {
 			c := r.Since(f.at.To)
 			if f.Apply(&c) != Applied || !slices.Equal(f.listed(), modelList(s.revision)) {
-				t.Fatalf("%d reads in vain from %d, which has read the source: %s", j, i, s.key())
+				t.Fatalf("router %d is not up to date after a read from router %d, which has read the source: %s", j, i, s.key())
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 // explore visits all interleavings from a state on. It checks each copy against the list at the revisions
 // of its range, that no router's copy goes back until it restarts, and that a read of the source, or of
 // a router that has read it, brings any copy up to date.
-func (s *modelState) walk(t *testing.T, maxStates int) {
+func (s *modelState) explore(t *testing.T, maxStates int) {
 	seen := map[string]bool{s.key(): true}
 	states := []*modelState{s}
 	steps := 0
@@ -228,14 +228,14 @@
 				n.check(t)
 				n.checkConverges(t)
 				for i, r := range n.routers {
-					assert.Assert(t, r.at.To >= s.routers[i].at.To || !r.at.Known(), "went back")
+					assert.Assert(t, r.at.To >= s.routers[i].at.To || !r.at.Known(), "the copy went back to an older revision")
 				}
 				following = append(following, n)
 			}
 		}
 		states = following
 	}
-	t.Logf("%d states, all of %d steps", len(seen), steps)
+	t.Logf("%d states, all those within %d steps", len(seen), steps)
 }
 
 // TestModel checks the interleavings of a starting fleet.
@@ -244,22 +244,22 @@
 	for i := range first.routers {
 		first.routers[i] = New()
 	}
-	first.walk(t, maxModelStates)
+	first.explore(t, maxModelStates)
 }
 
 // TestModelRestored checks the interleavings of a fleet whose source is restored from a backup twice. The
 // routers' copies are newer than the backup, as new, or empty, and messages of the earlier era arrive late.
 func TestModelRestored(t *testing.T) {
-	for _, number := range []int64{modelCopied, 3, 5} {
+	for _, number := range []int64{modelBackup, 3, 5} {
 		first := &modelState{revision: modelRevision(0, number), lastEra: 2}
 		for i := range first.routers {
 			first.routers[i] = New()
 		}
-		for i, known := range []int64{number, modelCopied} { // the last router has not read the list
-			whole := &modelState{revision: modelRevision(0, known)}
-			first.routers[i].Apply(whole.read(0, false))
+		for i, synced := range []int64{number, modelBackup} { // the last router has not read the list
+			source := &modelState{revision: modelRevision(0, synced)}
+			first.routers[i].Apply(source.read(0, false))
 		}
-		first.walk(t, maxRestoredStates)
+		first.explore(t, maxRestoredStates)
 	}
 }
 
@@ -274,7 +274,7 @@
 func TestAge(t *testing.T) {
 	for seed := range uint64(40) {
 		f := newAgeFleet(seed)
-		f.play(t)
+		f.simulate(t)
 	}
 }
 
@@ -288,9 +288,9 @@
 
 // An ageRouter is a router of which only the age of its copy is simulated.
 type ageRouter struct {
-	confirmed   time.Duration // on the source's clock
-	frozenUntil time.Duration
-	frozen      time.Duration // when it was last suspended
+	confirmed      time.Duration // on the source's clock
+	suspendedUntil time.Duration
+	suspended      time.Duration // when it was last suspended
 }
 
 // An ageFleet is a fleet of which only the ages of the copies are simulated.
@@ -312,8 +312,8 @@
 }
 
 // rank returns the rank of a router in a time slot, as package peers determines it.
-func (f *ageFleet) rank(router int, shift time.Duration) int {
-	score := func(i int) uint64 { return route.Mix(route.KeyHash(uint64(shift)), route.KeyHash(uint64(i))) }
+func (f *ageFleet) rank(router int, slot time.Duration) int {
+	score := func(i int) uint64 { return route.Mix(route.KeyHash(uint64(slot)), route.KeyHash(uint64(i))) }
 	rank := 0
 	for i := range f.routers {
 		if score(i) > score(router) {
@@ -323,11 +323,11 @@
 	return rank
 }
 
-func (f *ageFleet) play(t *testing.T) {
+func (f *ageFleet) simulate(t *testing.T) {
 	for now := time.Duration(0); now < ageLength; now += ageStep {
 		for i, r := range f.routers {
-			f.move(now, i, r)
-			if now < r.frozenUntil || now-r.frozen < 3*ageStep {
+			f.step(now, i, r)
+			if now < r.suspendedUntil || now-r.suspended < 3*ageStep {
 				continue // it is suspended, or has just resumed
 			}
 			age := now - r.confirmed
@@ -336,24 +336,24 @@
 	}
 	if f.loss == 0 {
 		perSecond := float64(f.reads) / ageLength.Seconds()
-		assert.Assert(t, perSecond < 5, "%d routers: %g reads a second", len(f.routers), perSecond)
+		assert.Assert(t, perSecond < 5, "%d routers: %g reads per second", len(f.routers), perSecond)
 	}
 }
 
 // step simulates one step of a router.
-func (f *ageFleet) move(now time.Duration, i int, r *ageRouter) {
-	if now < r.frozenUntil {
-		r.frozen = now
+func (f *ageFleet) step(now time.Duration, i int, r *ageRouter) {
+	if now < r.suspendedUntil {
+		r.suspended = now
 		return
 	}
 	if f.random.IntN(1500) == 0 {
-		r.frozenUntil = now + time.Duration(f.random.IntN(4000))*time.Millisecond
+		r.suspendedUntil = now + time.Duration(f.random.IntN(4000))*time.Millisecond
 		return
 	}
-	turn := f.limits.Turn(f.rank(i, r.confirmed/(4*time.Second)), len(f.routers)-1)
+	scheduled := f.limits.Turn(f.rank(i, r.confirmed/(4*time.Second)), len(f.routers)-1)
 	age := now - r.confirmed
 	// The first router's read is held, and confirms the copy when it ends.
-	if age >= max(turn.Age, turn.Hold) {
+	if age >= max(scheduled.Age, scheduled.Hold) {
 		r.confirmed = now
 		f.reads++
 	}
@@ -362,7 +362,7 @@
 	}
 	for range 3 {
 		peer := f.routers[f.random.IntN(len(f.routers))]
-		if f.random.Float64() >= f.loss && now >= peer.frozenUntil {
+		if f.random.Float64() >= f.loss && now >= peer.suspendedUntil {
 			peer.confirmed = max(peer.confirmed, r.confirmed)
 		}
 	}
--- a/gateway/replica/replica.go
+++ b/gateway/replica/replica.go
@@ -135,7 +135,7 @@
 	for _, endpoint := range c.Present {
 		name := endpoint.ID.Name()
 		present[name] = true
-		if old, known := r.entries[name]; !known || !old.endpoint.SaysSame(&endpoint) {
+		if old, exists := r.entries[name]; !exists || !old.endpoint.SaysSame(&endpoint) {
 			r.put(endpoint, c.Range.From)
 			differs = true
 		}
@@ -209,11 +209,11 @@
 )
 
 // Compare returns the relation of a peer's copy with range peer to the copy with range r.
-func (r Range) Compare(theirs Range) Relation {
+func (r Range) Compare(peer Range) Relation {
 	switch {
-	case theirs.From > r.To:
+	case peer.From > r.To:
 		return Newer
-	case theirs.To < r.From:
+	case peer.To < r.From:
 		return Older
 	}
 	return Same
@@ -221,12 +221,12 @@
 
 // Meet compares the range of a peer's copy with that of r. If both copies have the same contents, the
 // range of r is extended by the peer's.
-func (r *Replica) Meet(theirs Range) Relation {
+func (r *Replica) Meet(peer Range) Relation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	relation := r.at.Compare(theirs)
+	relation := r.at.Compare(peer)
 	if relation == Same && r.at.Known() {
-		r.at = Range{From: min(r.at.From, theirs.From), To: max(r.at.To, theirs.To)}
+		r.at = Range{From: min(r.at.From, peer.From), To: max(r.at.To, peer.To)}
 	}
 	return relation
 }
--- a/gateway/replica/replica_test.go
+++ b/gateway/replica/replica_test.go
@@ -25,7 +25,7 @@
 }
 
 // newSynced returns a copy with the endpoints a, b and c at revision 10.
-func whole(t *testing.T) *Replica {
+func newSynced(t *testing.T) *Replica {
 	t.Helper()
 	r := New()
 	c := FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a", "b", "c"), Revision: 10, Changed: 4}, 0)
@@ -45,16 +45,16 @@
 	}{
 		{"nothing new", FromSource(&ryeford.EndpointUpdate{Revision: 15}, 10), Applied, Range{10, 15}, "abc"},
 		{"a change", FromSource(&ryeford.EndpointUpdate{Present: endpoints("d"), Revision: 15, Changed: 12}, 10), Applied, Range{12, 15}, "abcd"},
-		{"a change of one that is known", FromSource(&ryeford.EndpointUpdate{Present: []ryeford.Endpoint{draining}, Revision: 15, Changed: 12}, 10), Applied, Range{12, 15}, "abc"},
-		{"a removal, and the source does not tell of when", FromSource(&ryeford.EndpointUpdate{Removed: []ryeford.EndpointID{"b"}, Revision: 15}, 10), Applied, Range{15, 15}, "ac"},
-		{"asked for before what is known", FromSource(&ryeford.EndpointUpdate{Present: endpoints("c"), Revision: 15, Changed: 9}, 5), Applied, Range{10, 15}, "abc"},
+		{"a change of a listed endpoint", FromSource(&ryeford.EndpointUpdate{Present: []ryeford.Endpoint{draining}, Revision: 15, Changed: 12}, 10), Applied, Range{12, 15}, "abc"},
+		{"a removal without its revision", FromSource(&ryeford.EndpointUpdate{Removed: []ryeford.EndpointID{"b"}, Revision: 15}, 10), Applied, Range{15, 15}, "ac"},
+		{"read since an older revision", FromSource(&ryeford.EndpointUpdate{Present: endpoints("c"), Revision: 15, Changed: 9}, 5), Applied, Range{10, 15}, "abc"},
 		{"older", FromSource(&ryeford.EndpointUpdate{Removed: []ryeford.EndpointID{"b"}, Revision: 9}, 5), Old, Range{10, 10}, "abc"},
 		{"after a gap", FromSource(&ryeford.EndpointUpdate{Present: endpoints("d"), Revision: 15}, 11), Gap, Range{10, 10}, "abc"},
-		{"the whole, unchanged", FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a", "b", "c"), Revision: 15}, 0), Applied, Range{10, 15}, "abc"},
-		{"the whole, changed", FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a", "d"), Revision: 15}, 0), Applied, Range{15, 15}, "ad"},
-		{"the whole, older", FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a"), Revision: 9}, 0), Old, Range{10, 10}, "abc"},
+		{"a snapshot, unchanged", FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a", "b", "c"), Revision: 15}, 0), Applied, Range{10, 15}, "abc"},
+		{"a snapshot, changed", FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a", "d"), Revision: 15}, 0), Applied, Range{15, 15}, "ad"},
+		{"a snapshot, older", FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a"), Revision: 9}, 0), Old, Range{10, 10}, "abc"},
 	} {
-		r := whole(t)
+		r := newSynced(t)
 		assert.Equal(t, r.Apply(&test.changes), test.verdict, test.name)
 		assert.Equal(t, r.Range(), test.at, test.name)
 		text := ""
@@ -68,7 +68,7 @@
 // TestSince checks that a peer is sent all changes since its revision, or a snapshot if they are no longer
 // available.
 func TestSince(t *testing.T) {
-	r := whole(t)
+	r := newSynced(t)
 	for _, update := range []ryeford.EndpointUpdate{
 		{Present: endpoints("d"), Revision: 20, Changed: 18},
 		{Removed: []ryeford.EndpointID{"b"}, Revision: 30, Changed: 28},
@@ -88,7 +88,7 @@
 		assert.Equal(t, len(c.Removed), test.removed, "%d", test.since)
 		assert.Equal(t, c.Range, Range{28, 30})
 	}
-	peer := whole(t)
+	peer := newSynced(t)
 	c := r.Since(peer.Range().To)
 	assert.Equal(t, peer.Apply(&c), Applied)
 	assert.DeepEqual(t, peer.listed(), r.listed())
@@ -96,8 +96,8 @@
 }
 
 // TestRemovalsDropped checks that a peer that may lack dropped removals is sent a snapshot.
-func TestRemovedForgotten(t *testing.T) {
-	r := whole(t)
+func TestRemovalsDropped(t *testing.T) {
+	r := newSynced(t)
 	for revision := ryeford.Revision(11); revision <= 11+maxRemoved; revision++ {
 		c := FromSource(&ryeford.EndpointUpdate{Removed: []ryeford.EndpointID{ryeford.EndpointID(string(rune(revision)))}, Revision: revision}, revision-1)
 		assert.Equal(t, r.Apply(&c), Applied)
@@ -112,24 +112,24 @@
 func TestMeet(t *testing.T) {
 	for _, test := range []struct {
 		name        string
-		own, theirs Range
+		local, peer Range
 		want        Relation
 		after       Range
 	}{
 		{"the same revisions", Range{10, 20}, Range{10, 20}, Same, Range{10, 20}},
-		{"nothing has changed until later", Range{10, 20}, Range{10, 30}, Same, Range{10, 30}},
-		{"it was read later, and nothing had changed", Range{10, 20}, Range{15, 30}, Same, Range{10, 30}},
-		{"the newest change is known to be older", Range{15, 20}, Range{10, 30}, Same, Range{10, 30}},
-		{"it lags, and nothing has changed", Range{10, 20}, Range{10, 12}, Same, Range{10, 20}},
-		{"it has a change", Range{10, 20}, Range{21, 30}, Newer, Range{10, 20}},
-		{"it lacks a change", Range{10, 20}, Range{5, 9}, Older, Range{10, 20}},
-		{"it was not read", Range{10, 20}, Range{}, Older, Range{10, 20}},
-		{"this one was not read", Range{}, Range{5, 9}, Newer, Range{}},
-		{"neither was read", Range{}, Range{}, Same, Range{}},
+		{"the peer has a later confirmation", Range{10, 20}, Range{10, 30}, Same, Range{10, 30}},
+		{"the peer read a snapshot later, without changes", Range{10, 20}, Range{15, 30}, Same, Range{10, 30}},
+		{"the peer has an earlier bound on the newest change", Range{15, 20}, Range{10, 30}, Same, Range{10, 30}},
+		{"the peer lags, without changes", Range{10, 20}, Range{10, 12}, Same, Range{10, 20}},
+		{"the peer has a newer change", Range{10, 20}, Range{21, 30}, Newer, Range{10, 20}},
+		{"the peer lacks a change", Range{10, 20}, Range{5, 9}, Older, Range{10, 20}},
+		{"the peer has not read the list", Range{10, 20}, Range{}, Older, Range{10, 20}},
+		{"the local copy has not been read", Range{}, Range{5, 9}, Newer, Range{}},
+		{"neither copy has been read", Range{}, Range{}, Same, Range{}},
 	} {
 		r := New()
-		r.at = test.own
-		assert.Equal(t, r.Meet(test.theirs), test.want, test.name)
+		r.at = test.local
+		assert.Equal(t, r.Meet(test.peer), test.want, test.name)
 		assert.Equal(t, r.Range(), test.after, test.name)
 	}
 }
--- a/gateway/replica/turns.go
+++ b/gateway/replica/schedule.go
@@ -18,20 +18,20 @@
 	// maxAgeFraction is the fraction of the bound at which a router without confirmations reads by
 	// itself. staggerFraction is the fraction of the bound over which these reads are staggered.
 	// The rest of the bound is for the read.
-	maxAgePart  = 0.7
-	staggerPart = 0.1
+	maxAgeFraction  = 0.7
+	staggerFraction = 0.1
 	// marginFraction is the fraction of the bound, limited to maxMargin, between the end of a held
 	// read and the age at which the other routers read. It is the time for a confirmation to
 	// reach all routers.
-	slackPart = 0.35
-	maxSlack  = 700 * time.Millisecond
+	marginFraction = 0.35
+	maxMargin      = 700 * time.Millisecond
 	// secondFraction is the fraction of the margin after which the second router reads.
-	secondPart = 0.45
+	secondFraction = 0.45
 	// minHold is the minimum time for which the source holds a read.
 	minHold = 100 * time.Millisecond
 	// pausePerRouter is the maximum pause after a failure per live router. It limits the fleet's
 	// rate of calls in an outage.
-	pauseForEach = 20 * time.Millisecond
+	pausePerRouter = 20 * time.Millisecond
 )
 
 // Limits are the parameters of the schedule. They are the same for all routers.
@@ -47,15 +47,15 @@
 func NewLimits(bound, hold time.Duration) Limits {
 	l := Limits{Bound: bound, Hold: hold}
 	if hold == 0 {
-		l.Hold = max(minHold, l.maxAge()-l.slack())
+		l.Hold = max(minHold, l.maxAge()-l.margin())
 	}
 	return l
 }
 
-func (l *Limits) maxAge() time.Duration { return time.Duration(maxAgePart * float64(l.Bound)) }
+func (l *Limits) maxAge() time.Duration { return time.Duration(maxAgeFraction * float64(l.Bound)) }
 
-func (l *Limits) slack() time.Duration {
-	return min(maxSlack, time.Duration(slackPart*float64(l.Bound)))
+func (l *Limits) margin() time.Duration {
+	return min(maxMargin, time.Duration(marginFraction*float64(l.Bound)))
 }
 
 // A Turn is the schedule of a router's next read of the source.
@@ -76,18 +76,18 @@
 	case rank == 0:
 		return Turn{Hold: l.Hold}
 	case rank == 1:
-		return Turn{Age: l.Hold + time.Duration(secondPart*float64(l.slack()))}
+		return Turn{Age: l.Hold + time.Duration(secondFraction*float64(l.margin()))}
 	}
-	stagger := staggerPart * float64(l.Bound) * float64(rank) / float64(peers+1)
-	return Turn{Age: max(l.Hold+l.slack(), l.maxAge()) + time.Duration(stagger)}
+	stagger := staggerFraction * float64(l.Bound) * float64(rank) / float64(peers+1)
+	return Turn{Age: max(l.Hold+l.margin(), l.maxAge()) + time.Duration(stagger)}
 }
 
 // Outage reports whether a copy whose newest confirmation has the given age lacks confirmations for
 // longer than the failure of one reading router explains.
-func (l *Limits) Outage(gap time.Duration) bool { return gap >= l.Hold+l.slack() }
+func (l *Limits) Outage(age time.Duration) bool { return age >= l.Hold+l.margin() }
 
 // MaxPause returns the maximum pause after a failure. least is its value for an isolated router, and
 // peers is the number of other live routers.
 func MaxPause(least time.Duration, peers int) time.Duration {
-	return max(least, time.Duration(peers+1)*pauseForEach)
+	return max(least, time.Duration(peers+1)*pausePerRouter)
 }
--- a/gateway/replica/turns_test.go
+++ b/gateway/replica/schedule_test.go
@@ -9,7 +9,7 @@
 
 // TestSchedule checks the age at which each router reads the source, and how long the source holds the
 // read.
-func TestTurn(t *testing.T) {
+func TestSchedule(t *testing.T) {
 	const ms = time.Millisecond
 	for _, test := range []struct {
 		name        string
@@ -24,10 +24,10 @@
 		{"the first, a bound of 4 s", 4 * time.Second, 0, 0, 102, Turn{Hold: 2100 * ms}},
 		{"the second", 4 * time.Second, 0, 1, 102, Turn{Age: 2415 * ms}},
 		{"the last of 103", 4 * time.Second, 0, 102, 102, Turn{Age: 3196 * ms}},
-		{"alone", 4 * time.Second, 0, 0, 0, Turn{Hold: 2100 * ms}},
-		{"the first, held as the operators say", 2 * time.Second, 100 * ms, 0, 9, Turn{Hold: 100 * ms}},
-		{"the third, held for longer than the bound allows", 2 * time.Second, 2 * time.Second, 2, 9, Turn{Age: 2740 * ms}},
-		{"the first, a bound that is short", 200 * ms, 0, 0, 9, Turn{Hold: 100 * ms}},
+		{"an isolated router", 4 * time.Second, 0, 0, 0, Turn{Hold: 2100 * ms}},
+		{"the first, with a configured hold", 2 * time.Second, 100 * ms, 0, 9, Turn{Hold: 100 * ms}},
+		{"the third, with a hold as long as the bound", 2 * time.Second, 2 * time.Second, 2, 9, Turn{Age: 2740 * ms}},
+		{"the first, with a short bound", 200 * ms, 0, 0, 9, Turn{Hold: 100 * ms}},
 	} {
 		limits := NewLimits(test.bound, test.hold)
 		got := limits.Turn(test.rank, test.peers)
@@ -38,16 +38,16 @@
 
 // TestScheduleWithinBound checks that each router reads within the bound for any bound and fleet size, and
 // that a router of a higher rank reads later.
-func TestTurnWithinBound(t *testing.T) {
+func TestScheduleWithinBound(t *testing.T) {
 	for _, bound := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, time.Minute} {
 		limits := NewLimits(bound, 0)
 		for _, peers := range []int{0, 1, 9, 102, 389} {
 			last := time.Duration(-1)
 			for rank := range peers + 1 {
-				turn := limits.Turn(rank, peers)
-				assert.Assert(t, turn.Age > last)
-				last = turn.Age
-				assert.Assert(t, turn.Age+turn.Hold <= bound*4/5, "%s: %s", bound, turn.Age)
+				scheduled := limits.Turn(rank, peers)
+				assert.Assert(t, scheduled.Age > last)
+				last = scheduled.Age
+				assert.Assert(t, scheduled.Age+scheduled.Hold <= bound*4/5, "%s: %s", bound, scheduled.Age)
 			}
 		}
 	}
@@ -56,7 +56,7 @@
 // TestOutage checks that the failure of one reading router does not count as an outage.
 func TestOutage(t *testing.T) {
 	limits := NewLimits(2*time.Second, 0)
-	assert.Assert(t, !limits.Outage(limits.Turn(1, 9).Age+50*time.Millisecond), "the second takes over")
+	assert.Assert(t, !limits.Outage(limits.Turn(1, 9).Age+50*time.Millisecond), "the second router takes over")
 	assert.Assert(t, limits.Outage(limits.Turn(2, 9).Age))
 }
 
@@ -72,15 +72,15 @@
 // TestStartDelay checks that few of the routers that start together draw a short delay.
 func TestStartDelay(t *testing.T) {
 	const spread = 400 * time.Millisecond
-	early := 0
+	short := 0
 	for i := range 100 {
 		delay := StartDelay(spread, float64(i)/100)
 		assert.Assert(t, delay >= 0 && delay < spread)
 		if delay < spread/2 {
-			early++
+			short++
 		}
 	}
-	assert.Equal(t, early, 5)
+	assert.Equal(t, short, 5)
 	assert.Equal(t, StartDelay(spread, 1), spread)
 	assert.Equal(t, StartDelay(0, 0.5), time.Duration(0))
 }
