--- a/gateway/freshness/lease_test.go
+++ b/gateway/freshness/lease_test.go
@@ -27,10 +27,10 @@
 		time.Sleep(time.Millisecond)
 		assert.Assert(t, !l.Valid(time.Now()))
 
-		resent := time.Now()
+		later := time.Now()
 		_, confirmed = l.Age(time.Now())
 		assert.Assert(t, confirmed)
-		l.renew(resent)
+		l.renew(later)
 		l.renew(sent) // a delayed response
 		assert.Equal(t, l.Left(time.Now()), time.Second)
 	})
--- a/gateway/freshness/outage.go
+++ b/gateway/freshness/outage.go
@@ -6,12 +6,12 @@
 // are also served after the lease has ended, unless the configuration in force is known or
 // suspected to be superseded.
 //
-// Why: a source that is down accepts no revocations, so a bridging router rarely misses one. A
-// router that does not bridge rejects all requests that need a key.
+// Why: a source that is down usually accepts no revocations, so a bridging router rarely misses one.
+// A router that does not bridge rejects all requests that need a key.
 
 // ServesKeys reports whether requests that need a key are served. bridging reports whether the
 // operators allow serving them in an outage, valid whether the lease has not ended, and newer
-// whether a newer configuration is known or its arrival overdue.
+// whether a newer configuration is known or suspected.
 func ServesKeys(bridging, valid, newer bool) bool {
 	return valid || bridging && !newer
 }
--- a/gateway/freshness/superseded.go
+++ b/gateway/freshness/superseded.go
@@ -4,9 +4,9 @@
 
 // When a superseded configuration is no longer used.
 //
-// Rule: a router that has been notified of a newer configuration, and whose source responds,
-// stops serving all requests by the old one, including those on public routes, when the
-// propagation bound has passed since the old one was last confirmed.
+// Rule: if a newer configuration is known and the source responds, a router stops serving
+// requests by the old one, including those on public routes, when the propagation bound has
+// passed since the old one was last confirmed.
 //
 // Why: no newer configuration can have been accepted before the read that last confirmed the old
 // one, so the bound holds however late the router is notified. The old configuration may route
--- a/gateway/peers/schedule.go
+++ b/gateway/peers/schedule.go
@@ -77,11 +77,11 @@
 	First      bool          // the router is the first in the time slot of LookupShift
 }
 
-// Due reports whether a registration and lookup is due. It is while the router receives no
-// messages, but configured peers first get seedTimeout to send one. It is also due if the router's
-// entry is missing or old, without configured peers or in the router's time slot, so that the
-// platform's list always holds some routers and the parts of a partitioned fleet find each other
-// there. Without configured peers a router registers at its start.
+// Due reports whether a registration and lookup is due. For a router that receives no messages it is
+// due at once, or, with configured peers, seedTimeout after its start. For other routers it is due if
+// their entry is missing or older than registerInterval; with configured peers only for the first
+// router of the time slot. The platform's list thus always holds some routers, through which the
+// parts of a partitioned fleet find each other.
 func (l *Lookup) Due() bool {
 	switch {
 	case !l.Heard:
--- a/gateway/peers/sums.go
+++ b/gateway/peers/sums.go
@@ -73,7 +73,8 @@
 }
 
 // Demand estimates the number of requests with a prompt that all peers have in flight, from the
-// number at the counted peers. One request is not extrapolated, because most prompts have few.
+// number at the counted peers. If not all live peers are counted, one request is subtracted first,
+// because most prompts have few requests and a single one must not be extrapolated.
 func (s *Sample) Demand(requests int) float64 {
 	if s.Counted < s.Alive {
 		requests = max(0, requests-1)
