--- a/gateway/freshness/superseded_test.go
+++ b/gateway/freshness/superseded_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSuperseded checks when a superseded configuration is not used any more.
+// TestSuperseded checks that a superseded configuration is dropped at the bound, but not while the source
+// is unreachable.
 func TestSuperseded(t *testing.T) {
 	const bound, silence = 2 * time.Second, 3 * time.Second
 	for _, test := range []struct {
@@ -16,10 +17,10 @@
 		want                bool
 	}{
 		{"just confirmed", 0, 0, false},
-		{"confirmed almost as long ago as the bound", bound - 1, 0, false},
-		{"confirmed as long ago as the bound", bound, 0, true},
-		{"the source answered lately", time.Minute, silence - 1, true},
-		{"the source is out of reach", time.Minute, silence, false},
+		{"confirmed just within the bound", bound - 1, 0, false},
+		{"the bound has passed", bound, 0, true},
+		{"the source responded recently", time.Minute, silence - 1, true},
+		{"the source is unreachable", time.Minute, silence, false},
 	} {
 		assert.Equal(t, Superseded(test.confirmed, test.answered, bound, silence), test.want, test.name)
 	}
--- a/gateway/peers/withheld.go
+++ b/gateway/peers/withheld.go
@@ -6,20 +6,20 @@
 	"github.com/ryeford/ryeford"
 )
 
-// MaxWithheld is how many withheld endpoints a message holds.
+// MaxWithheld is the maximum number of withheld endpoints in a message.
 const MaxWithheld = 32
 
-// SetWithheld sets the endpoints that are withheld, and for how long.
-func (m *Message) SetWithheld(endpoints []ryeford.WithheldEndpoint, left time.Duration) {
+// SetWithheld sets the withheld endpoints and the remaining duration.
+func (m *Message) SetWithheld(endpoints []ryeford.WithheldEndpoint, remaining time.Duration) {
 	for _, e := range endpoints {
 		m.Withheld = append(m.Withheld, Withheld{ID: e.ID, Sequence: e.Sequence, Gone: e.Gone})
 	}
 	if len(endpoints) > 0 {
-		m.WithheldFor = AgeOf(left)
+		m.WithheldFor = AgeOf(remaining)
 	}
 }
 
-// ReadWithheld returns the endpoints that the message says are withheld, and for how long.
+// ReadWithheld returns the withheld endpoints and the remaining duration.
 func (m *Message) ReadWithheld() ([]ryeford.WithheldEndpoint, time.Duration) {
 	var endpoints []ryeford.WithheldEndpoint
 	for _, w := range m.Withheld {
