--- a/agentfleet/placement/choose.go
+++ b/agentfleet/placement/choose.go
@@ -10,21 +10,21 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// choose gives each demand its engines: first those that serve its base already, in
+// chooseEngines gives each demand its engines: first those that serve its base already, in
 // their order, then others, spread over failure domains.
-func choose(engines []Engine, demands []*demand) map[ryeford.EngineID]*demand {
+func chooseEngines(engines []Engine, demands []*demand) map[ryeford.EngineID]*demand {
 	chosen := make(map[ryeford.EngineID]*demand)
-	have := make(map[*demand]int)
+	assigned := make(map[*demand]int)
 	for _, e := range engines {
-		wants := func(d *demand) bool { return have[d] < d.engines && serves(e, d.base) }
-		if i := slices.IndexFunc(demands, wants); i >= 0 {
+		needs := func(d *demand) bool { return assigned[d] < d.engines && serves(e, d.base) }
+		if i := slices.IndexFunc(demands, needs); i >= 0 {
 			chosen[e.ID] = demands[i]
-			have[demands[i]]++
+			assigned[demands[i]]++
 		}
 	}
 	for _, d := range demands {
-		for ; have[d] < d.engines; have[d]++ {
-			e := pick(engines, d, chosen)
+		for ; assigned[d] < d.engines; assigned[d]++ {
+			e := pickEngine(engines, d, chosen)
 			if e == nil {
 				break
 			}
@@ -34,9 +34,9 @@
 	return chosen
 }
 
-// pick returns a free engine for a demand, of the failure domain that has the fewest of
+// pickEngine returns a free engine for a demand, of the failure domain that has the fewest of
 // the demand's engines; of those, the first. It returns nil if none is free.
-func pick(engines []Engine, d *demand, chosen map[ryeford.EngineID]*demand) *Engine {
+func pickEngine(engines []Engine, d *demand, chosen map[ryeford.EngineID]*demand) *Engine {
 	inDomain := make(map[string]int)
 	for _, e := range engines {
 		if chosen[e.ID] == d {
@@ -52,7 +52,7 @@
 	return best
 }
 
-func serves(e Engine, b base) bool {
+func serves(e Engine, b baseModel) bool {
 	return slices.ContainsFunc(e.Pools, func(p ryeford.Pool) bool {
 		return p.Model == b.model && p.Version == b.version
 	})
@@ -98,8 +98,8 @@
 // poolSize returns how many of a demand's engines serve a pool with a share of the
 // demand's total.
 func poolSize(engines int, share, total float64) int {
-	due := int(math.Ceil(float64(engines) * share / total))
-	return min(max(spareFactor*due, minPoolEngines), engines)
+	proportional := int(math.Ceil(float64(engines) * share / total))
+	return min(max(spareFactor*proportional, minPoolEngines), engines)
 }
 
 // rank returns the engines in a pool's rendezvous order, the best first.
--- a/agentfleet/placement/placement.go
+++ b/agentfleet/placement/placement.go
@@ -59,25 +59,25 @@
 // Plan returns the assignments for an input. Engines keep what they serve if they can.
 // Without templates or without engines there are none.
 func Plan(in *Input) *Output {
-	demands := collect(in)
+	demands := collectDemands(in)
 	if len(demands) == 0 || len(in.Engines) == 0 {
 		return &Output{}
 	}
 	apportion(demands, len(in.Engines))
-	chosen := choose(in.Engines, demands)
+	chosen := chooseEngines(in.Engines, demands)
 	pools := assignPools(in.Engines, demands, chosen)
 	return schedule(in, chosen, pools)
 }
 
-// A base is what an engine loads as a whole: a model and its version. Adapters
+// A baseModel is what an engine loads as a whole: a model and its version. Adapters
 // are added to it.
-type base struct {
+type baseModel struct {
 	model, version string
 }
 
 // A demand is what the templates ask of one base.
 type demand struct {
-	base    base
+	base    baseModel
 	share   float64   // sum of the templates' shares
 	begin   time.Time // of the first event that needs more than runs now, or zero
 	pools   map[ryeford.Pool]float64
@@ -91,15 +91,15 @@
 	return in.Ahead + time.Duration(rounds)*in.LoadTime
 }
 
-// collect returns the demands of the templates that are in force, or that begin so soon
+// collectDemands returns the demands of the templates that are in force, or that begin so soon
 // that their engines must load now, ordered by base.
-func collect(in *Input) []*demand {
-	byBase := make(map[base]*demand)
+func collectDemands(in *Input) []*demand {
+	byBase := make(map[baseModel]*demand)
 	for _, t := range in.Templates {
 		if t.Begin.After(in.Now.Add(in.horizon())) {
 			continue
 		}
-		b := base{model: t.Model, version: t.ModelTag}
+		b := baseModel{model: t.Model, version: t.ModelTag}
 		d, ok := byBase[b]
 		if !ok {
 			d = &demand{base: b, pools: make(map[ryeford.Pool]float64)}
@@ -124,23 +124,23 @@
 	for _, d := range demands {
 		total += d.share
 	}
-	left := engines
+	unassigned := engines
 	for _, d := range demands {
 		d.engines = max(1, int(math.Floor(float64(engines)*d.share/total)))
-		left -= d.engines
+		unassigned -= d.engines
 	}
 	byRemainder := slices.Clone(demands)
 	slices.SortStableFunc(byRemainder, func(a, b *demand) int {
 		return cmp.Compare(remainder(b, engines, total), remainder(a, engines, total))
 	})
-	for i := 0; left > 0; i = (i + 1) % len(byRemainder) {
+	for i := 0; unassigned > 0; i = (i + 1) % len(byRemainder) {
 		byRemainder[i].engines++
-		left--
+		unassigned--
 	}
-	for left < 0 {
+	for unassigned < 0 {
 		largest := slices.MaxFunc(demands, func(a, b *demand) int { return cmp.Compare(a.engines, b.engines) })
 		largest.engines--
-		left++
+		unassigned++
 	}
 }
 
--- a/agentfleet/placement/rules_test.go
+++ b/agentfleet/placement/rules_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestChoose checks which engines a demand gets.
-func TestChoose(t *testing.T) {
+// TestChooseEngines checks which engines a demand gets.
+func TestChooseEngines(t *testing.T) {
 	lira := []ryeford.Pool{{Model: "lira"}}
 	for _, test := range []struct {
 		name    string
@@ -53,8 +53,8 @@
 		{"no more than there are", []Engine{{ID: "a"}}, 3, []ryeford.EngineID{"a"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			d := &demand{base: base{model: "lira"}, engines: test.want}
-			chosen := choose(test.engines, []*demand{d})
+			d := &demand{base: baseModel{model: "lira"}, engines: test.want}
+			chosen := chooseEngines(test.engines, []*demand{d})
 			assert.Equal(t, len(chosen), len(test.chosen))
 			for _, id := range test.chosen {
 				assert.Assert(t, chosen[id] == d, "%s is not chosen", id)
@@ -111,7 +111,7 @@
 				moves = append(moves, m)
 			}
 			setLatestStarts(in, moves)
-			assert.Equal(t, clip(in, moves), test.late)
+			assert.Equal(t, clampStarts(in, moves), test.late)
 			for i, a := range assignments {
 				assert.Equal(t, a.Start.Sub(now), test.want[i], "load %d", i)
 			}
--- a/agentfleet/placement/schedule.go
+++ b/agentfleet/placement/schedule.go
@@ -34,7 +34,7 @@
 	}
 	setLatestStarts(in, moves)
 	out.Moves = len(moves)
-	out.Late = clip(in, moves)
+	out.Late = clampStarts(in, moves)
 	return out
 }
 
@@ -65,18 +65,18 @@
 	}
 }
 
-// clip moves starts that lie in the past to now, in the order of their events and under
+// clampStarts moves starts that lie in the past to now, in the order of their events and under
 // the weight store's rate, and returns how many loads end late.
-func clip(in *Input, moves []move) int {
+func clampStarts(in *Input, moves []move) int {
 	slices.SortStableFunc(moves, func(a, b move) int { return a.assignment.Start.Compare(b.assignment.Start) })
 	ends := make([]time.Time, in.ParallelLoads) // of the loads that go on at once
 	late := 0
 	for _, m := range moves {
-		first := slices.Index(ends, slices.MinFunc(ends, time.Time.Compare))
-		start := slices.MaxFunc([]time.Time{m.assignment.Start, in.Now, ends[first]}, time.Time.Compare)
+		earliest := slices.Index(ends, slices.MinFunc(ends, time.Time.Compare))
+		start := slices.MaxFunc([]time.Time{m.assignment.Start, in.Now, ends[earliest]}, time.Time.Compare)
 		m.assignment.Start = start
-		ends[first] = start.Add(in.LoadTime)
-		if !m.begin.IsZero() && ends[first].After(m.begin) {
+		ends[earliest] = start.Add(in.LoadTime)
+		if !m.begin.IsZero() && ends[earliest].After(m.begin) {
 			late++
 		}
 	}
