--- a/agentfleet/answer/log.go
+++ b/agentfleet/answer/log.go
@@ -43,7 +43,7 @@
 // is refused with an *OffsetError, as is any after a finished answer.
 func (l *Log) Read(ctx context.Context, offset int64) ([]ryeford.Chunk, error) {
 	for {
-		chunks, changed, err := l.from(offset)
+		chunks, changed, err := l.chunksFrom(offset)
 		if err != nil || len(chunks) > 0 {
 			return chunks, err
 		}
@@ -62,14 +62,14 @@
 	return l.finished
 }
 
-// from returns the chunks from an offset on, and a channel that is closed at the
+// chunksFrom returns the chunks chunksFrom an offset on, and a channel that is closed at the
 // next one.
-func (l *Log) from(offset int64) ([]ryeford.Chunk, <-chan struct{}, error) {
+func (l *Log) chunksFrom(offset int64) ([]ryeford.Chunk, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	index := offset - l.first
-	past := index > int64(len(l.chunks)) || (l.finished && index == int64(len(l.chunks)))
-	if index < 0 || past {
+	beyondEnd := index > int64(len(l.chunks)) || (l.finished && index == int64(len(l.chunks)))
+	if index < 0 || beyondEnd {
 		return nil, nil, &OffsetError{Offset: offset, First: l.first, Next: l.first + int64(len(l.chunks))}
 	}
 	return l.chunks[index:], l.changed, nil
