--- a/agentfleet/decision/log.go
+++ b/agentfleet/decision/log.go
@@ -19,8 +19,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// keptLines is how many lines on requests a Log keeps.
-const keptLines = 20_000
+// maxLines is how many lines on requests a Log keeps.
+const maxLines = 20_000
 
 // A Log logs decisions and keeps the last ones on requests. Its methods may be
 // called concurrently.
@@ -28,7 +28,7 @@
 	out log.Logger
 
 	mu    sync.Mutex
-	lines [keptLines]line
+	lines [maxLines]line
 	next  int // where the next line goes: the oldest one
 }
 
@@ -47,14 +47,14 @@
 // and values in turn.
 func (l *Log) Record(request ryeford.RequestID, pairs ...any) {
 	if request != "" {
-		l.keep(request, pairs)
+		l.retain(request, pairs)
 	}
 	// An error says that standard error can't be written to, and there is no other
 	// place to say so.
 	_ = l.out.Log(pairs...)
 }
 
-func (l *Log) keep(request ryeford.RequestID, pairs []any) {
+func (l *Log) retain(request ryeford.RequestID, pairs []any) {
 	now := time.Now().UTC().Format(time.RFC3339Nano)
 	// An error would say that a key is empty; a value that can't be encoded is replaced
 	// by its error's text.
@@ -62,7 +62,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lines[l.next] = line{request: request, text: string(text)}
-	l.next = (l.next + 1) % keptLines
+	l.next = (l.next + 1) % maxLines
 }
 
 // Lines returns the kept decisions on a request, in the order of time.
@@ -70,8 +70,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []string
-	for i := range keptLines {
-		if line := &l.lines[(l.next+i)%keptLines]; line.request == request {
+	for i := range maxLines {
+		if line := &l.lines[(l.next+i)%maxLines]; line.request == request {
 			found = append(found, line.text)
 		}
 	}
--- a/agentfleet/decision/log_test.go
+++ b/agentfleet/decision/log_test.go
@@ -45,10 +45,10 @@
 	l := NewLog(log.NewNopLogger())
 	l.Record("first", "decision", "route")
 	l.Record("second", "decision", "route")
-	for range keptLines - 1 {
+	for range maxLines - 1 {
 		l.Record("later", "decision", "route")
 	}
 	assert.Equal(t, len(l.Lines("first")), 0)
 	assert.Equal(t, len(l.Lines("second")), 1)
-	assert.Equal(t, len(l.Lines("later")), keptLines-1)
+	assert.Equal(t, len(l.Lines("later")), maxLines-1)
 }
