--- a/agentfleet/claim/batcher.go
+++ b/agentfleet/claim/batcher.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// batchWait is how long a batch is open for further writes. It is added
+	// batchWindow is how long a batch is open for further writes. It is added
 	// to each claim; at 2.3 claims/s a router's batches hold one row (docs/CAPACITY.md,
 	// "The platform's table").
-	batchWait = 4 * time.Millisecond
+	batchWindow = 4 * time.Millisecond
 
 	// batchSize is the largest number of writes in a batch.
 	batchSize = 64
@@ -21,9 +21,9 @@
 	// batchTimeout bounds a batch with all its transactions.
 	batchTimeout = 3 * time.Second
 
-	// batchQueue is how many writes may wait for a batch; beyond, callers wait to queue
+	// batchQueueSize is how many writes may wait for a batch; beyond, callers wait to queue
 	// theirs.
-	batchQueue = 4096
+	batchQueueSize = 4096
 
 	// maxBatches is how many batches are under way at once.
 	maxBatches = 4
@@ -33,11 +33,11 @@
 // write still succeeds or fails by its own condition.
 type batcher struct {
 	table ryeford.Table
-	queue chan *pending
+	queue chan *pendingWrite
 }
 
-// A pending is a write whose caller waits for its outcome.
-type pending struct {
+// A pendingWrite is a write whose caller waits for its outcome.
+type pendingWrite struct {
 	write ryeford.Write
 	done  chan outcome
 }
@@ -51,7 +51,7 @@
 // write makes one write. Its error is that of ryeford.Table; the end of ctx leaves open
 // whether the write takes effect once it is in the queue.
 func (b *batcher) write(ctx context.Context, w ryeford.Write) (int64, error) {
-	p := &pending{write: w, done: make(chan outcome, 1)}
+	p := &pendingWrite{write: w, done: make(chan outcome, 1)}
 	select {
 	case b.queue <- p:
 	case <-ctx.Done():
@@ -83,20 +83,20 @@
 // collect waits for a write and takes those that come within batchWait of it. Of two
 // writes of one row the second fails at once, since the first decides its condition. It
 // returns nil once ctx ends.
-func (b *batcher) collect(ctx context.Context) []*pending {
-	var batch []*pending
+func (b *batcher) collect(ctx context.Context) []*pendingWrite {
+	var batch []*pendingWrite
 	select {
 	case p := <-b.queue:
 		batch = append(batch, p)
 	case <-ctx.Done():
 		return nil
 	}
-	timer := time.NewTimer(batchWait)
+	timer := time.NewTimer(batchWindow)
 	defer timer.Stop()
 	for len(batch) < batchSize {
 		select {
 		case p := <-b.queue:
-			if slices.ContainsFunc(batch, func(o *pending) bool { return o.write.Key == p.write.Key }) {
+			if slices.ContainsFunc(batch, func(o *pendingWrite) bool { return o.write.Key == p.write.Key }) {
 				p.done <- outcome{err: &ryeford.ConflictError{Keys: []string{p.write.Key}}}
 				continue
 			}
@@ -110,7 +110,7 @@
 
 // commit makes one transaction of a batch. Writes whose condition does not hold fail,
 // and the others are made again without them.
-func (b *batcher) commit(ctx context.Context, batch []*pending) {
+func (b *batcher) commit(ctx context.Context, batch []*pendingWrite) {
 	ctx, cancel := context.WithTimeout(ctx, batchTimeout)
 	defer cancel()
 	for len(batch) > 0 {
@@ -121,34 +121,34 @@
 		version, err := b.table.Transact(ctx, writes...)
 		conflict, ok := errors.AsType[*ryeford.ConflictError](err)
 		if !ok {
-			finish(batch, outcome{version: version, err: err})
+			deliverOutcome(batch, outcome{version: version, err: err})
 			return
 		}
-		lost, rest := split(batch, conflict.Keys)
-		finish(lost, outcome{err: conflict})
-		batch = rest
-		if len(lost) == 0 { // a conflict on no row of ours would come for ever
-			finish(rest, outcome{err: err})
+		conflicting, remaining := splitByKey(batch, conflict.Keys)
+		deliverOutcome(conflicting, outcome{err: conflict})
+		batch = remaining
+		if len(conflicting) == 0 { // a conflict on no row of ours would come for ever
+			deliverOutcome(remaining, outcome{err: err})
 			return
 		}
 	}
 }
 
-// finish gives the callers of writes their outcome.
-func finish(batch []*pending, o outcome) {
+// deliverOutcome gives the callers of writes their outcome.
+func deliverOutcome(batch []*pendingWrite, o outcome) {
 	for _, p := range batch {
 		p.done <- o
 	}
 }
 
-// split returns the writes whose keys are among keys, and the others.
-func split(batch []*pending, keys []string) (in, out []*pending) {
+// splitByKey returns the writes whose keys are among keys, and the others.
+func splitByKey(batch []*pendingWrite, keys []string) (matching, others []*pendingWrite) {
 	for _, p := range batch {
 		if slices.Contains(keys, p.write.Key) {
-			in = append(in, p)
+			matching = append(matching, p)
 		} else {
-			out = append(out, p)
+			others = append(others, p)
 		}
 	}
-	return in, out
+	return matching, others
 }
--- a/agentfleet/claim/claim.go
+++ b/agentfleet/claim/claim.go
@@ -44,9 +44,9 @@
 // An Attempt is what an agent admits at most once. One with a claim may be dispatched to
 // several agents, one after the other.
 type Attempt struct {
-	ID      ryeford.AttemptID `json:"attempt"`
-	Expires time.Time         `json:"expires"` // until when it may be admitted
-	Forget  time.Time         `json:"forget"`  // until when the agent that admitted it remembers it
+	ID          ryeford.AttemptID `json:"attempt"`
+	Expires     time.Time         `json:"expires"` // until when it may be admitted
+	RetainUntil time.Time         `json:"forget"`  // until when the agent that admitted it remembers it
 }
 
 // A Record says which attempt a key belongs to.
@@ -62,78 +62,78 @@
 type Claim struct {
 	Key    Key
 	Record Record
-	// Mine is true if the record is the one that was asked for.
-	Mine bool
+	// Acquired is true if the record is the one that was asked for.
+	Acquired bool
 
 	version int64
 }
 
-// Claims claims keys.
-type Claims struct {
+// Store claims keys.
+type Store struct {
 	table   ryeford.Table
 	batcher *batcher
 }
 
 // New returns Claims in a table.
-func New(table ryeford.Table) *Claims {
-	return &Claims{table: table, batcher: &batcher{table: table, queue: make(chan *pending, batchQueue)}}
+func New(table ryeford.Table) *Store {
+	return &Store{table: table, batcher: &batcher{table: table, queue: make(chan *pendingWrite, batchQueueSize)}}
 }
 
 // Run writes claims in batches until ctx ends.
-func (c *Claims) Run(ctx context.Context) error { return c.batcher.run(ctx) }
+func (s *Store) Run(ctx context.Context) error { return s.batcher.run(ctx) }
 
 // Claim claims a key for a record. If the key is claimed already, it returns the record
 // that holds it. After an error, an *Error, the key may be claimed for the record, which
 // must not be dispatched.
-func (c *Claims) Claim(ctx context.Context, key Key, record Record) (*Claim, error) {
-	return c.write(ctx, key, record, 0)
+func (s *Store) Claim(ctx context.Context, key Key, record Record) (*Claim, error) {
+	return s.write(ctx, key, record, 0)
 }
 
 // Replace claims a key anew, in place of a claim whose attempt did not run.
-func (c *Claims) Replace(ctx context.Context, old *Claim, record Record) (*Claim, error) {
-	return c.write(ctx, old.Key, record, old.version)
+func (s *Store) Replace(ctx context.Context, old *Claim, record Record) (*Claim, error) {
+	return s.write(ctx, old.Key, record, old.version)
 }
 
 // Release gives up a claim of ours whose attempt did not run. It only spares the
 // caller's next request with the key to find that out.
-func (c *Claims) Release(ctx context.Context, held *Claim) error {
-	_, err := c.batcher.write(ctx, ryeford.Write{Key: held.Key.String(), IfVersion: held.version, Delete: true})
+func (s *Store) Release(ctx context.Context, held *Claim) error {
+	_, err := s.batcher.write(ctx, ryeford.Write{Key: held.Key.String(), IfVersion: held.version, Delete: true})
 	return err
 }
 
 // write writes a record if the row still has a version, zero for no row. If the answer
 // is lost, or another write came first, it reads the row back.
-func (c *Claims) write(ctx context.Context, key Key, record Record, version int64) (*Claim, error) {
+func (s *Store) write(ctx context.Context, key Key, record Record, version int64) (*Claim, error) {
 	w, err := row.Write(key.String(), &record, version)
 	if err != nil {
 		return nil, &Error{Key: key, Err: err}
 	}
 	for range maxWrites {
-		written, err := c.batcher.write(ctx, w)
+		written, err := s.batcher.write(ctx, w)
 		if err == nil {
-			return &Claim{Key: key, Record: record, Mine: true, version: written}, nil
+			return &Claim{Key: key, Record: record, Acquired: true, version: written}, nil
 		}
 		if !ryeford.NeedsReadBack(err) {
 			return nil, &Error{Key: key, Err: err}
 		}
 		held := &Claim{Key: key}
-		held.version, err = row.Get(ctx, c.table, key.String(), &held.Record)
+		held.version, err = row.Get(ctx, s.table, key.String(), &held.Record)
 		if err != nil {
 			return nil, &Error{Key: key, Err: err}
 		}
-		if decided(held.version, version) {
-			held.Mine = held.Record.ID == record.ID
+		if ownerKnown(held.version, version) {
+			held.Acquired = held.Record.ID == record.ID
 			return held, nil
 		}
 	}
 	return nil, &Error{Key: key, Err: &ryeford.UnavailableError{Service: "claims", Err: context.DeadlineExceeded}}
 }
 
-// decided reports whether the row that was read after a write of ours, by its version,
+// ownerKnown reports whether the row that was read after a write of ours, by its version,
 // shows who holds the key: there is one, and not the one that the write was to replace, so
 // the write took effect or another came first. Otherwise the write may be made again.
-func decided(held, replaced int64) bool {
-	return held != 0 && held != replaced
+func ownerKnown(current, replaced int64) bool {
+	return current != 0 && current != replaced
 }
 
 // Digest returns the digest of a request's parts: the SHA-256 of each with its length
--- a/agentfleet/claim/claim_test.go
+++ b/agentfleet/claim/claim_test.go
@@ -20,27 +20,27 @@
 // may run.
 func TestClaimIsExclusive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fates := rapid.SliceOfN(rapid.SampledFrom([]memtable.Fate{
+		outcomes := rapid.SliceOfN(rapid.SampledFrom([]memtable.Fate{
 			memtable.Succeeds, memtable.Succeeds, memtable.Fails, memtable.Lost,
 		}), 1, 12).Draw(t, "fates")
 		calls := 0
 		table := memtable.New(func(_ bool) memtable.Fate {
 			calls++
-			return fates[calls%len(fates)]
+			return outcomes[calls%len(outcomes)]
 		})
 		routers := rapid.IntRange(2, 4).Draw(t, "routers")
-		mine := claimAtOnce(table, routers)
-		assert.Assert(t, mine <= 1, "%d routers hold the key", mine)
+		acquired := claimConcurrently(table, routers)
+		assert.Assert(t, acquired <= 1, "%d routers hold the key", acquired)
 	})
 }
 
-// claimAtOnce returns how many of the routers got the key.
-func claimAtOnce(table ryeford.Table, routers int) int {
+// claimConcurrently returns how many of the routers got the key.
+func claimConcurrently(table ryeford.Table, routers int) int {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	mine := 0
+	acquired := 0
 	for i := range routers {
 		claims := New(table)
 		go func() { _ = claims.Run(ctx) }()
@@ -49,13 +49,13 @@
 			held, err := claims.Claim(ctx, Key{Account: "bank", Key: "k"}, record)
 			mu.Lock()
 			defer mu.Unlock()
-			if err == nil && held.Mine {
-				mine++
+			if err == nil && held.Acquired {
+				acquired++
 			}
 		})
 	}
 	wait.Wait()
-	return mine
+	return acquired
 }
 
 // TestBatch checks that claims made together are one transaction, and that one
@@ -81,7 +81,7 @@
 			wait.Go(func() {
 				held, err := claims.Claim(ctx, Key{Account: "bank", Key: fmt.Sprint(i)}, Record{Attempt: Attempt{ID: "second"}})
 				assert.Check(t, err)
-				assert.Check(t, held.Mine == (i != 7))
+				assert.Check(t, held.Acquired == (i != 7))
 			})
 		}
 		wait.Wait()
@@ -91,11 +91,11 @@
 	})
 }
 
-// TestDecided checks when a row that was read back shows who holds a key.
-func TestDecided(t *testing.T) {
+// TestOwnerKnown checks when a row that was read back shows who holds a key.
+func TestOwnerKnown(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		held     int64
+		current  int64
 		replaced int64
 		want     bool
 	}{
@@ -105,7 +105,7 @@
 		{"another row in its place", 8, 7, true},
 		{"the row was removed", 0, 7, false},
 	} {
-		assert.Equal(t, decided(test.held, test.replaced), test.want, test.name)
+		assert.Equal(t, ownerKnown(test.current, test.replaced), test.want, test.name)
 	}
 }
 
--- a/agentfleet/router/agentlist.go
+++ b/agentfleet/router/agentlist.go
@@ -18,7 +18,7 @@
 // on it. The list only says which VMs there are: whether one can serve is seen from its
 // connection.
 type agentList struct {
-	*shared
+	*sharedState
 	dialer *transport.Dialer
 	gossip *agentGossip
 }
@@ -92,16 +92,16 @@
 	stableAfter = 10 * time.Second
 )
 
-// A redial is the backoff between connections to one agent: it doubles from minRedial
+// A redialBackoff is the backoff between connections to one agent: it doubles from minRedial
 // to maxRedial, and starts again after a connection that held for stableAfter.
-type redial struct {
+type redialBackoff struct {
 	wait time.Duration
 }
 
 // next returns how long to wait after a connection, or an attempt at one, that lasted
 // so long. The wait is still to be jittered.
-func (r *redial) next(lasted time.Duration) time.Duration {
-	if r.wait == 0 || lasted > stableAfter {
+func (r *redialBackoff) next(uptime time.Duration) time.Duration {
+	if r.wait == 0 || uptime > stableAfter {
 		r.wait = minRedial
 		return r.wait
 	}
@@ -111,7 +111,7 @@
 
 // keepConnected connects to an agent, again and again, until ctx ends.
 func (l *agentList) keepConnected(ctx context.Context, vm ryeford.VM) {
-	var backoff redial
+	var backoff redialBackoff
 	for ctx.Err() == nil {
 		began := time.Now()
 		err := l.connect(ctx, vm)
@@ -214,7 +214,7 @@
 		set.Rank(route.ChatHash(chat.Account, chat.Chat), route.MaxCandidates, &ranking)
 		for _, index := range ranking.Index[:ranking.Len] {
 			target := set.Target(int(index))
-			if a, ok := l.fleet.vm(target.VM); ok && target.VM != s.Leaving {
+			if a, ok := l.fleet.agentByVM(target.VM); ok && target.VM != s.Leaving {
 				answer.Placements[i] = wire.Placement{Engine: target.Engine, Address: a.vm.Address.String()}
 				break
 			}
@@ -226,7 +226,7 @@
 // An agentGossip exchanges datagrams with the agents: it sends them the revision of the
 // templates, the plan's version, and where a chat went, and takes their loads.
 type agentGossip struct {
-	*shared
+	*sharedState
 	control *transport.ControlLimiter
 }
 
@@ -243,14 +243,14 @@
 }
 
 func (g *agentGossip) send(n int) {
-	for _, a := range gossip.Sample(g.fleet.all(), n) {
+	for _, a := range gossip.Sample(g.fleet.list(), n) {
 		g.sendTo(a.conn, &wire.Gossip{})
 	}
 }
 
 // sendOverflow sends a chat's home the engine that served the chat.
 func (g *agentGossip) sendOverflow(home, engine ryeford.EngineID, chat wire.ChatKey) {
-	a, ok := g.fleet.engine(home)
+	a, ok := g.fleet.agentOfEngine(home)
 	if !ok {
 		return
 	}
--- a/agentfleet/router/attempt_test.go
+++ b/agentfleet/router/attempt_test.go
@@ -14,17 +14,17 @@
 	now := time.Unix(1_000_000, 0)
 	limits := &settings.RouterLimits{Dispatch: 2 * time.Second, ClaimTTL: 10 * time.Minute}
 	for _, test := range []struct {
-		name    string
-		claimed bool
-		forget  time.Duration
+		name      string
+		claimed   bool
+		retention time.Duration
 	}{
-		{"without a claim", false, forgetAfter},
+		{"without a claim", false, attemptRetention},
 		{"with a claim", true, 10 * time.Minute},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			a, b := newAttempt(now, limits, test.claimed), newAttempt(now, limits, test.claimed)
 			assert.Equal(t, a.Expires, now.Add(2*time.Second))
-			assert.Equal(t, a.Forget, now.Add(test.forget))
+			assert.Equal(t, a.RetainUntil, now.Add(test.retention))
 			assert.Assert(t, a.ID != b.ID)
 		})
 	}
--- a/agentfleet/router/callers_test.go
+++ b/agentfleet/router/callers_test.go
@@ -19,7 +19,7 @@
 func newTestRouter() *Router {
 	fleet := newFleet()
 	s := settings.DefaultRouter()
-	r := &Router{shared: shared{
+	r := &Router{sharedState: sharedState{
 		settings:  s,
 		limits:    &s.Limits,
 		book:      template.NewBook(),
@@ -38,8 +38,8 @@
 	return r
 }
 
-// ask sends a completion to a router's handler.
-func ask(r *Router, headers map[string]string, body string) *fasthttp.RequestCtx {
+// sendCompletion sends a completion to a router's handler.
+func sendCompletion(r *Router, headers map[string]string, body string) *fasthttp.RequestCtx {
 	ctx := &fasthttp.RequestCtx{}
 	ctx.Request.Header.SetMethod("POST")
 	ctx.Request.SetRequestURI(PathCompletions)
@@ -55,28 +55,28 @@
 // it did not run.
 func TestBadInput(t *testing.T) {
 	r := newTestRouter()
-	good := `{"model":"lira","messages":[{"role":"user","content":"hello"}]}`
+	validBody := `{"model":"lira","messages":[{"role":"user","content":"hello"}]}`
 	for _, test := range []struct {
 		name, header, value, body string
 		status                    int
 	}{
-		{"no key", "Authorization", "", good, 401},
-		{"wrong key", "Authorization", "Bearer other", good, 401},
+		{"no key", "Authorization", "", validBody, 401},
+		{"wrong key", "Authorization", "Bearer other", validBody, 401},
 		{"not JSON", "", "", `{"model"`, 400},
 		{"no messages", "", "", `{"model":"lira"}`, 400},
 		{"unknown model", "", "", `{"model":"x","messages":[{}]}`, 404},
 		{"bad tokens", "", "", `{"model":"lira","messages":[{}],"max_tokens":-1}`, 400},
-		{"bad deadline", HeaderDeadline, "5", good, 400},
-		{"bad priority", HeaderPriority, "10", good, 400},
-		{"bad chat", HeaderChat, "a/b", good, 400},
-		{"bad mark", HeaderRepeatable, "maybe", good, 400},
+		{"bad deadline", HeaderDeadline, "5", validBody, 400},
+		{"bad priority", HeaderPriority, "10", validBody, 400},
+		{"bad chat", HeaderChat, "a/b", validBody, 400},
+		{"bad mark", HeaderRepeatable, "maybe", validBody, 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			headers := map[string]string{"Authorization": "Bearer bank-key"}
 			if test.header != "" {
 				headers[test.header] = test.value
 			}
-			ctx := ask(r, headers, test.body)
+			ctx := sendCompletion(r, headers, test.body)
 			assert.Equal(t, ctx.Response.StatusCode(), test.status)
 			assert.Assert(t, string(ctx.Response.Header.ContentType()) == "application/json")
 			assert.Assert(t, containsNotRun(ctx), string(ctx.Response.Body()))
@@ -94,7 +94,7 @@
 	r := newTestRouter()
 	seen := make(map[string]bool)
 	for range 20 {
-		ctx := ask(r, map[string]string{"Authorization": "Bearer bank-key", HeaderDeadline: "30s"},
+		ctx := sendCompletion(r, map[string]string{"Authorization": "Bearer bank-key", HeaderDeadline: "30s"},
 			`{"model":"lira","messages":[{"role":"user","content":"hello"}]}`)
 		assert.Equal(t, ctx.Response.StatusCode(), 503)
 		assert.Assert(t, len(ctx.Response.Header.Peek("Retry-After")) > 0)
@@ -110,7 +110,7 @@
 	f.Add("Bearer ", "", "false", "", "", `{`)
 	r := newTestRouter()
 	f.Fuzz(func(t *testing.T, auth, chat, repeatable, deadline, priority, body string) {
-		ctx := ask(r, map[string]string{
+		ctx := sendCompletion(r, map[string]string{
 			"Authorization": auth, HeaderChat: chat, HeaderRepeatable: repeatable, HeaderDeadline: deadline, HeaderPriority: priority,
 		}, body)
 		status := ctx.Response.StatusCode()
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -38,17 +38,17 @@
 
 const (
 	claimDispatch  claimStep = iota // the claim is ours
-	claimWrongKey                   // the key belongs to a request of another content
+	claimKeyReused                  // the key belongs to a request of another content
 	claimJoinFirst                  // the same request has claimed the key before
 )
 
-// afterClaim returns what follows a claim for a request with a digest.
-func afterClaim(held *claim.Claim, digest string) claimStep {
+// claimStepFor returns what follows a claim for a request with a digest.
+func claimStepFor(held *claim.Claim, digest string) claimStep {
 	switch {
-	case held.Mine:
+	case held.Acquired:
 		return claimDispatch
 	case held.Record.Digest != digest:
-		return claimWrongKey
+		return claimKeyReused
 	}
 	return claimJoinFirst
 }
@@ -62,11 +62,11 @@
 	if err != nil {
 		return x.claimFailed(err)
 	}
-	switch afterClaim(held, x.request.digest) {
-	case claimWrongKey:
+	switch claimStepFor(held, x.request.digest) {
+	case claimKeyReused:
 		return &ryeford.InputError{Field: HeaderKey, Problem: "the key belongs to another request", Status: statusKeyReused}
 	case claimJoinFirst:
-		if found, err := x.joinFirst(ctx, &held.Record); found || err != nil {
+		if found, err := x.joinFirstRun(ctx, &held.Record); found || err != nil {
 			return err
 		}
 		held, err = x.forwarder.claims.Replace(ctx, held, x.newRecord())
@@ -74,7 +74,7 @@
 			return x.claimFailed(err)
 		}
 	}
-	if !held.Mine { // another request has replaced the claim
+	if !held.Acquired { // another request has replaced the claim
 		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Spread(x.forwarder.limits.Dispatch)}
 	}
 	return x.dispatchClaimed(ctx, held)
@@ -121,11 +121,11 @@
 	return &ryeford.NotRunError{Reason: ryeford.ReasonStoreUnavailable, RetryAfter: retry.Spread(storeRetryAfter)}
 }
 
-// joinFirst joins the run that another request claimed. It reports whether the run was
+// joinFirstRun joins the run that another request claimed. It reports whether the run was
 // found; if it was not and there is no error, the claimed attempt did not run and never
 // will. The exchange has the first one's attempt from here on, and the request its id,
 // under which agents send the answer.
-func (x *exchange) joinFirst(ctx context.Context, record *claim.Record) (bool, error) {
+func (x *exchange) joinFirstRun(ctx context.Context, record *claim.Record) (bool, error) {
 	x.attempt = record.Attempt
 	x.request.id = record.Request
 	if found, err := x.peekUntilExpired(ctx, record); found || err != nil {
@@ -136,7 +136,7 @@
 		found, err := x.joinAt(ctx, c, false)
 		switch {
 		case found:
-			return true, x.awaitFirst(ctx)
+			return true, x.awaitFirstChunk(ctx)
 		case err != nil:
 			unanswered++
 		}
@@ -154,7 +154,7 @@
 	for time.Now().Before(record.Expires) {
 		for _, c := range record.Candidates {
 			if found, _ := x.joinAt(ctx, c, true); found {
-				return true, x.awaitFirst(ctx)
+				return true, x.awaitFirstChunk(ctx)
 			}
 		}
 		if time.Now().After(x.request.deadline) {
--- a/agentfleet/router/claimed_test.go
+++ b/agentfleet/router/claimed_test.go
@@ -8,8 +8,8 @@
 	"github.com/ryeford/ryeford/agentfleet/claim"
 )
 
-// TestAfterClaim checks what follows the claim of a key.
-func TestAfterClaim(t *testing.T) {
+// TestClaimStep checks what follows the claim of a key.
+func TestClaimStep(t *testing.T) {
 	record := claim.Record{Digest: "d"}
 	for _, test := range []struct {
 		name   string
@@ -17,12 +17,12 @@
 		digest string
 		want   claimStep
 	}{
-		{"claimed for this request", claim.Claim{Record: record, Mine: true}, "d", claimDispatch},
+		{"claimed for this request", claim.Claim{Record: record, Acquired: true}, "d", claimDispatch},
 		{"claimed by the same request before", claim.Claim{Record: record}, "d", claimJoinFirst},
-		{"claimed by a request of another content", claim.Claim{Record: record}, "other", claimWrongKey},
+		{"claimed by a request of another content", claim.Claim{Record: record}, "other", claimKeyReused},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			assert.Equal(t, afterClaim(&test.held, test.digest), test.want)
+			assert.Equal(t, claimStepFor(&test.held, test.digest), test.want)
 		})
 	}
 }
--- a/agentfleet/router/connect_test.go
+++ b/agentfleet/router/connect_test.go
@@ -7,12 +7,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRedial checks the waits between connections to an agent.
-func TestRedial(t *testing.T) {
-	var backoff redial
+// TestRedialBackoff checks the waits between connections to an agent.
+func TestRedialBackoff(t *testing.T) {
+	var backoff redialBackoff
 	for _, test := range []struct {
 		name   string
-		lasted time.Duration
+		uptime time.Duration
 		want   time.Duration
 	}{
 		{"first loss", 0, 50 * time.Millisecond},
@@ -26,12 +26,12 @@
 		{"after a stable connection", stableAfter + 1, 50 * time.Millisecond},
 		{"lost at once", 0, 100 * time.Millisecond},
 	} {
-		assert.Equal(t, backoff.next(test.lasted), test.want, test.name)
+		assert.Equal(t, backoff.next(test.uptime), test.want, test.name)
 	}
 }
 
-// TestAgentsSuffice checks how many agents stand in for the table.
-func TestAgentsSuffice(t *testing.T) {
+// TestSyncQuorum checks how many agents stand in for the table.
+func TestSyncQuorum(t *testing.T) {
 	for _, test := range []struct {
 		name                string
 		answered, connected int
@@ -44,6 +44,6 @@
 		{"all of a small fleet", 2, 2, true},
 		{"not all of a small fleet", 1, 2, false},
 	} {
-		assert.Equal(t, agentsSuffice(test.answered, test.connected), test.want, test.name)
+		assert.Equal(t, hasSyncQuorum(test.answered, test.connected), test.want, test.name)
 	}
 }
--- a/agentfleet/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -19,9 +19,9 @@
 	queue []claim.Candidate // not dispatched to yet
 }
 
-// redirected returns the queue after a home pointed to an engine: that engine first, if
+// redirectQueue returns the queue after a home pointed to an engine: that engine first, if
 // it is connected and so is a candidate, target, the home next, then the others.
-func redirected(queue []claim.Candidate, home claim.Candidate, engine ryeford.EngineID, target claim.Candidate) []claim.Candidate {
+func redirectQueue(queue []claim.Candidate, home claim.Candidate, engine ryeford.EngineID, target claim.Candidate) []claim.Candidate {
 	others := slices.DeleteFunc(slices.Clone(queue), func(c claim.Candidate) bool { return c.Engine == engine })
 	next := append([]claim.Candidate{home}, others...)
 	if target.Engine == engine {
@@ -30,10 +30,10 @@
 	return next
 }
 
-// suspectedFor is how long a VM that left a dispatch unanswered is tried last:
+// suspectDuration is how long a VM that left a dispatch unanswered is tried last:
 // the time is a multiple of a dispatch's (2.25 s with its grace), so that a
 // frozen VM costs few requests that wait; freeze.txtar passes with it.
-const suspectedFor = 5 * time.Second
+const suspectDuration = 5 * time.Second
 
 // suspects are the VMs that left a dispatch unanswered a short while ago. Their
 // connections may still be up: that a process is frozen is noticed by a connection only
@@ -50,7 +50,7 @@
 func (s *suspects) add(now time.Time, vm ryeford.VMID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until[vm] = now.Add(suspectedFor)
+	s.until[vm] = now.Add(suspectDuration)
 }
 
 func (s *suspects) clear(vm ryeford.VMID) {
@@ -59,20 +59,20 @@
 	delete(s.until, vm)
 }
 
-// last returns the candidates with those of suspected VMs after the others, and keeps
+// deprioritize returns the candidates with those of suspected VMs after the others, and keeps
 // the order otherwise. They are not left out: all may be suspected.
-func (s *suspects) last(now time.Time, candidates []claim.Candidate) []claim.Candidate {
+func (s *suspects) deprioritize(now time.Time, candidates []claim.Candidate) []claim.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var trusted, suspected []claim.Candidate
+	var others, suspected []claim.Candidate
 	for _, c := range candidates {
 		if now.Before(s.until[c.VM]) {
 			suspected = append(suspected, c)
 		} else {
-			trusted = append(trusted, c)
+			others = append(others, c)
 		}
 	}
-	return append(trusted, suspected...)
+	return append(others, suspected...)
 }
 
 const (
@@ -90,7 +90,7 @@
 // dispatch sends the attempt to an engine's agent and waits until it is admitted or
 // refused. What was not sent did not run; if the reply is lost, resolveLost finds out.
 func (x *exchange) dispatch(ctx context.Context, c claim.Candidate) error {
-	a, ok := x.forwarder.fleet.vm(c.VM)
+	a, ok := x.forwarder.fleet.agentByVM(c.VM)
 	if !ok || a.inventory.Incarnation != c.Incarnation {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonUnreachable}
 	}
@@ -103,12 +103,12 @@
 	x.stream.conn = stream
 	stream.SetReadDeadline(x.attempt.Expires.Add(dispatchGrace))
 	if err := stream.Send(&wire.Message{Dispatch: x.dispatchMessage(c)}); err != nil {
-		return x.resolveLost(ctx, err)
+		return x.resolveOutcome(ctx, err)
 	}
 	m, err := stream.Receive()
 	if err != nil {
 		x.forwarder.suspects.add(time.Now(), c.VM)
-		return x.resolveLost(ctx, err)
+		return x.resolveOutcome(ctx, err)
 	}
 	x.forwarder.suspects.clear(c.VM)
 	return x.handleReply(m)
@@ -135,7 +135,7 @@
 		Share:       req.share,
 		Repeatable:  req.repeatable,
 		Expires:     x.attempt.Expires,
-		Forget:      x.attempt.Forget,
+		Forget:      x.attempt.RetainUntil,
 		PoolMean:    x.poolMean(),
 		Sent:        time.Now(),
 		MayRedirect: mayRedirect(req, c.Engine == x.candidates.home, x.history.dispatches),
@@ -153,7 +153,7 @@
 // request: only the chat's home remembers where the chat went, only the first dispatch
 // asks for it, and a claim names its candidates before it is dispatched.
 func mayRedirect(req *request, home bool, dispatches int) bool {
-	return home && dispatches == 1 && !req.claimed() && req.call == nil
+	return home && dispatches == 1 && !req.needsClaim() && req.call == nil
 }
 
 // mayWait reports whether the dispatch of that number may wait at a full engine for
@@ -181,7 +181,7 @@
 // one's id.
 func (x *exchange) beginAnswer(admitted *wire.Admitted) {
 	x.request.id = admitted.Request
-	x.stream.asm = answer.NewAssembler(x.attempt.ID, x.delivered.next)
+	x.stream.assembler = answer.NewAssembler(x.attempt.ID, x.delivered.next)
 }
 
 // handleRefusal takes a refusal, and returns it as an error.
@@ -192,12 +192,12 @@
 	switch refused.Reason {
 	case ryeford.ReasonOverload, ryeford.ReasonShare:
 		x.addProbe(refused.Load)
-		x.history.returnAfter(refused.RetryAfter)
+		x.history.addRetryAfter(refused.RetryAfter)
 	case ryeford.ReasonResting: // its load says nothing of the others'
-		x.history.returnAfter(refused.RetryAfter)
+		x.history.addRetryAfter(refused.RetryAfter)
 	case ryeford.ReasonRedirect:
 		target, _ := x.forwarder.fleet.candidate(refused.Engine)
-		x.candidates.queue = redirected(x.candidates.queue, x.stream.candidate, refused.Engine, target)
+		x.candidates.queue = redirectQueue(x.candidates.queue, x.stream.candidate, refused.Engine, target)
 	}
 	return &ryeford.NotRunError{Reason: refused.Reason, RetryAfter: refused.RetryAfter}
 }
--- a/agentfleet/router/dispatch_test.go
+++ b/agentfleet/router/dispatch_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestRedirected checks the order of candidates after a redirect.
-func TestRedirected(t *testing.T) {
+// TestRedirectQueue checks the order of candidates after a redirect.
+func TestRedirectQueue(t *testing.T) {
 	a, b, c := claim.Candidate{Engine: "a"}, claim.Candidate{Engine: "b"}, claim.Candidate{Engine: "c"}
 	for _, test := range []struct {
 		name   string
@@ -62,32 +62,32 @@
 		{"nothing else left", nil, claim.Candidate{}, []claim.Candidate{a}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			assert.DeepEqual(t, redirected(test.queue, a, "c", test.target), test.want)
+			assert.DeepEqual(t, redirectQueue(test.queue, a, "c", test.target), test.want)
 		})
 	}
 }
 
-// TestSuspectsAreAskedLast checks the order of candidates after a dispatch went
+// TestSuspectsDeprioritized checks the order of candidates after a dispatch went
 // unanswered.
-func TestSuspectsAreAskedLast(t *testing.T) {
+func TestSuspectsDeprioritized(t *testing.T) {
 	a, b, c := claim.Candidate{VM: "a"}, claim.Candidate{VM: "b"}, claim.Candidate{VM: "c"}
 	now := time.Unix(1_000_000, 0)
 	for _, test := range []struct {
 		name    string
 		prepare func(s *suspects)
-		after   time.Duration
+		elapsed time.Duration
 		want    []claim.Candidate
 	}{
 		{"none", func(*suspects) {}, 0, []claim.Candidate{a, b, c}},
 		{"one", func(s *suspects) { s.add(now, "a") }, 0, []claim.Candidate{b, c, a}},
 		{"two, in their order", func(s *suspects) { s.add(now, "b"); s.add(now, "a") }, 0, []claim.Candidate{c, a, b}},
-		{"until its time is over", func(s *suspects) { s.add(now, "a") }, suspectedFor, []claim.Candidate{a, b, c}},
+		{"until its time is over", func(s *suspects) { s.add(now, "a") }, suspectDuration, []claim.Candidate{a, b, c}},
 		{"until it answers", func(s *suspects) { s.add(now, "a"); s.clear("a") }, 0, []claim.Candidate{a, b, c}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := newSuspects()
 			test.prepare(s)
-			assert.DeepEqual(t, s.last(now.Add(test.after), []claim.Candidate{a, b, c}), test.want)
+			assert.DeepEqual(t, s.deprioritize(now.Add(test.elapsed), []claim.Candidate{a, b, c}), test.want)
 		})
 	}
 }
--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -26,7 +26,7 @@
 	probes     load.Probes // of the candidates so far
 	attempt    claim.Attempt
 	stream     agentStream
-	delivered  delivered
+	delivered  deliveryState
 	end        func() // gives up what the exchange holds; called once
 }
 
@@ -40,8 +40,8 @@
 	warm       bool          // the engine that admitted last had the chat's prefix cached
 }
 
-// returnAfter takes when a refusal says that a return makes sense.
-func (h *history) returnAfter(after time.Duration) {
+// addRetryAfter takes when a refusal says that a return makes sense.
+func (h *history) addRetryAfter(after time.Duration) {
 	if h.retryAfter == 0 || after < h.retryAfter {
 		h.retryAfter = after
 	}
@@ -64,7 +64,7 @@
 	if len(x.candidates.queue) == 0 {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(unavailableRetryAfter)}
 	}
-	if x.request.claimed() {
+	if x.request.needsClaim() {
 		return x.startClaimed(ctx)
 	}
 	return x.dispatchQueue(ctx)
@@ -96,7 +96,7 @@
 			last = &ryeford.NotRunError{Reason: ryeford.ReasonDeadline}
 			break
 		}
-		if !x.forwarder.budgets.pay(x.request.account, step) {
+		if !x.forwarder.budgets.spend(x.request.account, step) {
 			last = &ryeford.NotRunError{Reason: ryeford.ReasonRetryBudget}
 			break
 		}
@@ -107,7 +107,7 @@
 		}
 		x.logFailed(last)
 		x.history.mayHaveRun = x.history.mayHaveRun || mayHaveRun(last)
-		step = afterFailure(last, x.request.repeatable)
+		step = nextStepAfterFailure(last, x.request.repeatable)
 	}
 	return finalError(last, x.history.mayHaveRun, retry.Spread(x.history.retryAfter))
 }
@@ -115,7 +115,7 @@
 // startRound puts the first candidate into the queue again if anotherRound says so.
 func (x *exchange) startRound(last error) bool {
 	x.history.rounds++
-	if !anotherRound(last, x.history.rounds) {
+	if !allowsAnotherRound(last, x.history.rounds) {
 		return false
 	}
 	x.probes.MarkSaturated()
@@ -131,13 +131,13 @@
 	if x.history.dispatches == 1 || c.Engine == x.candidates.home {
 		x.candidates.first = c
 	}
-	if !x.request.claimed() {
+	if !x.request.needsClaim() {
 		x.attempt = newAttempt(time.Now(), x.forwarder.limits, false)
 	}
 	if err := x.dispatch(ctx, c); err != nil {
 		return err
 	}
-	return x.awaitFirst(ctx)
+	return x.awaitFirstChunk(ctx)
 }
 
 // poolMean returns the mean load that an engine is to admit against.
@@ -159,10 +159,10 @@
 		"reason", reasonOf(err), "mean", x.poolMean(), "left", len(x.candidates.queue), "err", err)
 }
 
-func (x *exchange) logRouted(took time.Duration) {
+func (x *exchange) logRouted(elapsed time.Duration) {
 	f, req, c := x.forwarder, x.request, x.stream.candidate
 	f.metrics.Count("ryeford_requests_total", "routed")
-	f.metrics.Observe("ryeford_first_chunk_seconds", took.Seconds())
+	f.metrics.Observe("ryeford_first_chunk_seconds", elapsed.Seconds())
 	warm := "cold"
 	if x.history.warm {
 		warm = "warm"
@@ -170,7 +170,7 @@
 	f.metrics.Count("ryeford_turns_total", warm)
 	f.decisions.Record(req.id, "decision", "route", "request", req.id, "attempt", x.attempt.ID, "account", req.account, "chat", req.chat,
 		"engine", c.Engine, "vm", c.VM, "failure_domain", f.fleet.domain(c.VM), "home", x.candidates.home,
-		"try", x.history.dispatches, "mean", x.poolMean(), "warm", x.history.warm, "first_chunk", took)
+		"try", x.history.dispatches, "mean", x.poolMean(), "warm", x.history.warm, "first_chunk", elapsed)
 }
 
 func (x *exchange) logGivenUp(err error) {
@@ -180,31 +180,31 @@
 		"tries", x.history.dispatches, "reason", reasonOf(err), "mean", x.poolMean(), "err", err)
 }
 
-// forgetAfter is how long an agent must remember an attempt without a claim, which is
+// attemptRetention is how long an agent must remember an attempt without a claim, which is
 // asked about for rejoinTime at most: above the dispatch time and
 // rejoinTime together.
-const forgetAfter = 30 * time.Second
+const attemptRetention = 30 * time.Second
 
 // newAttempt names a new attempt, which may be admitted for limits.dispatch from now. One
 // with a claim is remembered for limits.claim_ttl, so long as its caller may come again.
 func newAttempt(now time.Time, limits *settings.RouterLimits, claimed bool) claim.Attempt {
-	remember := forgetAfter
+	retention := attemptRetention
 	if claimed {
-		remember = limits.ClaimTTL
+		retention = limits.ClaimTTL
 	}
 	return claim.Attempt{
-		ID:      ryeford.AttemptID(uuid.NewString()),
-		Expires: now.Add(limits.Dispatch),
-		Forget:  now.Add(remember),
+		ID:          ryeford.AttemptID(uuid.NewString()),
+		Expires:     now.Add(limits.Dispatch),
+		RetainUntil: now.Add(retention),
 	}
 }
 
 // A forwarder serves callers' HTTP: it parses a request, and has an exchange find the
 // answer. It is what all exchanges share, and owns the suspects and the budgets.
 type forwarder struct {
-	*shared
+	*sharedState
 	gossip   *agentGossip
-	claims   *claim.Claims
+	claims   *claim.Store
 	suspects *suspects
 	budgets  budgets
 }
@@ -213,7 +213,7 @@
 	x := &exchange{forwarder: f, request: req}
 	if ranked := f.rank(req); len(ranked) > 0 {
 		x.candidates.home = ranked[0].Engine
-		x.candidates.queue = f.suspects.last(time.Now(), ranked)
+		x.candidates.queue = f.suspects.deprioritize(time.Now(), ranked)
 	}
 	return x
 }
@@ -227,7 +227,7 @@
 		history:   history{rejoins: maxRejoins},
 		attempt:   claim.Attempt{ID: last.attempt},
 		stream:    agentStream{candidate: last.candidate},
-		delivered: delivered{next: last.offset + 1},
+		delivered: deliveryState{next: last.offset + 1},
 	}
 }
 
--- a/agentfleet/router/failure_test.go
+++ b/agentfleet/router/failure_test.go
@@ -15,11 +15,11 @@
 func TestUnknownIsNeverNotRun(t *testing.T) {
 	refused := &ryeford.NotRunError{Reason: ryeford.ReasonOverload, RetryAfter: time.Second}
 	x := &exchange{request: &request{repeatable: true}, history: history{mayHaveRun: true}}
-	verdict := finalError(refused, x.history.mayHaveRun, time.Second)
-	body, status := newErrorBody("r", verdict)
+	final := finalError(refused, x.history.mayHaveRun, time.Second)
+	body, status := newErrorBody("r", final)
 	assert.Equal(t, body.Error.Ran, "unknown")
 	assert.Equal(t, status, 502)
-	assert.Equal(t, reasonOf(verdict), ryeford.ReasonOverload)
+	assert.Equal(t, reasonOf(final), ryeford.ReasonOverload)
 
 	// Not even if a refusal caused the unknown outcome.
 	body, _ = newErrorBody("r", &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: refused})
@@ -33,12 +33,12 @@
 // TestErrorBody checks what callers see of each failure.
 func TestErrorBody(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		err    error
-		status int
-		code   string
-		ran    string
-		after  int64 // ms
+		name         string
+		err          error
+		status       int
+		code         string
+		ran          string
+		retryAfterMS int64 // ms
 	}{
 		{"wrong input", &ryeford.InputError{Field: "body"}, 400, "invalid_request", "not_run", 0},
 		{"wrong key", &ryeford.InputError{Field: "Authorization", Status: 401}, 401, "invalid_request", "not_run", 0},
@@ -54,7 +54,7 @@
 			assert.Equal(t, status, test.status)
 			assert.Equal(t, body.Error.Code, test.code)
 			assert.Equal(t, body.Error.Ran, test.ran)
-			assert.Equal(t, body.Error.RetryAfterMS, test.after)
+			assert.Equal(t, body.Error.RetryAfterMS, test.retryAfterMS)
 		})
 	}
 }
--- a/agentfleet/router/fleet.go
+++ b/agentfleet/router/fleet.go
@@ -53,12 +53,12 @@
 
 // put keeps an agent, in place of what was known of it.
 func (f *fleet) put(a *agent) {
-	f.change(func(agents map[ryeford.VMID]*agent) { agents[a.vm.ID] = a })
+	f.update(func(agents map[ryeford.VMID]*agent) { agents[a.vm.ID] = a })
 }
 
 // remove drops an agent whose connection is lost, unless it has another one by now.
 func (f *fleet) remove(vm ryeford.VMID, conn *transport.Conn) {
-	f.change(func(agents map[ryeford.VMID]*agent) {
+	f.update(func(agents map[ryeford.VMID]*agent) {
 		if a, ok := agents[vm]; ok && a.conn == conn {
 			delete(agents, vm)
 		}
@@ -67,10 +67,10 @@
 
 // setVM takes what the platform's list says of a VM.
 func (f *fleet) setVM(vm ryeford.VM) {
-	if a, ok := f.vm(vm.ID); !ok || a.vm == vm {
+	if a, ok := f.agentByVM(vm.ID); !ok || a.vm == vm {
 		return
 	}
-	f.change(func(agents map[ryeford.VMID]*agent) {
+	f.update(func(agents map[ryeford.VMID]*agent) {
 		if a, ok := agents[vm.ID]; ok {
 			changed := *a
 			changed.vm = vm
@@ -79,12 +79,12 @@
 	})
 }
 
-// change replaces the view by one of changed agents.
-func (f *fleet) change(do func(agents map[ryeford.VMID]*agent)) {
+// update replaces the view by one of changed agents.
+func (f *fleet) update(apply func(agents map[ryeford.VMID]*agent)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	agents := maps.Clone(f.view.Load().agents)
-	do(agents)
+	apply(agents)
 	f.view.Store(newFleetView(agents))
 }
 
@@ -130,38 +130,38 @@
 // service returns the instances of a plain service, or nil.
 func (f *fleet) service(name string) *route.Set { return f.view.Load().services[name] }
 
-func (f *fleet) engine(id ryeford.EngineID) (*agent, bool) {
+func (f *fleet) agentOfEngine(id ryeford.EngineID) (*agent, bool) {
 	a, ok := f.view.Load().engines[id]
 	return a, ok
 }
 
 // candidate returns an engine as a candidate, if its agent is connected.
 func (f *fleet) candidate(id ryeford.EngineID) (claim.Candidate, bool) {
-	a, ok := f.engine(id)
+	a, ok := f.agentOfEngine(id)
 	if !ok {
 		return claim.Candidate{}, false
 	}
 	return claim.Candidate{Engine: id, VM: a.vm.ID, Incarnation: a.inventory.Incarnation}, true
 }
 
-func (f *fleet) vm(id ryeford.VMID) (*agent, bool) {
+func (f *fleet) agentByVM(id ryeford.VMID) (*agent, bool) {
 	a, ok := f.view.Load().agents[id]
 	return a, ok
 }
 
 // domain returns the failure domain of a connected agent, or nothing.
 func (f *fleet) domain(id ryeford.VMID) string {
-	if a, ok := f.vm(id); ok {
+	if a, ok := f.agentByVM(id); ok {
 		return a.inventory.FailureDomain
 	}
 	return ""
 }
 
-// all returns the connected agents in the order of their VMs.
-func (f *fleet) all() []*agent {
+// list returns the connected agents in the order of their VMs.
+func (f *fleet) list() []*agent {
 	byVM := func(a, b *agent) int { return cmp.Compare(a.vm.ID, b.vm.ID) }
 	return slices.SortedFunc(maps.Values(f.view.Load().agents), byVM)
 }
 
-// reachable returns how many agents are connected.
-func (f *fleet) reachable() int { return len(f.view.Load().agents) }
+// connectedCount returns how many agents are connected.
+func (f *fleet) connectedCount() int { return len(f.view.Load().agents) }
--- a/agentfleet/router/fleet_test.go
+++ b/agentfleet/router/fleet_test.go
@@ -34,17 +34,17 @@
 			f.setVM(vm)
 		}, false, true},
 		{"its engine rests", func(f *fleet, a *agent) {
-			resting, inventory := *a, *a.inventory
+			backingOff, inventory := *a, *a.inventory
 			inventory.Engines = slices.Clone(inventory.Engines)
 			inventory.Engines[0].Resting = true
-			resting.inventory = &inventory
-			f.put(&resting)
+			backingOff.inventory = &inventory
+			f.put(&backingOff)
 		}, false, true},
 		{"connection lost", func(f *fleet, a *agent) { f.remove(a.vm.ID, first) }, false, false},
 		{"an earlier connection lost", func(f *fleet, a *agent) {
-			again := *a
-			again.conn = second
-			f.put(&again)
+			reconnected := *a
+			reconnected.conn = second
+			f.put(&reconnected)
 			f.remove(a.vm.ID, first)
 		}, true, true},
 	} {
@@ -56,15 +56,15 @@
 			test.change(f, a)
 			set := f.pool(ryeford.Pool{Model: "lira"})
 			assert.Equal(t, set != nil && set.Len() == 1, test.candidates)
-			_, found := f.engine("endpoint-1.1")
+			_, found := f.agentOfEngine("endpoint-1.1")
 			assert.Equal(t, found, test.found)
 		})
 	}
 }
 
-// TestRestingService checks that a service all of whose instances rest has none to be sent to, and is still
+// TestServiceBackingOff checks that a service all of whose instances rest has none to be sent to, and is still
 // known: a caller is not told that there is no such service.
-func TestRestingService(t *testing.T) {
+func TestServiceBackingOff(t *testing.T) {
 	f := newFleet()
 	a := testAgent("endpoint-1", "lira")
 	inventory := *a.inventory
--- a/agentfleet/router/operators.go
+++ b/agentfleet/router/operators.go
@@ -36,7 +36,7 @@
 // An operatorHandler serves operators' HTTP: templates, planned stops, and what this
 // router knows.
 type operatorHandler struct {
-	*shared
+	*sharedState
 }
 
 func (h *operatorHandler) serve(ctx *fasthttp.RequestCtx) {
@@ -46,7 +46,7 @@
 	}
 	work, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
-	answer, err := h.operate(work, ctx)
+	answer, err := h.handle(work, ctx)
 	if err == nil {
 		err = writeJSON(ctx, fasthttp.StatusOK, answer)
 	}
@@ -63,7 +63,7 @@
 	return subtle.ConstantTimeCompare(got[:], want[:]) == 1
 }
 
-func (h *operatorHandler) operate(work context.Context, ctx *fasthttp.RequestCtx) (any, error) {
+func (h *operatorHandler) handle(work context.Context, ctx *fasthttp.RequestCtx) (any, error) {
 	path := string(ctx.Path())
 	name, isTemplate := strings.CutPrefix(path, PathTemplates+"/")
 	history, isHistory := strings.CutPrefix(path, PathHistory)
@@ -75,9 +75,9 @@
 	case path == PathTemplates:
 		return h.templates.All(work)
 	case isTemplate:
-		return byName(work, name, h.templates.Get)
+		return readByName(work, name, h.templates.Get)
 	case isHistory:
-		return byName(work, history, h.templates.History)
+		return readByName(work, history, h.templates.History)
 	case isVM && ctx.IsPost() && strings.HasSuffix(vm, stopSuffix):
 		return h.stopVM(work, ryeford.VMID(strings.TrimSuffix(vm, stopSuffix)))
 	case path == PathStatus:
@@ -123,8 +123,8 @@
 	return published, nil
 }
 
-// byName returns what read finds of the template that is named ACCOUNT/NAME.
-func byName[T any](ctx context.Context, s string, read func(context.Context, template.Name) (T, error)) (any, error) {
+// readByName returns what read finds of the template that is named ACCOUNT/NAME.
+func readByName[T any](ctx context.Context, s string, read func(context.Context, template.Name) (T, error)) (any, error) {
 	name, err := template.ParseName(s)
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 		return nil, err
 	}
 	h.fleet.setVM(vm)
-	if a, ok := h.fleet.vm(id); ok {
+	if a, ok := h.fleet.agentByVM(id); ok {
 		_, err = a.conn.Ask(ctx, &wire.Message{Leave: &wire.Leave{}})
 	}
 	h.decisions.Record("", "decision", "stop_vm", "vm", id, "role", vm.Role, "failure_domain", vm.FailureDomain, "err", err)
@@ -202,7 +202,7 @@
 		InFlight: h.readiness.inFlight.Load(),
 		Skew:     h.loads.skew(time.Now()),
 	}
-	agents := h.fleet.all()
+	agents := h.fleet.list()
 	replies := h.queryAgents(ctx, agents, &wire.Message{Pull: &wire.Pull{Revision: s.Revision}})
 	s.Agents = make([]AgentStatus, len(agents))
 	for i, a := range agents {
@@ -217,7 +217,7 @@
 func (h *operatorHandler) explain(ctx context.Context, request ryeford.RequestID) *Explanation {
 	e := &Explanation{Request: request, Decisions: h.decisions.Lines(request)}
 	query := &wire.Message{Explain: &wire.Explain{Request: request}}
-	for _, m := range h.queryAgents(ctx, h.fleet.all(), query) {
+	for _, m := range h.queryAgents(ctx, h.fleet.list(), query) {
 		if m != nil && m.Decisions != nil {
 			e.Decisions = append(e.Decisions, m.Decisions.Lines...)
 		}
--- a/agentfleet/router/parse.go
+++ b/agentfleet/router/parse.go
@@ -56,10 +56,10 @@
 	return nil
 }
 
-func parseDeadline(ctx *fasthttp.RequestCtx, byDefault time.Duration) (time.Duration, error) {
+func parseDeadline(ctx *fasthttp.RequestCtx, defaultDeadline time.Duration) (time.Duration, error) {
 	text := string(ctx.Request.Header.Peek(HeaderDeadline))
 	if text == "" {
-		return byDefault, nil
+		return defaultDeadline, nil
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d <= 0 || d > maxDeadline {
@@ -207,13 +207,13 @@
 	service string // that call goes to
 }
 
-// claimed reports whether the request needs a claim on its key: it may not run twice,
+// needsClaim reports whether the request needs a claim on its key: it may not run twice,
 // and its caller may send it again.
-func (req *request) claimed() bool { return !req.repeatable && req.key != "" }
+func (req *request) needsClaim() bool { return !req.repeatable && req.key != "" }
 
-// within returns the time after limit from now, or the request's deadline if that is
+// deadlineWithin returns the time after limit from now, or the request's deadline if that is
 // earlier.
-func (req *request) within(limit time.Duration) time.Time {
+func (req *request) deadlineWithin(limit time.Duration) time.Time {
 	at := time.Now().Add(limit)
 	if req.deadline.Before(at) {
 		return req.deadline
--- a/agentfleet/router/placeable_test.go
+++ b/agentfleet/router/placeable_test.go
@@ -13,38 +13,38 @@
 
 // TestRecentEngines checks for how long an engine counts after its agent was lost.
 func TestRecentEngines(t *testing.T) {
-	const patience = 30 * time.Second
+	const lostTimeout = 30 * time.Second
 	engine := placement.Engine{ID: "e", VM: "endpoint-1"}
 	for _, test := range []struct {
 		name      string
-		after     time.Duration
+		elapsed   time.Duration
 		connected bool
 		leaving   bool
 		want      int
 	}{
 		{"connected", 0, true, false, 1},
-		{"lost", patience, false, false, 1},
-		{"lost for too long", patience + 1, false, false, 0},
-		{"back after long", 2 * patience, true, false, 1},
+		{"lost", lostTimeout, false, false, 1},
+		{"lost for too long", lostTimeout + 1, false, false, 0},
+		{"back after long", 2 * lostTimeout, true, false, 1},
 		{"leaving", 0, false, true, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Unix(1_000_000, 0)
 			recent := make(recentEngines)
-			recent.update(now, []placement.Engine{engine}, nil, patience)
+			recent.update(now, []placement.Engine{engine}, nil, lostTimeout)
 			var connected []placement.Engine
 			if test.connected {
 				connected = append(connected, engine)
 			}
-			engines := recent.update(now.Add(test.after), connected, map[ryeford.VMID]bool{"endpoint-1": test.leaving}, patience)
+			engines := recent.update(now.Add(test.elapsed), connected, map[ryeford.VMID]bool{"endpoint-1": test.leaving}, lostTimeout)
 			assert.Equal(t, len(engines), test.want)
 			assert.Equal(t, len(recent), test.want)
 		})
 	}
 }
 
-// TestPlaceable checks which engines a plan is made for, and what they count as serving.
-func TestPlaceable(t *testing.T) {
+// TestPlaceableEngines checks which engines a plan is made for, and what they count as serving.
+func TestPlaceableEngines(t *testing.T) {
 	lira, psalm := []ryeford.Pool{{Model: "lira"}}, []ryeford.Pool{{Model: "psalm"}}
 	plan := &ryeford.Plan{Assignments: []ryeford.Assignment{{Engine: "endpoint-1.1", Pools: psalm}}}
 	for _, test := range []struct {
@@ -64,7 +64,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			a := testAgent("endpoint-1", "lira")
 			test.change(a)
-			engines, leaving := placeable([]*agent{a}, test.plan)
+			engines, leaving := placeableEngines([]*agent{a}, test.plan)
 			assert.Equal(t, leaving["endpoint-1"], test.leaving)
 			assert.Equal(t, len(engines) > 0, test.want != nil)
 			if test.want != nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestWorthPublishing checks when a plan supersedes the current one.
-func TestWorthPublishing(t *testing.T) {
+// TestShouldPublish checks when a plan supersedes the current one.
+func TestShouldPublish(t *testing.T) {
 	lira := []ryeford.Assignment{{Engine: "e", Pools: []ryeford.Pool{{Model: "lira"}}}}
 	later := []ryeford.Assignment{{Engine: "e", Pools: []ryeford.Pool{{Model: "lira"}}, Start: time.Unix(1, 0)}}
 	psalm := []ryeford.Assignment{{Engine: "e", Pools: []ryeford.Pool{{Model: "psalm"}}}}
@@ -94,7 +94,7 @@
 		{"one more engine", &ryeford.Plan{Assignments: lira}, append(lira[:1:1], psalm...), true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			assert.Equal(t, worthPublishing(test.current, test.next), test.want)
+			assert.Equal(t, shouldPublish(test.current, test.next), test.want)
 		})
 	}
 }
--- a/agentfleet/router/planner.go
+++ b/agentfleet/router/planner.go
@@ -21,9 +21,9 @@
 // A planner keeps the current plan. On the router that holds the lease, it also makes
 // it.
 type planner struct {
-	*shared
-	lease  *lease.Lease
-	recent recentEngines // used by run only
+	*sharedState
+	lease   *lease.Lease
+	engines recentEngines // used by run only
 }
 
 // run plans, or follows another router's plan, until ctx ends.
@@ -35,16 +35,16 @@
 		if !clock.Sleep(ctx, jitter(p.settings.Planner.Interval)) {
 			return nil
 		}
-		if err := p.round(ctx); err != nil && ctx.Err() == nil {
+		if err := p.planOnce(ctx); err != nil && ctx.Err() == nil {
 			_ = p.log.Log("msg", "no planning", "err", err)
 		}
 	}
 }
 
-// round acquires or renews the lease if it can, reads the current plan, and plans if the
+// planOnce acquires or renews the lease if it can, reads the current plan, and plans if the
 // lease is held. A router that is leaving, or has not read the templates yet, makes no
 // plan.
-func (p *planner) round(ctx context.Context) error {
+func (p *planner) planOnce(ctx context.Context) error {
 	held, err := p.acquire(ctx)
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	if err := p.follow(ctx, pointer); err != nil {
+	if err := p.fetchPlan(ctx, pointer); err != nil {
 		return err
 	}
 	if held == nil || !p.readiness.synced.Load() || p.readiness.leaving.Load() {
@@ -79,11 +79,11 @@
 	s := &p.settings.Planner
 	now := time.Now()
 	_, templates := p.book.Since(0)
-	connected, leaving := placeable(p.fleet.all(), p.plan.Get())
+	connected, leaving := placeableEngines(p.fleet.list(), p.plan.Get())
 	return &placement.Input{
 		Now:           now,
 		Templates:     templates,
-		Engines:       p.recent.update(now, connected, leaving, s.Patience),
+		Engines:       p.engines.update(now, connected, leaving, s.Patience),
 		LoadTime:      s.LoadTime,
 		ParallelLoads: s.ParallelLoads,
 		Ahead:         s.Ahead,
@@ -103,8 +103,8 @@
 	Object   string `json:"object"`
 }
 
-// follow reads the plan that a row names, if it is newer than the one known here.
-func (p *planner) follow(ctx context.Context, pointer planPointer) error {
+// fetchPlan reads the plan that a row names, if it is newer than the one known here.
+func (p *planner) fetchPlan(ctx context.Context, pointer planPointer) error {
 	if !p.plan.OlderThan(pointer.Epoch, pointer.Sequence) {
 		return nil
 	}
@@ -123,7 +123,7 @@
 // publish makes a plan, and makes it current if it says something new.
 func (p *planner) publish(ctx context.Context, held *lease.Held, pointer planPointer, version int64) error {
 	out := placement.Plan(p.input())
-	if !worthPublishing(p.plan.Get(), out.Assignments) {
+	if !shouldPublish(p.plan.Get(), out.Assignments) {
 		return nil
 	}
 	plan := &ryeford.Plan{Epoch: held.Epoch, Sequence: pointer.Sequence + 1, Assignments: out.Assignments}
@@ -161,10 +161,10 @@
 	return err
 }
 
-// worthPublishing reports whether assignments differ from the current plan's in what an
+// shouldPublish reports whether assignments differ from the current plan's in what an
 // engine serves. Other start times alone make no new plan, and a plan without any
 // assignment is no plan: no template or no engine is known.
-func worthPublishing(current *ryeford.Plan, next []ryeford.Assignment) bool {
+func shouldPublish(current *ryeford.Plan, next []ryeford.Assignment) bool {
 	if len(next) == 0 || current == nil {
 		return len(next) > 0
 	}
@@ -185,19 +185,19 @@
 
 // A recentEngine is an engine as it was when its agent was connected last.
 type recentEngine struct {
-	engine placement.Engine
-	at     time.Time
+	engine        placement.Engine
+	lastConnected time.Time
 }
 
 // update takes the engines that are connected now and drops those that count no more.
 // It returns those that count, ordered by id.
-func (r recentEngines) update(now time.Time, connected []placement.Engine, leaving map[ryeford.VMID]bool, patience time.Duration) []placement.Engine {
+func (r recentEngines) update(now time.Time, connected []placement.Engine, leaving map[ryeford.VMID]bool, lostTimeout time.Duration) []placement.Engine {
 	for _, e := range connected {
-		r[e.ID] = recentEngine{engine: e, at: now}
+		r[e.ID] = recentEngine{engine: e, lastConnected: now}
 	}
 	var engines []placement.Engine
 	for id, e := range r {
-		if leaving[e.engine.VM] || now.Sub(e.at) > patience {
+		if leaving[e.engine.VM] || now.Sub(e.lastConnected) > lostTimeout {
 			delete(r, id)
 			continue
 		}
@@ -207,10 +207,10 @@
 	return engines
 }
 
-// placeable returns the model engines of connected agents, with what they serve or are
+// placeableEngines returns the model engines of connected agents, with what they serve or are
 // to serve by the plan, and the VMs that are leaving. Instances of plain services are
 // not placed.
-func placeable(agents []*agent, plan *ryeford.Plan) (engines []placement.Engine, leaving map[ryeford.VMID]bool) {
+func placeableEngines(agents []*agent, plan *ryeford.Plan) (engines []placement.Engine, leaving map[ryeford.VMID]bool) {
 	planned := make(map[ryeford.EngineID][]ryeford.Pool)
 	if plan != nil {
 		for _, a := range plan.Assignments {
--- a/agentfleet/router/planner_test.go
+++ b/agentfleet/router/planner_test.go
@@ -24,11 +24,11 @@
 	}
 }
 
-// TestFlappingMovesNothing loses an agent for less than the patience, twice, and
+// TestFlappingAgentKeepsPlacement loses an agent for less than the patience, twice, and
 // then for longer.
-func TestFlappingMovesNothing(t *testing.T) {
+func TestFlappingAgentKeepsPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &planner{recent: make(recentEngines), shared: &shared{
+		p := &planner{engines: make(recentEngines), sharedState: &sharedState{
 			settings: settings.DefaultRouter(),
 			book:     newTestRouter().book,
 			fleet:    newFleet(),
--- a/agentfleet/router/readiness.go
+++ b/agentfleet/router/readiness.go
@@ -9,9 +9,9 @@
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
-// drainCheck is the time between two looks at whether all requests have ended: short
+// drainPollInterval is the time between two looks at whether all requests have ended: short
 // against the stop of a process.
-const drainCheck = 20 * time.Millisecond
+const drainPollInterval = 20 * time.Millisecond
 
 // A readiness is what decides whether callers are to come here, and may go.
 type readiness struct {
@@ -23,7 +23,7 @@
 
 // ready reports whether the load balancer is to send callers here.
 func (r *readiness) ready() bool {
-	return ready(r.synced.Load(), r.leaving.Load(), r.fleet.reachable())
+	return ready(r.synced.Load(), r.leaving.Load(), r.fleet.connectedCount())
 }
 
 // ready is the rule of readiness: the router has read the templates that are in force,
@@ -54,7 +54,7 @@
 	work, cancel := context.WithTimeout(work, r.limits.Drain)
 	defer cancel()
 	for r.readiness.inFlight.Load() > 0 {
-		if !clock.Sleep(work, drainCheck) {
+		if !clock.Sleep(work, drainPollInterval) {
 			return
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 // readTemplates reads the templates that the book lacks from the table.
-func (s *shared) readTemplates(ctx context.Context) error {
+func (s *sharedState) readTemplates(ctx context.Context) error {
 	from := s.book.Revision()
 	revision, templates, err := s.templates.Since(ctx, from)
 	if err == nil {
@@ -114,7 +114,7 @@
 // syncFromAgents brings a fresh router up while the table can't be read: it takes the
 // highest revision of several agents.
 func (r *Router) syncFromAgents(ctx context.Context) {
-	agents := r.fleet.all()
+	agents := r.fleet.list()
 	answered := 0
 	for _, a := range gossip.Sample(agents, len(agents)) {
 		if answered == syncQuorum {
@@ -124,14 +124,14 @@
 			answered++
 		}
 	}
-	if agentsSuffice(answered, len(agents)) {
+	if hasSyncQuorum(answered, len(agents)) {
 		r.setSynced("agents")
 	}
 }
 
-// agentsSuffice reports whether the templates of so many agents, of those connected, may
+// hasSyncQuorum reports whether the templates of so many agents, of those connected, may
 // be taken for all that were accepted: of syncQuorum, or of all if there are fewer.
-func agentsSuffice(answered, connected int) bool {
+func hasSyncQuorum(answered, connected int) bool {
 	return answered > 0 && answered >= min(syncQuorum, connected)
 }
 
--- a/agentfleet/router/receive.go
+++ b/agentfleet/router/receive.go
@@ -12,18 +12,18 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// A delivered is what the caller has received of an answer.
-type delivered struct {
+// A deliveryState is what the caller has received of an answer.
+type deliveryState struct {
 	next int64  // offset of the next chunk
 	text []byte // of a repeatable completion, to go on from
 }
 
-// awaitFirst waits for the answer's first chunk. Up to it, a failure can still lead to
+// awaitFirstChunk waits for the answer's first chunk. Up to it, a failure can still lead to
 // another engine. An engine's own error, which names no reason, is an answer: it is
 // passed on.
-func (x *exchange) awaitFirst(ctx context.Context) error {
+func (x *exchange) awaitFirstChunk(ctx context.Context) error {
 	if err := x.receive(ctx, x.forwarder.limits.FirstToken); err != nil {
-		return x.resolveLost(ctx, err)
+		return x.resolveOutcome(ctx, err)
 	}
 	first := &x.stream.ready[0]
 	switch {
@@ -39,7 +39,7 @@
 // deadline. At the end of ctx it closes the stream.
 func (x *exchange) receive(ctx context.Context, limit time.Duration) error {
 	s := &x.stream
-	s.conn.SetReadDeadline(x.request.within(limit))
+	s.conn.SetReadDeadline(x.request.deadlineWithin(limit))
 	stop := context.AfterFunc(ctx, s.conn.Close)
 	defer stop()
 	for len(s.ready) == 0 {
@@ -51,7 +51,7 @@
 			x.forwarder.metrics.Count("ryeford_frames_dropped_total", "foreign")
 			continue
 		}
-		s.ready = s.asm.Add(m.Frame.Chunk())
+		s.ready = s.assembler.Add(m.Frame.Chunk())
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 type agentStream struct {
 	candidate claim.Candidate
 	conn      *transport.Stream // nil unless one is open
-	asm       *answer.Assembler // set by the agent's admission
+	assembler *answer.Assembler // set by the agent's admission
 	ready     []ryeford.Chunk   // received and not yet passed on
 }
 
--- a/agentfleet/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -37,23 +37,23 @@
 type recovery int
 
 const (
-	recoverNot       recovery = iota // the outcome stays unknown
-	recoverTooLate                   // the same, since no time is left
-	recoverRejoin                    // read on at the same agent
-	recoverElsewhere                 // go on at another engine, for one of the retry budget
+	recoverNone        recovery = iota // the outcome stays unknown
+	recoverExpired                     // the same, since no time is left
+	recoverRejoin                      // read on at the same agent
+	recoverOtherEngine                 // go on at another engine, for one of the retry budget
 )
 
-// afterLostStream returns what follows a lost stream.
-func afterLostStream(l lostStream) recovery {
+// recoveryFor returns what follows a lost stream.
+func recoveryFor(l lostStream) recovery {
 	switch {
 	case l.expired:
-		return recoverTooLate
+		return recoverExpired
 	case !l.reported && !l.repeatable && l.rejoins < maxRejoins:
 		return recoverRejoin
 	case !l.repeatable || l.call:
-		return recoverNot
+		return recoverNone
 	}
-	return recoverElsewhere
+	return recoverOtherEngine
 }
 
 // recover goes on with an answer whose stream was lost, as afterLostStream says.
@@ -65,13 +65,13 @@
 		call:       x.request.call != nil,
 		rejoins:    x.history.rejoins,
 	}
-	switch afterLostStream(lost) {
-	case recoverTooLate:
+	switch recoveryFor(lost) {
+	case recoverExpired:
 		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonDeadline, Err: cause}
 	case recoverRejoin:
 		return x.rejoin(ctx, cause)
-	case recoverElsewhere:
-		return x.continueElsewhere(ctx, cause)
+	case recoverOtherEngine:
+		return x.continueOnOtherEngine(ctx, cause)
 	}
 	return &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: cause}
 }
@@ -79,21 +79,21 @@
 // rejoin reads on at the agent that keeps the answer. A refusal there proves nothing,
 // since a part of the answer was sent.
 func (x *exchange) rejoin(ctx context.Context, cause error) error {
-	err := x.resolveLost(ctx, cause)
+	err := x.resolveOutcome(ctx, cause)
 	if notRun, ok := errors.AsType[*ryeford.NotRunError](err); ok {
 		return &ryeford.MayHaveRunError{Reason: notRun.Reason, Err: cause}
 	}
 	return err
 }
 
-// continueElsewhere goes on at another engine than the lost one.
-func (x *exchange) continueElsewhere(ctx context.Context, cause error) error {
+// continueOnOtherEngine goes on at another engine than the lost one.
+func (x *exchange) continueOnOtherEngine(ctx context.Context, cause error) error {
 	x.forwarder.metrics.Count("ryeford_continued_total", "")
 	x.history.mayHaveRun = true
-	ranked := x.forwarder.suspects.last(time.Now(), x.forwarder.rank(x.request))
+	ranked := x.forwarder.suspects.deprioritize(time.Now(), x.forwarder.rank(x.request))
 	lost := x.stream.candidate.Engine
 	x.candidates.queue = slices.DeleteFunc(ranked, func(c claim.Candidate) bool { return c.Engine == lost })
-	if !x.forwarder.budgets.pay(x.request.account, stepRetry) {
+	if !x.forwarder.budgets.spend(x.request.account, stepRetry) {
 		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonRetryBudget, RetryAfter: retry.Spread(x.history.retryAfter), Err: cause}
 	}
 	if len(x.candidates.queue) == 0 {
@@ -103,33 +103,33 @@
 }
 
 const (
-	// rejoinTime is how long an agent is asked about an attempt whose stream was lost.
-	rejoinTime = 5 * time.Second
+	// rejoinTimeout is how long an agent is asked about an attempt whose stream was lost.
+	rejoinTimeout = 5 * time.Second
 
 	// rejoinInterval is the time between two such joins: short against a
 	// caller's wait, long against a connection's round trip.
 	rejoinInterval = 25 * time.Millisecond
 )
 
-// resolveLost finds out what became of an attempt whose stream was lost, by asking its
+// resolveOutcome finds out what became of an attempt whose stream was lost, by asking its
 // agent until it answers. If the agent has been restarted, what it knew is lost, and the
 // outcome is unknown. A repeatable request is not worth the wait: its outcome counts as
 // unknown at once, and it goes to another engine.
-func (x *exchange) resolveLost(ctx context.Context, cause error) error {
+func (x *exchange) resolveOutcome(ctx context.Context, cause error) error {
 	unknown := &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: cause}
 	if x.request.repeatable || ctx.Err() != nil {
 		return unknown
 	}
 	x.stream.close()
 	x.history.rejoins++
-	limit := x.request.within(rejoinTime)
+	limit := x.request.deadlineWithin(rejoinTimeout)
 	for time.Now().Before(limit) {
 		reply, err := x.join(ctx, x.stream.candidate, false, limit)
 		if err == nil {
 			return x.handleReply(reply)
 		}
 		// The agent can't be asked yet; the first failure, cause, says more than this one.
-		if a, ok := x.forwarder.fleet.vm(x.stream.candidate.VM); ok && a.inventory.Incarnation != x.stream.candidate.Incarnation {
+		if a, ok := x.forwarder.fleet.agentByVM(x.stream.candidate.VM); ok && a.inventory.Incarnation != x.stream.candidate.Incarnation {
 			unknown.Reason = ryeford.ReasonIncarnation
 			return unknown
 		}
@@ -144,7 +144,7 @@
 // on, and leaves the stream open after a reply. Unless peek is set, an agent that has not
 // admitted the attempt never will after it was asked.
 func (x *exchange) join(ctx context.Context, c claim.Candidate, peek bool, limit time.Time) (*wire.Message, error) {
-	a, ok := x.forwarder.fleet.vm(c.VM)
+	a, ok := x.forwarder.fleet.agentByVM(c.VM)
 	if !ok {
 		return nil, &ryeford.NotFoundError{Kind: "VM", Name: string(c.VM)}
 	}
@@ -161,7 +161,7 @@
 		Incarnation: c.Incarnation,
 		Offset:      x.delivered.next,
 		Expires:     x.attempt.Expires,
-		Forget:      x.attempt.Forget,
+		Forget:      x.attempt.RetainUntil,
 		Peek:        peek,
 	}
 	var reply *wire.Message
--- a/agentfleet/router/recover_test.go
+++ b/agentfleet/router/recover_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAfterLostStream checks what follows an answer that broke off.
-func TestAfterLostStream(t *testing.T) {
+// TestRecovery checks what follows an answer that broke off.
+func TestRecovery(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		lost lostStream
@@ -15,17 +15,17 @@
 	}{
 		{"connection lost, must not run twice", lostStream{}, recoverRejoin},
 		{"the same, for the third time", lostStream{rejoins: maxRejoins - 1}, recoverRejoin},
-		{"the same, once too often", lostStream{rejoins: maxRejoins}, recoverNot},
-		{"engine lost, must not run twice", lostStream{reported: true}, recoverNot},
-		{"connection lost, repeatable", lostStream{repeatable: true}, recoverElsewhere},
-		{"engine lost, repeatable", lostStream{repeatable: true, reported: true}, recoverElsewhere},
-		{"repeatable call, without text to go on from", lostStream{repeatable: true, call: true}, recoverNot},
+		{"the same, once too often", lostStream{rejoins: maxRejoins}, recoverNone},
+		{"engine lost, must not run twice", lostStream{reported: true}, recoverNone},
+		{"connection lost, repeatable", lostStream{repeatable: true}, recoverOtherEngine},
+		{"engine lost, repeatable", lostStream{repeatable: true, reported: true}, recoverOtherEngine},
+		{"repeatable call, without text to go on from", lostStream{repeatable: true, call: true}, recoverNone},
 		{"call that must not run twice", lostStream{call: true}, recoverRejoin},
-		{"no time left", lostStream{expired: true}, recoverTooLate},
-		{"no time left, repeatable", lostStream{expired: true, repeatable: true}, recoverTooLate},
+		{"no time left", lostStream{expired: true}, recoverExpired},
+		{"no time left, repeatable", lostStream{expired: true, repeatable: true}, recoverExpired},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			assert.Equal(t, afterLostStream(test.lost), test.want)
+			assert.Equal(t, recoveryFor(test.lost), test.want)
 		})
 	}
 }
--- a/agentfleet/router/retry.go
+++ b/agentfleet/router/retry.go
@@ -47,9 +47,9 @@
 	return budgets{stepOverflow: retry.NewBudget(overflow), stepRetry: retry.NewBudget(retries)}
 }
 
-// pay takes what a step costs from an account's budget, and reports whether the account
+// spend takes what a step costs from an account's budget, and reports whether the account
 // had it. A step without a budget is free.
-func (b budgets) pay(account ryeford.AccountID, step nextStep) bool {
+func (b budgets) spend(account ryeford.AccountID, step nextStep) bool {
 	budget, ok := b[step]
 	return !ok || budget.Spend(account)
 }
@@ -60,9 +60,9 @@
 	}
 }
 
-// afterFailure returns what follows a dispatch that failed with err, for a request that
+// nextStepAfterFailure returns what follows a dispatch that failed with err, for a request that
 // is repeatable or not.
-func afterFailure(err error, repeatable bool) nextStep {
+func nextStepAfterFailure(err error, repeatable bool) nextStep {
 	if mayHaveRun(err) {
 		if repeatable {
 			return stepRetry
@@ -86,9 +86,9 @@
 	return ok
 }
 
-// anotherRound reports whether the first candidate gets another dispatch after so many
+// allowsAnotherRound reports whether the first candidate gets another dispatch after so many
 // rounds over all: the last refused for its load, so the fleet is saturated.
-func anotherRound(last error, rounds int) bool {
+func allowsAnotherRound(last error, rounds int) bool {
 	return reasonOf(last) == ryeford.ReasonOverload && rounds < maxRounds
 }
 
--- a/agentfleet/router/retry_test.go
+++ b/agentfleet/router/retry_test.go
@@ -9,8 +9,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestAfterFailure checks what follows each end of a dispatch.
-func TestAfterFailure(t *testing.T) {
+// TestNextStepAfterFailure checks what follows each end of a dispatch.
+func TestNextStepAfterFailure(t *testing.T) {
 	notRun := func(reason ryeford.Reason) error { return &ryeford.NotRunError{Reason: reason} }
 	unknown := func(cause error) error {
 		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: cause}
@@ -34,7 +34,7 @@
 		{"any other error", errors.New("fault"), true, stepGiveUp},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			assert.Equal(t, afterFailure(test.err, test.repeatable), test.want)
+			assert.Equal(t, nextStepAfterFailure(test.err, test.repeatable), test.want)
 		})
 	}
 }
@@ -54,7 +54,7 @@
 		{"nobody was asked", nil, 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			assert.Equal(t, anotherRound(test.last, test.rounds), test.want)
+			assert.Equal(t, allowsAnotherRound(test.last, test.rounds), test.want)
 		})
 	}
 }
--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -44,8 +44,8 @@
 	ryeford.VMList
 }
 
-// A shared is what the parts of a router have in common.
-type shared struct {
+// A sharedState is what the parts of a router have in common.
+type sharedState struct {
 	settings  *settings.Router
 	limits    *settings.RouterLimits // those of settings
 	platform  Platform
@@ -62,12 +62,12 @@
 
 // A Router serves callers and operators.
 type Router struct {
-	shared
+	sharedState
 	dialer    *transport.Dialer
 	agents    *agentList
 	gossip    *agentGossip
 	planner   *planner
-	claims    *claim.Claims
+	claims    *claim.Store
 	callers   *forwarder
 	operators *operatorHandler
 }
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	fleet := newFleet()
-	r := &Router{dialer: dialer, claims: claim.New(platform), shared: shared{
+	r := &Router{dialer: dialer, claims: claim.New(platform), sharedState: sharedState{
 		settings:  s,
 		limits:    &s.Limits,
 		platform:  platform,
@@ -94,12 +94,12 @@
 		log:       logger,
 	}}
 	control := transport.NewControlLimiter(s.Transport.ControlBytesPerSecond, r.metrics.ControlSent)
-	r.gossip = &agentGossip{shared: &r.shared, control: control}
-	r.agents = &agentList{shared: &r.shared, dialer: dialer, gossip: r.gossip}
-	held := lease.New(platform, leaseName, s.VM, uuid.NewString(), s.Planner.Lease)
-	r.planner = &planner{shared: &r.shared, lease: held, recent: make(recentEngines)}
+	r.gossip = &agentGossip{sharedState: &r.sharedState, control: control}
+	r.agents = &agentList{sharedState: &r.sharedState, dialer: dialer, gossip: r.gossip}
+	plannerLease := lease.New(platform, leaseName, s.VM, uuid.NewString(), s.Planner.Lease)
+	r.planner = &planner{sharedState: &r.sharedState, lease: plannerLease, engines: make(recentEngines)}
 	r.addCallers()
-	r.operators = &operatorHandler{shared: &r.shared}
+	r.operators = &operatorHandler{sharedState: &r.sharedState}
 	r.addGauges()
 	return r, nil
 }
@@ -107,17 +107,17 @@
 // addCallers adds what serves callers.
 func (r *Router) addCallers() {
 	r.callers = &forwarder{
-		shared:   &r.shared,
-		gossip:   r.gossip,
-		claims:   r.claims,
-		suspects: newSuspects(),
-		budgets:  newBudgets(r.limits),
+		sharedState: &r.sharedState,
+		gossip:      r.gossip,
+		claims:      r.claims,
+		suspects:    newSuspects(),
+		budgets:     newBudgets(r.limits),
 	}
 }
 
 func (r *Router) addGauges() {
 	r.metrics.Gauge("ryeford_revision", func() float64 { return float64(r.book.Revision()) })
-	r.metrics.Gauge("ryeford_agents_connected", func() float64 { return float64(r.fleet.reachable()) })
+	r.metrics.Gauge("ryeford_agents_connected", func() float64 { return float64(r.fleet.connectedCount()) })
 	r.metrics.Gauge("ryeford_in_flight", func() float64 { return float64(r.readiness.inFlight.Load()) })
 	r.metrics.Gauge("ryeford_skew", func() float64 { return r.loads.skew(time.Now()) })
 }
--- a/agentfleet/router/slowlink_test.go
+++ b/agentfleet/router/slowlink_test.go
@@ -19,16 +19,16 @@
 	"github.com/ryeford/ryeford/agentfleet/template"
 )
 
-// newNarrowRouter returns a fresh router whose platform holds one template and one plan.
+// newSlowLinkRouter returns a fresh router whose platform holds one template and one plan.
 // A list of rows and an object take 3 s to come, longer than a call of the table may make
 // no progress.
-func newNarrowRouter(t *testing.T) *Router {
+func newSlowLinkRouter(t *testing.T) *Router {
 	t.Helper()
 	const parts, partTime = 12, 250 * time.Millisecond
 	accepted, err := json.Marshal(&ryeford.Template{Account: "bank", Name: "calls", Model: "lira", Revision: 1})
 	assert.NilError(t, err)
 	part := strings.Repeat(" ", 32<<10)
-	send := func(w http.ResponseWriter, answer any) {
+	sendSlowly := func(w http.ResponseWriter, answer any) {
 		for range parts {
 			time.Sleep(partTime)
 			_, _ = io.WriteString(w, part) // fails once the client has given up
@@ -41,10 +41,10 @@
 		_ = json.NewEncoder(w).Encode(&tableservice.RowsAnswer{Rows: []ryeford.Row{{Value: []byte("1"), Version: 1}}})
 	})
 	platform.HandleFunc(tableservice.PathList, func(w http.ResponseWriter, _ *http.Request) {
-		send(w, &tableservice.RowsAnswer{Rows: []ryeford.Row{{Value: accepted, Version: 1}}})
+		sendSlowly(w, &tableservice.RowsAnswer{Rows: []ryeford.Row{{Value: accepted, Version: 1}}})
 	})
 	platform.HandleFunc(tableservice.PathObjects, func(w http.ResponseWriter, _ *http.Request) {
-		send(w, &ryeford.Plan{Epoch: 1, Sequence: 1})
+		sendSlowly(w, &ryeford.Plan{Epoch: 1, Sequence: 1})
 	})
 	server := httptest.NewServer(platform)
 	t.Cleanup(server.Close)
@@ -58,20 +58,20 @@
 	return r
 }
 
-// TestSyncNarrow checks that a fresh router gets all templates over a narrow link.
-func TestSyncNarrow(t *testing.T) {
+// TestSyncOverSlowLink checks that a fresh router gets all templates over a narrow link.
+func TestSyncOverSlowLink(t *testing.T) {
 	t.Parallel()
-	r := newNarrowRouter(t)
+	r := newSlowLinkRouter(t)
 	r.syncOnce(t.Context())
 	assert.Assert(t, r.readiness.synced.Load())
 	assert.Equal(t, r.book.Revision(), int64(1))
 }
 
-// TestFollowNarrow checks that a router gets the current plan over a narrow link.
-func TestFollowNarrow(t *testing.T) {
+// TestFetchPlanOverSlowLink checks that a router gets the current plan over a narrow link.
+func TestFetchPlanOverSlowLink(t *testing.T) {
 	t.Parallel()
-	r := newNarrowRouter(t)
-	p := &planner{shared: &r.shared}
-	assert.NilError(t, p.follow(t.Context(), planPointer{Epoch: 1, Sequence: 1, Object: "plan-1-1"}))
+	r := newSlowLinkRouter(t)
+	p := &planner{sharedState: &r.sharedState}
+	assert.NilError(t, p.fetchPlan(t.Context(), planPointer{Epoch: 1, Sequence: 1, Object: "plan-1-1"}))
 	assert.Assert(t, r.plan.Get() != nil)
 }
