--- a/agentfleet/claim/batcher.go
+++ b/agentfleet/claim/batcher.go
@@ -10,27 +10,26 @@
 )
 
 const (
-	// batchWindow is how long a batch is open for further writes. It is added
-	// to each claim; at 2.3 claims/s a router's batches hold one row (docs/CAPACITY.md,
-	// "The platform's table").
+	// batchWindow is how long a batch accepts further writes. It adds to the latency of
+	// each claim.
 	batchWindow = 4 * time.Millisecond
 
 	// batchSize is the largest number of writes in a batch.
 	batchSize = 64
 
-	// batchTimeout bounds a batch with all its transactions.
+	// batchTimeout limits the time for a batch with all its transactions.
 	batchTimeout = 3 * time.Second
 
-	// batchQueueSize is how many writes may wait for a batch; beyond, callers wait to queue
-	// theirs.
+	// batchQueueSize is how many writes may wait for a batch. Callers block while the
+	// queue is full.
 	batchQueueSize = 4096
 
-	// maxBatches is how many batches are under way at once.
+	// maxBatches is how many batches may be in progress at once.
 	maxBatches = 4
 )
 
-// A batcher joins the writes of several callers into one transaction. Each
-// write still succeeds or fails by its own condition.
+// A batcher combines the writes of several callers into one transaction. Each write
+// still succeeds or fails by its own condition.
 type batcher struct {
 	table ryeford.Table
 	queue chan *pendingWrite
@@ -42,14 +41,14 @@
 	done  chan outcome
 }
 
-// An outcome is how a write ended.
+// An outcome is the result of a write.
 type outcome struct {
 	version int64
 	err     error
 }
 
-// write makes one write. Its error is that of ryeford.Table; the end of ctx leaves open
-// whether the write takes effect once it is in the queue.
+// write performs one write. It returns the errors of ryeford.Table. If ctx ends while
+// the write is queued, the write may still take effect.
 func (b *batcher) write(ctx context.Context, w ryeford.Write) (int64, error) {
 	p := &pendingWrite{write: w, done: make(chan outcome, 1)}
 	select {
@@ -80,9 +79,9 @@
 	}
 }
 
-// collect waits for a write and takes those that come within batchWait of it. Of two
-// writes of one row the second fails at once, since the first decides its condition. It
-// returns nil once ctx ends.
+// collect waits for a write and adds those that arrive within batchWindow. A second
+// write to the same row fails at once, since its condition depends on the result of the
+// first one. It returns nil when ctx ends.
 func (b *batcher) collect(ctx context.Context) []*pendingWrite {
 	var batch []*pendingWrite
 	select {
@@ -108,8 +107,8 @@
 	return batch
 }
 
-// commit makes one transaction of a batch. Writes whose condition does not hold fail,
-// and the others are made again without them.
+// commit runs one transaction for a batch. Writes whose condition does not hold fail,
+// and the transaction is repeated with the others.
 func (b *batcher) commit(ctx context.Context, batch []*pendingWrite) {
 	ctx, cancel := context.WithTimeout(ctx, batchTimeout)
 	defer cancel()
@@ -127,14 +126,13 @@
 		conflicting, remaining := splitByKey(batch, conflict.Keys)
 		deliverOutcome(conflicting, outcome{err: conflict})
 		batch = remaining
-		if len(conflicting) == 0 { // a conflict on no row of ours would come for ever
+		if len(conflicting) == 0 { // the conflict names none of our rows: a retry would not end
 			deliverOutcome(remaining, outcome{err: err})
 			return
 		}
 	}
 }
 
-// deliverOutcome gives the callers of writes their outcome.
 func deliverOutcome(batch []*pendingWrite, o outcome) {
 	for _, p := range batch {
 		p.done <- o
--- a/agentfleet/claim/claim_test.go
+++ b/agentfleet/claim/claim_test.go
@@ -15,9 +15,8 @@
 	"github.com/ryeford/ryeford/internal/memtable"
 )
 
-// TestClaimIsExclusive lets several routers claim the same key at once, over a
-// table that fails, and loses answers after the write took effect. At most one
-// may run.
+// TestClaimIsExclusive checks that at most one of several routers acquires a key when
+// writes fail or their responses are lost.
 func TestClaimIsExclusive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		outcomes := rapid.SliceOfN(rapid.SampledFrom([]memtable.Fate{
@@ -34,7 +33,7 @@
 	})
 }
 
-// claimConcurrently returns how many of the routers got the key.
+// claimConcurrently returns how many routers acquired the key.
 func claimConcurrently(table ryeford.Table, routers int) int {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -58,8 +57,8 @@
 	return acquired
 }
 
-// TestBatch checks that claims made together are one transaction, and that one
-// that is taken already does not fail the others.
+// TestBatch checks that concurrent claims share one transaction, and that a key that is
+// already claimed does not fail the others.
 func TestBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -85,13 +84,13 @@
 			})
 		}
 		wait.Wait()
-		assert.Equal(t, writes, 2) // with the taken key, and without it
+		assert.Equal(t, writes, 2) // one with the claimed key, one without it
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestOwnerKnown checks when a row that was read back shows who holds a key.
+// TestOwnerKnown checks when a row that was read back shows who owns a key.
 func TestOwnerKnown(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -109,7 +108,7 @@
 	}
 }
 
-// TestDigest checks that a part's end counts.
+// TestDigest checks that the boundaries between parts change the digest.
 func TestDigest(t *testing.T) {
 	assert.Equal(t, Digest([]byte("a"), []byte("b")), Digest([]byte("a"), []byte("b")))
 	assert.Assert(t, Digest([]byte("ab"), nil) != Digest([]byte("a"), []byte("b")))
