--- a/agentfleet/placement/choose.go
+++ b/agentfleet/placement/choose.go
@@ -10,8 +10,8 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// chooseEngines gives each demand its engines: first those that serve its base already, in
-// their order, then others, spread over failure domains.
+// chooseEngines assigns engines to each demand: first engines that already serve its
+// base model, in their order, then free engines, spread over failure domains.
 func chooseEngines(engines []Engine, demands []*demand) map[ryeford.EngineID]*demand {
 	chosen := make(map[ryeford.EngineID]*demand)
 	assigned := make(map[*demand]int)
@@ -34,8 +34,8 @@
 	return chosen
 }
 
-// pickEngine returns a free engine for a demand, of the failure domain that has the fewest of
-// the demand's engines; of those, the first. It returns nil if none is free.
+// pickEngine returns a free engine for a demand, or nil if none is free. It prefers the
+// failure domain with the fewest engines of the demand, then the first in order.
 func pickEngine(engines []Engine, d *demand, chosen map[ryeford.EngineID]*demand) *Engine {
 	inDomain := make(map[string]int)
 	for _, e := range engines {
@@ -59,17 +59,17 @@
 }
 
 const (
-	// spareFactor is how many times its part of the engines a pool gets, so that a surge
-	// of its account finds room.
+	// spareFactor is the ratio of a pool's engines to its share of the engines. It
+	// leaves room for a surge of the account.
 	spareFactor = 2
 
-	// minPoolEngines is the smallest number of engines for a pool, so that one may be
-	// lost.
+	// minPoolEngines is the smallest number of engines for a pool, so that it survives
+	// the loss of one.
 	minPoolEngines = 2
 )
 
-// assignPools returns the pools of each chosen engine. Each pool of a demand is on some
-// of the demand's engines: poolSize says how many, and rendezvous hashing which.
+// assignPools returns the pools of each chosen engine. poolSize determines how many of
+// a demand's engines serve each of its pools, and rendezvous hashing which ones.
 func assignPools(engines []Engine, demands []*demand, chosen map[ryeford.EngineID]*demand) map[ryeford.EngineID][]ryeford.Pool {
 	pools := make(map[ryeford.EngineID][]ryeford.Pool)
 	for _, d := range demands {
@@ -95,14 +95,14 @@
 	})
 }
 
-// poolSize returns how many of a demand's engines serve a pool with a share of the
-// demand's total.
+// poolSize returns how many of a demand's engines serve a pool. share is the pool's
+// part of the demand's total.
 func poolSize(engines int, share, total float64) int {
 	proportional := int(math.Ceil(float64(engines) * share / total))
 	return min(max(spareFactor*proportional, minPoolEngines), engines)
 }
 
-// rank returns the engines in a pool's rendezvous order, the best first.
+// rank returns the engines in a pool's rendezvous order, best first.
 func rank(engines []ryeford.EngineID, pool ryeford.Pool) []ryeford.EngineID {
 	ranked := slices.Clone(engines)
 	name := pool.String()
--- a/agentfleet/placement/placement.go
+++ b/agentfleet/placement/placement.go
@@ -1,10 +1,10 @@
-// Package placement decides which engines serve which pools, and from when they
+// Package placement decides which engines serve which pools, and when they start to
 // load them.
 //
-// It is a pure function of its input, does no I/O and owns no state: the router that
-// holds the planner's lease calls it. A plan is made in four steps: how many engines
-// each base model gets (apportion), which (choose), which of a base's pools each of them
-// serves (assignPools), and when it loads them (schedule).
+// It is a pure function of its input, without I/O or state. The router that holds the
+// planner's lease calls it. A plan is made in four steps: how many engines each base
+// model gets (apportion), which ones (chooseEngines), which pools of the base model
+// each of them serves (assignPools), and when it loads them (schedule).
 package placement
 
 import (
@@ -17,47 +17,47 @@
 	"github.com/ryeford/ryeford"
 )
 
-// An Engine is an engine that can be placed on.
+// An Engine is an engine that models can be placed on.
 type Engine struct {
 	ID     ryeford.EngineID
 	VM     ryeford.VMID
 	Domain string // failure domain
-	// Pools is what the engine serves, or is to serve by the plan before.
+	// Pools is what the engine serves, or what the previous plan assigned to it.
 	Pools []ryeford.Pool
 }
 
-// An Input is all that a plan depends on.
+// An Input is everything that a plan depends on.
 type Input struct {
 	Now       time.Time
 	Templates []ryeford.Template
-	Engines   []Engine // in a fixed order: it decides between equals
-	// LoadTime is how long one load takes, ParallelLoads how many go on at
-	// once under the weight store's rate. Both are above zero.
+	Engines   []Engine // in a fixed order, which breaks ties
+	// LoadTime is how long one load takes. ParallelLoads is how many loads the weight
+	// store can feed at once. Both must be above zero.
 	LoadTime      time.Duration
 	ParallelLoads int
-	// Ahead is how long before its begin an event is to be warm.
+	// Ahead is how long before the begin of an event its engines must be warm.
 	Ahead time.Duration
 }
 
-// An Output is a plan and how well it does.
+// An Output is a plan with its statistics.
 type Output struct {
-	// Assignments has one entry for each engine that is to serve something, in the
-	// order of the input's engines.
+	// Assignments has one entry for each engine that is to serve a pool, in the order
+	// of the input's engines.
 	Assignments []ryeford.Assignment
-	// Moves counts the engines that are to serve something else than now.
+	// Moves counts the engines whose pools change.
 	Moves int
-	// Late counts the moves that can't end before their event.
+	// Late counts the loads that end after the begin of their event.
 	Late int
 }
 
 // The reasons of assignments.
 const (
-	reasonKeep = "keep" // the engine serves the same already
+	reasonKeep = "keep" // the engine already serves these pools
 	reasonMove = "move"
 )
 
-// Plan returns the assignments for an input. Engines keep what they serve if they can.
-// Without templates or without engines there are none.
+// Plan returns the assignments for an input. Engines keep their pools where possible.
+// Without templates or without engines the output is empty.
 func Plan(in *Input) *Output {
 	demands := collectDemands(in)
 	if len(demands) == 0 || len(in.Engines) == 0 {
@@ -69,30 +69,30 @@
 	return schedule(in, chosen, pools)
 }
 
-// A baseModel is what an engine loads as a whole: a model and its version. Adapters
+// A baseModel is a model and its version, which an engine loads as a whole. Adapters
 // are added to it.
 type baseModel struct {
 	model, version string
 }
 
-// A demand is what the templates ask of one base.
+// A demand is the sum of the templates of one base model.
 type demand struct {
 	base    baseModel
 	share   float64   // sum of the templates' shares
-	begin   time.Time // of the first event that needs more than runs now, or zero
+	begin   time.Time // of the first event that has not begun yet, or zero
 	pools   map[ryeford.Pool]float64
-	engines int // how many engines it gets
+	engines int // number of engines to assign
 }
 
-// horizon returns how long before its begin a template counts: long enough that all
-// engines can load anew, so many at once as the weight store allows.
+// horizon returns how long before its begin a template is planned for: long enough to
+// reload all engines at the weight store's rate.
 func (in *Input) horizon() time.Duration {
 	rounds := (len(in.Engines) + in.ParallelLoads - 1) / in.ParallelLoads
 	return in.Ahead + time.Duration(rounds)*in.LoadTime
 }
 
-// collectDemands returns the demands of the templates that are in force, or that begin so soon
-// that their engines must load now, ordered by base.
+// collectDemands returns the demands of the templates that are in force or begin within
+// the horizon, ordered by base model.
 func collectDemands(in *Input) []*demand {
 	byBase := make(map[baseModel]*demand)
 	for _, t := range in.Templates {
@@ -116,9 +116,8 @@
 	})
 }
 
-// apportion divides the engines by share, with at least one for each demand while there
-// are enough, and the rest by largest remainder. If there are fewer engines than
-// demands, the last ones get none.
+// apportion divides the engines by share, using the largest remainder method. Each
+// demand gets at least one engine, unless there are fewer engines than demands.
 func apportion(demands []*demand, engines int) {
 	total := 0.0
 	for _, d := range demands {
@@ -144,7 +143,8 @@
 	}
 }
 
-// remainder returns by how much a demand's part of the engines exceeds what it got.
+// remainder returns the difference between a demand's exact share of the engines and
+// the number assigned to it.
 func remainder(d *demand, engines int, total float64) float64 {
 	return float64(engines)*d.share/total - float64(d.engines)
 }
--- a/agentfleet/placement/placement_test.go
+++ b/agentfleet/placement/placement_test.go
@@ -13,7 +13,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// drawInput draws templates, engines and a weight store.
+// drawInput generates templates, engines and the limits of a weight store.
 func drawInput(t *rapid.T) *Input {
 	in := &Input{
 		Now:           time.Unix(1_000_000, 0),
@@ -38,9 +38,9 @@
 	return in
 }
 
-// TestPlan checks every plan: no engine twice, never above the weight store's
-// rate, nothing loaded that is there already, late only where all lanes were
-// busy, and the same plan for the same input.
+// TestPlan checks the invariants of every plan: no engine is assigned twice, the weight
+// store's rate is kept, engines that keep their pools load nothing, no load is late
+// unless the rate requires it, and the same input gives the same plan.
 func TestPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
@@ -65,7 +65,7 @@
 	})
 }
 
-// checkRate checks that no more loads than allowed go on at any start.
+// checkRate checks that the number of concurrent loads stays within the limit.
 func checkRate(t *rapid.T, in *Input, starts []time.Time) {
 	for _, at := range starts {
 		loading := 0
@@ -78,7 +78,7 @@
 	}
 }
 
-// fits reports whether so many loads can all end before the first event.
+// fits reports whether that many loads can end before the first event.
 func fits(in *Input, moves int) bool {
 	rounds := (moves + in.ParallelLoads - 1) / in.ParallelLoads
 	end := in.Now.Add(time.Duration(rounds) * in.LoadTime)
@@ -87,7 +87,8 @@
 	})
 }
 
-// TestPlanIsStable checks that a plan that was carried out moves nothing more.
+// TestPlanIsStable checks that a plan that has been carried out causes no further
+// moves.
 func TestPlanIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
@@ -106,9 +107,8 @@
 	})
 }
 
-// BenchmarkWarm reports the part of the engines of an event's model that are
-// warm in the event's first 10 s, and so of its turns: planned ahead, and loaded
-// on demand from the begin on.
+// BenchmarkWarm reports the part of an event model's engines that are warm in the first
+// 10 s of the event: with loads planned ahead, and with loads that start at its begin.
 func BenchmarkWarm(b *testing.B) {
 	for _, size := range []struct{ engines, parallel int }{{40, 4}, {3500, 40}} {
 		b.Run(fmt.Sprintf("engines=%d", size.engines), func(b *testing.B) {
@@ -141,7 +141,7 @@
 	}
 }
 
-// warm returns the mean part of a plan's moves that are done in the first 10 s.
+// warm returns the mean part of a plan's moves that are complete in the first 10 s.
 func warm(out *Output, in *Input, begin time.Time) float64 {
 	const seconds = 10
 	done := 0
--- a/agentfleet/placement/rules_test.go
+++ b/agentfleet/placement/rules_test.go
@@ -82,14 +82,14 @@
 	}
 }
 
-// TestStarts checks when loads start, with one load at a time of 10 s, and engines that
-// are to be warm 5 s ahead of their event.
+// TestStarts checks when loads start, with one 10 s load at a time and engines that
+// must be warm 5 s before their event.
 func TestStarts(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for _, test := range []struct {
 		name   string
-		begins []time.Duration // after now; zero is due now
-		want   []time.Duration // the starts, after now
+		begins []time.Duration // after now; zero means due now
+		want   []time.Duration // starts, after now
 		late   int
 	}{
 		{"due now", []time.Duration{0}, []time.Duration{0}, 0},
--- a/agentfleet/placement/schedule.go
+++ b/agentfleet/placement/schedule.go
@@ -7,17 +7,17 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A move is an assignment that makes an engine load something.
+// A move is an assignment that makes an engine load a model or an adapter.
 type move struct {
 	assignment *ryeford.Assignment
-	begin      time.Time // of the event that it is for, or zero if it is due now
+	begin      time.Time // of its event, or zero if it is due now
 }
 
-// schedule turns the choice into assignments. Moves for an event start as late as its
-// begin allows; the others start now. No more loads than the weight store carries go on
-// at once.
+// schedule turns the chosen engines into assignments. Loads for an event start as late
+// as possible, the others start now. The number of concurrent loads stays within the
+// weight store's limit.
 func schedule(in *Input, chosen map[ryeford.EngineID]*demand, pools map[ryeford.EngineID][]ryeford.Pool) *Output {
-	// Moves point into the assignments, so these must not grow beyond their capacity.
+	// Moves point into the assignments, so the slice must not be reallocated.
 	out := &Output{Assignments: make([]ryeford.Assignment, 0, len(in.Engines))}
 	var moves []move
 	for _, e := range in.Engines {
@@ -38,7 +38,7 @@
 	return out
 }
 
-// latestStart returns when a move must start if nothing else loads.
+// latestStart returns when a move must start if no other load competes with it.
 func (in *Input) latestStart(m move) time.Time {
 	if m.begin.IsZero() {
 		return in.Now
@@ -46,15 +46,15 @@
 	return m.begin.Add(-in.Ahead - in.LoadTime)
 }
 
-// setLatestStarts gives each move the latest start from which its load is done in time,
-// working back from the events' begins. A start may lie in the past.
+// setLatestStarts sets the latest start from which each load ends in time, working back
+// from the begin of the events. A start may be in the past.
 func setLatestStarts(in *Input, moves []move) {
 	slices.SortStableFunc(moves, func(a, b move) int { return in.latestStart(b).Compare(in.latestStart(a)) })
-	starts := make([]time.Time, 0, in.ParallelLoads) // of the loads that go on at once
+	starts := make([]time.Time, 0, in.ParallelLoads) // of the concurrent loads
 	for _, m := range moves {
 		start := in.latestStart(m)
 		if len(starts) == in.ParallelLoads {
-			// This load ends before the latest of those starts.
+			// This load must end before the latest of these starts.
 			last := slices.MaxFunc(starts, time.Time.Compare)
 			at := slices.Index(starts, last)
 			starts = slices.Delete(starts, at, at+1)
@@ -65,11 +65,11 @@
 	}
 }
 
-// clampStarts moves starts that lie in the past to now, in the order of their events and under
-// the weight store's rate, and returns how many loads end late.
+// clampStarts moves starts in the past to now, in the order of their events and within
+// the weight store's rate. It returns how many loads end late.
 func clampStarts(in *Input, moves []move) int {
 	slices.SortStableFunc(moves, func(a, b move) int { return a.assignment.Start.Compare(b.assignment.Start) })
-	ends := make([]time.Time, in.ParallelLoads) // of the loads that go on at once
+	ends := make([]time.Time, in.ParallelLoads) // of the concurrent loads
 	late := 0
 	for _, m := range moves {
 		earliest := slices.Index(ends, slices.MinFunc(ends, time.Time.Compare))
