--- a/agentfleet/plan/current.go
+++ b/agentfleet/plan/current.go
@@ -1,7 +1,7 @@
-// Package plan holds the placement plan that a process knows.
+// Package plan holds the current placement plan of a process.
 //
-// A router's is as old as its last reading of the platform's row, an agent's, its VM's
-// part alone, as the last gossip that named a newer one. It never goes back.
+// A router reads the plan from the platform's table. An agent receives its VM's part
+// after gossip announced a newer plan. An older plan never replaces a newer one.
 package plan
 
 import (
@@ -10,12 +10,12 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Current holds the newest plan that this process knows. Plans are not changed once
-// they are in it. Its methods may be called concurrently.
+// A Current holds the newest plan that this process has received. Stored plans are not
+// modified. Its methods may be called concurrently.
 type Current struct {
 	mu     sync.Mutex
-	plan   *ryeford.Plan // nil before the first
-	notify chan struct{} // closed at the next plan
+	plan   *ryeford.Plan // nil before the first plan
+	notify chan struct{} // closed when the plan changes
 }
 
 // NewCurrent returns a Current without a plan.
@@ -30,7 +30,7 @@
 	return c.plan
 }
 
-// Set keeps a plan if it supersedes the current one, and reports whether it did.
+// Set stores a plan if it supersedes the current one, and reports whether it did.
 func (c *Current) Set(plan *ryeford.Plan) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,14 +43,14 @@
 	return true
 }
 
-// Changed returns a channel that is closed at the next plan.
+// Changed returns a channel that is closed when the plan changes.
 func (c *Current) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.notify
 }
 
-// Version returns the epoch and sequence of the current plan, or zeros.
+// Version returns the epoch and sequence of the current plan, or zeros without a plan.
 func (c *Current) Version() (epoch, sequence int64) {
 	if plan := c.Get(); plan != nil {
 		return plan.Epoch, plan.Sequence
@@ -58,13 +58,13 @@
 	return 0, 0
 }
 
-// OlderThan reports whether the plan of an epoch and sequence supersedes the current
-// one. Epoch 0 means no plan, which supersedes none.
+// OlderThan reports whether the plan with this epoch and sequence supersedes the
+// current one. Epoch 0 means no plan, which supersedes nothing.
 func (c *Current) OlderThan(epoch, sequence int64) bool {
 	return epoch != 0 && (&ryeford.Plan{Epoch: epoch, Sequence: sequence}).Newer(c.Get())
 }
 
-// PartOf returns a VM's part of the current plan. Without a plan it is empty.
+// PartOf returns a VM's part of the current plan, which is empty without a plan.
 func (c *Current) PartOf(vm ryeford.VMID) *ryeford.Plan {
 	plan := c.Get()
 	if plan == nil {
--- a/agentfleet/plan/current_test.go
+++ b/agentfleet/plan/current_test.go
@@ -8,8 +8,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestSupersede checks which plans take the place of the current one, and that only
-// these are announced.
+// TestSupersede checks which plans replace the current one, and that only these notify
+// waiting goroutines.
 func TestSupersede(t *testing.T) {
 	for _, test := range []struct {
 		name            string
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestPartOf checks that a VM's part has the plan's version and its assignments alone.
+// TestPartOf checks that a VM's part has the plan's version and only its own
+// assignments.
 func TestPartOf(t *testing.T) {
 	c := NewCurrent()
 	assert.DeepEqual(t, c.PartOf("endpoint-1"), &ryeford.Plan{})
