--- a/agentfleet/answer/answer_test.go
+++ b/agentfleet/answer/answer_test.go
@@ -9,8 +9,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestAssembler sends the chunks of an answer in any order, repeated and mixed
-// with foreign ones, and checks that each is passed on once and in its order.
+// TestAssembler checks that each chunk is passed on once and in order when chunks
+// arrive reordered, repeated or mixed with those of another attempt.
 func TestAssembler(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 40).Draw(t, "chunks")
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestLogReaders checks that readers at any offset get the rest, and that a
-// finished answer has no more.
+// TestLogReaders checks that a reader at a valid offset gets the remaining chunks, and
+// that other offsets are refused.
 func TestLogReaders(t *testing.T) {
 	log := NewLog(5)
 	log.Append(ryeford.Chunk{Offset: 5, Data: []byte("a")})
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestAssemblerDrops has one row for each reason to drop a chunk.
+// TestAssemblerDrops checks each reason to drop a chunk.
 func TestAssemblerDrops(t *testing.T) {
 	chunk := func(attempt ryeford.AttemptID, offset int64) ryeford.Chunk {
 		return ryeford.Chunk{Attempt: attempt, Offset: offset}
--- a/agentfleet/answer/assembler.go
+++ b/agentfleet/answer/assembler.go
@@ -1,32 +1,32 @@
-// Package answer puts answers together from chunks that may come late,
-// repeated, out of order or of another attempt (Assembler), and keeps them for
-// readers that come again (Log).
+// Package answer assembles answers from chunks that may arrive late, repeated, out of
+// order or from another attempt (Assembler), and stores them for readers that reconnect
+// (Log).
 //
-// It relies on the sender to number the chunks of an attempt without a gap and to
-// mark the last one. It does no I/O, and owns nothing beyond one answer.
+// It relies on the sender to number the chunks of an attempt without gaps and to mark
+// the last one. It does no I/O.
 package answer
 
 import "github.com/ryeford/ryeford"
 
-// maxPending is how many chunks ahead of the next one an Assembler keeps. It bounds
-// memory; a chunk further ahead is dropped, and the answer stalls there until it is
-// sent again.
+// maxPending is how many chunks ahead of the next one an Assembler keeps, to limit its
+// memory. A chunk further ahead is dropped, and the answer stalls there until the chunk
+// is sent again.
 const maxPending = 1024
 
-// Dropped counts the chunks that an Assembler neither passed on nor kept.
+// Dropped counts the chunks that an Assembler dropped.
 type Dropped struct {
 	Foreign  int // of another attempt
-	Repeated int // seen before
+	Repeated int // received before
 	Overflow int // too far ahead
 }
 
-// An Assembler passes on the chunks of one attempt in their order, each once.
+// An Assembler returns the chunks of one attempt in order, each once.
 //
-// An Assembler must not be used by two goroutines at once.
+// An Assembler is not safe for concurrent use.
 type Assembler struct {
 	attempt  ryeford.AttemptID
-	next     int64                   // offset of the next chunk to pass on
-	pending  map[int64]ryeford.Chunk // those after a gap, by offset
+	next     int64                   // offset of the next chunk to return
+	pending  map[int64]ryeford.Chunk // chunks after a gap, by offset
 	finished bool
 	dropped  Dropped
 }
@@ -40,9 +40,9 @@
 	}
 }
 
-// Add takes one chunk and returns those that can be passed on now, in order. It
-// drops a chunk of another attempt, one that it had before or that follows the
-// end, and one that is maxPending or more ahead.
+// Add adds one chunk and returns those that are ready, in order. It drops chunks of
+// another attempt, repeated chunks, chunks after the last one, and chunks that are
+// maxPending or more ahead.
 func (a *Assembler) Add(chunk ryeford.Chunk) []ryeford.Chunk {
 	_, kept := a.pending[chunk.Offset]
 	switch {
@@ -70,8 +70,8 @@
 // Dropped returns the counts so far.
 func (a *Assembler) Dropped() Dropped { return a.dropped }
 
-// Finished reports whether the last chunk was passed on.
+// Finished reports whether the last chunk was returned.
 func (a *Assembler) Finished() bool { return a.finished }
 
-// Next returns the offset of the next chunk to pass on.
+// Next returns the offset of the next chunk to return.
 func (a *Assembler) Next() int64 { return a.next }
--- a/agentfleet/answer/log.go
+++ b/agentfleet/answer/log.go
@@ -8,15 +8,15 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Log keeps the chunks of one answer for any number of readers, each at its
-// own offset. Its methods may be called concurrently.
+// A Log stores the chunks of one answer for any number of readers, each at its own
+// offset. Its methods may be called concurrently.
 type Log struct {
 	first int64 // offset of the first chunk
 
 	mu       sync.Mutex
 	chunks   []ryeford.Chunk
 	finished bool
-	changed  chan struct{} // closed at the next Append
+	changed  chan struct{} // closed by the next Append
 }
 
 // NewLog returns an empty Log that begins at an offset.
@@ -24,8 +24,8 @@
 	return &Log{first: offset, changed: make(chan struct{})}
 }
 
-// Append adds the next chunk and wakes the readers. Chunks after the last one of
-// an answer are dropped.
+// Append adds the next chunk and notifies the readers. Chunks after the last one of an
+// answer are dropped.
 func (l *Log) Append(chunk ryeford.Chunk) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,9 +38,9 @@
 	l.changed = make(chan struct{})
 }
 
-// Read returns the chunks from an offset on, waiting for the first of them.
-// An offset before the log's first chunk, or after the next one that it will get,
-// is refused with an *OffsetError, as is any after a finished answer.
+// Read returns the chunks from an offset on, and blocks until there is at least one. It
+// returns an *OffsetError if the offset lies before the first chunk, beyond the next
+// one, or at the end of a finished answer.
 func (l *Log) Read(ctx context.Context, offset int64) ([]ryeford.Chunk, error) {
 	for {
 		chunks, changed, err := l.chunksFrom(offset)
@@ -55,15 +55,15 @@
 	}
 }
 
-// Finished reports whether the answer is whole or has failed.
+// Finished reports whether the answer is complete or has failed.
 func (l *Log) Finished() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.finished
 }
 
-// chunksFrom returns the chunks chunksFrom an offset on, and a channel that is closed at the
-// next one.
+// chunksFrom returns the chunks from an offset on, and a channel that is closed when
+// the next one is appended.
 func (l *Log) chunksFrom(offset int64) ([]ryeford.Chunk, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,12 +75,11 @@
 	return l.chunks[index:], l.changed, nil
 }
 
-// An OffsetError says that an answer has no chunk at an offset, and will get none
-// next.
+// An OffsetError reports an offset at which the answer has no chunk and gets none next.
 type OffsetError struct {
-	Offset int64 // that was asked for
+	Offset int64 // requested
 	First  int64 // of the answer's first chunk
-	Next   int64 // after its last chunk so far
+	Next   int64 // following its last chunk so far
 }
 
 func (e *OffsetError) Error() string {
