--- a/agentfleet/decision/log.go
+++ b/agentfleet/decision/log.go
@@ -1,11 +1,9 @@
-// Package decision logs each routing, refusal, placement and configuration
-// decision of the fleet with agents as one line, and keeps the last lines on
-// requests in memory, so that `ryeford explain` can ask a process what it did.
+// Package decision logs each routing, refusal, placement and configuration decision of
+// the fleet with agents as one line, and keeps the latest lines about requests in
+// memory for `ryeford explain`.
 //
-// It owns the kept lines, and relies on the logger for the others. A gateway writes
-// its decisions to the log alone, and explain reads them there: its memory is
-// bounded, and its operators have its log, while those of a fleet with agents ask
-// its routers.
+// The memory is bounded. A gateway doesn't keep its decisions in memory: explain reads
+// them from its log.
 package decision
 
 import (
@@ -19,20 +17,20 @@
 	"github.com/ryeford/ryeford"
 )
 
-// maxLines is how many lines on requests a Log keeps.
+// maxLines is how many lines about requests a Log keeps.
 const maxLines = 20_000
 
-// A Log logs decisions and keeps the last ones on requests. Its methods may be
+// A Log logs decisions and keeps the latest ones about requests. Its methods may be
 // called concurrently.
 type Log struct {
 	out log.Logger
 
 	mu    sync.Mutex
 	lines [maxLines]line
-	next  int // where the next line goes: the oldest one
+	next  int // index of the next line to write, which holds the oldest one
 }
 
-// A line is a decision on a request, in logfmt.
+// A line is a decision about a request, in logfmt.
 type line struct {
 	request ryeford.RequestID
 	text    string
@@ -43,21 +41,21 @@
 	return &Log{out: out}
 }
 
-// Record logs one decision, and keeps it if it is on a request. The pairs are keys
-// and values in turn.
+// Record logs one decision, and keeps it if it is about a request. pairs are
+// alternating keys and values.
 func (l *Log) Record(request ryeford.RequestID, pairs ...any) {
 	if request != "" {
 		l.retain(request, pairs)
 	}
-	// An error says that standard error can't be written to, and there is no other
-	// place to say so.
+	// An error means that standard error is not writable, so there is nowhere to report
+	// it.
 	_ = l.out.Log(pairs...)
 }
 
 func (l *Log) retain(request ryeford.RequestID, pairs []any) {
 	now := time.Now().UTC().Format(time.RFC3339Nano)
-	// An error would say that a key is empty; a value that can't be encoded is replaced
-	// by its error's text.
+	// An error means an empty key. Values that can't be encoded are replaced by the
+	// text of their error.
 	text, _ := logfmt.MarshalKeyvals(slices.Concat([]any{"ts", now}, pairs)...)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,7 +63,7 @@
 	l.next = (l.next + 1) % maxLines
 }
 
-// Lines returns the kept decisions on a request, in the order of time.
+// Lines returns the kept decisions about a request, oldest first.
 func (l *Log) Lines(request ryeford.RequestID) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agentfleet/decision/log_test.go
+++ b/agentfleet/decision/log_test.go
@@ -14,8 +14,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestLines checks that the decisions on a request are kept as they are logged, with
-// the time, and that others are logged only.
+// TestLines checks that decisions about requests are kept as logged, with their time,
+// and that others are only logged.
 func TestLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
@@ -40,7 +40,7 @@
 	})
 }
 
-// TestLinesBound records more than is kept: the oldest line goes first.
+// TestLinesBound checks that the oldest line is dropped when the memory is full.
 func TestLinesBound(t *testing.T) {
 	l := NewLog(log.NewNopLogger())
 	l.Record("first", "decision", "route")
