--- a/agentfleet/router/agentlist.go
+++ b/agentfleet/router/agentlist.go
@@ -14,8 +14,8 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// An agentList follows the platform's list of VMs, and keeps a connection to each agent
-// on it. The list only says which VMs there are: whether one can serve is seen from its
+// An agentList polls the platform's list of VMs, and keeps a connection to each agent
+// in it. The list only states which VMs exist. Whether an agent can serve shows on its
 // connection.
 type agentList struct {
 	*sharedState
@@ -38,14 +38,14 @@
 	}
 }
 
-// A watch keeps the connection to one agent.
+// A watch maintains the connection to one agent.
 type watch struct {
 	address netip.AddrPort
 	stop    context.CancelFunc
 }
 
-// updateWatches starts and stops watches as the list says. An agent whose address has
-// changed gets a new one.
+// updateWatches starts and stops watches according to the list. An agent whose address
+// has changed gets a new watch.
 func (l *agentList) updateWatches(ctx context.Context, watches map[ryeford.VMID]*watch, vms []ryeford.VM) {
 	listed := make(map[ryeford.VMID]bool)
 	for _, vm := range vms {
@@ -73,33 +73,33 @@
 	}
 }
 
-// jitter returns a random time of three to five quarters of d, so that processes that
-// started together do not poll together.
+// jitter returns a random duration between 0.75 d and 1.25 d, so that processes that
+// started together don't poll at the same time.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(rand.Int64N(int64(d)/2+1))
 }
 
 const (
-	// dialTimeout bounds one attempt to connect to an agent.
+	// dialTimeout limits one attempt to connect to an agent.
 	dialTimeout = 3 * time.Second
 
-	// minRedial and maxRedial bound the time before the next attempt.
+	// minRedial and maxRedial limit the wait before the next attempt.
 	minRedial = 50 * time.Millisecond
 	maxRedial = 2 * time.Second
 
-	// stableAfter is how long a connection must have held for its loss not to count as
-	// flapping.
+	// stableAfter is how long a connection must last to reset the backoff.
 	stableAfter = 10 * time.Second
 )
 
-// A redialBackoff is the backoff between connections to one agent: it doubles from minRedial
-// to maxRedial, and starts again after a connection that held for stableAfter.
+// A redialBackoff is the backoff between connections to one agent. It doubles from
+// minRedial to maxRedial, and is reset by a connection that lasted longer than
+// stableAfter.
 type redialBackoff struct {
 	wait time.Duration
 }
 
-// next returns how long to wait after a connection, or an attempt at one, that lasted
-// so long. The wait is still to be jittered.
+// next returns how long to wait after a connection, or an attempt to connect, that
+// lasted for uptime. The result has no jitter.
 func (r *redialBackoff) next(uptime time.Duration) time.Duration {
 	if r.wait == 0 || uptime > stableAfter {
 		r.wait = minRedial
@@ -109,7 +109,7 @@
 	return r.wait
 }
 
-// keepConnected connects to an agent, again and again, until ctx ends.
+// keepConnected maintains a connection to an agent until ctx ends.
 func (l *agentList) keepConnected(ctx context.Context, vm ryeford.VM) {
 	var backoff redialBackoff
 	for ctx.Err() == nil {
@@ -123,8 +123,8 @@
 	}
 }
 
-// connect connects to an agent and follows its inventory until the connection is lost.
-// It always returns an error.
+// connect connects to an agent and receives its inventories until the connection is
+// lost. It always returns an error.
 func (l *agentList) connect(ctx context.Context, vm ryeford.VM) error {
 	conn, err := l.dial(ctx, vm)
 	if err != nil {
@@ -154,7 +154,7 @@
 	}
 }
 
-// dial returns a connection to the VM, whose certificate must name it.
+// dial returns a connection to the VM. The peer's certificate must name the VM.
 func (l *agentList) dial(ctx context.Context, vm ryeford.VM) (*transport.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -169,15 +169,16 @@
 	return conn, nil
 }
 
-// updateInventory takes an agent's description of itself.
+// updateInventory stores the inventory that an agent sent.
 func (l *agentList) updateInventory(vm ryeford.VM, conn *transport.Conn, inv *wire.Inventory) {
 	l.fleet.put(&agent{vm: vm, conn: conn, inventory: inv})
-	l.gossip.sendTo(conn, &wire.Gossip{}) // so that a new agent need not wait until it is drawn
+	l.gossip.sendTo(conn, &wire.Gossip{}) // don't let a new agent wait until gossip selects it
 	l.decisions.Record("", "decision", "agent", "vm", vm.ID, "failure_domain", inv.FailureDomain,
 		"incarnation", inv.Incarnation, "leaving", inv.Leaving, "engines", len(inv.Engines))
 }
 
-// A PeerError says that another VM answered at an address than the one listed.
+// A PeerError reports that a peer's certificate names another VM than the one listed at
+// its address.
 type PeerError struct {
 	Want ryeford.VMID
 	Got  ryeford.VMID
@@ -200,9 +201,9 @@
 	}
 }
 
-// successors returns where the chats of a VM that is leaving go next: the first of each
-// chat's order that is connected and on another VM. A chat without one gets an empty
-// placement.
+// successors returns which engines take over the chats of a VM that is leaving: for
+// each chat the first one in its order that is connected and on another VM. If there is
+// none, the placement is empty.
 func (l *agentList) successors(s *wire.Successors) *wire.Placements {
 	answer := &wire.Placements{Placements: make([]wire.Placement, len(s.Chats))}
 	set := l.fleet.pool(s.Pool)
@@ -223,14 +224,15 @@
 	return answer
 }
 
-// An agentGossip exchanges datagrams with the agents: it sends them the revision of the
-// templates, the plan's version, and where a chat went, and takes their loads.
+// An agentGossip exchanges datagrams with the agents. It sends the revision of the
+// templates, the version of the plan, and which engine served a chat. It receives
+// loads.
 type agentGossip struct {
 	*sharedState
 	control *transport.ControlLimiter
 }
 
-// run sends the revision and the plan to agents until ctx ends.
+// run sends the revision and the plan version to agents until ctx ends.
 func (g *agentGossip) run(ctx context.Context) error {
 	loop := &gossip.Loop{
 		Interval:    g.settings.Transport.GossipInterval,
@@ -248,7 +250,7 @@
 	}
 }
 
-// sendOverflow sends a chat's home the engine that served the chat.
+// sendOverflow notifies a chat's home which engine served the chat.
 func (g *agentGossip) sendOverflow(home, engine ryeford.EngineID, chat wire.ChatKey) {
 	a, ok := g.fleet.agentOfEngine(home)
 	if !ok {
@@ -257,7 +259,7 @@
 	g.sendTo(a.conn, &wire.Gossip{Overflows: []wire.Overflow{{Home: home, Chat: chat, Engine: engine}}})
 }
 
-// sendTo sends one datagram, with the revision and the plan that are known here.
+// sendTo sends one datagram, with this router's template revision and plan version.
 func (g *agentGossip) sendTo(conn *transport.Conn, m *wire.Gossip) {
 	m.VM = g.settings.VM
 	m.Revision = g.book.Revision()
@@ -265,7 +267,7 @@
 	gossip.Send(g.control, m, conn)
 }
 
-// receive takes an agent's datagrams until the connection ends.
+// receive handles an agent's datagrams until the connection ends.
 func (g *agentGossip) receive(ctx context.Context, conn *transport.Conn) {
 	var templates gossip.Puller
 	gossip.Receive(ctx, conn, func(m *wire.Gossip) {
--- a/agentfleet/router/answers.go
+++ b/agentfleet/router/answers.go
@@ -14,8 +14,8 @@
 	"github.com/ryeford/ryeford/internal/eventstream"
 )
 
-// writeAnswer writes the answer of a started exchange, in the form that the caller
-// asked for. From here on the answerStream ends the exchange.
+// writeAnswer writes the answer of a started exchange in the format that the caller
+// requested. From here on, the answerStream ends the exchange.
 func writeAnswer(work context.Context, ctx *fasthttp.RequestCtx, x *exchange) {
 	header := &ctx.Response.Header
 	header.Set(HeaderRequest, string(x.request.id))
@@ -37,8 +37,8 @@
 	}
 }
 
-// writeCallAnswer passes a service's answer on. One that breaks off cuts the
-// connection, so that it never looks complete.
+// writeCallAnswer relays a service's answer. If it is interrupted, the connection is
+// closed, so that the caller can't mistake it for a complete one.
 func writeCallAnswer(ctx *fasthttp.RequestCtx, body *answerStream) {
 	first, err := body.readChunk()
 	if err != nil {
@@ -59,7 +59,7 @@
 	ctx.SetBodyStream(body, -1)
 }
 
-// writeWholeAnswer collects a completion and writes it at once, or the failure.
+// writeWholeAnswer collects a completion and writes it in one response, or the failure.
 func writeWholeAnswer(ctx *fasthttp.RequestCtx, body *answerStream) {
 	defer func() { _ = body.Close() }()
 	x := body.exchange
@@ -91,7 +91,8 @@
 	}
 }
 
-// readChunk reads the next chunk. An engine's own error is an error here.
+// readChunk reads the next chunk. A chunk that reports a failure of the engine is returned
+// with that failure as the error.
 func (s *answerStream) readChunk() (ryeford.Chunk, error) {
 	chunk, err := s.exchange.read(s.ctx)
 	if err == nil && chunk.Finish == ryeford.FinishError {
@@ -100,13 +101,13 @@
 	return chunk, err
 }
 
-// An answerStream is the body of a streamed answer. The HTTP server reads it,
-// and closes it when the answer has ended or the caller is gone.
+// An answerStream is the body of a streamed answer. The HTTP server reads it, and
+// closes it after the end of the answer or when the caller has disconnected.
 type answerStream struct {
 	exchange *exchange
 	ctx      context.Context
 	encode   func(chunk *ryeford.Chunk)
-	// encodeError writes a failure. If it is nil, a failure cuts the connection.
+	// encodeError writes a failure. If it is nil, a failure closes the connection.
 	encodeError func(err error)
 
 	buf   eventstream.Buffer
@@ -114,13 +115,13 @@
 	once  sync.Once
 }
 
-// Read implements io.Reader. It waits for the next chunk.
+// Read implements io.Reader. It blocks until the next chunk arrives.
 func (s *answerStream) Read(p []byte) (int, error) {
 	return s.buf.ReadOrFill(p, s.fill)
 }
 
-// Close implements io.Closer. It ends the exchange, and its run if the caller left before
-// the answer's end. It never fails.
+// Close implements io.Closer. It ends the exchange, and cancels the run if the caller
+// disconnected before the end of the answer. It never fails.
 func (s *answerStream) Close() error {
 	s.once.Do(func() {
 		x := s.exchange
@@ -160,8 +161,8 @@
 		"engine", x.stream.candidate.Engine, "offset", x.delivered.next, "reason", reasonOf(err), "err", err)
 }
 
-// encodeEvent writes a chunk as a server-sent event, and the end marker after the last
-// one of a complete answer.
+// encodeEvent writes a chunk as a server-sent event. After the last one of a complete
+// answer it writes the end marker.
 func (s *answerStream) encodeEvent(chunk *ryeford.Chunk) {
 	if chunk.Finish == ryeford.FinishError {
 		s.encodeErrorEvent(chunkError(chunk))
@@ -177,15 +178,14 @@
 	}
 }
 
-// encodeErrorEvent writes a failure as a server-sent event. No end marker
-// follows it.
+// encodeErrorEvent writes a failure as a server-sent event, without an end marker.
 func (s *answerStream) encodeErrorEvent(err error) {
 	body, _ := newErrorBody(s.exchange.request.id, err)
 	s.writeEvent(eventstream.Event{Name: "error", Data: &body})
 }
 
-// writeEvent writes one server-sent event. One that can't be encoded is left out: its
-// parts are strings and numbers of ours, so that it would be a fault of this program.
+// writeEvent writes one server-sent event. An event that can't be encoded is omitted
+// and logged; since events consist of strings and numbers, this would be a bug.
 func (s *answerStream) writeEvent(event eventstream.Event) {
 	if err := s.buf.WriteEvent(event); err != nil {
 		_ = s.exchange.forwarder.log.Log("msg", "event not encoded", "request", s.exchange.request.id, "err", err)
@@ -202,8 +202,8 @@
 	Usage   *ryeford.Usage `json:"usage,omitempty"`
 }
 
-// An answerChoice is the one choice of an answer: Message of a whole one, Delta
-// of a streamed one.
+// An answerChoice is the only choice of an answer. It has a Message in a whole answer
+// and a Delta in a streamed one.
 type answerChoice struct {
 	Index        int                   `json:"index"`
 	Message      *ryeford.Message      `json:"message,omitempty"`
@@ -215,7 +215,8 @@
 	Content string `json:"content,omitempty"`
 }
 
-// newAnswerBody returns an answer with one choice, which ends if its chunk is the last.
+// newAnswerBody returns an answer with one choice. If chunk is the last one, it
+// includes the finish reason and the usage.
 func newAnswerBody(x *exchange, object string, choice answerChoice, chunk *ryeford.Chunk) *answerBody {
 	body := &answerBody{
 		ID:      string(x.request.id),
--- a/agentfleet/router/attempt_test.go
+++ b/agentfleet/router/attempt_test.go
@@ -9,7 +9,7 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// TestNewAttempt checks for how long an attempt may be admitted, and is remembered.
+// TestNewAttempt checks how long an attempt may be admitted and how long it is kept.
 func TestNewAttempt(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	limits := &settings.RouterLimits{Dispatch: 2 * time.Second, ClaimTTL: 10 * time.Minute}
--- a/agentfleet/router/callers.go
+++ b/agentfleet/router/callers.go
@@ -12,7 +12,7 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// The headers that callers use.
+// The headers of the callers' API.
 const (
 	HeaderChat         = "Ryeford-Chat"
 	HeaderKey          = "Idempotency-Key"
@@ -26,15 +26,15 @@
 	HeaderLastEvent    = "Last-Event-ID"
 )
 
-// The paths that callers use.
+// The paths of the callers' API.
 const (
 	PathCompletions = "/v1/chat/completions"
 	PathAnswers     = "/v1/answers"
 	PathServices    = "/v1/services/"
 )
 
-// unavailableRetryAfter is when a caller is to come back to a router that has no
-// configuration yet, or has no engine for the request.
+// unavailableRetryAfter is the retry delay for callers while the router has no
+// configuration yet, or no engine for the request.
 const unavailableRetryAfter = time.Second
 
 // serve answers one request of a caller or of the load balancer.
@@ -87,7 +87,7 @@
 	f.run(ctx, f.newExchange(req), (*exchange).start)
 }
 
-// run begins an exchange and writes its answer, or the failure to get one.
+// run begins an exchange and writes its answer or its failure.
 func (f *forwarder) run(ctx *fasthttp.RequestCtx, x *exchange, begin func(*exchange, context.Context) error) {
 	f.readiness.inFlight.Add(1)
 	work, cancel := context.WithDeadline(context.Background(), x.request.deadline)
@@ -104,7 +104,7 @@
 	writeAnswer(work, ctx, x)
 }
 
-// serveResume goes on with an answer that the caller has a part of.
+// serveResume serves the rest of an answer that the caller received in part.
 func (f *forwarder) serveResume(ctx *fasthttp.RequestCtx) {
 	req := &request{
 		stream:     true,
--- a/agentfleet/router/callers_test.go
+++ b/agentfleet/router/callers_test.go
@@ -51,8 +51,8 @@
 	return ctx
 }
 
-// TestBadInput checks that each wrong request gets a clear 4xx that says that
-// it did not run.
+// TestBadInput checks that each invalid request gets a 4xx response that states that it
+// did not run.
 func TestBadInput(t *testing.T) {
 	r := newTestRouter()
 	validBody := `{"model":"lira","messages":[{"role":"user","content":"hello"}]}`
@@ -88,8 +88,8 @@
 	return strings.Contains(string(ctx.Response.Body()), `"ran":"not_run"`)
 }
 
-// TestRefusalIsImmediate checks that a request that no engine can take is
-// answered at once, and that refused callers get different times.
+// TestRefusalIsImmediate checks that a request that no engine can serve is refused
+// without waiting, and that refused callers get different retry delays.
 func TestRefusalIsImmediate(t *testing.T) {
 	r := newTestRouter()
 	seen := make(map[string]bool)
@@ -103,8 +103,8 @@
 	assert.Assert(t, len(seen) > 10, "all are to come back at the same times")
 }
 
-// FuzzCaller checks that no input of a caller crashes the router, and that none
-// is taken for another account's.
+// FuzzCaller checks that no input of a caller crashes the router, and that each gets an
+// error status from a router without engines.
 func FuzzCaller(f *testing.F) {
 	f.Add("Bearer bank-key", "chat-1", "true", "2s", "5", `{"model":"lira","messages":[{"role":"user","content":"x"}]}`)
 	f.Add("Bearer ", "", "false", "", "", `{`)
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -11,25 +11,24 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// A request with an idempotency key that must not run twice.
+// Requests with an idempotency key that must not run twice.
 //
-// Its key is claimed in the platform's table before anything is dispatched, for one
-// attempt and its candidates. A key that another request has claimed leads to that
-// request's run: while its dispatch may still be under way, the candidates are only
-// looked at; after that each is asked for the answer, which also makes sure that an
-// attempt that was not admitted never will be. Only if every candidate answers that it
-// did not admit the attempt is the claim replaced; one that does not answer leaves the
-// outcome unknown.
+// The key is claimed in the platform's table before the first dispatch, for one attempt
+// and its candidates. If another request has already claimed the key, this request
+// joins the first run. While the first dispatch may still be in progress, the
+// candidates are only queried. After that, each one is asked for the answer, and a
+// candidate that has not admitted the attempt will refuse it from then on. The claim is
+// replaced only if every candidate replies that it did not admit the attempt. If one
+// does not reply, the outcome is unknown.
 
 const (
-	// releaseTimeout bounds the release of a claim: it is above the few
-	// milliseconds of a write, and no caller waits for it.
+	// releaseTimeout limits the release of a claim. No caller waits for it.
 	releaseTimeout = 2 * time.Second
 
-	// storeRetryAfter is when a caller is to come back whose key could not be claimed.
+	// storeRetryAfter is the retry delay for a caller whose key could not be claimed.
 	storeRetryAfter = 2 * time.Second
 
-	// peekInterval is the time between two looks at another request's run.
+	// peekInterval is the interval between two queries for another request's run.
 	peekInterval = 50 * time.Millisecond
 )
 
@@ -37,12 +36,12 @@
 type claimStep int
 
 const (
-	claimDispatch  claimStep = iota // the claim is ours
-	claimKeyReused                  // the key belongs to a request of another content
-	claimJoinFirst                  // the same request has claimed the key before
+	claimDispatch  claimStep = iota // the key is claimed for this request
+	claimKeyReused                  // the key belongs to a request with different content
+	claimJoinFirst                  // an earlier copy of the request claimed the key
 )
 
-// claimStepFor returns what follows a claim for a request with a digest.
+// claimStepFor returns what follows a claim for a request with this digest.
 func claimStepFor(held *claim.Claim, digest string) claimStep {
 	switch {
 	case held.Acquired:
@@ -54,8 +53,8 @@
 }
 
 // startClaimed claims the caller's key and then dispatches to the claim's candidates.
-// If the key is claimed already, it joins the first run, or finds out that there was
-// none.
+// If the key is already claimed, it joins the first run, or replaces the claim if there
+// was no run.
 func (x *exchange) startClaimed(ctx context.Context) error {
 	key := claim.Key{Account: x.request.account, Key: x.request.key}
 	held, err := x.forwarder.claims.Claim(ctx, key, x.newRecord())
@@ -80,8 +79,9 @@
 	return x.dispatchClaimed(ctx, held)
 }
 
-// dispatchClaimed dispatches to the candidates of a claim of ours. If the attempt did
-// not run, it gives the claim up while the caller already has its answer.
+// dispatchClaimed dispatches to the candidates of a claim that this request acquired.
+// If the attempt did not run, it releases the claim in the background, so that the
+// caller's response need not wait.
 func (x *exchange) dispatchClaimed(ctx context.Context, held *claim.Claim) error {
 	err := x.dispatchQueue(ctx)
 	if _, ok := errors.AsType[*ryeford.NotRunError](err); ok {
@@ -90,8 +90,8 @@
 	return err
 }
 
-// releaseClaim gives up a claim whose attempt did not run. A claim that stays costs the
-// caller's next request with the key the joins of joinFirst, and nothing else.
+// releaseClaim releases a claim whose attempt did not run. If that fails, the caller's
+// next request with the key has to ask the candidates first.
 func (f *forwarder) releaseClaim(ctx context.Context, request ryeford.RequestID, held *claim.Claim) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
@@ -101,7 +101,7 @@
 	}
 }
 
-// newRecord names a new attempt and returns the record that claims it.
+// newRecord starts a new attempt and returns the record that claims it.
 func (x *exchange) newRecord() claim.Record {
 	x.attempt = newAttempt(time.Now(), x.forwarder.limits, true)
 	return claim.Record{
@@ -112,8 +112,8 @@
 	}
 }
 
-// claimFailed logs that a key could not be claimed, and returns what the caller gets.
-// Nothing was dispatched.
+// claimFailed logs that a key could not be claimed, and returns the caller's error. At
+// this point nothing has been dispatched.
 func (x *exchange) claimFailed(err error) error {
 	req := x.request
 	x.forwarder.decisions.Record(req.id, "decision", "refuse", "request", req.id, "account", req.account,
@@ -121,10 +121,10 @@
 	return &ryeford.NotRunError{Reason: ryeford.ReasonStoreUnavailable, RetryAfter: retry.Spread(storeRetryAfter)}
 }
 
-// joinFirstRun joins the run that another request claimed. It reports whether the run was
-// found; if it was not and there is no error, the claimed attempt did not run and never
-// will. The exchange has the first one's attempt from here on, and the request its id,
-// under which agents send the answer.
+// joinFirstRun joins the run of the request that claimed the key, and reports whether
+// the run was found. If it was not and there is no error, the claimed attempt did not
+// run and never will. The exchange continues with the first request's attempt and ID,
+// since agents send the answer under that ID.
 func (x *exchange) joinFirstRun(ctx context.Context, record *claim.Record) (bool, error) {
 	x.attempt = record.Attempt
 	x.request.id = record.Request
@@ -147,9 +147,9 @@
 	return false, nil
 }
 
-// peekUntilExpired looks for the first run while its dispatch may still be under way,
-// without stopping it. An agent that does not answer is asked again, at last by
-// joinFirst.
+// peekUntilExpired looks for the first run while its dispatch may still be in progress,
+// without preventing its admission. An agent that does not reply is asked again,
+// finally by joinFirstRun.
 func (x *exchange) peekUntilExpired(ctx context.Context, record *claim.Record) (bool, error) {
 	for time.Now().Before(record.Expires) {
 		for _, c := range record.Candidates {
@@ -167,8 +167,8 @@
 	return false, nil
 }
 
-// joinAt joins the attempt at one candidate. It reports whether the attempt was found
-// there; an error says that this is not known.
+// joinAt joins the attempt at one candidate, and reports whether it was found there. An
+// error means that this is unknown.
 func (x *exchange) joinAt(ctx context.Context, c claim.Candidate, peek bool) (bool, error) {
 	reply, err := x.join(ctx, c, peek, time.Now().Add(x.forwarder.limits.Dispatch))
 	if err != nil {
--- a/agentfleet/router/connect_test.go
+++ b/agentfleet/router/connect_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestSyncQuorum checks how many agents stand in for the table.
+// TestSyncQuorum checks how many agents may substitute for the table.
 func TestSyncQuorum(t *testing.T) {
 	for _, test := range []struct {
 		name                string
--- a/agentfleet/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -15,12 +15,13 @@
 // candidates are the engines that an exchange may dispatch its request to.
 type candidates struct {
 	home  ryeford.EngineID  // the first in the chat's rendezvous order
-	first claim.Candidate   // the first dispatched to, not counting a redirect
+	first claim.Candidate   // the home if it was dispatched to, otherwise the first one dispatched to
 	queue []claim.Candidate // not dispatched to yet
 }
 
-// redirectQueue returns the queue after a home pointed to an engine: that engine first, if
-// it is connected and so is a candidate, target, the home next, then the others.
+// redirectQueue returns the queue after the home redirected to an engine: first that
+// engine, if it is connected and target therefore names it, then the home, then the
+// others.
 func redirectQueue(queue []claim.Candidate, home claim.Candidate, engine ryeford.EngineID, target claim.Candidate) []claim.Candidate {
 	others := slices.DeleteFunc(slices.Clone(queue), func(c claim.Candidate) bool { return c.Engine == engine })
 	next := append([]claim.Candidate{home}, others...)
@@ -30,14 +31,13 @@
 	return next
 }
 
-// suspectDuration is how long a VM that left a dispatch unanswered is tried last:
-// the time is a multiple of a dispatch's (2.25 s with its grace), so that a
-// frozen VM costs few requests that wait; freeze.txtar passes with it.
+// suspectDuration is how long a VM stays suspect after it left a dispatch unanswered.
+// It is a multiple of the default dispatch timeout, so that a frozen VM delays few
+// requests.
 const suspectDuration = 5 * time.Second
 
-// suspects are the VMs that left a dispatch unanswered a short while ago. Their
-// connections may still be up: that a process is frozen is noticed by a connection only
-// after the idle time-out.
+// suspects are the VMs that recently left a dispatch unanswered. Their connections may
+// still be up: a connection detects a frozen process only after the idle timeout.
 type suspects struct {
 	mu    sync.Mutex
 	until map[ryeford.VMID]time.Time
@@ -59,8 +59,8 @@
 	delete(s.until, vm)
 }
 
-// deprioritize returns the candidates with those of suspected VMs after the others, and keeps
-// the order otherwise. They are not left out: all may be suspected.
+// deprioritize returns the candidates with those on suspect VMs moved to the end. The
+// order is otherwise unchanged. None is dropped, since all of them may be suspect.
 func (s *suspects) deprioritize(now time.Time, candidates []claim.Candidate) []claim.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,19 +76,20 @@
 }
 
 const (
-	// dispatchGrace is how long after a dispatch's expiry its reply is waited for: an
-	// agent that admits in the last moment needs the way back.
+	// dispatchGrace is how long after the expiry of a dispatch its reply is accepted,
+	// so that a reply from an agent that admits it at the last moment still arrives.
 	dispatchGrace = 250 * time.Millisecond
 
 	// maxWaitingDispatches is how many of a request's first dispatches may wait at a
 	// full engine: the one to the chat's home, and the one to the engine that the home
-	// points to. No other engine has the chat's prefix, for which the wait is made.
-	// Without unit.
+	// redirects to. Waiting pays off only there, since no other engine has the chat's
+	// prefix cached.
 	maxWaitingDispatches = 2
 )
 
 // dispatch sends the attempt to an engine's agent and waits until it is admitted or
-// refused. What was not sent did not run; if the reply is lost, resolveLost finds out.
+// refused. If the dispatch could not be sent, the attempt did not run. If the reply is
+// lost, resolveOutcome determines whether it ran.
 func (x *exchange) dispatch(ctx context.Context, c claim.Candidate) error {
 	a, ok := x.forwarder.fleet.agentByVM(c.VM)
 	if !ok || a.inventory.Incarnation != c.Incarnation {
@@ -97,7 +98,7 @@
 	openCtx, cancel := context.WithDeadline(ctx, x.attempt.Expires)
 	defer cancel()
 	stream, err := a.conn.Open(openCtx)
-	if err != nil { // the connection is going: keepConnected logs why
+	if err != nil { // the connection is closing; keepConnected logs the cause
 		return &ryeford.NotRunError{Reason: ryeford.ReasonUnreachable}
 	}
 	x.stream.conn = stream
@@ -114,8 +115,8 @@
 	return x.handleReply(m)
 }
 
-// dispatchMessage returns the dispatch of the attempt, whose id the completion or call is
-// given.
+// dispatchMessage returns the dispatch of the attempt, and sets the attempt's ID in the
+// completion or call.
 func (x *exchange) dispatchMessage(c claim.Candidate) *wire.Dispatch {
 	req := x.request
 	if req.call != nil {
@@ -149,20 +150,21 @@
 	return d
 }
 
-// mayRedirect reports whether an agent may name another engine instead of running the
-// request: only the chat's home remembers where the chat went, only the first dispatch
-// asks for it, and a claim names its candidates before it is dispatched.
+// mayRedirect reports whether an agent may redirect the request to another engine
+// instead of running it. Only the chat's home stores where the chat was last served,
+// and only the first dispatch asks for it. A request with a claim is excluded, since
+// the claim fixes its candidates in advance.
 func mayRedirect(req *request, home bool, dispatches int) bool {
 	return home && dispatches == 1 && !req.needsClaim() && req.call == nil
 }
 
-// mayWait reports whether the dispatch of that number may wait at a full engine for
-// limits.warm_wait: in the first round, at the engines that may have the chat's prefix.
+// mayWait reports whether a dispatch may wait at a full engine for limits.warm_wait.
+// Only the dispatches of the first round to engines that may have the chat's prefix do.
 func mayWait(rounds, dispatches int) bool {
 	return rounds == 0 && dispatches <= maxWaitingDispatches
 }
 
-// handleReply takes the agent's reply to a dispatch or a join.
+// handleReply handles the agent's reply to a dispatch or a join.
 func (x *exchange) handleReply(m *wire.Message) error {
 	switch {
 	case m.Admitted != nil && m.Admitted.Attempt == x.attempt.ID:
@@ -176,15 +178,15 @@
 	return &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: &ProtocolError{}}
 }
 
-// beginAnswer makes the stream ready for the answer of an admitted attempt, from the
-// caller's next offset on. An attempt that another request began is answered under that
-// one's id.
+// beginAnswer prepares the stream for the answer of an admitted attempt, starting at
+// the caller's next offset. If another request started the attempt, the answer carries
+// the ID of that request.
 func (x *exchange) beginAnswer(admitted *wire.Admitted) {
 	x.request.id = admitted.Request
 	x.stream.assembler = answer.NewAssembler(x.attempt.ID, x.delivered.next)
 }
 
-// handleRefusal takes a refusal, and returns it as an error.
+// handleRefusal handles a refusal and returns it as an error.
 func (x *exchange) handleRefusal(refused *wire.Refused) error {
 	if refused.Unknown {
 		return &ryeford.MayHaveRunError{Reason: refused.Reason, RetryAfter: refused.RetryAfter}
@@ -193,7 +195,7 @@
 	case ryeford.ReasonOverload, ryeford.ReasonShare:
 		x.addProbe(refused.Load)
 		x.history.addRetryAfter(refused.RetryAfter)
-	case ryeford.ReasonResting: // its load says nothing of the others'
+	case ryeford.ReasonResting: // its load does not indicate the load of the others
 		x.history.addRetryAfter(refused.RetryAfter)
 	case ryeford.ReasonRedirect:
 		target, _ := x.forwarder.fleet.candidate(refused.Engine)
--- a/agentfleet/router/dispatch_test.go
+++ b/agentfleet/router/dispatch_test.go
@@ -10,7 +10,7 @@
 	"github.com/ryeford/ryeford/agentfleet/claim"
 )
 
-// TestMayRedirect checks which dispatch an agent may answer with another engine.
+// TestMayRedirect checks which dispatches an agent may answer with a redirect.
 func TestMayRedirect(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestSuspectsDeprioritized checks the order of candidates after a dispatch went
+// TestSuspectsDeprioritized checks the order of candidates after a dispatch was left
 // unanswered.
 func TestSuspectsDeprioritized(t *testing.T) {
 	a, b, c := claim.Candidate{VM: "a"}, claim.Candidate{VM: "b"}, claim.Candidate{VM: "c"}
--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -14,41 +14,41 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// An exchange serves one request: it dispatches it to engines until one has admitted
-// it, and yields the answer's chunks in their order, each once.
+// An exchange serves one request: it dispatches the request to engines until one admits
+// it, and returns the chunks of the answer in order, each once.
 //
-// An exchange must not be used by two goroutines at once.
+// An exchange is not safe for concurrent use.
 type exchange struct {
 	forwarder  *forwarder
 	request    *request
 	candidates candidates
 	history    history
-	probes     load.Probes // of the candidates so far
+	probes     load.Probes // loads of the candidates so far
 	attempt    claim.Attempt
 	stream     agentStream
 	delivered  deliveryState
-	end        func() // gives up what the exchange holds; called once
+	end        func() // releases the resources of the exchange; called once
 }
 
-// A history is what an exchange has done so far, as the rules are given it.
+// A history is what an exchange has done so far. The decision rules use it.
 type history struct {
 	dispatches int
-	rounds     int           // in which all candidates had a dispatch
-	rejoins    int           // that were used up after lost connections
-	mayHaveRun bool          // a dispatch that failed may have run
-	retryAfter time.Duration // the shortest that a refusal named
-	warm       bool          // the engine that admitted last had the chat's prefix cached
+	rounds     int           // completed rounds over all candidates
+	rejoins    int           // after lost connections
+	mayHaveRun bool          // a failed dispatch may have run
+	retryAfter time.Duration // the shortest one in a refusal
+	warm       bool          // the engine that last admitted the request had the chat's prefix cached
 }
 
-// addRetryAfter takes when a refusal says that a return makes sense.
+// addRetryAfter records the retry delay of a refusal. The shortest one counts.
 func (h *history) addRetryAfter(after time.Duration) {
 	if h.retryAfter == 0 || after < h.retryAfter {
 		h.retryAfter = after
 	}
 }
 
-// start dispatches the request until the first chunk of an answer is there, and logs how
-// that ended.
+// start dispatches the request until the first chunk of an answer has arrived, and logs
+// the result.
 func (x *exchange) start(ctx context.Context) error {
 	began := time.Now()
 	if err := x.dispatchAll(ctx); err != nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// dispatchAll dispatches the request, after a claim of its key if it needs one.
+// dispatchAll dispatches the request. If it needs a claim, it claims the key first.
 func (x *exchange) dispatchAll(ctx context.Context) error {
 	if len(x.candidates.queue) == 0 {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(unavailableRetryAfter)}
@@ -70,8 +70,8 @@
 	return x.dispatchQueue(ctx)
 }
 
-// resume joins the attempt whose answer the caller has a part of, at the one candidate
-// that its event id names.
+// resume joins the attempt whose answer the caller received in part, at the candidate
+// named in its event ID.
 func (x *exchange) resume(ctx context.Context) error {
 	found, err := x.joinAt(ctx, x.stream.candidate, false)
 	if err != nil {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// dispatchQueue dispatches to the queue's engines in turn until the first chunk is
-// there. What follows a failure is decided by afterFailure.
+// dispatchQueue dispatches to one engine of the queue after the other until the first
+// chunk has arrived. nextStepAfterFailure decides what follows a failure.
 func (x *exchange) dispatchQueue(ctx context.Context) error {
 	var last error
 	step := stepFree
@@ -112,7 +112,7 @@
 	return finalError(last, x.history.mayHaveRun, retry.Spread(x.history.retryAfter))
 }
 
-// startRound puts the first candidate into the queue again if anotherRound says so.
+// startRound queues the first candidate again if allowsAnotherRound permits it.
 func (x *exchange) startRound(last error) bool {
 	x.history.rounds++
 	if !allowsAnotherRound(last, x.history.rounds) {
@@ -140,12 +140,13 @@
 	return x.awaitFirstChunk(ctx)
 }
 
-// poolMean returns the mean load that an engine is to admit against.
+// poolMean returns the mean load that an engine compares its own load with on
+// admission.
 func (x *exchange) poolMean() float64 {
 	return x.forwarder.loads.probedMean(time.Now(), x.request.model, &x.probes)
 }
 
-// addProbe takes the load that a candidate reported.
+// addProbe records the load that a candidate reported.
 func (x *exchange) addProbe(value float64) {
 	x.forwarder.loads.addProbe(time.Now(), x.request.model, x.stream.candidate.Engine, &x.probes, value)
 }
@@ -180,13 +181,13 @@
 		"tries", x.history.dispatches, "reason", reasonOf(err), "mean", x.poolMean(), "err", err)
 }
 
-// attemptRetention is how long an agent must remember an attempt without a claim, which is
-// asked about for rejoinTime at most: above the dispatch time and
-// rejoinTime together.
+// attemptRetention is how long an agent keeps an attempt without a claim. It must
+// exceed the dispatch timeout and rejoinTimeout together.
 const attemptRetention = 30 * time.Second
 
-// newAttempt names a new attempt, which may be admitted for limits.dispatch from now. One
-// with a claim is remembered for limits.claim_ttl, so long as its caller may come again.
+// newAttempt returns a new attempt that may be admitted for limits.dispatch from now.
+// An attempt with a claim is kept for limits.claim_ttl, since its caller may retry for
+// that long.
 func newAttempt(now time.Time, limits *settings.RouterLimits, claimed bool) claim.Attempt {
 	retention := attemptRetention
 	if claimed {
@@ -199,8 +200,9 @@
 	}
 }
 
-// A forwarder serves callers' HTTP: it parses a request, and has an exchange find the
-// answer. It is what all exchanges share, and owns the suspects and the budgets.
+// A forwarder serves callers' HTTP requests. It parses a request and runs an exchange
+// to get the answer. It holds what all exchanges share, such as the suspects and the
+// budgets.
 type forwarder struct {
 	*sharedState
 	gossip   *agentGossip
@@ -218,8 +220,8 @@
 	return x
 }
 
-// resumeExchange returns the exchange that serves the rest of an answer, of which the
-// caller has the chunks up to last. It rejoins no further: the caller can come again.
+// resumeExchange returns an exchange that serves the rest of an answer after the event
+// last. It does not rejoin after a lost connection, since the caller can resume again.
 func (f *forwarder) resumeExchange(req *request, last *eventID) *exchange {
 	return &exchange{
 		forwarder: f,
@@ -232,7 +234,7 @@
 }
 
 // rank returns the engines that can serve a request, in its chat's rendezvous order,
-// limits.candidates at most. Those of agents that are not connected are left out.
+// limits.candidates at most. Engines of agents that are not connected are omitted.
 func (f *forwarder) rank(req *request) []claim.Candidate {
 	set := f.targets(req)
 	if set == nil {
--- a/agentfleet/router/failure.go
+++ b/agentfleet/router/failure.go
@@ -17,7 +17,7 @@
 	"github.com/ryeford/ryeford/internal/httpserver"
 )
 
-// An errorBody is the JSON of a failure.
+// An errorBody is the JSON body of an error response.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -30,9 +30,10 @@
 	Request      string `json:"request,omitempty"`
 }
 
-// newErrorBody returns the JSON of a failure and its HTTP status: 4xx if the request
-// itself is at fault or its account has spent what it may, 503 if the request provably
-// did not run, 502 if it may have run, and 409 if its first run may still go on.
+// newErrorBody returns the body and the HTTP status for a failure: 4xx if the request
+// is invalid or its account has exhausted its share or budget, 503 if the request
+// provably did not run, 502 if it may have run, and 409 if its first run may still be
+// in progress.
 func newErrorBody(request ryeford.RequestID, err error) (errorBody, int) {
 	detail := errorDetail{Code: "internal", Message: err.Error(), Ran: "unknown", Request: string(request)}
 	status := fasthttp.StatusBadGateway
@@ -43,7 +44,7 @@
 	case errors.As(err, &input):
 		detail.Code, detail.Ran = "invalid_request", "not_run"
 		status = cmp.Or(input.Status, fasthttp.StatusBadRequest)
-	// This goes first: an unknown outcome that a refusal caused stays unknown.
+	// Checked before notRun: an unknown outcome caused by a refusal stays unknown.
 	case errors.As(err, &unknown):
 		detail.Code = string(unknown.Reason)
 		detail.RetryAfterMS = unknown.RetryAfter.Milliseconds()
@@ -61,8 +62,8 @@
 	return errorBody{Error: detail}, status
 }
 
-// newOperatorErrorBody returns the JSON of a failure of an operator's request, and its
-// HTTP status.
+// newOperatorErrorBody returns the body and the HTTP status for a failure of an
+// operator's request.
 func newOperatorErrorBody(err error) (errorBody, int) {
 	var input *ryeford.InputError
 	var sequence *template.SequenceError
@@ -96,10 +97,11 @@
 	if request != "" {
 		ctx.Response.Header.Set(HeaderRequest, string(request))
 	}
-	_ = writeJSON(ctx, status, &body) // its parts are strings and a number
+	_ = writeJSON(ctx, status, &body) // strings and numbers always encode
 }
 
-// writeJSON writes a response. The error is that of encoding/json; nothing is written then.
+// writeJSON writes a response. If the body can't be encoded, it writes nothing and
+// returns the error of encoding/json.
 func writeJSON(ctx *fasthttp.RequestCtx, status int, body any) error {
 	content, err := json.Marshal(body)
 	if err != nil {
@@ -111,9 +113,9 @@
 	return nil
 }
 
-// An Error is a failure of something that the router itself does.
+// An Error is the failure of an operation of the router itself.
 type Error struct {
-	Op  string // what failed
+	Op  string // the operation that failed
 	Err error
 }
 
@@ -121,12 +123,12 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// A ProtocolError says that an agent's message is no reply to what it was sent.
+// A ProtocolError reports a message from an agent that is not a valid reply.
 type ProtocolError struct{}
 
 func (e *ProtocolError) Error() string { return "unexpected message" }
 
-// An EngineError carries what an engine, or its agent, said of a failure.
+// An EngineError carries the text of a failure that an engine or its agent reported.
 type EngineError struct {
 	Text string
 }
@@ -144,15 +146,15 @@
 }
 
 const (
-	// readTimeout bounds how long a client may take to send a request.
+	// readTimeout limits the time in which a client must send a request.
 	readTimeout = 30 * time.Second
 
-	// idleTimeout is how long a connection without a request is kept.
+	// idleTimeout is how long a connection without a request stays open.
 	idleTimeout = 2 * time.Minute
 )
 
-// serveHTTP runs an HTTP server, for bodies of maxBody bytes at most, until ctx ends. Its
-// error is an *httpserver.Error.
+// serveHTTP runs an HTTP server that accepts bodies of up to maxBody bytes, until ctx
+// ends. It returns an *httpserver.Error.
 func serveHTTP(ctx context.Context, address netip.AddrPort, maxBody int, handler fasthttp.RequestHandler) error {
 	return httpserver.ListenAndServe(ctx, address, &fasthttp.Server{
 		Handler:               handler,
@@ -166,7 +168,7 @@
 	})
 }
 
-// newBadRequest returns the failure of a request that is not HTTP, or is too large.
+// newBadRequest returns the error for a request that is not valid HTTP or is too large.
 func newBadRequest(err error, maxBody int) *ryeford.InputError {
 	problem := &ryeford.InputError{Field: "request", Problem: "not a valid HTTP request", Status: fasthttp.StatusBadRequest}
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
--- a/agentfleet/router/failure_test.go
+++ b/agentfleet/router/failure_test.go
@@ -10,8 +10,8 @@
 	"github.com/ryeford/ryeford/agentfleet/template"
 )
 
-// TestUnknownIsNeverNotRun checks that a request of which an earlier dispatch
-// may have run is never said not to have run, whatever refused the last one.
+// TestUnknownIsNeverNotRun checks that a request that may have run in an earlier
+// dispatch is never reported as not run, whatever the last refusal was.
 func TestUnknownIsNeverNotRun(t *testing.T) {
 	refused := &ryeford.NotRunError{Reason: ryeford.ReasonOverload, RetryAfter: time.Second}
 	x := &exchange{request: &request{repeatable: true}, history: history{mayHaveRun: true}}
@@ -21,7 +21,7 @@
 	assert.Equal(t, status, 502)
 	assert.Equal(t, reasonOf(final), ryeford.ReasonOverload)
 
-	// Not even if a refusal caused the unknown outcome.
+	// An unknown outcome that a refusal caused also stays unknown.
 	body, _ = newErrorBody("r", &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: refused})
 	assert.Equal(t, body.Error.Ran, "unknown")
 
@@ -30,7 +30,7 @@
 	assert.Equal(t, body.Error.Ran, "not_run")
 }
 
-// TestErrorBody checks what callers see of each failure.
+// TestErrorBody checks the error response to callers for each failure.
 func TestErrorBody(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -38,7 +38,7 @@
 		status       int
 		code         string
 		ran          string
-		retryAfterMS int64 // ms
+		retryAfterMS int64
 	}{
 		{"wrong input", &ryeford.InputError{Field: "body"}, 400, "invalid_request", "not_run", 0},
 		{"wrong key", &ryeford.InputError{Field: "Authorization", Status: 401}, 401, "invalid_request", "not_run", 0},
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestOperatorErrorBody checks what operators see of each failure.
+// TestOperatorErrorBody checks the error response to operators for each failure.
 func TestOperatorErrorBody(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/agentfleet/router/fleet.go
+++ b/agentfleet/router/fleet.go
@@ -14,30 +14,30 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// An agent is one that this router is connected to, as it described itself last. An
-// agent is not changed once it is in a fleet.
+// An agent is a connected agent with the inventory that it last sent. It is immutable
+// once it is in a fleet.
 type agent struct {
 	vm        ryeford.VM
 	conn      *transport.Conn
 	inventory *wire.Inventory
 }
 
-// leaving reports whether new work must not go to the agent: it says so itself, or the
-// platform's list does.
+// leaving reports whether the agent must get no new work, because it or the platform's
+// list states that it is leaving.
 func (a *agent) leaving() bool {
 	return a.inventory.Leaving || a.vm.State == ryeford.VMLeaving
 }
 
-// A fleet is what the router knows of the agents and their engines. What it holds of an
-// agent is as old as the agent's last message on its connection, and goes with it.
+// A fleet holds the connected agents and their engines. The state of an agent is as old
+// as the last message on its connection, and is removed with the connection.
 type fleet struct {
 	mu   sync.Mutex // held while view is replaced
 	view atomic.Pointer[fleetView]
 }
 
-// A fleetView is a fleet at one moment. It is not changed. Agents that are leaving, and engines that
-// rest, are in no set of candidates, but are still found by their engines, for answers that are under
-// way.
+// A fleetView is an immutable snapshot of a fleet. Leaving agents and engines that are
+// backing off are in no set of candidates. They are still found by engine, for answers
+// in progress.
 type fleetView struct {
 	agents   map[ryeford.VMID]*agent
 	engines  map[ryeford.EngineID]*agent
@@ -51,12 +51,12 @@
 	return f
 }
 
-// put keeps an agent, in place of what was known of it.
+// put adds an agent or replaces its previous state.
 func (f *fleet) put(a *agent) {
 	f.update(func(agents map[ryeford.VMID]*agent) { agents[a.vm.ID] = a })
 }
 
-// remove drops an agent whose connection is lost, unless it has another one by now.
+// remove removes an agent whose connection is lost, unless it has reconnected since.
 func (f *fleet) remove(vm ryeford.VMID, conn *transport.Conn) {
 	f.update(func(agents map[ryeford.VMID]*agent) {
 		if a, ok := agents[vm]; ok && a.conn == conn {
@@ -65,7 +65,7 @@
 	})
 }
 
-// setVM takes what the platform's list says of a VM.
+// setVM updates an agent with its VM's entry in the platform's list.
 func (f *fleet) setVM(vm ryeford.VM) {
 	if a, ok := f.agentByVM(vm.ID); !ok || a.vm == vm {
 		return
@@ -79,7 +79,7 @@
 	})
 }
 
-// update replaces the view by one of changed agents.
+// update replaces the view by one with changed agents.
 func (f *fleet) update(apply func(agents map[ryeford.VMID]*agent)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +99,7 @@
 			if a.leaving() {
 				continue
 			}
-			var targets []route.Target // none of one that rests, which leaves what it serves known
+			var targets []route.Target // empty while the engine backs off; its pools and service stay known
 			if !e.Resting {
 				targets = []route.Target{{Engine: e.ID, VM: id, Domain: a.inventory.FailureDomain}}
 			}
@@ -135,7 +135,7 @@
 	return a, ok
 }
 
-// candidate returns an engine as a candidate, if its agent is connected.
+// candidate returns an engine as a candidate if its agent is connected.
 func (f *fleet) candidate(id ryeford.EngineID) (claim.Candidate, bool) {
 	a, ok := f.agentOfEngine(id)
 	if !ok {
@@ -149,7 +149,7 @@
 	return a, ok
 }
 
-// domain returns the failure domain of a connected agent, or nothing.
+// domain returns the failure domain of a connected agent, or an empty string.
 func (f *fleet) domain(id ryeford.VMID) string {
 	if a, ok := f.agentByVM(id); ok {
 		return a.inventory.FailureDomain
@@ -157,7 +157,7 @@
 	return ""
 }
 
-// list returns the connected agents in the order of their VMs.
+// list returns the connected agents, ordered by VM ID.
 func (f *fleet) list() []*agent {
 	byVM := func(a, b *agent) int { return cmp.Compare(a.vm.ID, b.vm.ID) }
 	return slices.SortedFunc(maps.Values(f.view.Load().agents), byVM)
--- a/agentfleet/router/fleet_test.go
+++ b/agentfleet/router/fleet_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestServiceBackingOff checks that a service all of whose instances rest has none to be sent to, and is still
-// known: a caller is not told that there is no such service.
+// TestServiceBackingOff checks that a service stays known while all its instances back
+// off, so that callers don't get the error for an unknown service.
 func TestServiceBackingOff(t *testing.T) {
 	f := newFleet()
 	a := testAgent("endpoint-1", "lira")
@@ -76,7 +76,7 @@
 	assert.Assert(t, f.service("another") == nil)
 }
 
-// TestSkew checks the busiest engine's load over its model's mean.
+// TestSkew checks the ratio of the busiest engine's load to its model's mean.
 func TestSkew(t *testing.T) {
 	type sample struct {
 		engine ryeford.EngineID
--- a/agentfleet/router/loads.go
+++ b/agentfleet/router/loads.go
@@ -9,30 +9,29 @@
 )
 
 const (
-	// meanWindow is how old a load may be that counts in a mean.
+	// meanWindow is the maximum age of a load that counts in a mean.
 	meanWindow = time.Second
 
-	// skewWindow is how old a load may be that counts in the skew that is shown to
-	// operators: no decision rests on it.
+	// skewWindow is the maximum age of a load that counts in the skew, which is only
+	// shown to operators.
 	skewWindow = 10 * time.Second
 )
 
-// loads are the engines' loads as agents report them, in replies and in gossip. A load
-// is the number of requests that run.
+// loads are the engines' loads as the agents report them in replies and gossip. A load
+// is the number of running requests.
 type loads struct {
 	mu    sync.Mutex
 	means map[string]*load.Mean // by model
 	last  map[ryeford.EngineID]engineLoad
 }
 
-// An engineLoad is the load that an engine had last.
+// An engineLoad is the last reported load of an engine.
 type engineLoad struct {
 	at    time.Time
 	model string
 	load  float64
 }
 
-// newLoads returns loads without any.
 func newLoads() *loads {
 	return &loads{
 		means: make(map[string]*load.Mean),
@@ -40,14 +39,14 @@
 	}
 }
 
-// add adds a load of some engine of a model.
+// add records a load of an engine that serves the model.
 func (l *loads) add(now time.Time, model string, value float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mean(model).Add(now, value)
 }
 
-// addProbe adds the load that a request's candidate had.
+// addProbe records the load of a request's candidate.
 func (l *loads) addProbe(now time.Time, model string, engine ryeford.EngineID, probes *load.Probes, value float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,8 +55,8 @@
 	l.last[engine] = engineLoad{at: now, model: model, load: value}
 }
 
-// probedMean returns the mean load of a model's engines, as a request with these probes
-// is to take it.
+// probedMean returns the mean load of a model's engines, adjusted by the probes of a
+// request.
 func (l *loads) probedMean(now time.Time, model string, probes *load.Probes) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,8 +74,8 @@
 	return m
 }
 
-// skew returns the load of a model's busiest engine over the mean of its engines, for the
-// model with the highest such ratio, and zero if there are no loads.
+// skew returns the load of a model's busiest engine divided by the mean of its engines,
+// for the model where this ratio is highest. Without loads it is zero.
 func (l *loads) skew(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agentfleet/router/operators.go
+++ b/agentfleet/router/operators.go
@@ -17,7 +17,7 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// The paths that operators use.
+// The paths of the operators' API.
 const (
 	PathTemplates = "/v1/templates"
 	PathHistory   = "/v1/history/"
@@ -29,12 +29,12 @@
 
 const stopSuffix = "/stop"
 
-// operatorTimeout bounds one request of an operator: it leaves room for
-// the calls of the platform that a publish repeats.
+// operatorTimeout limits one request of an operator, including the platform calls that
+// a publish repeats.
 const operatorTimeout = 10 * time.Second
 
-// An operatorHandler serves operators' HTTP: templates, planned stops, and what this
-// router knows.
+// An operatorHandler serves operators' HTTP requests: templates, planned stops and the
+// state of this router.
 type operatorHandler struct {
 	*sharedState
 }
@@ -52,7 +52,7 @@
 	}
 	if err != nil {
 		body, status := newOperatorErrorBody(err)
-		_ = writeJSON(ctx, status, &body) // its parts are strings and a number
+		_ = writeJSON(ctx, status, &body) // strings and numbers always encode
 	}
 }
 
@@ -93,7 +93,7 @@
 	return nil, &ryeford.NotFoundError{Kind: "path", Name: path}
 }
 
-// publish accepts a template, and puts it in force here at once.
+// publish accepts a template and puts it in force on this router at once.
 func (h *operatorHandler) publish(ctx context.Context, body []byte) (*ryeford.Template, error) {
 	var t ryeford.Template
 	if err := json.Unmarshal(body, &t); err != nil {
@@ -115,7 +115,8 @@
 	h.decisions.Record("", "decision", "published", "account", t.Account, "template", t.Name, "change", t.Change,
 		"sequence", published.Sequence, "revision", published.Revision)
 	if !h.book.Apply(published.Revision-1, published.Revision, []ryeford.Template{*published}) {
-		// Others published in between. If this fails, syncTemplates or gossip does it later.
+		// Other routers published in between. If this fails, syncTemplates or gossip
+		// catches up.
 		if err := h.readTemplates(ctx); err != nil {
 			_ = h.log.Log("msg", "templates not read", "err", err)
 		}
@@ -123,7 +124,7 @@
 	return published, nil
 }
 
-// readByName returns what read finds of the template that is named ACCOUNT/NAME.
+// readByName returns the result of read for the template named ACCOUNT/NAME.
 func readByName[T any](ctx context.Context, s string, read func(context.Context, template.Name) (T, error)) (any, error) {
 	name, err := template.ParseName(s)
 	if err != nil {
@@ -133,8 +134,8 @@
 }
 
 // stopVM begins a planned stop: it marks the VM as leaving in the platform's list and
-// orders the agent there, if there is one, to leave at once. If the agent does not
-// answer, it reads the list itself.
+// sends the agent there, if any, the order to leave. If that fails, the agent finds the
+// mark in the list.
 func (h *operatorHandler) stopVM(ctx context.Context, id ryeford.VMID) (*ryeford.VM, error) {
 	vms, err := h.platform.VMs(ctx)
 	if err != nil {
@@ -158,15 +159,15 @@
 }
 
 const (
-	// queryTimeout bounds one agent's answer to an operator's query.
+	// queryTimeout limits one agent's reply to an operator's query.
 	queryTimeout = time.Second
 
-	// maxQueries is how many agents are asked at once: it bounds the
-	// streams that one operator's query opens.
+	// maxQueries is how many agents are queried at once. It limits the streams that one
+	// operator's request opens.
 	maxQueries = 32
 )
 
-// A Status is what a router says of itself and of the agents it reaches.
+// A Status is the state of a router and of the agents that it is connected to.
 type Status struct {
 	Router   ryeford.VMID  `json:"router"`
 	Domain   string        `json:"failure_domain"`
@@ -178,20 +179,20 @@
 	Agents   []AgentStatus `json:"agents"`
 }
 
-// An AgentStatus is what a router knows of an agent.
+// An AgentStatus is the state of an agent as last reported to the router.
 type AgentStatus struct {
 	wire.Inventory
 	Listed   ryeford.VMState `json:"listed"`
-	Revision int64           `json:"revision"` // -1 if it did not answer
+	Revision int64           `json:"revision"` // -1 if the agent did not reply
 }
 
-// An Explanation is the decisions on a request, in the order of time.
+// An Explanation lists the decisions about a request, oldest first.
 type Explanation struct {
 	Request   ryeford.RequestID `json:"request"`
 	Decisions []string          `json:"decisions"`
 }
 
-// status returns what the router knows, with each agent's revision.
+// status returns the router's state, with each agent's revision.
 func (h *operatorHandler) status(ctx context.Context) *Status {
 	s := &Status{
 		Router:   h.settings.VM,
@@ -226,8 +227,9 @@
 	return e
 }
 
-// queryAgents asks agents the same, maxQueries at once. It returns their replies in the
-// agents' order, nil for one that did not answer within queryTimeout.
+// queryAgents sends the same query to all agents, maxQueries at once. It returns the
+// replies in the order of the agents, nil for an agent that did not reply within
+// queryTimeout.
 func (h *operatorHandler) queryAgents(ctx context.Context, agents []*agent, query *wire.Message) []*wire.Message {
 	replies := make([]*wire.Message, len(agents))
 	var group errgroup.Group
@@ -242,6 +244,6 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // an agent that did not answer is no error
+	_ = group.Wait() // a missing reply is not an error
 	return replies
 }
--- a/agentfleet/router/parse.go
+++ b/agentfleet/router/parse.go
@@ -13,13 +13,12 @@
 	"github.com/ryeford/ryeford/agentfleet/claim"
 )
 
-// Bounds on what a caller may send: well above real use, and low enough
-// that one request costs a router little.
+// Limits of what a caller may send.
 const (
-	maxIDLength = 128       // bytes of a chat's or a key's name
+	maxIDLength = 128       // bytes of a chat ID or an idempotency key
 	maxMessages = 4096      // of one completion
 	maxTokens   = 1 << 20   // that one completion may ask for
-	maxDeadline = time.Hour // as limits.default_deadline allows
+	maxDeadline = time.Hour // the maximum of limits.default_deadline
 )
 
 const (
@@ -78,8 +77,8 @@
 	return nil
 }
 
-// parseRepeatable reads whether the request may run twice. Completions, GET and HEAD
-// may unless they are marked; other calls of services may not.
+// parseRepeatable returns whether the request may run twice. Without the header,
+// completions, GET and HEAD may, and other calls of services may not.
 func parseRepeatable(ctx *fasthttp.RequestCtx) (bool, error) {
 	switch string(ctx.Request.Header.Peek(HeaderRepeatable)) {
 	case "true":
@@ -92,7 +91,7 @@
 	return false, &ryeford.InputError{Field: HeaderRepeatable, Problem: "want true or false"}
 }
 
-// checkID checks an identifier that a caller chose. None at all is valid.
+// checkID checks an identifier chosen by a caller. An empty one is valid.
 func checkID(field, id string) error {
 	if len(id) > maxIDLength {
 		return &ryeford.InputError{Field: field, Problem: "longer than 128 bytes"}
@@ -146,8 +145,7 @@
 	return nil
 }
 
-// parsePriority reads a priority, which may be lower than the template's but
-// not higher.
+// parsePriority returns the requested priority, limited to that of the template.
 func parsePriority(ctx *fasthttp.RequestCtx, highest ryeford.Priority) (ryeford.Priority, error) {
 	text := string(ctx.Request.Header.Peek(HeaderPriority))
 	if text == "" {
@@ -184,35 +182,35 @@
 	return nil
 }
 
-// A request is one request of a caller: a chat completion, a call of a plain service,
-// or the rest of an answer that the caller has a part of.
+// A request is a parsed request of a caller: a chat completion, a call of a plain
+// service, or a resumption of an answer.
 type request struct {
 	id         ryeford.RequestID
 	account    ryeford.AccountID
-	chat       ryeford.ChatID // orders the engines; the request's id if the caller named none
+	chat       ryeford.ChatID // determines the order of engines; the request ID if the caller named none
 	priority   ryeford.Priority
 	share      float64 // of the account's template, above 0 and up to 1
-	repeatable bool    // running it twice does no harm
+	repeatable bool    // may safely run twice
 	key        string  // the caller's idempotency key
 	digest     string  // of method, path and body
 	deadline   time.Time
 	stream     bool // answer as an event stream
 
-	model string // whose engines' mean load counts
+	model string // selects the mean load to admit against
 
 	// Exactly one is set.
 	completion *ryeford.Completion
 	call       *ryeford.Call
 
-	service string // that call goes to
+	service string // the target of call
 }
 
-// needsClaim reports whether the request needs a claim on its key: it may not run twice,
-// and its caller may send it again.
+// needsClaim reports whether the request needs a claim on its key: it must not run
+// twice, and its caller may send it again.
 func (req *request) needsClaim() bool { return !req.repeatable && req.key != "" }
 
-// deadlineWithin returns the time after limit from now, or the request's deadline if that is
-// earlier.
+// deadlineWithin returns the time after limit from now, or the request's deadline if
+// that is earlier.
 func (req *request) deadlineWithin(limit time.Duration) time.Time {
 	at := time.Now().Add(limit)
 	if req.deadline.Before(at) {
@@ -221,8 +219,8 @@
 	return at
 }
 
-// An eventID names a chunk of an answer, and the agent that keeps it. Callers
-// treat it as opaque.
+// An eventID identifies a chunk of an answer and the agent that stores it. It is opaque
+// to callers.
 type eventID struct {
 	candidate claim.Candidate
 	attempt   ryeford.AttemptID
--- a/agentfleet/router/parse_test.go
+++ b/agentfleet/router/parse_test.go
@@ -11,7 +11,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// newRequestCtx returns a request with one header, which may be empty.
+// newRequestCtx returns a request with one header, or none if header is empty.
 func newRequestCtx(method, path, header, value string) *fasthttp.RequestCtx {
 	ctx := &fasthttp.RequestCtx{}
 	ctx.Request.Header.SetMethod(method)
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestParseDeadline checks how long a caller may wait.
+// TestParseDeadline checks which deadlines are accepted.
 func TestParseDeadline(t *testing.T) {
 	for _, test := range []struct {
 		text  string
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestParsePriority checks that a caller may lower its priority, and not raise it.
+// TestParsePriority checks that a caller may lower its priority but not raise it.
 func TestParsePriority(t *testing.T) {
 	for _, test := range []struct {
 		text    string
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestCheckID checks which names callers may choose.
+// TestCheckID checks which identifiers callers may choose.
 func TestCheckID(t *testing.T) {
 	for _, test := range []struct {
 		name, id string
--- a/agentfleet/router/placeable_test.go
+++ b/agentfleet/router/placeable_test.go
@@ -11,7 +11,7 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// TestRecentEngines checks for how long an engine counts after its agent was lost.
+// TestRecentEngines checks how long an engine counts after the loss of its agent.
 func TestRecentEngines(t *testing.T) {
 	const lostTimeout = 30 * time.Second
 	engine := placement.Engine{ID: "e", VM: "endpoint-1"}
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestPlaceableEngines checks which engines a plan is made for, and what they count as serving.
+// TestPlaceableEngines checks which engines a plan covers, and which pools they count
+// as serving.
 func TestPlaceableEngines(t *testing.T) {
 	lira, psalm := []ryeford.Pool{{Model: "lira"}}, []ryeford.Pool{{Model: "psalm"}}
 	plan := &ryeford.Plan{Assignments: []ryeford.Assignment{{Engine: "endpoint-1.1", Pools: psalm}}}
--- a/agentfleet/router/planner.go
+++ b/agentfleet/router/planner.go
@@ -18,15 +18,15 @@
 
 const leaseName = "planner"
 
-// A planner keeps the current plan. On the router that holds the lease, it also makes
-// it.
+// A planner keeps the current plan up to date. On the router that holds the lease, it
+// also makes the plans.
 type planner struct {
 	*sharedState
 	lease   *lease.Lease
 	engines recentEngines // used by run only
 }
 
-// run plans, or follows another router's plan, until ctx ends.
+// run makes plans, or reads those of another router, until ctx ends.
 func (p *planner) run(ctx context.Context) error {
 	if !p.settings.Planner.Enabled {
 		return nil
@@ -41,9 +41,9 @@
 	}
 }
 
-// planOnce acquires or renews the lease if it can, reads the current plan, and plans if the
-// lease is held. A router that is leaving, or has not read the templates yet, makes no
-// plan.
+// planOnce acquires or renews the lease if possible, reads the current plan, and makes
+// a new one if it holds the lease. A router that is leaving or has not read the
+// templates yet makes no plan.
 func (p *planner) planOnce(ctx context.Context) error {
 	held, err := p.acquire(ctx)
 	if err != nil {
@@ -90,20 +90,20 @@
 	}
 }
 
-// Where plans are stored: each as an object, and in one row which is current.
+// Each plan is stored as an object. One row names the current plan.
 const (
 	rowPlan        = "plan/current"
 	planObjectName = "plan-%d-%d" // epoch, sequence
 )
 
-// A planPointer is the row that says which plan is current.
+// A planPointer is the row that names the current plan.
 type planPointer struct {
 	Epoch    int64  `json:"epoch"`
 	Sequence int64  `json:"sequence"`
 	Object   string `json:"object"`
 }
 
-// fetchPlan reads the plan that a row names, if it is newer than the one known here.
+// fetchPlan reads the plan that a row names, if it is newer than the current one here.
 func (p *planner) fetchPlan(ctx context.Context, pointer planPointer) error {
 	if !p.plan.OlderThan(pointer.Epoch, pointer.Sequence) {
 		return nil
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// publish makes a plan, and makes it current if it says something new.
+// publish makes a plan, and stores it as the current one if it differs from it.
 func (p *planner) publish(ctx context.Context, held *lease.Held, pointer planPointer, version int64) error {
 	out := placement.Plan(p.input())
 	if !shouldPublish(p.plan.Get(), out.Assignments) {
@@ -146,8 +146,8 @@
 }
 
 // makeCurrent points the row to a plan and renews the lease, in one transaction. It
-// fails if the lease was taken over or the row changed since they were read, so that a
-// holder that was paused changes nothing.
+// fails if another router took over the lease or the row has changed since they were
+// read, so that a holder that was suspended and resumed can't overwrite a newer plan.
 func (p *planner) makeCurrent(ctx context.Context, held *lease.Held, pointer planPointer, version int64) error {
 	current, err := row.Write(rowPlan, &pointer, version)
 	if err != nil {
@@ -161,9 +161,10 @@
 	return err
 }
 
-// shouldPublish reports whether assignments differ from the current plan's in what an
-// engine serves. Other start times alone make no new plan, and a plan without any
-// assignment is no plan: no template or no engine is known.
+// shouldPublish reports whether the assignments differ from those of the current plan
+// in the pools of any engine. Different start times alone don't justify a new plan.
+// Empty assignments are never published: they mean that no template or no engine is
+// known.
 func shouldPublish(current *ryeford.Plan, next []ryeford.Assignment) bool {
 	if len(next) == 0 || current == nil {
 		return len(next) > 0
@@ -173,24 +174,24 @@
 	})
 }
 
-// Which engines a plan is made for.
+// Which engines a plan covers.
 //
-// An engine counts while its agent is connected, and for planner.patience after its
-// connection was lost, so that a VM that flaps, or a router that starts, moves nothing.
-// An engine of a VM that is leaving does not count from then on. What the current plan
-// says of an engine counts as what it serves: a load that is under way is kept.
+// An engine counts while its agent is connected and for planner.patience after the
+// connection was lost, so that a flapping VM or a restarted router causes no moves. An
+// engine on a leaving VM doesn't count. Pools that the current plan assigns to an
+// engine count as served, so that loads in progress are kept.
 
-// recentEngines are the engines whose agents are connected, or were a short while ago.
+// recentEngines are the engines whose agents are connected or were recently.
 type recentEngines map[ryeford.EngineID]recentEngine
 
-// A recentEngine is an engine as it was when its agent was connected last.
+// A recentEngine is an engine as of the last contact with its agent.
 type recentEngine struct {
 	engine        placement.Engine
 	lastConnected time.Time
 }
 
-// update takes the engines that are connected now and drops those that count no more.
-// It returns those that count, ordered by id.
+// update adds the connected engines and removes those that no longer count. It returns
+// the remaining ones, ordered by ID.
 func (r recentEngines) update(now time.Time, connected []placement.Engine, leaving map[ryeford.VMID]bool, lostTimeout time.Duration) []placement.Engine {
 	for _, e := range connected {
 		r[e.ID] = recentEngine{engine: e, lastConnected: now}
@@ -207,9 +208,9 @@
 	return engines
 }
 
-// placeableEngines returns the model engines of connected agents, with what they serve or are
-// to serve by the plan, and the VMs that are leaving. Instances of plain services are
-// not placed.
+// placeableEngines returns the model engines of connected agents, with the pools that
+// they serve or that the plan assigns to them, and the VMs that are leaving. Instances
+// of plain services are not placed.
 func placeableEngines(agents []*agent, plan *ryeford.Plan) (engines []placement.Engine, leaving map[ryeford.VMID]bool) {
 	planned := make(map[ryeford.EngineID][]ryeford.Pool)
 	if plan != nil {
--- a/agentfleet/router/planner_test.go
+++ b/agentfleet/router/planner_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestFlappingAgentKeepsPlacement loses an agent for less than the patience, twice, and
-// then for longer.
+// TestFlappingAgentKeepsPlacement checks that the loss of an agent moves its engines
+// only after planner.patience.
 func TestFlappingAgentKeepsPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &planner{engines: make(recentEngines), sharedState: &sharedState{
@@ -51,7 +51,7 @@
 		time.Sleep(31 * time.Second)
 		assert.Equal(t, engines(), 1)
 
-		// One that is leaving loses its place at once.
+		// The engines of a leaving agent don't count any more.
 		leaving := *lost
 		leaving.inventory = &wire.Inventory{VM: "endpoint-1", Leaving: true, Engines: lost.inventory.Engines}
 		p.fleet.put(lost)
--- a/agentfleet/router/readiness.go
+++ b/agentfleet/router/readiness.go
@@ -9,32 +9,33 @@
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
-// drainPollInterval is the time between two looks at whether all requests have ended: short
-// against the stop of a process.
+// drainPollInterval is the interval between checks whether all requests have ended.
 const drainPollInterval = 20 * time.Millisecond
 
-// A readiness is what decides whether callers are to come here, and may go.
+// A readiness is the state that determines whether the router accepts callers and
+// whether it may exit.
 type readiness struct {
-	synced   atomic.Bool  // the book holds what the fleet had accepted; set by syncTemplates
+	synced   atomic.Bool  // the book holds all accepted templates; set by syncTemplates
 	leaving  atomic.Bool  // set by drain
 	inFlight atomic.Int64 // requests of callers
 	fleet    *fleet
 }
 
-// ready reports whether the load balancer is to send callers here.
+// ready reports whether the load balancer may send callers here.
 func (r *readiness) ready() bool {
 	return ready(r.synced.Load(), r.leaving.Load(), r.fleet.connectedCount())
 }
 
-// ready is the rule of readiness: the router has read the templates that are in force,
-// is not leaving, and is connected to an agent.
+// ready reports whether a router can serve: it has read the templates in force, is not
+// leaving, and is connected to an agent.
 func ready(synced, leaving bool, agents int) bool {
 	return synced && !leaving && agents > 0
 }
 
-// drain ends the process without breaking off a request. It waits for stop to end. It
-// then turns the router unready, goes on serving for limits.leave_notice, until the load
-// balancer has noticed, and waits for the requests in flight, limits.drain at most.
+// drain shuts the router down without interrupting requests. When stop ends, it marks
+// the router as not ready and continues to serve for limits.leave_notice, so that the
+// load balancer can react. It then waits for the requests in flight, for limits.drain
+// at most.
 func (r *Router) drain(stop, work context.Context) error {
 	select {
 	case <-stop.Done():
@@ -61,17 +62,17 @@
 }
 
 const (
-	// syncQuorum is how many agents must have answered a fresh router that can't read
-	// the table, before it takes the highest of their revisions for the accepted one.
-	// One agent may have missed a change, three hardly the same.
+	// syncQuorum is how many agents must reply to a new router that can't read the
+	// table before it accepts the highest of their revisions as the current one. One
+	// agent may have missed an update, but hardly three.
 	syncQuorum = 3
 
-	// syncInterval is the time between two such attempts.
+	// syncInterval is the interval between two such attempts.
 	syncInterval = 500 * time.Millisecond
 )
 
-// syncTemplates brings the book up to the templates that the fleet has accepted, which it
-// reads from the platform's table until ctx ends. It makes up for what gossip loses.
+// syncTemplates reads accepted templates from the platform's table into the book, until
+// ctx ends. It compensates for lost gossip.
 func (r *Router) syncTemplates(ctx context.Context) error {
 	for {
 		r.syncOnce(ctx)
@@ -85,8 +86,8 @@
 	}
 }
 
-// syncOnce reads the templates from the table. If that fails, a router that has none
-// asks agents, and one that has some goes on with them.
+// syncOnce reads the templates from the table. If that fails, a router without
+// templates asks agents, and one with templates continues with them.
 func (r *Router) syncOnce(ctx context.Context) {
 	err := r.readTemplates(ctx)
 	if err == nil {
@@ -111,8 +112,8 @@
 	return err
 }
 
-// syncFromAgents brings a fresh router up while the table can't be read: it takes the
-// highest revision of several agents.
+// syncFromAgents gets the templates from several agents while the table can't be read,
+// and uses the highest revision among them.
 func (r *Router) syncFromAgents(ctx context.Context) {
 	agents := r.fleet.list()
 	answered := 0
@@ -129,13 +130,13 @@
 	}
 }
 
-// hasSyncQuorum reports whether the templates of so many agents, of those connected, may
-// be taken for all that were accepted: of syncQuorum, or of all if there are fewer.
+// hasSyncQuorum reports whether enough of the connected agents replied to trust their
+// templates: syncQuorum, or all of them if there are fewer.
 func hasSyncQuorum(answered, connected int) bool {
 	return answered > 0 && answered >= min(syncQuorum, connected)
 }
 
-// setSynced marks the book as complete: it holds what the fleet had accepted.
+// setSynced marks the book as complete.
 func (r *Router) setSynced(source string) {
 	if r.readiness.synced.CompareAndSwap(false, true) {
 		r.decisions.Record("", "decision", "synced", "source", source, "revision", r.book.Revision())
--- a/agentfleet/router/readiness_test.go
+++ b/agentfleet/router/readiness_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReady checks when the load balancer is to send callers.
+// TestReady checks when the load balancer may send callers.
 func TestReady(t *testing.T) {
 	for _, test := range []struct {
 		name            string
--- a/agentfleet/router/receive.go
+++ b/agentfleet/router/receive.go
@@ -12,15 +12,15 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// A deliveryState is what the caller has received of an answer.
+// A deliveryState is the part of an answer that was passed on to the caller.
 type deliveryState struct {
 	next int64  // offset of the next chunk
-	text []byte // of a repeatable completion, to go on from
+	text []byte // of a repeatable completion, to continue from
 }
 
-// awaitFirstChunk waits for the answer's first chunk. Up to it, a failure can still lead to
-// another engine. An engine's own error, which names no reason, is an answer: it is
-// passed on.
+// awaitFirstChunk waits for the answer's first chunk. Until then, the request can still
+// be dispatched to another engine after a failure. A failure reported by the engine
+// itself, which has no reason, is part of the answer and passed on.
 func (x *exchange) awaitFirstChunk(ctx context.Context) error {
 	if err := x.receive(ctx, x.forwarder.limits.FirstToken); err != nil {
 		return x.resolveOutcome(ctx, err)
@@ -36,7 +36,7 @@
 }
 
 // receive waits until there are chunks to pass on, for limit or until the request's
-// deadline. At the end of ctx it closes the stream.
+// deadline. When ctx ends, it closes the stream.
 func (x *exchange) receive(ctx context.Context, limit time.Duration) error {
 	s := &x.stream
 	s.conn.SetReadDeadline(x.request.deadlineWithin(limit))
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// read returns the answer's next chunk. After an error the answer is not complete and
-// will not be.
+// read returns the next chunk of the answer. After an error the answer stays
+// incomplete.
 func (x *exchange) read(ctx context.Context) (ryeford.Chunk, error) {
 	for {
 		var err error
@@ -79,14 +79,14 @@
 	}
 }
 
-// chunkError returns the failure that an agent reported in a chunk: its own if it names a
-// reason, else the engine's.
+// chunkError returns the failure that a chunk reports. Without a reason, it is the
+// engine's failure.
 func chunkError(chunk *ryeford.Chunk) *ryeford.MayHaveRunError {
 	return &ryeford.MayHaveRunError{Reason: cmp.Or(chunk.Reason, ryeford.ReasonEngineError), Err: &EngineError{Text: chunk.Failure}}
 }
 
-// deliver takes note of a chunk that is passed on to the caller. The last one earns
-// the account further retries, and the chat's home is sent the engine that served it.
+// deliver records that a chunk is passed on to the caller. The last chunk adds to the
+// account's budgets and notifies the chat's home of the engine that served it.
 func (x *exchange) deliver(chunk *ryeford.Chunk) {
 	req := x.request
 	x.delivered.next = chunk.Offset + 1
@@ -104,18 +104,18 @@
 	}
 }
 
-// An agentStream is the stream on which the agent of one candidate sends its replies to
-// an attempt, and the answer. A later stream may go on with the answer of an earlier one.
+// An agentStream is the stream on which a candidate's agent sends its replies to an
+// attempt and the answer. A later stream may continue the answer of an earlier one.
 type agentStream struct {
 	candidate claim.Candidate
 	conn      *transport.Stream // nil unless one is open
-	assembler *answer.Assembler // set by the agent's admission
+	assembler *answer.Assembler // set when the agent admits the attempt
 	ready     []ryeford.Chunk   // received and not yet passed on
 }
 
-// cancel sends the agent that the caller is gone. If that can't be sent, the
-// connection is lost, and the agent stops the run itself once nobody has read its
-// answer for a while.
+// cancel notifies the agent that the caller disconnected. If sending fails, the
+// connection is lost, and the agent cancels the run once its answer has had no reader
+// for a while.
 func (s *agentStream) cancel() {
 	if s.conn == nil {
 		return
@@ -124,7 +124,7 @@
 	s.conn.CloseSend()
 }
 
-// close gives up the stream, and what was received and not passed on.
+// close closes the stream and drops chunks that were not passed on.
 func (s *agentStream) close() {
 	if s.conn != nil {
 		s.conn.Close()
--- a/agentfleet/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -13,23 +13,23 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// What follows an answer whose stream broke off midway.
+// What follows an answer that was interrupted.
 //
-// If only the connection was lost, the agent still has the answer, and one that must
-// not run twice is read on from there, a few times. A repeatable completion does not
-// wait for that: it goes on at another engine, which gets the text that the caller
-// already has. Everything else ends with an unknown outcome.
+// If only the connection was lost, the agent still has the answer. The router then
+// rejoins an answer that must not run twice, up to maxRejoins times. A repeatable
+// completion instead continues on another engine, which gets the text that the caller
+// already has. In all other cases the outcome is unknown.
 
-// maxRejoins is how often an answer is read on at the same agent after its connection
+// maxRejoins is how often an answer is rejoined at the same agent after its connection
 // was lost.
 const maxRejoins = 3
 
-// A lostStream is what is known of an answer that broke off.
+// A lostStream describes an answer that was interrupted.
 type lostStream struct {
-	expired    bool // the caller is gone, or its deadline has passed
+	expired    bool // the caller disconnected, or its deadline has passed
 	reported   bool // the agent reported the loss itself, so it has no more of the answer
 	repeatable bool
-	call       bool // of a plain service, whose answer has no text to go on from
+	call       bool // a call of a plain service, whose answer has no text to continue from
 	rejoins    int  // so far
 }
 
@@ -38,9 +38,9 @@
 
 const (
 	recoverNone        recovery = iota // the outcome stays unknown
-	recoverExpired                     // the same, since no time is left
-	recoverRejoin                      // read on at the same agent
-	recoverOtherEngine                 // go on at another engine, for one of the retry budget
+	recoverExpired                     // the outcome stays unknown, since no time is left
+	recoverRejoin                      // rejoin the answer at the same agent
+	recoverOtherEngine                 // continue on another engine, charged to the retry budget
 )
 
 // recoveryFor returns what follows a lost stream.
@@ -56,11 +56,11 @@
 	return recoverOtherEngine
 }
 
-// recover goes on with an answer whose stream was lost, as afterLostStream says.
+// recover continues an answer whose stream was lost, as recoveryFor decides.
 func (x *exchange) recover(ctx context.Context, cause error) error {
 	lost := lostStream{
 		expired:    ctx.Err() != nil || time.Now().After(x.request.deadline),
-		reported:   mayHaveRun(cause), // as chunkError makes it; a connection's errors are others
+		reported:   mayHaveRun(cause), // set by chunkError; errors of the connection have other types
 		repeatable: x.request.repeatable,
 		call:       x.request.call != nil,
 		rejoins:    x.history.rejoins,
@@ -76,8 +76,8 @@
 	return &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: cause}
 }
 
-// rejoin reads on at the agent that keeps the answer. A refusal there proves nothing,
-// since a part of the answer was sent.
+// rejoin continues at the agent that has the answer. A refusal there does not prove
+// that the attempt did not run, since part of the answer was sent.
 func (x *exchange) rejoin(ctx context.Context, cause error) error {
 	err := x.resolveOutcome(ctx, cause)
 	if notRun, ok := errors.AsType[*ryeford.NotRunError](err); ok {
@@ -86,7 +86,7 @@
 	return err
 }
 
-// continueOnOtherEngine goes on at another engine than the lost one.
+// continueOnOtherEngine continues on an engine other than the lost one.
 func (x *exchange) continueOnOtherEngine(ctx context.Context, cause error) error {
 	x.forwarder.metrics.Count("ryeford_continued_total", "")
 	x.history.mayHaveRun = true
@@ -103,18 +103,18 @@
 }
 
 const (
-	// rejoinTimeout is how long an agent is asked about an attempt whose stream was lost.
+	// rejoinTimeout limits how long an agent is asked about an attempt whose stream was
+	// lost.
 	rejoinTimeout = 5 * time.Second
 
-	// rejoinInterval is the time between two such joins: short against a
-	// caller's wait, long against a connection's round trip.
+	// rejoinInterval is the interval between two such requests.
 	rejoinInterval = 25 * time.Millisecond
 )
 
-// resolveOutcome finds out what became of an attempt whose stream was lost, by asking its
-// agent until it answers. If the agent has been restarted, what it knew is lost, and the
-// outcome is unknown. A repeatable request is not worth the wait: its outcome counts as
-// unknown at once, and it goes to another engine.
+// resolveOutcome asks the agent of an attempt whose stream was lost what became of it,
+// until the agent replies. If the agent has restarted, its state is lost and the
+// outcome is unknown. A repeatable request does not wait: its outcome counts as unknown
+// at once, and it goes to another engine.
 func (x *exchange) resolveOutcome(ctx context.Context, cause error) error {
 	unknown := &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: cause}
 	if x.request.repeatable || ctx.Err() != nil {
@@ -128,7 +128,8 @@
 		if err == nil {
 			return x.handleReply(reply)
 		}
-		// The agent can't be asked yet; the first failure, cause, says more than this one.
+		// The agent can't be reached yet. cause, the first failure, is the more useful
+		// error.
 		if a, ok := x.forwarder.fleet.agentByVM(x.stream.candidate.VM); ok && a.inventory.Incarnation != x.stream.candidate.Incarnation {
 			unknown.Reason = ryeford.ReasonIncarnation
 			return unknown
@@ -140,9 +141,9 @@
 	return unknown
 }
 
-// join asks a candidate's agent for the attempt's answer, from the caller's next offset
-// on, and leaves the stream open after a reply. Unless peek is set, an agent that has not
-// admitted the attempt never will after it was asked.
+// join asks a candidate's agent for the attempt's answer, starting at the caller's next
+// offset. It leaves the stream open after a reply. Unless peek is set, an agent that
+// has not admitted the attempt will refuse it from then on.
 func (x *exchange) join(ctx context.Context, c claim.Candidate, peek bool, limit time.Time) (*wire.Message, error) {
 	a, ok := x.forwarder.fleet.agentByVM(c.VM)
 	if !ok {
--- a/agentfleet/router/recover_test.go
+++ b/agentfleet/router/recover_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRecovery checks what follows an answer that broke off.
+// TestRecovery checks what follows an answer that was interrupted.
 func TestRecovery(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/agentfleet/router/retry.go
+++ b/agentfleet/router/retry.go
@@ -9,36 +9,36 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// What follows a dispatch that failed.
+// What follows a failed dispatch.
 //
-// A dispatch that provably did not run goes to the next engine and costs one of the
-// account's overflow budget; if the refusal names the engine that has the chat's
-// prefix, going there is free. One that may have run goes on only if the request is
-// repeatable, and costs one of the retry budget, which is small: after a refusal for
-// load a second engine is the normal way of a bounded load, after a failure it
-// multiplies an outage. An attempt that was given up for good (a tombstone) ends the
-// request, since its id is dead at that agent.
+// If the attempt provably did not run, the request goes to the next engine, at the cost
+// of one unit of the account's overflow budget. A redirect to the engine that has the
+// chat's prefix is free. If the attempt may have run, the request goes to the next
+// engine only if it is repeatable, at the cost of one unit of the retry budget. The
+// retry budget is small, because retries after failures amplify an outage, while a
+// second dispatch after a refusal for load is normal. An attempt that was abandoned (a
+// tombstone) ends the request, since that agent never admits its ID again.
 //
-// How much there is of each budget is a setting (limits.overflow_per_answer,
-// overflow_reserve, retry_per_answer, retry_reserve); package retry keeps the count.
+// The sizes of the budgets are settings (limits.overflow_per_answer, overflow_reserve,
+// retry_per_answer, retry_reserve). Package retry keeps the counts.
 
-// maxRounds is how many rounds of dispatches a request has: one over all candidates, and
-// one more to the first of them, which admits against the mean that the saturated fleet's
-// loads have raised. Without unit.
+// maxRounds is how many rounds of dispatches a request has: one over all candidates,
+// and a second dispatch to the first candidate, which then admits against the higher
+// mean load of the saturated fleet.
 const maxRounds = 2
 
-// A nextStep is what follows a failed dispatch, and what it costs the account.
+// A nextStep is what follows a failed dispatch, and which budget it is charged to.
 type nextStep int
 
 const (
 	stepGiveUp   nextStep = iota
 	stepFree              // dispatch to the next engine, at no cost
-	stepOverflow          // dispatch to the next engine, for one of the overflow budget
-	stepRetry             // dispatch to the next engine, for one of the retry budget
+	stepOverflow          // dispatch to the next engine, charged to the overflow budget
+	stepRetry             // dispatch to the next engine, charged to the retry budget
 )
 
-// budgets are what the accounts may spend on further dispatches, by the step that costs
-// it. Each answer that is passed on whole earns some of both.
+// budgets are the accounts' budgets for further dispatches, by the step that is charged
+// to them. Each answer that is delivered completely adds to both.
 type budgets map[nextStep]*retry.Budget
 
 func newBudgets(limits *settings.RouterLimits) budgets {
@@ -47,8 +47,8 @@
 	return budgets{stepOverflow: retry.NewBudget(overflow), stepRetry: retry.NewBudget(retries)}
 }
 
-// spend takes what a step costs from an account's budget, and reports whether the account
-// had it. A step without a budget is free.
+// spend charges a step to an account's budget, and reports whether the budget covered
+// it. A step without a budget is free.
 func (b budgets) spend(account ryeford.AccountID, step nextStep) bool {
 	budget, ok := b[step]
 	return !ok || budget.Spend(account)
@@ -60,8 +60,7 @@
 	}
 }
 
-// nextStepAfterFailure returns what follows a dispatch that failed with err, for a request that
-// is repeatable or not.
+// nextStepAfterFailure returns what follows a dispatch that failed with err.
 func nextStepAfterFailure(err error, repeatable bool) nextStep {
 	if mayHaveRun(err) {
 		if repeatable {
@@ -79,28 +78,29 @@
 	return stepOverflow
 }
 
-// mayHaveRun reports whether a failure leaves open that the attempt ran. An unknown
-// outcome stays unknown if a refusal caused it.
+// mayHaveRun reports whether the attempt may have run despite the failure. An unknown
+// outcome stays unknown if it was caused by a refusal.
 func mayHaveRun(err error) bool {
 	_, ok := errors.AsType[*ryeford.MayHaveRunError](err)
 	return ok
 }
 
-// allowsAnotherRound reports whether the first candidate gets another dispatch after so many
-// rounds over all: the last refused for its load, so the fleet is saturated.
+// allowsAnotherRound reports whether the first candidate gets another dispatch after
+// that many rounds. It does if the last refusal was for load, which means that the
+// fleet is saturated.
 func allowsAnotherRound(last error, rounds int) bool {
 	return reasonOf(last) == ryeford.ReasonOverload && rounds < maxRounds
 }
 
-// finalError returns the error that the caller gets after the last dispatch. A request
-// of which an earlier dispatch may have run is never said not to have run.
+// finalError returns the error that the caller gets after the last dispatch. If an
+// earlier dispatch may have run, the error never states that the request did not run.
 func finalError(last error, mayHaveRun bool, retryAfter time.Duration) error {
 	notRun, ok := errors.AsType[*ryeford.NotRunError](last)
 	if !ok {
 		return last
 	}
 	if mayHaveRun {
-		// The refusal goes along as text only: errors.As must not find it.
+		// Include the refusal as text only, so that errors.As does not find it.
 		return &ryeford.MayHaveRunError{Reason: notRun.Reason, RetryAfter: retryAfter, Err: &EngineError{Text: last.Error()}}
 	}
 	return &ryeford.NotRunError{Reason: notRun.Reason, RetryAfter: retryAfter}
--- a/agentfleet/router/retry_test.go
+++ b/agentfleet/router/retry_test.go
@@ -9,7 +9,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestNextStepAfterFailure checks what follows each end of a dispatch.
+// TestNextStepAfterFailure checks what follows each failure of a dispatch.
 func TestNextStepAfterFailure(t *testing.T) {
 	notRun := func(reason ryeford.Reason) error { return &ryeford.NotRunError{Reason: reason} }
 	unknown := func(cause error) error {
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestAnotherRound checks when the candidates are asked again.
-func TestAnotherRound(t *testing.T) {
+// TestAllowsAnotherRound checks when the first candidate gets a second dispatch.
+func TestAllowsAnotherRound(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		last   error
--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -1,20 +1,21 @@
-// Package router is the process on an entry VM of the fleet with agents: it takes
-// callers' requests, chooses engines for them, relays the answers, and serves the
-// operators.
+// Package router implements the process on an entry VM of the fleet with agents. It
+// accepts callers' requests, chooses engines for them, relays the answers, and serves
+// the operators.
 //
-// It owns nothing that must last. It holds what agents say of themselves (fleet, loads),
-// the templates in force (template.Book), the current plan (plan.Current) and the
-// accounts' budgets for further dispatches; all of it is read or earned again after a
-// restart. Claims of idempotency keys, templates, plans and the planner's lease are rows
-// and objects of the platform.
+// A router has no durable state. In memory it keeps the agents' inventories and loads
+// (fleet, loads), the templates in force (template.Book), the current plan
+// (plan.Current) and the accounts' budgets for further dispatches. After a restart it
+// receives or earns them anew. Claims of idempotency keys, templates, plans and the
+// planner's lease are stored as rows and objects of the platform.
 //
-// A Router makes its parts and runs them: agentList and agentGossip for the agents,
-// planner, forwarder and operatorHandler. It reads the templates itself.
+// A Router creates and runs its components: agentList and agentGossip for the agents,
+// planner, forwarder and operatorHandler. It synchronizes the templates itself.
 //
-// A request goes from callers.go through parse.go to an exchange (exchange.go), which
-// dispatches it (dispatch.go), receives the answer (receive.go) and recovers it
-// (recover.go); one with an idempotency key that must not run twice is claimed first
-// (claimed.go). The rules are functions without I/O, which docs/decisions.md lists.
+// A request passes from callers.go through parse.go to an exchange (exchange.go), which
+// dispatches it (dispatch.go), receives the answer (receive.go) and recovers it after a
+// failure (recover.go). If its idempotency key needs a claim, the key is claimed first
+// (claimed.go). The decision rules are functions without I/O, listed in
+// docs/decisions.md.
 package router
 
 import (
@@ -37,22 +38,22 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// A Platform is what a router needs of the platform.
+// A Platform is the part of the platform that a router uses.
 type Platform interface {
 	ryeford.Table
 	ryeford.ObjectStore
 	ryeford.VMList
 }
 
-// A sharedState is what the parts of a router have in common.
+// A sharedState is what the components of a router share.
 type sharedState struct {
 	settings  *settings.Router
-	limits    *settings.RouterLimits // those of settings
+	limits    *settings.RouterLimits // the limits of settings
 	platform  Platform
 	templates *template.Store
-	book      *template.Book // kept by syncTemplates and agentGossip
-	plan      *plan.Current  // kept by planner
-	fleet     *fleet         // kept by agentList
+	book      *template.Book // updated by syncTemplates and agentGossip
+	plan      *plan.Current  // updated by planner
+	fleet     *fleet         // updated by agentList
 	loads     *loads
 	readiness *readiness
 	decisions *decision.Log
@@ -104,7 +105,7 @@
 	return r, nil
 }
 
-// addCallers adds what serves callers.
+// addCallers adds the components that serve callers.
 func (r *Router) addCallers() {
 	r.callers = &forwarder{
 		sharedState: &r.sharedState,
@@ -122,7 +123,7 @@
 	r.metrics.Gauge("ryeford_skew", func() float64 { return r.loads.skew(time.Now()) })
 }
 
-// Run serves until ctx ends, and then until what is in flight has ended.
+// Run serves until ctx ends, and then until the requests in flight have ended.
 func (r *Router) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -141,7 +142,7 @@
 	})
 	_ = r.log.Log("msg", "started", "role", "router", "callers", r.settings.Callers, "operators", r.settings.Operators)
 	err := group.Wait()
-	_ = r.dialer.Close() // the process ends, and its sockets with it
+	_ = r.dialer.Close() // the process exits, which closes the sockets
 	_ = r.log.Log("msg", "stopped", "role", "router")
 	return err
 }
--- a/agentfleet/router/slowlink_test.go
+++ b/agentfleet/router/slowlink_test.go
@@ -19,9 +19,9 @@
 	"github.com/ryeford/ryeford/agentfleet/template"
 )
 
-// newSlowLinkRouter returns a fresh router whose platform holds one template and one plan.
-// A list of rows and an object take 3 s to come, longer than a call of the table may make
-// no progress.
+// newSlowLinkRouter returns a new router whose platform holds one template and one
+// plan. Lists of rows and objects take 3 s to arrive, longer than a call of the table
+// may go without progress.
 func newSlowLinkRouter(t *testing.T) *Router {
 	t.Helper()
 	const parts, partTime = 12, 250 * time.Millisecond
@@ -31,7 +31,7 @@
 	sendSlowly := func(w http.ResponseWriter, answer any) {
 		for range parts {
 			time.Sleep(partTime)
-			_, _ = io.WriteString(w, part) // fails once the client has given up
+			_, _ = io.WriteString(w, part) // fails after the client has disconnected
 			_ = http.NewResponseController(w).Flush()
 		}
 		_ = json.NewEncoder(w).Encode(answer)
@@ -58,7 +58,7 @@
 	return r
 }
 
-// TestSyncOverSlowLink checks that a fresh router gets all templates over a narrow link.
+// TestSyncOverSlowLink checks that a new router gets all templates over a slow link.
 func TestSyncOverSlowLink(t *testing.T) {
 	t.Parallel()
 	r := newSlowLinkRouter(t)
@@ -67,7 +67,8 @@
 	assert.Equal(t, r.book.Revision(), int64(1))
 }
 
-// TestFetchPlanOverSlowLink checks that a router gets the current plan over a narrow link.
+// TestFetchPlanOverSlowLink checks that a router gets the current plan over a slow
+// link.
 func TestFetchPlanOverSlowLink(t *testing.T) {
 	t.Parallel()
 	r := newSlowLinkRouter(t)
