--- a/agentfleet/claim/claim_test.go
+++ b/agentfleet/claim/claim_test.go
@@ -29,7 +29,7 @@
 		})
 		routers := rapid.IntRange(2, 4).Draw(t, "routers")
 		acquired := claimConcurrently(table, routers)
-		assert.Assert(t, acquired <= 1, "%d routers hold the key", acquired)
+		assert.Assert(t, acquired <= 1, "%d routers acquired the key", acquired)
 	})
 }
 
@@ -99,9 +99,9 @@
 		want     bool
 	}{
 		{"no row: the write did not take effect", 0, 0, false},
-		{"a row instead of none", 7, 0, true},
-		{"the row that was to be replaced", 7, 7, false},
-		{"another row in its place", 8, 7, true},
+		{"a row where there was none", 7, 0, true},
+		{"the row to be replaced is unchanged", 7, 7, false},
+		{"another row replaced it", 8, 7, true},
 		{"the row was removed", 0, 7, false},
 	} {
 		assert.Equal(t, ownerKnown(test.current, test.replaced), test.want, test.name)
