--- a/agentfleet/placement/placement_test.go
+++ b/agentfleet/placement/placement_test.go
@@ -53,7 +53,7 @@
 			if a.Reason == "keep" {
 				continue
 			}
-			assert.Assert(t, !a.Start.Before(in.Now), "starts in the past")
+			assert.Assert(t, !a.Start.Before(in.Now), "a load starts in the past")
 			starts = append(starts, a.Start)
 		}
 		checkRate(t, in, starts)
@@ -61,7 +61,7 @@
 		if !fits(in, len(starts)) {
 			return
 		}
-		assert.Equal(t, out.Late, 0, "late, though the loads fit")
+		assert.Equal(t, out.Late, 0, "loads are late although they fit before the events")
 	})
 }
 
@@ -74,7 +74,7 @@
 				loading++
 			}
 		}
-		assert.Assert(t, loading <= in.ParallelLoads, "%d loads at once", loading)
+		assert.Assert(t, loading <= in.ParallelLoads, "%d concurrent loads", loading)
 	}
 }
 
--- a/agentfleet/placement/rules_test.go
+++ b/agentfleet/placement/rules_test.go
@@ -18,7 +18,7 @@
 		want    []int
 	}{
 		{"by share", 10, []float64{0.5, 0.3, 0.2}, []int{5, 3, 2}},
-		{"the rest by largest remainder", 10, []float64{1, 1, 1}, []int{4, 3, 3}},
+		{"remaining engines by largest remainder", 10, []float64{1, 1, 1}, []int{4, 3, 3}},
 		{"at least one each", 4, []float64{100, 1, 1}, []int{2, 1, 1}},
 		{"fewer engines than demands", 2, []float64{1, 1, 1}, []int{0, 1, 1}},
 	} {
@@ -46,11 +46,11 @@
 		want    int
 		chosen  []ryeford.EngineID
 	}{
-		{"those that serve it stay", []Engine{{ID: "a"}, {ID: "b", Pools: lira}}, 1, []ryeford.EngineID{"b"}},
-		{"another version is another base", []Engine{{ID: "a"}, {ID: "b", Pools: []ryeford.Pool{{Model: "lira", Version: "2"}}}}, 1, []ryeford.EngineID{"a"}},
+		{"engines that serve the base model stay", []Engine{{ID: "a"}, {ID: "b", Pools: lira}}, 1, []ryeford.EngineID{"b"}},
+		{"another version is another base model", []Engine{{ID: "a"}, {ID: "b", Pools: []ryeford.Pool{{Model: "lira", Version: "2"}}}}, 1, []ryeford.EngineID{"a"}},
 		{"spread over failure domains", []Engine{{ID: "a", Domain: "1", Pools: lira}, {ID: "b", Domain: "1"}, {ID: "c", Domain: "2"}}, 2, []ryeford.EngineID{"a", "c"}},
-		{"the first of equals", []Engine{{ID: "a"}, {ID: "b"}}, 1, []ryeford.EngineID{"a"}},
-		{"no more than there are", []Engine{{ID: "a"}}, 3, []ryeford.EngineID{"a"}},
+		{"the first of equal engines", []Engine{{ID: "a"}, {ID: "b"}}, 1, []ryeford.EngineID{"a"}},
+		{"no more than the available engines", []Engine{{ID: "a"}}, 3, []ryeford.EngineID{"a"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d := &demand{base: baseModel{model: "lira"}, engines: test.want}
@@ -71,9 +71,9 @@
 		share, total float64
 		want         int
 	}{
-		{"twice its part", 10, 0.3, 1, 6},
-		{"its part is rounded up", 10, 0.25, 1, 6},
-		{"at most all", 10, 0.8, 1, 10},
+		{"twice its share", 10, 0.3, 1, 6},
+		{"its share is rounded up", 10, 0.25, 1, 6},
+		{"at most all engines", 10, 0.8, 1, 10},
 		{"at least two", 10, 0.01, 1, 2},
 		{"one engine", 1, 0.1, 1, 1},
 		{"no engine", 0, 0.1, 1, 0},
@@ -93,10 +93,10 @@
 		late   int
 	}{
 		{"due now", []time.Duration{0}, []time.Duration{0}, 0},
-		{"two due now, the last first", []time.Duration{0, 0}, []time.Duration{10 * time.Second, 0}, 0},
+		{"two due now, in reverse order", []time.Duration{0, 0}, []time.Duration{10 * time.Second, 0}, 0},
 		{"as late as the event allows", []time.Duration{time.Minute}, []time.Duration{45 * time.Second}, 0},
 		{"two for one event", []time.Duration{time.Minute, time.Minute}, []time.Duration{45 * time.Second, 35 * time.Second}, 0},
-		{"ahead is not kept, the event is", []time.Duration{12 * time.Second}, []time.Duration{0}, 0},
+		{"in time for the event, but not ahead of it", []time.Duration{12 * time.Second}, []time.Duration{0}, 0},
 		{"too late for the event", []time.Duration{8 * time.Second}, []time.Duration{0}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
