--- a/agentfleet/plan/current_test.go
+++ b/agentfleet/plan/current_test.go
@@ -17,9 +17,9 @@
 		epoch, sequence int64
 		want            bool
 	}{
-		{"the first", nil, 1, 1, true},
+		{"the first plan", nil, 1, 1, true},
 		{"a later sequence", &ryeford.Plan{Epoch: 2, Sequence: 3}, 2, 4, true},
-		{"the same", &ryeford.Plan{Epoch: 2, Sequence: 3}, 2, 3, false},
+		{"the same version", &ryeford.Plan{Epoch: 2, Sequence: 3}, 2, 3, false},
 		{"an earlier sequence", &ryeford.Plan{Epoch: 2, Sequence: 3}, 2, 2, false},
 		{"a later epoch", &ryeford.Plan{Epoch: 2, Sequence: 3}, 3, 4, true},
 		{"an earlier epoch", &ryeford.Plan{Epoch: 2, Sequence: 3}, 1, 9, false},
@@ -29,15 +29,15 @@
 			if test.current != nil {
 				assert.Assert(t, c.Set(test.current))
 			}
-			assert.Assert(t, !c.OlderThan(0, 0), "no plan supersedes one")
+			assert.Assert(t, !c.OlderThan(0, 0), "epoch 0 superseded the current plan")
 			assert.Equal(t, c.OlderThan(test.epoch, test.sequence), test.want)
 			changed := c.Changed()
 			assert.Equal(t, c.Set(&ryeford.Plan{Epoch: test.epoch, Sequence: test.sequence}), test.want)
 			select {
 			case <-changed:
-				assert.Assert(t, test.want, "announced")
+				assert.Assert(t, test.want, "an older plan notified")
 			default:
-				assert.Assert(t, !test.want, "not announced")
+				assert.Assert(t, !test.want, "a newer plan did not notify")
 			}
 		})
 	}
