--- a/agentfleet/answer/answer_test.go
+++ b/agentfleet/answer/answer_test.go
@@ -67,12 +67,12 @@
 		want  Dropped
 	}{
 		{"the next chunk is passed on", chunk("mine", 1), Dropped{}},
-		{"one after a gap is kept", chunk("mine", 4), Dropped{}},
-		{"one that was passed on", chunk("mine", 0), Dropped{Repeated: 1}},
-		{"one that is kept already", chunk("mine", 3), Dropped{Repeated: 1}},
-		{"one of another attempt", chunk("other", 1), Dropped{Foreign: 1}},
-		{"the last one that is not too far ahead", chunk("mine", 1+maxPending-1), Dropped{}},
-		{"one that is too far ahead", chunk("mine", 1+maxPending), Dropped{Overflow: 1}},
+		{"a chunk after a gap is kept", chunk("mine", 4), Dropped{}},
+		{"a chunk that was passed on", chunk("mine", 0), Dropped{Repeated: 1}},
+		{"a chunk that is already kept", chunk("mine", 3), Dropped{Repeated: 1}},
+		{"a chunk of another attempt", chunk("other", 1), Dropped{Foreign: 1}},
+		{"the last chunk within the limit", chunk("mine", 1+maxPending-1), Dropped{}},
+		{"the first chunk beyond the limit", chunk("mine", 1+maxPending), Dropped{Overflow: 1}},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			asm := NewAssembler("mine", 0)
