--- a/agentfleet/router/agentlist.go
+++ b/agentfleet/router/agentlist.go
@@ -30,7 +30,7 @@
 		if err == nil {
 			l.updateWatches(ctx, watches, vms)
 		} else if ctx.Err() == nil {
-			_ = l.log.Log("msg", "list of VMs not read", "err", err)
+			_ = l.log.Log("msg", "cannot read the platform's list of VMs; keeping the agents of the last list", "err", err)
 		}
 		if !clock.Sleep(ctx, jitter(l.settings.Polls.VMList)) {
 			return nil
@@ -185,7 +185,7 @@
 }
 
 func (e *PeerError) Error() string {
-	return "the address of " + string(e.Want) + " was answered by " + string(e.Got)
+	return "connected to the address of VM " + string(e.Want) + ", but the peer's certificate names VM " + string(e.Got)
 }
 
 // serveStream answers one request of an agent: for templates, for its part of the plan,
--- a/agentfleet/router/answers.go
+++ b/agentfleet/router/answers.go
@@ -188,7 +188,7 @@
 // and logged; since events consist of strings and numbers, this would be a bug.
 func (s *answerStream) writeEvent(event eventstream.Event) {
 	if err := s.buf.WriteEvent(event); err != nil {
-		_ = s.exchange.forwarder.log.Log("msg", "event not encoded", "request", s.exchange.request.id, "err", err)
+		_ = s.exchange.forwarder.log.Log("msg", "cannot encode an event of an answer; omitting it from the stream", "request", s.exchange.request.id, "err", err)
 	}
 }
 
--- a/agentfleet/router/callers_test.go
+++ b/agentfleet/router/callers_test.go
@@ -69,7 +69,7 @@
 		{"bad deadline", HeaderDeadline, "5", validBody, 400},
 		{"bad priority", HeaderPriority, "10", validBody, 400},
 		{"bad chat", HeaderChat, "a/b", validBody, 400},
-		{"bad mark", HeaderRepeatable, "maybe", validBody, 400},
+		{"bad repeatable header", HeaderRepeatable, "maybe", validBody, 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			headers := map[string]string{"Authorization": "Bearer bank-key"}
@@ -100,7 +100,7 @@
 		assert.Assert(t, len(ctx.Response.Header.Peek("Retry-After")) > 0)
 		seen[string(ctx.Response.Header.Peek(HeaderRetryAfterMS))] = true
 	}
-	assert.Assert(t, len(seen) > 10, "all are to come back at the same times")
+	assert.Assert(t, len(seen) > 10, "too few different retry delays")
 }
 
 // FuzzCaller checks that no input of a caller crashes the router, and that each gets an
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -97,7 +97,7 @@
 	defer cancel()
 	if err := f.claims.Release(ctx, held); err != nil {
 		account := held.Key.Account
-		_ = f.log.Log("msg", "claim not released", "request", request, "account", account, "err", err)
+		_ = f.log.Log("msg", "cannot release the claim of an attempt that did not run; the next request with its key asks the candidates first", "request", request, "account", account, "err", err)
 	}
 }
 
--- a/agentfleet/router/claimed_test.go
+++ b/agentfleet/router/claimed_test.go
@@ -18,8 +18,8 @@
 		want   claimStep
 	}{
 		{"claimed for this request", claim.Claim{Record: record, Acquired: true}, "d", claimDispatch},
-		{"claimed by the same request before", claim.Claim{Record: record}, "d", claimJoinFirst},
-		{"claimed by a request of another content", claim.Claim{Record: record}, "other", claimKeyReused},
+		{"claimed by an earlier copy of the request", claim.Claim{Record: record}, "d", claimJoinFirst},
+		{"claimed by a request with different content", claim.Claim{Record: record}, "other", claimKeyReused},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			assert.Equal(t, claimStepFor(&test.held, test.digest), test.want)
--- a/agentfleet/router/connect_test.go
+++ b/agentfleet/router/connect_test.go
@@ -17,12 +17,12 @@
 	}{
 		{"first loss", 0, 50 * time.Millisecond},
 		{"lost at once", 0, 100 * time.Millisecond},
-		{"lost soon", stableAfter, 200 * time.Millisecond},
-		{"again", 0, 400 * time.Millisecond},
-		{"again", 0, 800 * time.Millisecond},
-		{"again", 0, 1600 * time.Millisecond},
+		{"lost before it was stable", stableAfter, 200 * time.Millisecond},
+		{"lost again", 0, 400 * time.Millisecond},
+		{"lost again", 0, 800 * time.Millisecond},
+		{"lost again", 0, 1600 * time.Millisecond},
 		{"at the maximum", 0, 2 * time.Second},
-		{"stays there", 0, 2 * time.Second},
+		{"stays at the maximum", 0, 2 * time.Second},
 		{"after a stable connection", stableAfter + 1, 50 * time.Millisecond},
 		{"lost at once", 0, 100 * time.Millisecond},
 	} {
@@ -38,8 +38,8 @@
 		want                bool
 	}{
 		{"no agent", 0, 0, false},
-		{"no answer", 0, 5, false},
-		{"too few", 2, 5, false},
+		{"no agent replied", 0, 5, false},
+		{"fewer than a quorum", 2, 5, false},
 		{"a quorum", 3, 5, true},
 		{"all of a small fleet", 2, 2, true},
 		{"not all of a small fleet", 1, 2, false},
--- a/agentfleet/router/dispatch_test.go
+++ b/agentfleet/router/dispatch_test.go
@@ -19,11 +19,11 @@
 		dispatches int
 		want       bool
 	}{
-		{"first, to the home", request{repeatable: true}, true, 1, true},
+		{"first dispatch, to the home", request{repeatable: true}, true, 1, true},
 		{"to another engine", request{repeatable: true}, false, 1, false},
-		{"home again", request{repeatable: true}, true, 2, false},
+		{"second dispatch, to the home", request{repeatable: true}, true, 2, false},
 		{"with a claim", request{key: "k"}, true, 1, false},
-		{"a key, but repeatable", request{key: "k", repeatable: true}, true, 1, true},
+		{"with a key, but repeatable", request{key: "k", repeatable: true}, true, 1, true},
 		{"call of a service", request{repeatable: true, call: &ryeford.Call{}}, true, 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -56,10 +56,10 @@
 		target claim.Candidate
 		want   []claim.Candidate
 	}{
-		{"named engine first, then the home", []claim.Candidate{b, c}, c, []claim.Candidate{c, a, b}},
+		{"the target first, then the home", []claim.Candidate{b, c}, c, []claim.Candidate{c, a, b}},
 		{"not in the queue", []claim.Candidate{b}, c, []claim.Candidate{c, a, b}},
 		{"not connected", []claim.Candidate{b, c}, claim.Candidate{}, []claim.Candidate{a, b}},
-		{"nothing else left", nil, claim.Candidate{}, []claim.Candidate{a}},
+		{"no other candidate", nil, claim.Candidate{}, []claim.Candidate{a}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			assert.DeepEqual(t, redirectQueue(test.queue, a, "c", test.target), test.want)
@@ -78,10 +78,10 @@
 		elapsed time.Duration
 		want    []claim.Candidate
 	}{
-		{"none", func(*suspects) {}, 0, []claim.Candidate{a, b, c}},
-		{"one", func(s *suspects) { s.add(now, "a") }, 0, []claim.Candidate{b, c, a}},
-		{"two, in their order", func(s *suspects) { s.add(now, "b"); s.add(now, "a") }, 0, []claim.Candidate{c, a, b}},
-		{"until its time is over", func(s *suspects) { s.add(now, "a") }, suspectDuration, []claim.Candidate{a, b, c}},
+		{"no suspect", func(*suspects) {}, 0, []claim.Candidate{a, b, c}},
+		{"one suspect", func(s *suspects) { s.add(now, "a") }, 0, []claim.Candidate{b, c, a}},
+		{"two suspects, in order", func(s *suspects) { s.add(now, "b"); s.add(now, "a") }, 0, []claim.Candidate{c, a, b}},
+		{"until its duration is over", func(s *suspects) { s.add(now, "a") }, suspectDuration, []claim.Candidate{a, b, c}},
 		{"until it answers", func(s *suspects) { s.add(now, "a"); s.clear("a") }, 0, []claim.Candidate{a, b, c}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/agentfleet/router/failure_test.go
+++ b/agentfleet/router/failure_test.go
@@ -46,8 +46,8 @@
 		{"above the share", &ryeford.NotRunError{Reason: ryeford.ReasonShare}, 429, "share", "not_run", 0},
 		{"budget spent", &ryeford.NotRunError{Reason: ryeford.ReasonRetryBudget}, 429, "retry_budget", "not_run", 0},
 		{"may have run", &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, RetryAfter: time.Second}, 502, "unreachable", "unknown", 1000},
-		{"its first run may go on", &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning}, 409, "running", "unknown", 0},
-		{"a fault of ours", &ProtocolError{}, 502, "internal", "unknown", 0},
+		{"first run may be in progress", &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning}, 409, "running", "unknown", 0},
+		{"internal failure", &ProtocolError{}, 502, "internal", "unknown", 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			body, status := newErrorBody("r", test.err)
@@ -73,8 +73,8 @@
 		{"lost to another publish", &ryeford.ConflictError{Keys: []string{"k"}}, 409, "conflict", "not_run"},
 		{"no such template", &ryeford.NotFoundError{Kind: "template"}, 404, "not_found", "not_run"},
 		{"table unreachable", &ryeford.UnavailableError{Service: "table", Err: &ProtocolError{}}, 503, "store_unavailable", "not_run"},
-		{"table's answer lost", &ryeford.UnavailableError{Service: "table", MayHaveApplied: true, Err: &ProtocolError{}}, 503, "store_unavailable", "unknown"},
-		{"a fault of ours", &ProtocolError{}, 500, "internal", "unknown"},
+		{"table's response lost", &ryeford.UnavailableError{Service: "table", MayHaveApplied: true, Err: &ProtocolError{}}, 503, "store_unavailable", "unknown"},
+		{"internal failure", &ProtocolError{}, 500, "internal", "unknown"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			body, status := newOperatorErrorBody(test.err)
--- a/agentfleet/router/fleet_test.go
+++ b/agentfleet/router/fleet_test.go
@@ -22,18 +22,18 @@
 		candidates, found bool
 	}{
 		{"connected", func(*fleet, *agent) {}, true, true},
-		{"leaving, as it says itself", func(f *fleet, a *agent) {
+		{"leaving, as reported by the agent", func(f *fleet, a *agent) {
 			leaving, inventory := *a, *a.inventory
 			inventory.Leaving = true
 			leaving.inventory = &inventory
 			f.put(&leaving)
 		}, false, true},
-		{"leaving by the list", func(f *fleet, a *agent) {
+		{"leaving, as listed by the platform", func(f *fleet, a *agent) {
 			vm := a.vm
 			vm.State = ryeford.VMLeaving
 			f.setVM(vm)
 		}, false, true},
-		{"its engine rests", func(f *fleet, a *agent) {
+		{"its engine backs off", func(f *fleet, a *agent) {
 			backingOff, inventory := *a, *a.inventory
 			inventory.Engines = slices.Clone(inventory.Engines)
 			inventory.Engines[0].Resting = true
@@ -93,7 +93,7 @@
 		{"even", []sample{{"a", "lira", 2}, {"b", "lira", 2}}, 1},
 		{"one engine busier", []sample{{"a", "lira", 6}, {"b", "lira", 2}}, 1.5},
 		{"the last load of an engine counts", []sample{{"a", "lira", 9}, {"a", "lira", 2}, {"b", "lira", 2}}, 1},
-		{"the model with the highest", []sample{{"a", "lira", 2}, {"b", "lira", 2}, {"c", "psalm", 6}, {"d", "psalm", 2}}, 1.5},
+		{"the model with the highest ratio", []sample{{"a", "lira", 2}, {"b", "lira", 2}, {"c", "psalm", 6}, {"d", "psalm", 2}}, 1.5},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l := newLoads()
--- a/agentfleet/router/operators.go
+++ b/agentfleet/router/operators.go
@@ -118,7 +118,7 @@
 		// Other routers published in between. If this fails, syncTemplates or gossip
 		// catches up.
 		if err := h.readTemplates(ctx); err != nil {
-			_ = h.log.Log("msg", "templates not read", "err", err)
+			_ = h.log.Log("msg", "cannot read templates published by other routers; a published template takes effect here at the next sync or gossip", "err", err)
 		}
 	}
 	return published, nil
--- a/agentfleet/router/parse_test.go
+++ b/agentfleet/router/parse_test.go
@@ -102,8 +102,8 @@
 		{"with a slash", "a/b", false},
 		{"with a space", "a b", false},
 		{"not ASCII", "é", false},
-		{"as long as may be", strings.Repeat("x", maxIDLength), true},
-		{"longer", strings.Repeat("x", maxIDLength+1), false},
+		{"maximum length", strings.Repeat("x", maxIDLength), true},
+		{"too long", strings.Repeat("x", maxIDLength+1), false},
 	} {
 		assert.Equal(t, checkID(HeaderChat, test.id) == nil, test.valid, test.name)
 	}
--- a/agentfleet/router/placeable_test.go
+++ b/agentfleet/router/placeable_test.go
@@ -25,7 +25,7 @@
 		{"connected", 0, true, false, 1},
 		{"lost", lostTimeout, false, false, 1},
 		{"lost for too long", lostTimeout + 1, false, false, 0},
-		{"back after long", 2 * lostTimeout, true, false, 1},
+		{"reconnected after a long time", 2 * lostTimeout, true, false, 1},
 		{"leaving", 0, false, true, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -56,10 +56,10 @@
 		leaving bool
 	}{
 		{"no plan", func(*agent) {}, nil, lira, false},
-		{"the plan comes first", func(*agent) {}, plan, psalm, false},
+		{"the plan takes precedence", func(*agent) {}, plan, psalm, false},
 		{"a plan without the engine", func(*agent) {}, &ryeford.Plan{}, lira, false},
 		{"the agent is leaving", func(a *agent) { a.inventory.Leaving = true }, nil, nil, true},
-		{"the list says so", func(a *agent) { a.vm.State = ryeford.VMLeaving }, nil, nil, true},
+		{"the list marks the VM as leaving", func(a *agent) { a.vm.State = ryeford.VMLeaving }, nil, nil, true},
 		{"a plain service", func(a *agent) { a.inventory.Engines = []wire.EngineState{{ID: "s", Service: "echo"}} }, nil, nil, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -88,9 +88,9 @@
 	}{
 		{"the first", nil, lira, true},
 		{"nothing to place", nil, nil, false},
-		{"nothing to place any more", &ryeford.Plan{Assignments: lira}, nil, false},
+		{"nothing left to place", &ryeford.Plan{Assignments: lira}, nil, false},
 		{"the same", &ryeford.Plan{Assignments: lira}, lira, false},
-		{"another start", &ryeford.Plan{Assignments: lira}, later, false},
+		{"another start time", &ryeford.Plan{Assignments: lira}, later, false},
 		{"another model", &ryeford.Plan{Assignments: lira}, psalm, true},
 		{"one more engine", &ryeford.Plan{Assignments: lira}, append(lira[:1:1], psalm...), true},
 	} {
--- a/agentfleet/router/planner.go
+++ b/agentfleet/router/planner.go
@@ -36,7 +36,7 @@
 			return nil
 		}
 		if err := p.planOnce(ctx); err != nil && ctx.Err() == nil {
-			_ = p.log.Log("msg", "no planning", "err", err)
+			_ = p.log.Log("msg", "planning round failed; keeping the current plan until the next round", "err", err)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	}
 	plan := &ryeford.Plan{}
 	if err := json.Unmarshal(content, plan); err != nil {
-		return &Error{Op: "read plan " + pointer.Object, Err: err}
+		return &Error{Op: "decode plan object " + pointer.Object, Err: err}
 	}
 	p.plan.Set(plan)
 	return nil
@@ -129,7 +129,7 @@
 	plan := &ryeford.Plan{Epoch: held.Epoch, Sequence: pointer.Sequence + 1, Assignments: out.Assignments}
 	content, err := json.Marshal(plan)
 	if err != nil {
-		return &Error{Op: "write plan", Err: err}
+		return &Error{Op: "encode plan", Err: err}
 	}
 	object := fmt.Sprintf(planObjectName, plan.Epoch, plan.Sequence)
 	if err := p.platform.PutObject(ctx, object, content); err != nil {
--- a/agentfleet/router/readiness.go
+++ b/agentfleet/router/readiness.go
@@ -95,7 +95,7 @@
 		return
 	}
 	if ctx.Err() == nil {
-		_ = r.log.Log("msg", "templates not read", "err", err)
+		_ = r.log.Log("msg", "cannot read templates from the platform's table; using the present ones, or those of agents if there are none", "err", err)
 	}
 	if !r.readiness.synced.Load() {
 		r.syncFromAgents(ctx)
--- a/agentfleet/router/recover_test.go
+++ b/agentfleet/router/recover_test.go
@@ -14,12 +14,12 @@
 		want recovery
 	}{
 		{"connection lost, must not run twice", lostStream{}, recoverRejoin},
-		{"the same, for the third time", lostStream{rejoins: maxRejoins - 1}, recoverRejoin},
-		{"the same, once too often", lostStream{rejoins: maxRejoins}, recoverNone},
+		{"connection lost, last rejoin", lostStream{rejoins: maxRejoins - 1}, recoverRejoin},
+		{"connection lost, no rejoin left", lostStream{rejoins: maxRejoins}, recoverNone},
 		{"engine lost, must not run twice", lostStream{reported: true}, recoverNone},
 		{"connection lost, repeatable", lostStream{repeatable: true}, recoverOtherEngine},
 		{"engine lost, repeatable", lostStream{repeatable: true, reported: true}, recoverOtherEngine},
-		{"repeatable call, without text to go on from", lostStream{repeatable: true, call: true}, recoverNone},
+		{"repeatable call, without text to continue from", lostStream{repeatable: true, call: true}, recoverNone},
 		{"call that must not run twice", lostStream{call: true}, recoverRejoin},
 		{"no time left", lostStream{expired: true}, recoverExpired},
 		{"no time left, repeatable", lostStream{expired: true, repeatable: true}, recoverExpired},
--- a/agentfleet/router/retry_test.go
+++ b/agentfleet/router/retry_test.go
@@ -27,7 +27,7 @@
 		{"agent not connected", notRun(ryeford.ReasonUnreachable), false, stepOverflow},
 		{"too late for the agent", notRun(ryeford.ReasonExpired), false, stepOverflow},
 		{"another engine has the prefix", notRun(ryeford.ReasonRedirect), true, stepFree},
-		{"attempt given up", notRun(ryeford.ReasonTombstone), true, stepGiveUp},
+		{"attempt abandoned", notRun(ryeford.ReasonTombstone), true, stepGiveUp},
 		{"may have run, repeatable", unknown(nil), true, stepRetry},
 		{"may have run, not repeatable", unknown(nil), false, stepGiveUp},
 		{"unknown, caused by a refusal", unknown(notRun(ryeford.ReasonOverload)), false, stepGiveUp},
@@ -47,11 +47,11 @@
 		rounds int
 		want   bool
 	}{
-		{"the last was full", &ryeford.NotRunError{Reason: ryeford.ReasonOverload}, 1, true},
-		{"full again", &ryeford.NotRunError{Reason: ryeford.ReasonOverload}, 2, false},
+		{"refused for load", &ryeford.NotRunError{Reason: ryeford.ReasonOverload}, 1, true},
+		{"refused for load again", &ryeford.NotRunError{Reason: ryeford.ReasonOverload}, 2, false},
 		{"above its share", &ryeford.NotRunError{Reason: ryeford.ReasonShare}, 1, false},
 		{"may have run", &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable}, 1, false},
-		{"nobody was asked", nil, 1, false},
+		{"no dispatch", nil, 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			assert.Equal(t, allowsAnotherRound(test.last, test.rounds), test.want)
