--- a/agentfleet/answer/answer_test.go
+++ b/agentfleet/answer/answer_test.go
@@ -62,7 +62,7 @@
 		return ryeford.Chunk{Attempt: attempt, Offset: offset}
 	}
 	for _, test := range []struct {
-		rule  string
+		name  string
 		chunk ryeford.Chunk
 		want  Dropped
 	}{
@@ -74,7 +74,7 @@
 		{"the last chunk within the limit", chunk("mine", 1+maxPending-1), Dropped{}},
 		{"the first chunk beyond the limit", chunk("mine", 1+maxPending), Dropped{Overflow: 1}},
 	} {
-		t.Run(test.rule, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			asm := NewAssembler("mine", 0)
 			asm.Add(chunk("mine", 0))
 			asm.Add(chunk("mine", 3))
