--- a/agentfleet/router/answers.go
+++ b/agentfleet/router/answers.go
@@ -16,12 +16,12 @@
 
 // writeAnswer writes the answer of a started exchange in the format that the caller
 // requested. From here on, the answerStream ends the exchange.
-func writeAnswer(work context.Context, ctx *fasthttp.RequestCtx, x *exchange) {
+func writeAnswer(workCtx context.Context, ctx *fasthttp.RequestCtx, x *exchange) {
 	header := &ctx.Response.Header
 	header.Set(HeaderRequest, string(x.request.id))
 	header.Set(HeaderEngine, string(x.stream.candidate.Engine))
 	header.Set(HeaderTries, strconv.Itoa(x.history.dispatches))
-	body := &answerStream{exchange: x, ctx: work}
+	body := &answerStream{exchange: x, ctx: workCtx}
 	switch {
 	case x.request.call != nil:
 		writeCallAnswer(ctx, body)
--- a/agentfleet/router/callers.go
+++ b/agentfleet/router/callers.go
@@ -90,18 +90,18 @@
 // run begins an exchange and writes its answer or its failure.
 func (f *forwarder) run(ctx *fasthttp.RequestCtx, x *exchange, begin func(*exchange, context.Context) error) {
 	f.readiness.inFlight.Add(1)
-	work, cancel := context.WithDeadline(context.Background(), x.request.deadline)
+	workCtx, cancel := context.WithDeadline(context.Background(), x.request.deadline)
 	x.end = func() {
 		x.stream.close()
 		cancel()
 		f.readiness.inFlight.Add(-1)
 	}
-	if err := begin(x, work); err != nil {
+	if err := begin(x, workCtx); err != nil {
 		x.end()
 		writeError(ctx, x.request.id, err)
 		return
 	}
-	writeAnswer(work, ctx, x)
+	writeAnswer(workCtx, ctx, x)
 }
 
 // serveResume serves the rest of an answer that the caller received in part.
--- a/agentfleet/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -19,9 +19,8 @@
 	queue []claim.Candidate // not dispatched to yet
 }
 
-// redirectQueue returns the queue after the home redirected to an engine: first that
-// engine, if it is connected and target therefore names it, then the home, then the
-// others.
+// redirectQueue returns the queue after the home redirected to an engine. If the engine is
+// connected, target is its candidate and comes first. The home and the others follow.
 func redirectQueue(queue []claim.Candidate, home claim.Candidate, engine ryeford.EngineID, target claim.Candidate) []claim.Candidate {
 	others := slices.DeleteFunc(slices.Clone(queue), func(c claim.Candidate) bool { return c.Engine == engine })
 	next := append([]claim.Candidate{home}, others...)
--- a/agentfleet/router/operators.go
+++ b/agentfleet/router/operators.go
@@ -44,9 +44,9 @@
 		writeError(ctx, "", &ryeford.InputError{Field: "Authorization", Problem: "want the operators' bearer token", Status: fasthttp.StatusUnauthorized})
 		return
 	}
-	work, cancel := context.WithTimeout(context.Background(), operatorTimeout)
+	workCtx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
-	answer, err := h.handle(work, ctx)
+	answer, err := h.handle(workCtx, ctx)
 	if err == nil {
 		err = writeJSON(ctx, fasthttp.StatusOK, answer)
 	}
@@ -63,7 +63,7 @@
 	return subtle.ConstantTimeCompare(got[:], want[:]) == 1
 }
 
-func (h *operatorHandler) handle(work context.Context, ctx *fasthttp.RequestCtx) (any, error) {
+func (h *operatorHandler) handle(workCtx context.Context, ctx *fasthttp.RequestCtx) (any, error) {
 	path := string(ctx.Path())
 	name, isTemplate := strings.CutPrefix(path, PathTemplates+"/")
 	history, isHistory := strings.CutPrefix(path, PathHistory)
@@ -71,19 +71,19 @@
 	request, isExplain := strings.CutPrefix(path, PathExplain)
 	switch {
 	case path == PathTemplates && ctx.IsPost():
-		return h.publish(work, ctx.PostBody())
+		return h.publish(workCtx, ctx.PostBody())
 	case path == PathTemplates:
-		return h.templates.All(work)
+		return h.templates.All(workCtx)
 	case isTemplate:
-		return readByName(work, name, h.templates.Get)
+		return readByName(workCtx, name, h.templates.Get)
 	case isHistory:
-		return readByName(work, history, h.templates.History)
+		return readByName(workCtx, history, h.templates.History)
 	case isVM && ctx.IsPost() && strings.HasSuffix(vm, stopSuffix):
-		return h.stopVM(work, ryeford.VMID(strings.TrimSuffix(vm, stopSuffix)))
+		return h.stopVM(workCtx, ryeford.VMID(strings.TrimSuffix(vm, stopSuffix)))
 	case path == PathStatus:
-		return h.status(work), nil
+		return h.status(workCtx), nil
 	case isExplain:
-		return h.explain(work, ryeford.RequestID(request)), nil
+		return h.explain(workCtx, ryeford.RequestID(request)), nil
 	case path == PathPlan:
 		if plan := h.plan.Get(); plan != nil {
 			return plan, nil
@@ -118,7 +118,7 @@
 		// Other routers published in between. If this fails, syncTemplates or gossip
 		// catches up.
 		if err := h.readTemplates(ctx); err != nil {
-			_ = h.log.Log("msg", "cannot read templates published by other routers; a published template takes effect here at the next sync or gossip", "err", err)
+			_ = h.log.Log("msg", "cannot read templates published by other routers; the template just published takes effect here at the next sync or gossip", "err", err)
 		}
 	}
 	return published, nil
--- a/agentfleet/router/parse.go
+++ b/agentfleet/router/parse.go
@@ -69,8 +69,8 @@
 
 func (f *forwarder) authenticate(ctx *fasthttp.RequestCtx, req *request) error {
 	key, ok := strings.CutPrefix(string(ctx.Request.Header.Peek("Authorization")), bearerPrefix)
-	account, known := f.book.KeyOwner(ryeford.HashKey(key))
-	if !ok || !known {
+	account, found := f.book.KeyOwner(ryeford.HashKey(key))
+	if !ok || !found {
 		return &ryeford.InputError{Field: "Authorization", Problem: "want the bearer token of a client account", Status: fasthttp.StatusUnauthorized}
 	}
 	req.account = account
--- a/agentfleet/router/readiness.go
+++ b/agentfleet/router/readiness.go
@@ -32,30 +32,30 @@
 	return synced && !leaving && agents > 0
 }
 
-// drain shuts the router down without interrupting requests. When stop ends, it marks
+// drain shuts the router down without interrupting requests. When stopCtx ends, it marks
 // the router as not ready and continues to serve for limits.leave_notice, so that the
 // load balancer can react. It then waits for the requests in flight, for limits.drain
 // at most.
-func (r *Router) drain(stop, work context.Context) error {
+func (r *Router) drain(stopCtx, workCtx context.Context) error {
 	select {
-	case <-stop.Done():
-	case <-work.Done():
+	case <-stopCtx.Done():
+	case <-workCtx.Done():
 		return nil
 	}
 	r.readiness.leaving.Store(true)
 	r.decisions.Record("", "decision", "leave", "in_flight", r.readiness.inFlight.Load())
-	if clock.Sleep(work, r.limits.LeaveNotice) {
-		r.awaitIdle(work)
+	if clock.Sleep(workCtx, r.limits.LeaveNotice) {
+		r.awaitIdle(workCtx)
 	}
 	return nil
 }
 
 // awaitIdle waits until no request is in flight, for limits.drain at most.
-func (r *Router) awaitIdle(work context.Context) {
-	work, cancel := context.WithTimeout(work, r.limits.Drain)
+func (r *Router) awaitIdle(workCtx context.Context) {
+	workCtx, cancel := context.WithTimeout(workCtx, r.limits.Drain)
 	defer cancel()
 	for r.readiness.inFlight.Load() > 0 {
-		if !clock.Sleep(work, drainPollInterval) {
+		if !clock.Sleep(workCtx, drainPollInterval) {
 			return
 		}
 	}
--- a/agentfleet/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -60,7 +60,7 @@
 func (x *exchange) recover(ctx context.Context, cause error) error {
 	lost := lostStream{
 		expired:    ctx.Err() != nil || time.Now().After(x.request.deadline),
-		reported:   mayHaveRun(cause), // set by chunkError; errors of the connection have other types
+		reported:   mayHaveRun(cause), // chunkError returns this type; connection errors have others
 		repeatable: x.request.repeatable,
 		call:       x.request.call != nil,
 		rejoins:    x.history.rejoins,
--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -125,20 +125,20 @@
 
 // Run serves until ctx ends, and then until the requests in flight have ended.
 func (r *Router) Run(ctx context.Context) error {
-	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	maxBody := r.limits.MaxBody
-	group, work := errgroup.WithContext(work)
-	group.Go(func() error { return r.agents.run(work) })
-	group.Go(func() error { return r.syncTemplates(work) })
-	group.Go(func() error { return r.gossip.run(work) })
-	group.Go(func() error { return r.claims.Run(work) })
-	group.Go(func() error { return r.planner.run(work) })
-	group.Go(func() error { return serveHTTP(work, r.settings.Callers.AddrPort, maxBody, r.callers.serve) })
-	group.Go(func() error { return serveHTTP(work, r.settings.Operators.AddrPort, maxBody, r.operators.serve) })
+	group, workCtx := errgroup.WithContext(workCtx)
+	group.Go(func() error { return r.agents.run(workCtx) })
+	group.Go(func() error { return r.syncTemplates(workCtx) })
+	group.Go(func() error { return r.gossip.run(workCtx) })
+	group.Go(func() error { return r.claims.Run(workCtx) })
+	group.Go(func() error { return r.planner.run(workCtx) })
+	group.Go(func() error { return serveHTTP(workCtx, r.settings.Callers.AddrPort, maxBody, r.callers.serve) })
+	group.Go(func() error { return serveHTTP(workCtx, r.settings.Operators.AddrPort, maxBody, r.operators.serve) })
 	group.Go(func() error {
 		defer cancel()
-		return r.drain(ctx, work)
+		return r.drain(ctx, workCtx)
 	})
 	_ = r.log.Log("msg", "started", "role", "router", "callers", r.settings.Callers, "operators", r.settings.Operators)
 	err := group.Wait()
