--- a/agentfleet/answer/answer_test.go
+++ b/agentfleet/answer/answer_test.go
@@ -9,8 +9,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestAssembler sends the chunks of an answer in any order, repeated and mixed
-// with foreign ones, and checks that each is passed on once and in its order.
+// TestAssembler checks that each chunk is passed on once and in order when chunks
+// arrive reordered, repeated or mixed with those of another attempt.
 func TestAssembler(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 40).Draw(t, "chunks")
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestLogReaders checks that readers at any offset get the rest, and that a
-// finished answer has no more.
+// TestLogReaders checks that a reader at a valid offset gets the remaining chunks, and
+// that other offsets are refused.
 func TestLogReaders(t *testing.T) {
 	log := NewLog(5)
 	log.Append(ryeford.Chunk{Offset: 5, Data: []byte("a")})
@@ -56,25 +56,25 @@
 	}
 }
 
-// TestAssemblerDrops has one row for each reason to drop a chunk.
+// TestAssemblerDrops checks each reason to drop a chunk.
 func TestAssemblerDrops(t *testing.T) {
 	chunk := func(attempt ryeford.AttemptID, offset int64) ryeford.Chunk {
 		return ryeford.Chunk{Attempt: attempt, Offset: offset}
 	}
 	for _, test := range []struct {
-		rule  string
+		name  string
 		chunk ryeford.Chunk
 		want  Dropped
 	}{
 		{"the next chunk is passed on", chunk("mine", 1), Dropped{}},
-		{"one after a gap is kept", chunk("mine", 4), Dropped{}},
-		{"one that was passed on", chunk("mine", 0), Dropped{Repeated: 1}},
-		{"one that is kept already", chunk("mine", 3), Dropped{Repeated: 1}},
-		{"one of another attempt", chunk("other", 1), Dropped{Foreign: 1}},
-		{"the last one that is not too far ahead", chunk("mine", 1+maxPending-1), Dropped{}},
-		{"one that is too far ahead", chunk("mine", 1+maxPending), Dropped{Overflow: 1}},
+		{"a chunk after a gap is kept", chunk("mine", 4), Dropped{}},
+		{"a chunk that was passed on", chunk("mine", 0), Dropped{Repeated: 1}},
+		{"a chunk that is already kept", chunk("mine", 3), Dropped{Repeated: 1}},
+		{"a chunk of another attempt", chunk("other", 1), Dropped{Foreign: 1}},
+		{"the last chunk within the limit", chunk("mine", 1+maxPending-1), Dropped{}},
+		{"the first chunk beyond the limit", chunk("mine", 1+maxPending), Dropped{Overflow: 1}},
 	} {
-		t.Run(test.rule, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			asm := NewAssembler("mine", 0)
 			asm.Add(chunk("mine", 0))
 			asm.Add(chunk("mine", 3))
--- a/agentfleet/claim/batcher.go
+++ b/agentfleet/claim/batcher.go
@@ -10,48 +10,47 @@
 )
 
 const (
-	// batchWait is how long a batch is open for further writes. It is added
-	// to each claim; at 2.3 claims/s a router's batches hold one row (docs/CAPACITY.md,
-	// "The platform's table").
-	batchWait = 4 * time.Millisecond
+	// batchWindow is how long a batch accepts further writes. It adds to the latency of
+	// each claim.
+	batchWindow = 4 * time.Millisecond
 
 	// batchSize is the largest number of writes in a batch.
 	batchSize = 64
 
-	// batchTimeout bounds a batch with all its transactions.
+	// batchTimeout limits the time for a batch with all its transactions.
 	batchTimeout = 3 * time.Second
 
-	// batchQueue is how many writes may wait for a batch; beyond, callers wait to queue
-	// theirs.
-	batchQueue = 4096
+	// batchQueueSize is how many writes may wait for a batch. Callers block while the
+	// queue is full.
+	batchQueueSize = 4096
 
-	// maxBatches is how many batches are under way at once.
+	// maxBatches is how many batches may be in progress at once.
 	maxBatches = 4
 )
 
-// A batcher joins the writes of several callers into one transaction. Each
-// write still succeeds or fails by its own condition.
+// A batcher combines the writes of several callers into one transaction. Each write
+// still succeeds or fails by its own condition.
 type batcher struct {
 	table ryeford.Table
-	queue chan *pending
+	queue chan *pendingWrite
 }
 
-// A pending is a write whose caller waits for its outcome.
-type pending struct {
+// A pendingWrite is a write whose caller waits for its outcome.
+type pendingWrite struct {
 	write ryeford.Write
 	done  chan outcome
 }
 
-// An outcome is how a write ended.
+// An outcome is the result of a write.
 type outcome struct {
 	version int64
 	err     error
 }
 
-// write makes one write. Its error is that of ryeford.Table; the end of ctx leaves open
-// whether the write takes effect once it is in the queue.
+// write performs one write. It returns the errors of ryeford.Table. If ctx ends while
+// the write is queued, the write may still take effect.
 func (b *batcher) write(ctx context.Context, w ryeford.Write) (int64, error) {
-	p := &pending{write: w, done: make(chan outcome, 1)}
+	p := &pendingWrite{write: w, done: make(chan outcome, 1)}
 	select {
 	case b.queue <- p:
 	case <-ctx.Done():
@@ -80,23 +79,23 @@
 	}
 }
 
-// collect waits for a write and takes those that come within batchWait of it. Of two
-// writes of one row the second fails at once, since the first decides its condition. It
-// returns nil once ctx ends.
-func (b *batcher) collect(ctx context.Context) []*pending {
-	var batch []*pending
+// collect waits for a write and adds those that arrive within batchWindow. A second
+// write to the same row fails at once, since its condition depends on the result of the
+// first one. It returns nil when ctx ends.
+func (b *batcher) collect(ctx context.Context) []*pendingWrite {
+	var batch []*pendingWrite
 	select {
 	case p := <-b.queue:
 		batch = append(batch, p)
 	case <-ctx.Done():
 		return nil
 	}
-	timer := time.NewTimer(batchWait)
+	timer := time.NewTimer(batchWindow)
 	defer timer.Stop()
 	for len(batch) < batchSize {
 		select {
 		case p := <-b.queue:
-			if slices.ContainsFunc(batch, func(o *pending) bool { return o.write.Key == p.write.Key }) {
+			if slices.ContainsFunc(batch, func(o *pendingWrite) bool { return o.write.Key == p.write.Key }) {
 				p.done <- outcome{err: &ryeford.ConflictError{Keys: []string{p.write.Key}}}
 				continue
 			}
@@ -108,9 +107,9 @@
 	return batch
 }
 
-// commit makes one transaction of a batch. Writes whose condition does not hold fail,
-// and the others are made again without them.
-func (b *batcher) commit(ctx context.Context, batch []*pending) {
+// commit runs one transaction for a batch. Writes whose condition does not hold fail,
+// and the transaction is repeated with the others.
+func (b *batcher) commit(ctx context.Context, batch []*pendingWrite) {
 	ctx, cancel := context.WithTimeout(ctx, batchTimeout)
 	defer cancel()
 	for len(batch) > 0 {
@@ -121,34 +120,33 @@
 		version, err := b.table.Transact(ctx, writes...)
 		conflict, ok := errors.AsType[*ryeford.ConflictError](err)
 		if !ok {
-			finish(batch, outcome{version: version, err: err})
+			deliverOutcome(batch, outcome{version: version, err: err})
 			return
 		}
-		lost, rest := split(batch, conflict.Keys)
-		finish(lost, outcome{err: conflict})
-		batch = rest
-		if len(lost) == 0 { // a conflict on no row of ours would come for ever
-			finish(rest, outcome{err: err})
+		conflicting, remaining := splitByKey(batch, conflict.Keys)
+		deliverOutcome(conflicting, outcome{err: conflict})
+		batch = remaining
+		if len(conflicting) == 0 { // the conflict names none of our rows: a retry would not end
+			deliverOutcome(remaining, outcome{err: err})
 			return
 		}
 	}
 }
 
-// finish gives the callers of writes their outcome.
-func finish(batch []*pending, o outcome) {
+func deliverOutcome(batch []*pendingWrite, o outcome) {
 	for _, p := range batch {
 		p.done <- o
 	}
 }
 
-// split returns the writes whose keys are among keys, and the others.
-func split(batch []*pending, keys []string) (in, out []*pending) {
+// splitByKey returns the writes whose keys are among keys, and the others.
+func splitByKey(batch []*pendingWrite, keys []string) (matching, others []*pendingWrite) {
 	for _, p := range batch {
 		if slices.Contains(keys, p.write.Key) {
-			in = append(in, p)
+			matching = append(matching, p)
 		} else {
-			out = append(out, p)
+			others = append(others, p)
 		}
 	}
-	return in, out
+	return matching, others
 }
--- a/agentfleet/claim/claim_test.go
+++ b/agentfleet/claim/claim_test.go
@@ -15,32 +15,31 @@
 	"github.com/ryeford/ryeford/internal/memtable"
 )
 
-// TestClaimIsExclusive lets several routers claim the same key at once, over a
-// table that fails, and loses answers after the write took effect. At most one
-// may run.
+// TestClaimIsExclusive checks that at most one of several routers acquires a key when
+// writes fail or their responses are lost.
 func TestClaimIsExclusive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fates := rapid.SliceOfN(rapid.SampledFrom([]memtable.Fate{
+		outcomes := rapid.SliceOfN(rapid.SampledFrom([]memtable.Fate{
 			memtable.Succeeds, memtable.Succeeds, memtable.Fails, memtable.Lost,
 		}), 1, 12).Draw(t, "fates")
 		calls := 0
 		table := memtable.New(func(_ bool) memtable.Fate {
 			calls++
-			return fates[calls%len(fates)]
+			return outcomes[calls%len(outcomes)]
 		})
 		routers := rapid.IntRange(2, 4).Draw(t, "routers")
-		mine := claimAtOnce(table, routers)
-		assert.Assert(t, mine <= 1, "%d routers hold the key", mine)
+		acquired := claimConcurrently(table, routers)
+		assert.Assert(t, acquired <= 1, "%d routers acquired the key", acquired)
 	})
 }
 
-// claimAtOnce returns how many of the routers got the key.
-func claimAtOnce(table ryeford.Table, routers int) int {
+// claimConcurrently returns how many routers acquired the key.
+func claimConcurrently(table ryeford.Table, routers int) int {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	mine := 0
+	acquired := 0
 	for i := range routers {
 		claims := New(table)
 		go func() { _ = claims.Run(ctx) }()
@@ -49,17 +48,17 @@
 			held, err := claims.Claim(ctx, Key{Account: "bank", Key: "k"}, record)
 			mu.Lock()
 			defer mu.Unlock()
-			if err == nil && held.Mine {
-				mine++
+			if err == nil && held.Acquired {
+				acquired++
 			}
 		})
 	}
 	wait.Wait()
-	return mine
+	return acquired
 }
 
-// TestBatch checks that claims made together are one transaction, and that one
-// that is taken already does not fail the others.
+// TestBatch checks that concurrent claims share one transaction, and that a key that is
+// already claimed does not fail the others.
 func TestBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -81,35 +80,35 @@
 			wait.Go(func() {
 				held, err := claims.Claim(ctx, Key{Account: "bank", Key: fmt.Sprint(i)}, Record{Attempt: Attempt{ID: "second"}})
 				assert.Check(t, err)
-				assert.Check(t, held.Mine == (i != 7))
+				assert.Check(t, held.Acquired == (i != 7))
 			})
 		}
 		wait.Wait()
-		assert.Equal(t, writes, 2) // with the taken key, and without it
+		assert.Equal(t, writes, 2) // one with the claimed key, one without it
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestDecided checks when a row that was read back shows who holds a key.
-func TestDecided(t *testing.T) {
+// TestOwnerKnown checks when a row that was read back shows who owns a key.
+func TestOwnerKnown(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		held     int64
+		current  int64
 		replaced int64
 		want     bool
 	}{
 		{"no row: the write did not take effect", 0, 0, false},
-		{"a row instead of none", 7, 0, true},
-		{"the row that was to be replaced", 7, 7, false},
-		{"another row in its place", 8, 7, true},
+		{"a row where there was none", 7, 0, true},
+		{"the row to be replaced is unchanged", 7, 7, false},
+		{"another row replaced it", 8, 7, true},
 		{"the row was removed", 0, 7, false},
 	} {
-		assert.Equal(t, decided(test.held, test.replaced), test.want, test.name)
+		assert.Equal(t, ownerKnown(test.current, test.replaced), test.want, test.name)
 	}
 }
 
-// TestDigest checks that a part's end counts.
+// TestDigest checks that the boundaries between parts change the digest.
 func TestDigest(t *testing.T) {
 	assert.Equal(t, Digest([]byte("a"), []byte("b")), Digest([]byte("a"), []byte("b")))
 	assert.Assert(t, Digest([]byte("ab"), nil) != Digest([]byte("a"), []byte("b")))
--- a/agentfleet/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -15,13 +15,13 @@
 // candidates are the engines that an exchange may dispatch its request to.
 type candidates struct {
 	home  ryeford.EngineID  // the first in the chat's rendezvous order
-	first claim.Candidate   // the first dispatched to, not counting a redirect
+	first claim.Candidate   // the home if it was dispatched to, otherwise the first one dispatched to
 	queue []claim.Candidate // not dispatched to yet
 }
 
-// redirected returns the queue after a home pointed to an engine: that engine first, if
-// it is connected and so is a candidate, target, the home next, then the others.
-func redirected(queue []claim.Candidate, home claim.Candidate, engine ryeford.EngineID, target claim.Candidate) []claim.Candidate {
+// redirectQueue returns the queue after the home redirected to an engine. If the engine is
+// connected, target is its candidate and comes first. The home and the others follow.
+func redirectQueue(queue []claim.Candidate, home claim.Candidate, engine ryeford.EngineID, target claim.Candidate) []claim.Candidate {
 	others := slices.DeleteFunc(slices.Clone(queue), func(c claim.Candidate) bool { return c.Engine == engine })
 	next := append([]claim.Candidate{home}, others...)
 	if target.Engine == engine {
@@ -30,14 +30,13 @@
 	return next
 }
 
-// suspectedFor is how long a VM that left a dispatch unanswered is tried last:
-// the time is a multiple of a dispatch's (2.25 s with its grace), so that a
-// frozen VM costs few requests that wait; freeze.txtar passes with it.
-const suspectedFor = 5 * time.Second
+// suspectDuration is how long a VM stays suspect after it left a dispatch unanswered.
+// It is a multiple of the default dispatch timeout, so that a frozen VM delays few
+// requests.
+const suspectDuration = 5 * time.Second
 
-// suspects are the VMs that left a dispatch unanswered a short while ago. Their
-// connections may still be up: that a process is frozen is noticed by a connection only
-// after the idle time-out.
+// suspects are the VMs that recently left a dispatch unanswered. Their connections may
+// still be up: a connection detects a frozen process only after the idle timeout.
 type suspects struct {
 	mu    sync.Mutex
 	until map[ryeford.VMID]time.Time
@@ -50,7 +49,7 @@
 func (s *suspects) add(now time.Time, vm ryeford.VMID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until[vm] = now.Add(suspectedFor)
+	s.until[vm] = now.Add(suspectDuration)
 }
 
 func (s *suspects) clear(vm ryeford.VMID) {
@@ -59,63 +58,64 @@
 	delete(s.until, vm)
 }
 
-// last returns the candidates with those of suspected VMs after the others, and keeps
-// the order otherwise. They are not left out: all may be suspected.
-func (s *suspects) last(now time.Time, candidates []claim.Candidate) []claim.Candidate {
+// deprioritize returns the candidates with those on suspect VMs moved to the end. The
+// order is otherwise unchanged. None is dropped, since all of them may be suspect.
+func (s *suspects) deprioritize(now time.Time, candidates []claim.Candidate) []claim.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var trusted, suspected []claim.Candidate
+	var others, suspected []claim.Candidate
 	for _, c := range candidates {
 		if now.Before(s.until[c.VM]) {
 			suspected = append(suspected, c)
 		} else {
-			trusted = append(trusted, c)
+			others = append(others, c)
 		}
 	}
-	return append(trusted, suspected...)
+	return append(others, suspected...)
 }
 
 const (
-	// dispatchGrace is how long after a dispatch's expiry its reply is waited for: an
-	// agent that admits in the last moment needs the way back.
+	// dispatchGrace is how long after the expiry of a dispatch its reply is accepted,
+	// so that a reply from an agent that admits it at the last moment still arrives.
 	dispatchGrace = 250 * time.Millisecond
 
 	// maxWaitingDispatches is how many of a request's first dispatches may wait at a
 	// full engine: the one to the chat's home, and the one to the engine that the home
-	// points to. No other engine has the chat's prefix, for which the wait is made.
-	// Without unit.
+	// redirects to. Waiting pays off only there, since no other engine has the chat's
+	// prefix cached.
 	maxWaitingDispatches = 2
 )
 
 // dispatch sends the attempt to an engine's agent and waits until it is admitted or
-// refused. What was not sent did not run; if the reply is lost, resolveLost finds out.
+// refused. If the dispatch could not be sent, the attempt did not run. If the reply is
+// lost, resolveOutcome determines whether it ran.
 func (x *exchange) dispatch(ctx context.Context, c claim.Candidate) error {
-	a, ok := x.forwarder.fleet.vm(c.VM)
+	a, ok := x.forwarder.fleet.agentByVM(c.VM)
 	if !ok || a.inventory.Incarnation != c.Incarnation {
 		return &ryeford.NotRunError{Reason: ryeford.ReasonUnreachable}
 	}
 	openCtx, cancel := context.WithDeadline(ctx, x.attempt.Expires)
 	defer cancel()
 	stream, err := a.conn.Open(openCtx)
-	if err != nil { // the connection is going: keepConnected logs why
+	if err != nil { // the connection is closing; keepConnected logs the cause
 		return &ryeford.NotRunError{Reason: ryeford.ReasonUnreachable}
 	}
 	x.stream.conn = stream
 	stream.SetReadDeadline(x.attempt.Expires.Add(dispatchGrace))
 	if err := stream.Send(&wire.Message{Dispatch: x.dispatchMessage(c)}); err != nil {
-		return x.resolveLost(ctx, err)
+		return x.resolveOutcome(ctx, err)
 	}
 	m, err := stream.Receive()
 	if err != nil {
 		x.forwarder.suspects.add(time.Now(), c.VM)
-		return x.resolveLost(ctx, err)
+		return x.resolveOutcome(ctx, err)
 	}
 	x.forwarder.suspects.clear(c.VM)
 	return x.handleReply(m)
 }
 
-// dispatchMessage returns the dispatch of the attempt, whose id the completion or call is
-// given.
+// dispatchMessage returns the dispatch of the attempt, and sets the attempt's ID in the
+// completion or call.
 func (x *exchange) dispatchMessage(c claim.Candidate) *wire.Dispatch {
 	req := x.request
 	if req.call != nil {
@@ -135,7 +135,7 @@
 		Share:       req.share,
 		Repeatable:  req.repeatable,
 		Expires:     x.attempt.Expires,
-		Forget:      x.attempt.Forget,
+		Forget:      x.attempt.RetainUntil,
 		PoolMean:    x.poolMean(),
 		Sent:        time.Now(),
 		MayRedirect: mayRedirect(req, c.Engine == x.candidates.home, x.history.dispatches),
@@ -149,20 +149,21 @@
 	return d
 }
 
-// mayRedirect reports whether an agent may name another engine instead of running the
-// request: only the chat's home remembers where the chat went, only the first dispatch
-// asks for it, and a claim names its candidates before it is dispatched.
+// mayRedirect reports whether an agent may redirect the request to another engine
+// instead of running it. Only the chat's home stores where the chat was last served,
+// and only the first dispatch asks for it. A request with a claim is excluded, since
+// the claim fixes its candidates in advance.
 func mayRedirect(req *request, home bool, dispatches int) bool {
-	return home && dispatches == 1 && !req.claimed() && req.call == nil
+	return home && dispatches == 1 && !req.needsClaim() && req.call == nil
 }
 
-// mayWait reports whether the dispatch of that number may wait at a full engine for
-// limits.warm_wait: in the first round, at the engines that may have the chat's prefix.
+// mayWait reports whether a dispatch may wait at a full engine for limits.warm_wait.
+// Only the dispatches of the first round to engines that may have the chat's prefix do.
 func mayWait(rounds, dispatches int) bool {
 	return rounds == 0 && dispatches <= maxWaitingDispatches
 }
 
-// handleReply takes the agent's reply to a dispatch or a join.
+// handleReply handles the agent's reply to a dispatch or a join.
 func (x *exchange) handleReply(m *wire.Message) error {
 	switch {
 	case m.Admitted != nil && m.Admitted.Attempt == x.attempt.ID:
@@ -176,15 +177,15 @@
 	return &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: &ProtocolError{}}
 }
 
-// beginAnswer makes the stream ready for the answer of an admitted attempt, from the
-// caller's next offset on. An attempt that another request began is answered under that
-// one's id.
+// beginAnswer prepares the stream for the answer of an admitted attempt, starting at
+// the caller's next offset. If another request started the attempt, the answer carries
+// the ID of that request.
 func (x *exchange) beginAnswer(admitted *wire.Admitted) {
 	x.request.id = admitted.Request
-	x.stream.asm = answer.NewAssembler(x.attempt.ID, x.delivered.next)
+	x.stream.assembler = answer.NewAssembler(x.attempt.ID, x.delivered.next)
 }
 
-// handleRefusal takes a refusal, and returns it as an error.
+// handleRefusal handles a refusal and returns it as an error.
 func (x *exchange) handleRefusal(refused *wire.Refused) error {
 	if refused.Unknown {
 		return &ryeford.MayHaveRunError{Reason: refused.Reason, RetryAfter: refused.RetryAfter}
@@ -192,12 +193,12 @@
 	switch refused.Reason {
 	case ryeford.ReasonOverload, ryeford.ReasonShare:
 		x.addProbe(refused.Load)
-		x.history.returnAfter(refused.RetryAfter)
-	case ryeford.ReasonResting: // its load says nothing of the others'
-		x.history.returnAfter(refused.RetryAfter)
+		x.history.addRetryAfter(refused.RetryAfter)
+	case ryeford.ReasonResting: // its load does not indicate the load of the others
+		x.history.addRetryAfter(refused.RetryAfter)
 	case ryeford.ReasonRedirect:
 		target, _ := x.forwarder.fleet.candidate(refused.Engine)
-		x.candidates.queue = redirected(x.candidates.queue, x.stream.candidate, refused.Engine, target)
+		x.candidates.queue = redirectQueue(x.candidates.queue, x.stream.candidate, refused.Engine, target)
 	}
 	return &ryeford.NotRunError{Reason: refused.Reason, RetryAfter: refused.RetryAfter}
 }
--- a/agentfleet/router/dispatch_test.go
+++ b/agentfleet/router/dispatch_test.go
@@ -10,7 +10,7 @@
 	"github.com/ryeford/ryeford/agentfleet/claim"
 )
 
-// TestMayRedirect checks which dispatch an agent may answer with another engine.
+// TestMayRedirect checks which dispatches an agent may answer with a redirect.
 func TestMayRedirect(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -19,11 +19,11 @@
 		dispatches int
 		want       bool
 	}{
-		{"first, to the home", request{repeatable: true}, true, 1, true},
+		{"first dispatch, to the home", request{repeatable: true}, true, 1, true},
 		{"to another engine", request{repeatable: true}, false, 1, false},
-		{"home again", request{repeatable: true}, true, 2, false},
+		{"second dispatch, to the home", request{repeatable: true}, true, 2, false},
 		{"with a claim", request{key: "k"}, true, 1, false},
-		{"a key, but repeatable", request{key: "k", repeatable: true}, true, 1, true},
+		{"with a key, but repeatable", request{key: "k", repeatable: true}, true, 1, true},
 		{"call of a service", request{repeatable: true, call: &ryeford.Call{}}, true, 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestRedirected checks the order of candidates after a redirect.
-func TestRedirected(t *testing.T) {
+// TestRedirectQueue checks the order of candidates after a redirect.
+func TestRedirectQueue(t *testing.T) {
 	a, b, c := claim.Candidate{Engine: "a"}, claim.Candidate{Engine: "b"}, claim.Candidate{Engine: "c"}
 	for _, test := range []struct {
 		name   string
@@ -56,38 +56,38 @@
 		target claim.Candidate
 		want   []claim.Candidate
 	}{
-		{"named engine first, then the home", []claim.Candidate{b, c}, c, []claim.Candidate{c, a, b}},
+		{"the target first, then the home", []claim.Candidate{b, c}, c, []claim.Candidate{c, a, b}},
 		{"not in the queue", []claim.Candidate{b}, c, []claim.Candidate{c, a, b}},
 		{"not connected", []claim.Candidate{b, c}, claim.Candidate{}, []claim.Candidate{a, b}},
-		{"nothing else left", nil, claim.Candidate{}, []claim.Candidate{a}},
+		{"no other candidate", nil, claim.Candidate{}, []claim.Candidate{a}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			assert.DeepEqual(t, redirected(test.queue, a, "c", test.target), test.want)
+			assert.DeepEqual(t, redirectQueue(test.queue, a, "c", test.target), test.want)
 		})
 	}
 }
 
-// TestSuspectsAreAskedLast checks the order of candidates after a dispatch went
+// TestSuspectsDeprioritized checks the order of candidates after a dispatch was left
 // unanswered.
-func TestSuspectsAreAskedLast(t *testing.T) {
+func TestSuspectsDeprioritized(t *testing.T) {
 	a, b, c := claim.Candidate{VM: "a"}, claim.Candidate{VM: "b"}, claim.Candidate{VM: "c"}
 	now := time.Unix(1_000_000, 0)
 	for _, test := range []struct {
 		name    string
 		prepare func(s *suspects)
-		after   time.Duration
+		elapsed time.Duration
 		want    []claim.Candidate
 	}{
-		{"none", func(*suspects) {}, 0, []claim.Candidate{a, b, c}},
-		{"one", func(s *suspects) { s.add(now, "a") }, 0, []claim.Candidate{b, c, a}},
-		{"two, in their order", func(s *suspects) { s.add(now, "b"); s.add(now, "a") }, 0, []claim.Candidate{c, a, b}},
-		{"until its time is over", func(s *suspects) { s.add(now, "a") }, suspectedFor, []claim.Candidate{a, b, c}},
+		{"no suspect", func(*suspects) {}, 0, []claim.Candidate{a, b, c}},
+		{"one suspect", func(s *suspects) { s.add(now, "a") }, 0, []claim.Candidate{b, c, a}},
+		{"two suspects, in order", func(s *suspects) { s.add(now, "b"); s.add(now, "a") }, 0, []claim.Candidate{c, a, b}},
+		{"until its duration is over", func(s *suspects) { s.add(now, "a") }, suspectDuration, []claim.Candidate{a, b, c}},
 		{"until it answers", func(s *suspects) { s.add(now, "a"); s.clear("a") }, 0, []claim.Candidate{a, b, c}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := newSuspects()
 			test.prepare(s)
-			assert.DeepEqual(t, s.last(now.Add(test.after), []claim.Candidate{a, b, c}), test.want)
+			assert.DeepEqual(t, s.deprioritize(now.Add(test.elapsed), []claim.Candidate{a, b, c}), test.want)
 		})
 	}
 }
--- a/agentfleet/router/fleet_test.go
+++ b/agentfleet/router/fleet_test.go
@@ -22,29 +22,29 @@
 		candidates, found bool
 	}{
 		{"connected", func(*fleet, *agent) {}, true, true},
-		{"leaving, as it says itself", func(f *fleet, a *agent) {
+		{"leaving, as reported by the agent", func(f *fleet, a *agent) {
 			leaving, inventory := *a, *a.inventory
 			inventory.Leaving = true
 			leaving.inventory = &inventory
 			f.put(&leaving)
 		}, false, true},
-		{"leaving by the list", func(f *fleet, a *agent) {
+		{"leaving, as listed by the platform", func(f *fleet, a *agent) {
 			vm := a.vm
 			vm.State = ryeford.VMLeaving
 			f.setVM(vm)
 		}, false, true},
-		{"its engine rests", func(f *fleet, a *agent) {
-			resting, inventory := *a, *a.inventory
+		{"its engine backs off", func(f *fleet, a *agent) {
+			backingOff, inventory := *a, *a.inventory
 			inventory.Engines = slices.Clone(inventory.Engines)
 			inventory.Engines[0].Resting = true
-			resting.inventory = &inventory
-			f.put(&resting)
+			backingOff.inventory = &inventory
+			f.put(&backingOff)
 		}, false, true},
 		{"connection lost", func(f *fleet, a *agent) { f.remove(a.vm.ID, first) }, false, false},
 		{"an earlier connection lost", func(f *fleet, a *agent) {
-			again := *a
-			again.conn = second
-			f.put(&again)
+			reconnected := *a
+			reconnected.conn = second
+			f.put(&reconnected)
 			f.remove(a.vm.ID, first)
 		}, true, true},
 	} {
@@ -56,15 +56,15 @@
 			test.change(f, a)
 			set := f.pool(ryeford.Pool{Model: "lira"})
 			assert.Equal(t, set != nil && set.Len() == 1, test.candidates)
-			_, found := f.engine("endpoint-1.1")
+			_, found := f.agentOfEngine("endpoint-1.1")
 			assert.Equal(t, found, test.found)
 		})
 	}
 }
 
-// TestRestingService checks that a service all of whose instances rest has none to be sent to, and is still
-// known: a caller is not told that there is no such service.
-func TestRestingService(t *testing.T) {
+// TestServiceBackingOff checks that a service stays known while all its instances back
+// off, so that callers don't get the error for an unknown service.
+func TestServiceBackingOff(t *testing.T) {
 	f := newFleet()
 	a := testAgent("endpoint-1", "lira")
 	inventory := *a.inventory
@@ -76,7 +76,7 @@
 	assert.Assert(t, f.service("another") == nil)
 }
 
-// TestSkew checks the busiest engine's load over its model's mean.
+// TestSkew checks the ratio of the busiest engine's load to its model's mean.
 func TestSkew(t *testing.T) {
 	type sample struct {
 		engine ryeford.EngineID
@@ -93,7 +93,7 @@
 		{"even", []sample{{"a", "lira", 2}, {"b", "lira", 2}}, 1},
 		{"one engine busier", []sample{{"a", "lira", 6}, {"b", "lira", 2}}, 1.5},
 		{"the last load of an engine counts", []sample{{"a", "lira", 9}, {"a", "lira", 2}, {"b", "lira", 2}}, 1},
-		{"the model with the highest", []sample{{"a", "lira", 2}, {"b", "lira", 2}, {"c", "psalm", 6}, {"d", "psalm", 2}}, 1.5},
+		{"the model with the highest ratio", []sample{{"a", "lira", 2}, {"b", "lira", 2}, {"c", "psalm", 6}, {"d", "psalm", 2}}, 1.5},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l := newLoads()
--- a/agentfleet/router/operators.go
+++ b/agentfleet/router/operators.go
@@ -17,7 +17,7 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// The paths that operators use.
+// The paths of the operators' API.
 const (
 	PathTemplates = "/v1/templates"
 	PathHistory   = "/v1/history/"
@@ -29,14 +29,14 @@
 
 const stopSuffix = "/stop"
 
-// operatorTimeout bounds one request of an operator: it leaves room for
-// the calls of the platform that a publish repeats.
+// operatorTimeout limits one request of an operator, including the platform calls that
+// a publish repeats.
 const operatorTimeout = 10 * time.Second
 
-// An operatorHandler serves operators' HTTP: templates, planned stops, and what this
-// router knows.
+// An operatorHandler serves operators' HTTP requests: templates, planned stops and the
+// state of this router.
 type operatorHandler struct {
-	*shared
+	*sharedState
 }
 
 func (h *operatorHandler) serve(ctx *fasthttp.RequestCtx) {
@@ -44,15 +44,15 @@
 		writeError(ctx, "", &ryeford.InputError{Field: "Authorization", Problem: "want the operators' bearer token", Status: fasthttp.StatusUnauthorized})
 		return
 	}
-	work, cancel := context.WithTimeout(context.Background(), operatorTimeout)
+	workCtx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
-	answer, err := h.operate(work, ctx)
+	answer, err := h.handle(workCtx, ctx)
 	if err == nil {
 		err = writeJSON(ctx, fasthttp.StatusOK, answer)
 	}
 	if err != nil {
 		body, status := newOperatorErrorBody(err)
-		_ = writeJSON(ctx, status, &body) // its parts are strings and a number
+		_ = writeJSON(ctx, status, &body) // strings and numbers always encode
 	}
 }
 
@@ -63,7 +63,7 @@
 	return subtle.ConstantTimeCompare(got[:], want[:]) == 1
 }
 
-func (h *operatorHandler) operate(work context.Context, ctx *fasthttp.RequestCtx) (any, error) {
+func (h *operatorHandler) handle(workCtx context.Context, ctx *fasthttp.RequestCtx) (any, error) {
 	path := string(ctx.Path())
 	name, isTemplate := strings.CutPrefix(path, PathTemplates+"/")
 	history, isHistory := strings.CutPrefix(path, PathHistory)
@@ -71,19 +71,19 @@
 	request, isExplain := strings.CutPrefix(path, PathExplain)
 	switch {
 	case path == PathTemplates && ctx.IsPost():
-		return h.publish(work, ctx.PostBody())
+		return h.publish(workCtx, ctx.PostBody())
 	case path == PathTemplates:
-		return h.templates.All(work)
+		return h.templates.All(workCtx)
 	case isTemplate:
-		return byName(work, name, h.templates.Get)
+		return readByName(workCtx, name, h.templates.Get)
 	case isHistory:
-		return byName(work, history, h.templates.History)
+		return readByName(workCtx, history, h.templates.History)
 	case isVM && ctx.IsPost() && strings.HasSuffix(vm, stopSuffix):
-		return h.stopVM(work, ryeford.VMID(strings.TrimSuffix(vm, stopSuffix)))
+		return h.stopVM(workCtx, ryeford.VMID(strings.TrimSuffix(vm, stopSuffix)))
 	case path == PathStatus:
-		return h.status(work), nil
+		return h.status(workCtx), nil
 	case isExplain:
-		return h.explain(work, ryeford.RequestID(request)), nil
+		return h.explain(workCtx, ryeford.RequestID(request)), nil
 	case path == PathPlan:
 		if plan := h.plan.Get(); plan != nil {
 			return plan, nil
@@ -93,7 +93,7 @@
 	return nil, &ryeford.NotFoundError{Kind: "path", Name: path}
 }
 
-// publish accepts a template, and puts it in force here at once.
+// publish accepts a template and puts it in force on this router at once.
 func (h *operatorHandler) publish(ctx context.Context, body []byte) (*ryeford.Template, error) {
 	var t ryeford.Template
 	if err := json.Unmarshal(body, &t); err != nil {
@@ -115,16 +115,17 @@
 	h.decisions.Record("", "decision", "published", "account", t.Account, "template", t.Name, "change", t.Change,
 		"sequence", published.Sequence, "revision", published.Revision)
 	if !h.book.Apply(published.Revision-1, published.Revision, []ryeford.Template{*published}) {
-		// Others published in between. If this fails, syncTemplates or gossip does it later.
+		// Other routers published in between. If this fails, syncTemplates or gossip
+		// catches up.
 		if err := h.readTemplates(ctx); err != nil {
-			_ = h.log.Log("msg", "templates not read", "err", err)
+			_ = h.log.Log("msg", "cannot read templates published by other routers; the template just published takes effect here at the next sync or gossip", "err", err)
 		}
 	}
 	return published, nil
 }
 
-// byName returns what read finds of the template that is named ACCOUNT/NAME.
-func byName[T any](ctx context.Context, s string, read func(context.Context, template.Name) (T, error)) (any, error) {
+// readByName returns the result of read for the template named ACCOUNT/NAME.
+func readByName[T any](ctx context.Context, s string, read func(context.Context, template.Name) (T, error)) (any, error) {
 	name, err := template.ParseName(s)
 	if err != nil {
 		return nil, err
@@ -133,8 +134,8 @@
 }
 
 // stopVM begins a planned stop: it marks the VM as leaving in the platform's list and
-// orders the agent there, if there is one, to leave at once. If the agent does not
-// answer, it reads the list itself.
+// sends the agent there, if any, the order to leave. If that fails, the agent finds the
+// mark in the list.
 func (h *operatorHandler) stopVM(ctx context.Context, id ryeford.VMID) (*ryeford.VM, error) {
 	vms, err := h.platform.VMs(ctx)
 	if err != nil {
@@ -150,7 +151,7 @@
 		return nil, err
 	}
 	h.fleet.setVM(vm)
-	if a, ok := h.fleet.vm(id); ok {
+	if a, ok := h.fleet.agentByVM(id); ok {
 		_, err = a.conn.Ask(ctx, &wire.Message{Leave: &wire.Leave{}})
 	}
 	h.decisions.Record("", "decision", "stop_vm", "vm", id, "role", vm.Role, "failure_domain", vm.FailureDomain, "err", err)
@@ -158,15 +159,15 @@
 }
 
 const (
-	// queryTimeout bounds one agent's answer to an operator's query.
+	// queryTimeout limits one agent's reply to an operator's query.
 	queryTimeout = time.Second
 
-	// maxQueries is how many agents are asked at once: it bounds the
-	// streams that one operator's query opens.
+	// maxQueries is how many agents are queried at once. It limits the streams that one
+	// operator's request opens.
 	maxQueries = 32
 )
 
-// A Status is what a router says of itself and of the agents it reaches.
+// A Status is the state of a router and of the agents that it is connected to.
 type Status struct {
 	Router   ryeford.VMID  `json:"router"`
 	Domain   string        `json:"failure_domain"`
@@ -178,20 +179,20 @@
 	Agents   []AgentStatus `json:"agents"`
 }
 
-// An AgentStatus is what a router knows of an agent.
+// An AgentStatus is the state of an agent as last reported to the router.
 type AgentStatus struct {
 	wire.Inventory
 	Listed   ryeford.VMState `json:"listed"`
-	Revision int64           `json:"revision"` // -1 if it did not answer
+	Revision int64           `json:"revision"` // -1 if the agent did not reply
 }
 
-// An Explanation is the decisions on a request, in the order of time.
+// An Explanation lists the decisions about a request, oldest first.
 type Explanation struct {
 	Request   ryeford.RequestID `json:"request"`
 	Decisions []string          `json:"decisions"`
 }
 
-// status returns what the router knows, with each agent's revision.
+// status returns the router's state, with each agent's revision.
 func (h *operatorHandler) status(ctx context.Context) *Status {
 	s := &Status{
 		Router:   h.settings.VM,
@@ -202,7 +203,7 @@
 		InFlight: h.readiness.inFlight.Load(),
 		Skew:     h.loads.skew(time.Now()),
 	}
-	agents := h.fleet.all()
+	agents := h.fleet.list()
 	replies := h.queryAgents(ctx, agents, &wire.Message{Pull: &wire.Pull{Revision: s.Revision}})
 	s.Agents = make([]AgentStatus, len(agents))
 	for i, a := range agents {
@@ -217,7 +218,7 @@
 func (h *operatorHandler) explain(ctx context.Context, request ryeford.RequestID) *Explanation {
 	e := &Explanation{Request: request, Decisions: h.decisions.Lines(request)}
 	query := &wire.Message{Explain: &wire.Explain{Request: request}}
-	for _, m := range h.queryAgents(ctx, h.fleet.all(), query) {
+	for _, m := range h.queryAgents(ctx, h.fleet.list(), query) {
 		if m != nil && m.Decisions != nil {
 			e.Decisions = append(e.Decisions, m.Decisions.Lines...)
 		}
@@ -226,8 +227,9 @@
 	return e
 }
 
-// queryAgents asks agents the same, maxQueries at once. It returns their replies in the
-// agents' order, nil for one that did not answer within queryTimeout.
+// queryAgents sends the same query to all agents, maxQueries at once. It returns the
+// replies in the order of the agents, nil for an agent that did not reply within
+// queryTimeout.
 func (h *operatorHandler) queryAgents(ctx context.Context, agents []*agent, query *wire.Message) []*wire.Message {
 	replies := make([]*wire.Message, len(agents))
 	var group errgroup.Group
@@ -242,6 +244,6 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // an agent that did not answer is no error
+	_ = group.Wait() // a missing reply is not an error
 	return replies
 }
--- a/agentfleet/router/planner.go
+++ b/agentfleet/router/planner.go
@@ -18,15 +18,15 @@
 
 const leaseName = "planner"
 
-// A planner keeps the current plan. On the router that holds the lease, it also makes
-// it.
+// A planner keeps the current plan up to date. On the router that holds the lease, it
+// also makes the plans.
 type planner struct {
-	*shared
-	lease  *lease.Lease
-	recent recentEngines // used by run only
+	*sharedState
+	lease   *lease.Lease
+	engines recentEngines // used by run only
 }
 
-// run plans, or follows another router's plan, until ctx ends.
+// run makes plans, or reads those of another router, until ctx ends.
 func (p *planner) run(ctx context.Context) error {
 	if !p.settings.Planner.Enabled {
 		return nil
@@ -35,16 +35,16 @@
 		if !clock.Sleep(ctx, jitter(p.settings.Planner.Interval)) {
 			return nil
 		}
-		if err := p.round(ctx); err != nil && ctx.Err() == nil {
-			_ = p.log.Log("msg", "no planning", "err", err)
+		if err := p.planOnce(ctx); err != nil && ctx.Err() == nil {
+			_ = p.log.Log("msg", "planning round failed; keeping the current plan until the next round", "err", err)
 		}
 	}
 }
 
-// round acquires or renews the lease if it can, reads the current plan, and plans if the
-// lease is held. A router that is leaving, or has not read the templates yet, makes no
-// plan.
-func (p *planner) round(ctx context.Context) error {
+// planOnce acquires or renews the lease if possible, reads the current plan, and makes
+// a new one if it holds the lease. A router that is leaving or has not read the
+// templates yet makes no plan.
+func (p *planner) planOnce(ctx context.Context) error {
 	held, err := p.acquire(ctx)
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	if err := p.follow(ctx, pointer); err != nil {
+	if err := p.fetchPlan(ctx, pointer); err != nil {
 		return err
 	}
 	if held == nil || !p.readiness.synced.Load() || p.readiness.leaving.Load() {
@@ -79,32 +79,32 @@
 	s := &p.settings.Planner
 	now := time.Now()
 	_, templates := p.book.Since(0)
-	connected, leaving := placeable(p.fleet.all(), p.plan.Get())
+	connected, leaving := placeableEngines(p.fleet.list(), p.plan.Get())
 	return &placement.Input{
 		Now:           now,
 		Templates:     templates,
-		Engines:       p.recent.update(now, connected, leaving, s.Patience),
+		Engines:       p.engines.update(now, connected, leaving, s.Patience),
 		LoadTime:      s.LoadTime,
 		ParallelLoads: s.ParallelLoads,
 		Ahead:         s.Ahead,
 	}
 }
 
-// Where plans are stored: each as an object, and in one row which is current.
+// Each plan is stored as an object. One row names the current plan.
 const (
 	rowPlan        = "plan/current"
 	planObjectName = "plan-%d-%d" // epoch, sequence
 )
 
-// A planPointer is the row that says which plan is current.
+// A planPointer is the row that names the current plan.
 type planPointer struct {
 	Epoch    int64  `json:"epoch"`
 	Sequence int64  `json:"sequence"`
 	Object   string `json:"object"`
 }
 
-// follow reads the plan that a row names, if it is newer than the one known here.
-func (p *planner) follow(ctx context.Context, pointer planPointer) error {
+// fetchPlan reads the plan that a row names, if it is newer than the current one here.
+func (p *planner) fetchPlan(ctx context.Context, pointer planPointer) error {
 	if !p.plan.OlderThan(pointer.Epoch, pointer.Sequence) {
 		return nil
 	}
@@ -114,22 +114,22 @@
 	}
 	plan := &ryeford.Plan{}
 	if err := json.Unmarshal(content, plan); err != nil {
-		return &Error{Op: "read plan " + pointer.Object, Err: err}
+		return &Error{Op: "decode plan object " + pointer.Object, Err: err}
 	}
 	p.plan.Set(plan)
 	return nil
 }
 
-// publish makes a plan, and makes it current if it says something new.
+// publish makes a plan, and stores it as the current one if it differs from it.
 func (p *planner) publish(ctx context.Context, held *lease.Held, pointer planPointer, version int64) error {
 	out := placement.Plan(p.input())
-	if !worthPublishing(p.plan.Get(), out.Assignments) {
+	if !shouldPublish(p.plan.Get(), out.Assignments) {
 		return nil
 	}
 	plan := &ryeford.Plan{Epoch: held.Epoch, Sequence: pointer.Sequence + 1, Assignments: out.Assignments}
 	content, err := json.Marshal(plan)
 	if err != nil {
-		return &Error{Op: "write plan", Err: err}
+		return &Error{Op: "encode plan", Err: err}
 	}
 	object := fmt.Sprintf(planObjectName, plan.Epoch, plan.Sequence)
 	if err := p.platform.PutObject(ctx, object, content); err != nil {
@@ -146,8 +146,8 @@
 }
 
 // makeCurrent points the row to a plan and renews the lease, in one transaction. It
-// fails if the lease was taken over or the row changed since they were read, so that a
-// holder that was paused changes nothing.
+// fails if another router took over the lease or the row has changed since they were
+// read, so that a holder that was suspended and resumed can't overwrite a newer plan.
 func (p *planner) makeCurrent(ctx context.Context, held *lease.Held, pointer planPointer, version int64) error {
 	current, err := row.Write(rowPlan, &pointer, version)
 	if err != nil {
@@ -161,10 +161,11 @@
 	return err
 }
 
-// worthPublishing reports whether assignments differ from the current plan's in what an
-// engine serves. Other start times alone make no new plan, and a plan without any
-// assignment is no plan: no template or no engine is known.
-func worthPublishing(current *ryeford.Plan, next []ryeford.Assignment) bool {
+// shouldPublish reports whether the assignments differ from those of the current plan
+// in the pools of any engine. Different start times alone don't justify a new plan.
+// Empty assignments are never published: they mean that no template or no engine is
+// known.
+func shouldPublish(current *ryeford.Plan, next []ryeford.Assignment) bool {
 	if len(next) == 0 || current == nil {
 		return len(next) > 0
 	}
@@ -173,31 +174,31 @@
 	})
 }
 
-// Which engines a plan is made for.
+// Which engines a plan covers.
 //
-// An engine counts while its agent is connected, and for planner.patience after its
-// connection was lost, so that a VM that flaps, or a router that starts, moves nothing.
-// An engine of a VM that is leaving does not count from then on. What the current plan
-// says of an engine counts as what it serves: a load that is under way is kept.
+// An engine counts while its agent is connected and for planner.patience after the
+// connection was lost, so that a flapping VM or a restarted router causes no moves. An
+// engine on a leaving VM doesn't count. Pools that the current plan assigns to an
+// engine count as served, so that loads in progress are kept.
 
-// recentEngines are the engines whose agents are connected, or were a short while ago.
+// recentEngines are the engines whose agents are connected or were recently.
 type recentEngines map[ryeford.EngineID]recentEngine
 
-// A recentEngine is an engine as it was when its agent was connected last.
+// A recentEngine is an engine as of the last contact with its agent.
 type recentEngine struct {
-	engine placement.Engine
-	at     time.Time
+	engine        placement.Engine
+	lastConnected time.Time
 }
 
-// update takes the engines that are connected now and drops those that count no more.
-// It returns those that count, ordered by id.
-func (r recentEngines) update(now time.Time, connected []placement.Engine, leaving map[ryeford.VMID]bool, patience time.Duration) []placement.Engine {
+// update adds the connected engines and removes those that no longer count. It returns
+// the remaining ones, ordered by ID.
+func (r recentEngines) update(now time.Time, connected []placement.Engine, leaving map[ryeford.VMID]bool, lostTimeout time.Duration) []placement.Engine {
 	for _, e := range connected {
-		r[e.ID] = recentEngine{engine: e, at: now}
+		r[e.ID] = recentEngine{engine: e, lastConnected: now}
 	}
 	var engines []placement.Engine
 	for id, e := range r {
-		if leaving[e.engine.VM] || now.Sub(e.at) > patience {
+		if leaving[e.engine.VM] || now.Sub(e.lastConnected) > lostTimeout {
 			delete(r, id)
 			continue
 		}
@@ -207,10 +208,10 @@
 	return engines
 }
 
-// placeable returns the model engines of connected agents, with what they serve or are
-// to serve by the plan, and the VMs that are leaving. Instances of plain services are
-// not placed.
-func placeable(agents []*agent, plan *ryeford.Plan) (engines []placement.Engine, leaving map[ryeford.VMID]bool) {
+// placeableEngines returns the model engines of connected agents, with the pools that
+// they serve or that the plan assigns to them, and the VMs that are leaving. Instances
+// of plain services are not placed.
+func placeableEngines(agents []*agent, plan *ryeford.Plan) (engines []placement.Engine, leaving map[ryeford.VMID]bool) {
 	planned := make(map[ryeford.EngineID][]ryeford.Pool)
 	if plan != nil {
 		for _, a := range plan.Assignments {
--- a/agentfleet/router/readiness.go
+++ b/agentfleet/router/readiness.go
@@ -9,69 +9,70 @@
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
-// drainCheck is the time between two looks at whether all requests have ended: short
-// against the stop of a process.
-const drainCheck = 20 * time.Millisecond
+// drainPollInterval is the interval between checks whether all requests have ended.
+const drainPollInterval = 20 * time.Millisecond
 
-// A readiness is what decides whether callers are to come here, and may go.
+// A readiness is the state that determines whether the router accepts callers and
+// whether it may exit.
 type readiness struct {
-	synced   atomic.Bool  // the book holds what the fleet had accepted; set by syncTemplates
+	synced   atomic.Bool  // the book holds all accepted templates; set by syncTemplates
 	leaving  atomic.Bool  // set by drain
 	inFlight atomic.Int64 // requests of callers
 	fleet    *fleet
 }
 
-// ready reports whether the load balancer is to send callers here.
+// ready reports whether the load balancer may send callers here.
 func (r *readiness) ready() bool {
-	return ready(r.synced.Load(), r.leaving.Load(), r.fleet.reachable())
+	return ready(r.synced.Load(), r.leaving.Load(), r.fleet.connectedCount())
 }
 
-// ready is the rule of readiness: the router has read the templates that are in force,
-// is not leaving, and is connected to an agent.
+// ready reports whether a router can serve: it has read the templates in force, is not
+// leaving, and is connected to an agent.
 func ready(synced, leaving bool, agents int) bool {
 	return synced && !leaving && agents > 0
 }
 
-// drain ends the process without breaking off a request. It waits for stop to end. It
-// then turns the router unready, goes on serving for limits.leave_notice, until the load
-// balancer has noticed, and waits for the requests in flight, limits.drain at most.
-func (r *Router) drain(stop, work context.Context) error {
+// drain shuts the router down without interrupting requests. When stopCtx ends, it marks
+// the router as not ready and continues to serve for limits.leave_notice, so that the
+// load balancer can react. It then waits for the requests in flight, for limits.drain
+// at most.
+func (r *Router) drain(stopCtx, workCtx context.Context) error {
 	select {
-	case <-stop.Done():
-	case <-work.Done():
+	case <-stopCtx.Done():
+	case <-workCtx.Done():
 		return nil
 	}
 	r.readiness.leaving.Store(true)
 	r.decisions.Record("", "decision", "leave", "in_flight", r.readiness.inFlight.Load())
-	if clock.Sleep(work, r.limits.LeaveNotice) {
-		r.awaitIdle(work)
+	if clock.Sleep(workCtx, r.limits.LeaveNotice) {
+		r.awaitIdle(workCtx)
 	}
 	return nil
 }
 
 // awaitIdle waits until no request is in flight, for limits.drain at most.
-func (r *Router) awaitIdle(work context.Context) {
-	work, cancel := context.WithTimeout(work, r.limits.Drain)
+func (r *Router) awaitIdle(workCtx context.Context) {
+	workCtx, cancel := context.WithTimeout(workCtx, r.limits.Drain)
 	defer cancel()
 	for r.readiness.inFlight.Load() > 0 {
-		if !clock.Sleep(work, drainCheck) {
+		if !clock.Sleep(workCtx, drainPollInterval) {
 			return
 		}
 	}
 }
 
 const (
-	// syncQuorum is how many agents must have answered a fresh router that can't read
-	// the table, before it takes the highest of their revisions for the accepted one.
-	// One agent may have missed a change, three hardly the same.
+	// syncQuorum is how many agents must reply to a new router that can't read the
+	// table before it accepts the highest of their revisions as the current one. One
+	// agent may have missed an update, but hardly three.
 	syncQuorum = 3
 
-	// syncInterval is the time between two such attempts.
+	// syncInterval is the interval between two such attempts.
 	syncInterval = 500 * time.Millisecond
 )
 
-// syncTemplates brings the book up to the templates that the fleet has accepted, which it
-// reads from the platform's table until ctx ends. It makes up for what gossip loses.
+// syncTemplates reads accepted templates from the platform's table into the book, until
+// ctx ends. It compensates for lost gossip.
 func (r *Router) syncTemplates(ctx context.Context) error {
 	for {
 		r.syncOnce(ctx)
@@ -85,8 +86,8 @@
 	}
 }
 
-// syncOnce reads the templates from the table. If that fails, a router that has none
-// asks agents, and one that has some goes on with them.
+// syncOnce reads the templates from the table. If that fails, a router without
+// templates asks agents, and one with templates continues with them.
 func (r *Router) syncOnce(ctx context.Context) {
 	err := r.readTemplates(ctx)
 	if err == nil {
@@ -94,7 +95,7 @@
 		return
 	}
 	if ctx.Err() == nil {
-		_ = r.log.Log("msg", "templates not read", "err", err)
+		_ = r.log.Log("msg", "cannot read templates from the platform's table; using the present ones, or those of agents if there are none", "err", err)
 	}
 	if !r.readiness.synced.Load() {
 		r.syncFromAgents(ctx)
@@ -102,7 +103,7 @@
 }
 
 // readTemplates reads the templates that the book lacks from the table.
-func (s *shared) readTemplates(ctx context.Context) error {
+func (s *sharedState) readTemplates(ctx context.Context) error {
 	from := s.book.Revision()
 	revision, templates, err := s.templates.Since(ctx, from)
 	if err == nil {
@@ -111,10 +112,10 @@
 	return err
 }
 
-// syncFromAgents brings a fresh router up while the table can't be read: it takes the
-// highest revision of several agents.
+// syncFromAgents gets the templates from several agents while the table can't be read,
+// and uses the highest revision among them.
 func (r *Router) syncFromAgents(ctx context.Context) {
-	agents := r.fleet.all()
+	agents := r.fleet.list()
 	answered := 0
 	for _, a := range gossip.Sample(agents, len(agents)) {
 		if answered == syncQuorum {
@@ -124,18 +125,18 @@
 			answered++
 		}
 	}
-	if agentsSuffice(answered, len(agents)) {
+	if hasSyncQuorum(answered, len(agents)) {
 		r.setSynced("agents")
 	}
 }
 
-// agentsSuffice reports whether the templates of so many agents, of those connected, may
-// be taken for all that were accepted: of syncQuorum, or of all if there are fewer.
-func agentsSuffice(answered, connected int) bool {
+// hasSyncQuorum reports whether enough of the connected agents replied to trust their
+// templates: syncQuorum, or all of them if there are fewer.
+func hasSyncQuorum(answered, connected int) bool {
 	return answered > 0 && answered >= min(syncQuorum, connected)
 }
 
-// setSynced marks the book as complete: it holds what the fleet had accepted.
+// setSynced marks the book as complete.
 func (r *Router) setSynced(source string) {
 	if r.readiness.synced.CompareAndSwap(false, true) {
 		r.decisions.Record("", "decision", "synced", "source", source, "revision", r.book.Revision())
--- a/agentfleet/router/retry_test.go
+++ b/agentfleet/router/retry_test.go
@@ -9,8 +9,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestAfterFailure checks what follows each end of a dispatch.
-func TestAfterFailure(t *testing.T) {
+// TestNextStepAfterFailure checks what follows each failure of a dispatch.
+func TestNextStepAfterFailure(t *testing.T) {
 	notRun := func(reason ryeford.Reason) error { return &ryeford.NotRunError{Reason: reason} }
 	unknown := func(cause error) error {
 		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: cause}
@@ -27,34 +27,34 @@
 		{"agent not connected", notRun(ryeford.ReasonUnreachable), false, stepOverflow},
 		{"too late for the agent", notRun(ryeford.ReasonExpired), false, stepOverflow},
 		{"another engine has the prefix", notRun(ryeford.ReasonRedirect), true, stepFree},
-		{"attempt given up", notRun(ryeford.ReasonTombstone), true, stepGiveUp},
+		{"attempt abandoned", notRun(ryeford.ReasonTombstone), true, stepGiveUp},
 		{"may have run, repeatable", unknown(nil), true, stepRetry},
 		{"may have run, not repeatable", unknown(nil), false, stepGiveUp},
 		{"unknown, caused by a refusal", unknown(notRun(ryeford.ReasonOverload)), false, stepGiveUp},
 		{"any other error", errors.New("fault"), true, stepGiveUp},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			assert.Equal(t, afterFailure(test.err, test.repeatable), test.want)
+			assert.Equal(t, nextStepAfterFailure(test.err, test.repeatable), test.want)
 		})
 	}
 }
 
-// TestAnotherRound checks when the candidates are asked again.
-func TestAnotherRound(t *testing.T) {
+// TestAllowsAnotherRound checks when the first candidate gets a second dispatch.
+func TestAllowsAnotherRound(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		last   error
 		rounds int
 		want   bool
 	}{
-		{"the last was full", &ryeford.NotRunError{Reason: ryeford.ReasonOverload}, 1, true},
-		{"full again", &ryeford.NotRunError{Reason: ryeford.ReasonOverload}, 2, false},
+		{"refused for load", &ryeford.NotRunError{Reason: ryeford.ReasonOverload}, 1, true},
+		{"refused for load again", &ryeford.NotRunError{Reason: ryeford.ReasonOverload}, 2, false},
 		{"above its share", &ryeford.NotRunError{Reason: ryeford.ReasonShare}, 1, false},
 		{"may have run", &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable}, 1, false},
-		{"nobody was asked", nil, 1, false},
+		{"no dispatch", nil, 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			assert.Equal(t, anotherRound(test.last, test.rounds), test.want)
+			assert.Equal(t, allowsAnotherRound(test.last, test.rounds), test.want)
 		})
 	}
 }
--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -1,20 +1,21 @@
-// Package router is the process on an entry VM of the fleet with agents: it takes
-// callers' requests, chooses engines for them, relays the answers, and serves the
-// operators.
+// Package router implements the process on an entry VM of the fleet with agents. It
+// accepts callers' requests, chooses engines for them, relays the answers, and serves
+// the operators.
 //
-// It owns nothing that must last. It holds what agents say of themselves (fleet, loads),
-// the templates in force (template.Book), the current plan (plan.Current) and the
-// accounts' budgets for further dispatches; all of it is read or earned again after a
-// restart. Claims of idempotency keys, templates, plans and the planner's lease are rows
-// and objects of the platform.
+// A router has no durable state. In memory it keeps the agents' inventories and loads
+// (fleet, loads), the templates in force (template.Book), the current plan
+// (plan.Current) and the accounts' budgets for further dispatches. After a restart it
+// receives or earns them anew. Claims of idempotency keys, templates, plans and the
+// planner's lease are stored as rows and objects of the platform.
 //
-// A Router makes its parts and runs them: agentList and agentGossip for the agents,
-// planner, forwarder and operatorHandler. It reads the templates itself.
+// A Router creates and runs its components: agentList and agentGossip for the agents,
+// planner, forwarder and operatorHandler. It synchronizes the templates itself.
 //
-// A request goes from callers.go through parse.go to an exchange (exchange.go), which
-// dispatches it (dispatch.go), receives the answer (receive.go) and recovers it
-// (recover.go); one with an idempotency key that must not run twice is claimed first
-// (claimed.go). The rules are functions without I/O, which docs/decisions.md lists.
+// A request passes from callers.go through parse.go to an exchange (exchange.go), which
+// dispatches it (dispatch.go), receives the answer (receive.go) and recovers it after a
+// failure (recover.go). If its idempotency key needs a claim, the key is claimed first
+// (claimed.go). The decision rules are functions without I/O, listed in
+// docs/decisions.md.
 package router
 
 import (
@@ -37,22 +38,22 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// A Platform is what a router needs of the platform.
+// A Platform is the part of the platform that a router uses.
 type Platform interface {
 	ryeford.Table
 	ryeford.ObjectStore
 	ryeford.VMList
 }
 
-// A shared is what the parts of a router have in common.
-type shared struct {
+// A sharedState is what the components of a router share.
+type sharedState struct {
 	settings  *settings.Router
-	limits    *settings.RouterLimits // those of settings
+	limits    *settings.RouterLimits // the limits of settings
 	platform  Platform
 	templates *template.Store
-	book      *template.Book // kept by syncTemplates and agentGossip
-	plan      *plan.Current  // kept by planner
-	fleet     *fleet         // kept by agentList
+	book      *template.Book // updated by syncTemplates and agentGossip
+	plan      *plan.Current  // updated by planner
+	fleet     *fleet         // updated by agentList
 	loads     *loads
 	readiness *readiness
 	decisions *decision.Log
@@ -62,12 +63,12 @@
 
 // A Router serves callers and operators.
 type Router struct {
-	shared
+	sharedState
 	dialer    *transport.Dialer
 	agents    *agentList
 	gossip    *agentGossip
 	planner   *planner
-	claims    *claim.Claims
+	claims    *claim.Store
 	callers   *forwarder
 	operators *operatorHandler
 }
@@ -79,7 +80,7 @@
 		return nil, err
 	}
 	fleet := newFleet()
-	r := &Router{dialer: dialer, claims: claim.New(platform), shared: shared{
+	r := &Router{dialer: dialer, claims: claim.New(platform), sharedState: sharedState{
 		settings:  s,
 		limits:    &s.Limits,
 		platform:  platform,
@@ -94,54 +95,54 @@
 		log:       logger,
 	}}
 	control := transport.NewControlLimiter(s.Transport.ControlBytesPerSecond, r.metrics.ControlSent)
-	r.gossip = &agentGossip{shared: &r.shared, control: control}
-	r.agents = &agentList{shared: &r.shared, dialer: dialer, gossip: r.gossip}
-	held := lease.New(platform, leaseName, s.VM, uuid.NewString(), s.Planner.Lease)
-	r.planner = &planner{shared: &r.shared, lease: held, recent: make(recentEngines)}
+	r.gossip = &agentGossip{sharedState: &r.sharedState, control: control}
+	r.agents = &agentList{sharedState: &r.sharedState, dialer: dialer, gossip: r.gossip}
+	plannerLease := lease.New(platform, leaseName, s.VM, uuid.NewString(), s.Planner.Lease)
+	r.planner = &planner{sharedState: &r.sharedState, lease: plannerLease, engines: make(recentEngines)}
 	r.addCallers()
-	r.operators = &operatorHandler{shared: &r.shared}
+	r.operators = &operatorHandler{sharedState: &r.sharedState}
 	r.addGauges()
 	return r, nil
 }
 
-// addCallers adds what serves callers.
+// addCallers adds the components that serve callers.
 func (r *Router) addCallers() {
 	r.callers = &forwarder{
-		shared:   &r.shared,
-		gossip:   r.gossip,
-		claims:   r.claims,
-		suspects: newSuspects(),
-		budgets:  newBudgets(r.limits),
+		sharedState: &r.sharedState,
+		gossip:      r.gossip,
+		claims:      r.claims,
+		suspects:    newSuspects(),
+		budgets:     newBudgets(r.limits),
 	}
 }
 
 func (r *Router) addGauges() {
 	r.metrics.Gauge("ryeford_revision", func() float64 { return float64(r.book.Revision()) })
-	r.metrics.Gauge("ryeford_agents_connected", func() float64 { return float64(r.fleet.reachable()) })
+	r.metrics.Gauge("ryeford_agents_connected", func() float64 { return float64(r.fleet.connectedCount()) })
 	r.metrics.Gauge("ryeford_in_flight", func() float64 { return float64(r.readiness.inFlight.Load()) })
 	r.metrics.Gauge("ryeford_skew", func() float64 { return r.loads.skew(time.Now()) })
 }
 
-// Run serves until ctx ends, and then until what is in flight has ended.
+// Run serves until ctx ends, and then until the requests in flight have ended.
 func (r *Router) Run(ctx context.Context) error {
-	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	maxBody := r.limits.MaxBody
-	group, work := errgroup.WithContext(work)
-	group.Go(func() error { return r.agents.run(work) })
-	group.Go(func() error { return r.syncTemplates(work) })
-	group.Go(func() error { return r.gossip.run(work) })
-	group.Go(func() error { return r.claims.Run(work) })
-	group.Go(func() error { return r.planner.run(work) })
-	group.Go(func() error { return serveHTTP(work, r.settings.Callers.AddrPort, maxBody, r.callers.serve) })
-	group.Go(func() error { return serveHTTP(work, r.settings.Operators.AddrPort, maxBody, r.operators.serve) })
+	group, workCtx := errgroup.WithContext(workCtx)
+	group.Go(func() error { return r.agents.run(workCtx) })
+	group.Go(func() error { return r.syncTemplates(workCtx) })
+	group.Go(func() error { return r.gossip.run(workCtx) })
+	group.Go(func() error { return r.claims.Run(workCtx) })
+	group.Go(func() error { return r.planner.run(workCtx) })
+	group.Go(func() error { return serveHTTP(workCtx, r.settings.Callers.AddrPort, maxBody, r.callers.serve) })
+	group.Go(func() error { return serveHTTP(workCtx, r.settings.Operators.AddrPort, maxBody, r.operators.serve) })
 	group.Go(func() error {
 		defer cancel()
-		return r.drain(ctx, work)
+		return r.drain(ctx, workCtx)
 	})
 	_ = r.log.Log("msg", "started", "role", "router", "callers", r.settings.Callers, "operators", r.settings.Operators)
 	err := group.Wait()
-	_ = r.dialer.Close() // the process ends, and its sockets with it
+	_ = r.dialer.Close() // the process exits, which closes the sockets
 	_ = r.log.Log("msg", "stopped", "role", "router")
 	return err
 }
