--- a/gateway/affinity.go
+++ b/gateway/affinity.go
@@ -8,26 +8,27 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// lookedAt is how many endpoints of a prompt's order are looked at, unless the choice needs more: the
-// work that grows with a service's endpoints is a hash of each then.
-const lookedAt = 24
+// maxTopEntries is how many endpoints are considered first, by rendezvous score, for a prompt. It
+// limits the work that grows with the number of endpoints to one hash for each.
+const maxTopEntries = 24
 
-// A firstEndpoints is the first endpoints in a prompt's order, and the mean loads of all.
+// A firstEndpoints holds the endpoints with the highest scores for a prompt, and the mean loads of
+// all endpoints of the service.
 type firstEndpoints struct {
-	entries []*roster.Entry // in no order; nil if all have to be looked at
+	entries []*roster.Entry // unordered; nil if all endpoints have to be considered
 	means   choice.Means
 }
 
-// firstByAffinity returns the first endpoints in the order of a query's prompt. All have to be looked
-// at if there are few, or if no peer reports its requests: the mean load is then what the
-// endpoints report.
+// firstByAffinity returns the first endpoints by affinity for a query's prompt. All endpoints have
+// to be considered if there are few, or if no peer reports its requests: the mean load then comes
+// from the endpoints' reports.
 func (b *balancer) firstByAffinity(now time.Time, query *endpointQuery) firstEndpoints {
 	serving, draining := b.roster.Serving(query.service), b.roster.Draining(query.service)
 	sample := b.peers.Sample(now, query.service)
-	if len(serving)+len(draining) <= lookedAt || sample.Counted == 0 {
+	if len(serving)+len(draining) <= maxTopEntries || sample.Counted == 0 {
 		return firstEndpoints{}
 	}
-	cold := coldness{balancer: b, now: now, service: query.rule}
+	cold := coldChecker{balancer: b, now: now, service: query.rule}
 	total := sample.All(sample.Requests) + float64(b.loads.Total(query.service))
 	var first topEntries
 	first.addAll(query.affinity, serving)
@@ -41,12 +42,12 @@
 	}
 }
 
-// A topEntries holds the entries of the lookedAt highest scores among those that are added.
+// A topEntries holds the maxTopEntries entries with the highest scores of those that were added.
 type topEntries struct {
 	n       int
-	entries [lookedAt]*roster.Entry
-	scores  [lookedAt]uint64
-	lowest  int // the index of the lowest score, once there are lookedAt
+	entries [maxTopEntries]*roster.Entry
+	scores  [maxTopEntries]uint64
+	lowest  int // index of the lowest score; valid once entries is full
 }
 
 // addAll adds entries with their rendezvous scores for a prompt.
@@ -57,7 +58,7 @@
 }
 
 func (t *topEntries) add(entry *roster.Entry, score uint64) {
-	if t.n < lookedAt {
+	if t.n < maxTopEntries {
 		t.entries[t.n], t.scores[t.n] = entry, score
 		t.n++
 	} else if score > t.scores[t.lowest] {
--- a/gateway/affinity_test.go
+++ b/gateway/affinity_test.go
@@ -15,7 +15,7 @@
 // are added, in whatever order.
 func TestTopEntries(t *testing.T) {
 	const prompt = 12345
-	for _, n := range []int{0, 1, lookedAt, lookedAt + 1, 500} {
+	for _, n := range []int{0, 1, maxTopEntries, maxTopEntries + 1, 500} {
 		entries := make([]*roster.Entry, n)
 		for i := range entries {
 			entries[i] = &roster.Entry{Hash: route.NameHash(fmt.Sprint(i))}
@@ -30,7 +30,7 @@
 			return 1
 		})
 		kept := top.entries[:top.n]
-		assert.Equal(t, len(kept), min(n, lookedAt))
+		assert.Equal(t, len(kept), min(n, maxTopEntries))
 		for _, entry := range entries[:len(kept)] {
 			assert.Assert(t, slices.Contains(kept, entry))
 		}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -15,24 +15,24 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// attempt sends the request to one endpoint and passes the response on. The error says
-// why the attempt did not answer the caller.
+// attempt sends the request to one endpoint and passes the response on. The error says why the
+// attempt did not answer the caller.
 func (x *exchange) attempt(ctx context.Context, to, source *roster.Entry) (retry.End, error) {
 	f := x.forwarder
 	x.tried[to.ID] = true
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	defer func() { x.paid = timedOut(attemptCtx) }()
+	defer func() { x.retryCharged = timedOut(attemptCtx) }()
 	stopTimer := x.startPerTryTimeout(cancel)
 	defer stopTimer()
 	sent := clock.Now()
-	x.relay.onFirst = func() {
+	x.relay.onFirstResponse = func() {
 		stopTimer()
 		f.fastest.add(clock.Now(), x.request.service, clock.Since(sent))
 	}
 	f.loads.Begin(to.ID, x.request.service)
 	defer f.loads.End(to.ID)
-	if x.request.shared {
+	if x.request.hasSharedPrefix {
 		f.loads.BeginPrompt(x.request.affinity)
 		defer f.loads.EndPrompt(x.request.affinity)
 	}
@@ -42,8 +42,8 @@
 	response, err := x.observedSend(attemptCtx, to, source)
 	if err != nil {
 		if timedOut(attemptCtx) || errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			// The endpoint's open connections may have gone silent, without a reset, and each
-			// that is idle would cost another request its time.
+			// The endpoint's open connections may be dead without having been reset. Idle ones
+			// are closed so that they don't delay further requests.
 			f.pool.CloseUnused(to.ID, sent)
 		}
 		return x.endUnanswered(ctx, attemptCtx, to, err)
@@ -58,9 +58,9 @@
 	return x.receive(ctx, attemptCtx, to, response)
 }
 
-// startPerTryTimeout starts the attempt's timeout, if it has one, and returns what stops
-// it. An attempt is given up only if the retry budget has the retry that follows: without
-// one the endpoint's late response is the only one that can come.
+// startPerTryTimeout starts the attempt's timeout, if it has one, and returns a function that
+// stops it. The timeout ends the attempt only if the retry budget allows a retry: otherwise the
+// endpoint's late response is the only one that can arrive.
 func (x *exchange) startPerTryTimeout(cancel context.CancelCauseFunc) (stop func()) {
 	timeout, ok := x.policy.PerTryTimeout(x.history.Sent)
 	if !ok {
@@ -74,8 +74,8 @@
 	return func() { timer.Stop() }
 }
 
-// observedSend sends the request as send does, and has the detector of outliers observe it. Its end is noted
-// after a panic, too: the endpoint would count as silent for good.
+// observedSend calls send and reports its start and end to the outlier detector. The end is
+// reported after a panic too, because the endpoint would otherwise count as unresponsive.
 func (x *exchange) observedSend(ctx context.Context, to, source *roster.Entry) (response *endpoint.Response, err error) {
 	detector := x.forwarder.detector
 	number := detector.Start(clock.Now(), to.ID)
@@ -83,7 +83,7 @@
 	return x.send(ctx, to, source)
 }
 
-// send sends the request and waits for the head of the response.
+// send sends the request and waits for the header of the response.
 func (x *exchange) send(ctx context.Context, to, source *roster.Entry) (*endpoint.Response, error) {
 	f, q := x.forwarder, x.request
 	return f.pool.Send(ctx, &to.Endpoint, &endpoint.Request{
@@ -98,7 +98,7 @@
 	}, func() error { return x.checkSend(to) })
 }
 
-// forwardMeta returns the metadata that the request is sent to an endpoint with.
+// forwardMeta returns the metadata that is sent to an endpoint with the request.
 func (x *exchange) forwardMeta(to, source *roster.Entry) *ryeford.ForwardMeta {
 	q := x.request
 	meta := &ryeford.ForwardMeta{
@@ -107,7 +107,7 @@
 		Timeout:   clock.Until(q.deadline),
 		Account:   q.accountID(),
 		Priority:  q.priority(),
-		LastEvent: x.relay.lastID,
+		LastEvent: x.relay.lastEventID,
 	}
 	if source != nil {
 		meta.FetchFrom = source.Address
@@ -115,59 +115,60 @@
 	return meta
 }
 
-// checkSend is called right before the first byte is sent. Its error is a
+// checkSend is called immediately before the first byte is sent. Its error is a
 // *ryeford.NotRunError.
 func (x *exchange) checkSend(to *roster.Entry) error {
 	f, now := x.forwarder, clock.Now()
 	s := x.sending(now)
-	s.Hindrance = f.hindrance(now, f.roster.Entry(to.ID))
+	s.Hindrance = f.exclusionReason(now, f.roster.Entry(to.ID))
 	return admit.CheckSend(s)
 }
 
-// sending returns what decides whether the request may still be sent, to an endpoint that takes it.
+// sending returns the inputs of the decision whether the request may still be sent, without
+// those that depend on the endpoint.
 func (x *exchange) sending(now time.Time) admit.Sending {
 	f, q := x.forwarder, x.request
 	current := f.configuration.current()
-	same := current == q.catalog
+	unchanged := current == q.catalog
 	return admit.Sending{
-		RouteFound: same || findRoute(current, x.incoming) != nil,
+		RouteFound: unchanged || findRoute(current, x.incoming) != nil,
 		NeedsKey:   q.keyed(),
 		Reliable:   f.configuration.reliable(now),
 		ServesKeys: f.configuration.servesKeys(now),
-		KeyFound:   same || current.Account(q.meta.Key) != nil,
+		KeyFound:   unchanged || current.Account(q.meta.Key) != nil,
 	}
 }
 
-// endUnanswered ends an attempt that brought no response, or none that may be used.
+// endUnanswered ends an attempt without a usable response.
 func (x *exchange) endUnanswered(ctx, attemptCtx context.Context, to *roster.Entry, err error) (retry.End, error) {
-	end := endOf(err)
+	end := classifySendError(err)
 	if end.MayHaveRun() {
 		x.countSent(true)
 	}
-	over := ctx.Err() != nil
-	if end == retry.EndLost && !over {
+	ctxDone := ctx.Err() != nil
+	if end == retry.EndLost && !ctxDone {
 		x.recordLost(to, err)
 	}
-	var withdrawn *ryeford.NotRunError // by checkSend
-	errors.As(err, &withdrawn)
-	rate(attemptEnd{end: end, withdrawn: withdrawn != nil, over: over}).report(x.forwarder.detector, to.ID)
-	if cause := context.Cause(attemptCtx); cause != nil && !over && end != retry.EndBarred {
+	var blocked *ryeford.NotRunError // returned by checkSend
+	errors.As(err, &blocked)
+	rateAttempt(attemptEnd{end: end, blocked: blocked != nil, ctxDone: ctxDone}).report(x.forwarder.detector, to.ID)
+	if cause := context.Cause(attemptCtx); cause != nil && !ctxDone && end != retry.EndBarred {
 		err = cause
 	}
 	x.recordFailed(to, end, err)
 	switch {
 	case end == retry.EndBarred:
-		return end, withdrawn
-	case over:
-		return end, x.stopped(ctx)
+		return end, blocked
+	case ctxDone:
+		return end, x.stopError(ctx)
 	case end == retry.EndUnsent:
 		return end, giveup.NotRun(ryeford.ReasonUnreachable)
 	}
 	return end, &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: err}
 }
 
-// endOf returns how an attempt ended, given the error of sending it.
-func endOf(err error) retry.End {
+// classifySendError returns how an attempt ended, given the error of sending its request.
+func classifySendError(err error) retry.End {
 	var notRun *ryeford.NotRunError
 	var unsent *endpoint.UnsentError
 	switch {
@@ -179,21 +180,22 @@
 	return retry.EndLost
 }
 
-// endRefused ends an attempt that the endpoint states not to have run.
+// endRefused ends an attempt that the endpoint reports not to have run.
 func (x *exchange) endRefused(to *roster.Entry, response *endpoint.Response) (retry.End, error) {
 	x.countSent(false)
-	// The body is read only so that the connection can be used again; if that fails,
-	// it is closed.
+	// The body is drained so that the connection can be reused. If that fails, the connection
+	// is closed.
 	_, _ = response.ReadAll(maxWholeBody)
-	rests := response.Meta.Report.Rest > 0
-	rate(attemptEnd{end: retry.EndRefused, status: response.Status, full: x.isFull(to, response), rests: rests}).report(x.forwarder.detector, to.ID)
+	backOff := response.Meta.Report.Rest > 0
+	rateAttempt(attemptEnd{end: retry.EndRefused, status: response.Status, full: x.isFull(to, response), backOff: backOff}).report(x.forwarder.detector, to.ID)
 	err := giveup.NotRun(ryeford.ReasonOverload)
 	x.recordFailed(to, retry.EndRefused, err)
 	return retry.EndRefused, err
 }
 
-// isFull reports whether an endpoint that refused the request has one or more for each of its
-// slots: by its own word, or else by what is known of its load. Without slots it is not known.
+// isFull reports whether an endpoint that refused the request has at least one request for each
+// of its slots, by its status report or else by the estimated load. It is false if the number
+// of slots is unknown.
 func (x *exchange) isFull(to *roster.Entry, response *endpoint.Response) bool {
 	if to.Slots <= 0 {
 		return false
@@ -201,22 +203,22 @@
 	if load := response.Meta.Report.Load; load != nil {
 		return load.Running+load.Waiting >= to.Slots
 	}
-	return x.forwarder.load(clock.Now(), to) >= float64(to.Slots)
+	return x.forwarder.estimatedLoad(clock.Now(), to) >= float64(to.Slots)
 }
 
-// receive passes a response on, as far as it may be.
+// receive passes a response on unless it is withheld.
 func (x *exchange) receive(ctx, attemptCtx context.Context, to *roster.Entry, response *endpoint.Response) (retry.End, error) {
 	x.countSent(true)
 	x.recordPrompt(to, response.Status)
-	end, err := x.relay.pass(attemptCtx, response, x.withholds(response.Status))
-	over := ctx.Err() != nil
-	rate(attemptEnd{end: end, status: response.Status, over: over}).report(x.forwarder.detector, to.ID)
+	end, err := x.relay.forward(attemptCtx, response, x.shouldWithhold(response.Status))
+	ctxDone := ctx.Err() != nil
+	rateAttempt(attemptEnd{end: end, status: response.Status, ctxDone: ctxDone}).report(x.forwarder.detector, to.ID)
 	if end == retry.EndAnswered {
 		x.recordAnswered(to, response.Status)
 		return end, nil
 	}
-	if over {
-		end, err = retry.EndStopped, x.stopped(ctx)
+	if ctxDone {
+		end, err = retry.EndStopped, x.stopError(ctx)
 	}
 	if end == retry.EndLost {
 		x.recordLost(to, err)
@@ -225,8 +227,8 @@
 	return end, err
 }
 
-// countSent counts an attempt that was sent. mayHaveRun is false if the endpoint has
-// stated that it did not run the request.
+// countSent counts an attempt that was sent. mayHaveRun is false if the endpoint reported that
+// it did not run the request.
 func (x *exchange) countSent(mayHaveRun bool) {
 	x.history.Sent++
 	x.mayHaveRun = x.mayHaveRun || mayHaveRun
@@ -235,16 +237,16 @@
 // recordPrompt records, for this router and its peers, that an endpoint that accepted the
 // request now holds the shared parts of its prompt.
 func (x *exchange) recordPrompt(to *roster.Entry, status int) {
-	if !x.request.shared || status >= http.StatusMultipleChoices {
+	if !x.request.hasSharedPrefix || status >= http.StatusMultipleChoices {
 		return
 	}
 	shared := x.request.sharedParts()
 	x.forwarder.prefixes.Add(clock.Now(), to.ID, shared)
-	x.forwarder.gossip.addPrompt(to.ID, shared, x.sentHome)
+	x.forwarder.gossip.addPrompt(to.ID, shared, x.sentToHome)
 }
 
-// A perTryTimeoutError says that an attempt was given up for another one, because no
-// response came in time.
+// A perTryTimeoutError reports that an attempt was canceled in favor of a retry, because no
+// response arrived within the per-try timeout.
 type perTryTimeoutError struct{}
 
 // timedOut reports whether the per-try timeout ended an attempt.
@@ -253,5 +255,4 @@
 	return errors.As(context.Cause(attemptCtx), &timeout)
 }
 
-// Error returns the text of e.
 func (*perTryTimeoutError) Error() string { return "no response within the per-try timeout" }
--- a/gateway/attempt_test.go
+++ b/gateway/attempt_test.go
@@ -27,7 +27,7 @@
 		{"the response is another request's", &endpoint.LostError{Err: &endpoint.UnusableResponseError{}}, retry.EndLost},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
-			assert.Equal(t, endOf(row.err), row.want)
+			assert.Equal(t, classifySendError(row.err), row.want)
 		})
 	}
 }
--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -22,28 +22,29 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// A balancer chooses the endpoint of an attempt. It reads what the router knows of
-// the endpoints and asks package choice, which holds the rules; it owns nothing but
-// the place where the next search for the least loaded endpoint starts.
+// A balancer chooses the endpoint of an attempt. It collects what the router knows of the
+// endpoints for package choice, which implements the rules. The tables belong to other parts of
+// the gateway; the balancer's only state is where the next search by load starts.
 type balancer struct {
-	roster   *roster.Roster // kept by endpointList
+	roster   *roster.Roster // updated by endpointList
 	detector *outlier.Detector
 	rests    *rest.Table
 	loads    *loads.Table
 	prefixes *prefixcache.Index
-	peers    *peers.Table // kept by gossip
+	peers    *peers.Table // updated by gossip
 	limits   choice.Limits
 
 	slowStart *slowstart.Table
-	clock     *freshness.SourceClock // by which turns are counted
+	clock     *freshness.SourceClock // time base of the time slots
 	start     *start
-	// minRouters is among how many routers what a cold endpoint bears is divided at least.
+	// minRouters is the minimum number of routers among which the request rate of a cold endpoint
+	// is divided.
 	minRouters int
 
-	next atomic.Uint64 // where the next search for the least loaded endpoint starts
+	searchStart atomic.Uint64 // start index of the next search for the least loaded endpoint
 }
 
-// newBalancer returns a balancer that knows nothing yet.
+// newBalancer returns a balancer without any endpoints.
 func newBalancer(s *settings.Gateway) *balancer {
 	return &balancer{
 		roster:   roster.New(),
@@ -63,32 +64,32 @@
 
 type endpointQuery struct {
 	service string
-	rule    *ryeford.ServiceRule // what the operators say of it
-	// shared are the parts of the prompt that other requests may share; if there are
-	// any, affinity is the hash of the last one.
+	rule    *ryeford.ServiceRule // the operators' settings of the service
+	// shared are the parts of the prompt that other requests may share. If there are any,
+	// affinity is the hash of the last one.
 	shared   []ryeford.PromptPart
 	affinity uint64
 	tried    map[ryeford.EndpointID]bool
 }
 
 type selection struct {
-	to         *roster.Entry // nil if there is none
-	source     *roster.Entry // of a cached prefix, or nil
+	to         *roster.Entry // nil if no endpoint was chosen
+	source     *roster.Entry // source of a cached prefix, or nil
 	choice     choice.Choice
-	load       float64 // estimated, of the chosen endpoint
+	load       float64 // estimated load of the chosen endpoint
 	candidates int
-	barred     barred // of these
+	excluded   exclusionCounts // excluded candidates
 }
 
-// maxStart keeps the start of a search within an int of any size.
-const maxStart = 1 << 30
+// maxSearchStart bounds the start of a search so that it fits an int of any size.
+const maxSearchStart = 1 << 30
 
-// choose chooses an endpoint for an attempt, by package choice: by the prompt's shared
-// parts, of which draining endpoints may be sources, or else by load.
+// choose chooses an endpoint for an attempt: by affinity if the prompt has shared parts, for
+// which draining endpoints may be sources, or else by load.
 func (b *balancer) choose(now time.Time, query *endpointQuery) selection {
 	if len(query.shared) == 0 {
 		s := b.candidateSet(now, query, b.roster.Serving(query.service))
-		return b.selected(now, query, s, choice.ByLoad(s.candidates, b.limits, int(b.next.Add(1)%maxStart)))
+		return b.selected(now, query, s, choice.ByLoad(s.candidates, b.limits, int(b.searchStart.Add(1)%maxSearchStart)))
 	}
 	prompt := b.prompt(now, query)
 	if first := b.firstByAffinity(now, query); first.entries != nil {
@@ -103,16 +104,16 @@
 	return b.selected(now, query, s, choice.ByAffinity(s.candidates, prompt, b.limits, rand.Uint64()))
 }
 
-// A candidateSet is the endpoints among which one is chosen.
+// A candidateSet is the set of endpoints from which one is chosen.
 type candidateSet struct {
 	entries    []*roster.Entry
-	candidates []choice.Candidate // what is known of each
-	barred     barred
+	candidates []choice.Candidate // one for each entry
+	excluded   exclusionCounts
 }
 
-// selected returns the selection of a choice.
+// selected converts a choice to a selection.
 func (b *balancer) selected(now time.Time, query *endpointQuery, s candidateSet, chosen choice.Choice) selection {
-	result := selection{choice: chosen, candidates: len(s.candidates), barred: s.barred}
+	result := selection{choice: chosen, candidates: len(s.candidates), excluded: s.excluded}
 	if chosen.Index < 0 {
 		return result
 	}
@@ -123,31 +124,30 @@
 	return result
 }
 
-// prompt returns what is known of the prompt of a query.
+// prompt returns what is known of a query's prompt.
 func (b *balancer) prompt(now time.Time, query *endpointQuery) choice.Prompt {
 	sample := b.peers.Sample(now, query.service)
 	peers := sample.Demand(b.peers.Demand(now, query.affinity))
 	return choice.Prompt{Key: query.affinity, UnderWay: peers + float64(b.loads.Prompt(query.affinity))}
 }
 
-// unavailableFor returns for how long all endpoints of a service that accept requests are
-// still ejected or rest: until the first of them is back. It is zero if one is neither, or
-// if there is none.
+// unavailableFor returns how long it takes until the first of a service's listed endpoints is
+// neither ejected nor backing off. It is zero if one is available, or if there is none.
 func (b *balancer) unavailableFor(now time.Time, service string) time.Duration {
-	return b.shortest(service, func(id ryeford.EndpointID) time.Duration {
+	return b.shortestWait(service, func(id ryeford.EndpointID) time.Duration {
 		return max(b.detector.EjectedFor(now, id), b.rests.Left(now, id))
 	})
 }
 
-// restingFor returns for how long all endpoints of a service that accept requests rest. It is zero if one
-// doesn't, or if there is none.
-func (b *balancer) restingFor(now time.Time, service string) time.Duration {
-	return b.shortest(service, func(id ryeford.EndpointID) time.Duration { return b.rests.Left(now, id) })
+// backingOffFor returns how long it takes until the first of a service's listed endpoints ends its back-off. It is
+// zero if one is not backing off, or if there is none.
+func (b *balancer) backingOffFor(now time.Time, service string) time.Duration {
+	return b.shortestWait(service, func(id ryeford.EndpointID) time.Duration { return b.rests.Left(now, id) })
 }
 
-// shortest returns the shortest of the times of the endpoints of a service that accept requests, or zero
-// if there is none.
-func (b *balancer) shortest(service string, of func(ryeford.EndpointID) time.Duration) time.Duration {
+// shortestWait returns the shortest duration that of returns for a service's endpoints that accept requests, or
+// zero if there is none.
+func (b *balancer) shortestWait(service string, of func(ryeford.EndpointID) time.Duration) time.Duration {
 	var shortest time.Duration
 	first := true
 	for _, entry := range b.roster.Serving(service) {
@@ -165,27 +165,27 @@
 	return shortest
 }
 
-// candidateSet returns what is known of some endpoints.
+// candidateSet returns the given endpoints as candidates of a choice.
 func (b *balancer) candidateSet(now time.Time, query *endpointQuery, entries []*roster.Entry) candidateSet {
-	var held map[ryeford.EndpointID]int // tokens of the prompt's shared parts
+	var cachedTokens map[ryeford.EndpointID]int // cached tokens of the prompt's shared parts
 	if len(query.shared) > 0 {
-		held = b.prefixes.HeldTokens(now, query.shared)
+		cachedTokens = b.prefixes.HeldTokens(now, query.shared)
 	}
 	tokens := 0
 	for _, part := range query.shared {
 		tokens += part.Tokens
 	}
 	sample := b.peers.Sample(now, query.service)
-	cold := coldness{balancer: b, now: now, service: query.rule}
+	cold := coldChecker{balancer: b, now: now, service: query.rule}
 	mean := sample.Mean(cold.countWarm(query.service))
 	s := candidateSet{entries: entries, candidates: make([]choice.Candidate, 0, len(entries))}
 	for _, entry := range entries {
-		few, allowed := cold.state(entry)
+		limited, allowed := cold.check(entry)
 		expected := mean
-		if few {
+		if limited {
 			expected = 0
 		}
-		bars := s.barred.add(b.hindrance(now, entry), allowed)
+		excluded := s.excluded.add(b.exclusionReason(now, entry), allowed)
 		load, deviation := b.estimate(now, entry, sample, expected)
 		s.candidates = append(s.candidates, choice.Candidate{
 			ID:            entry.ID,
@@ -197,30 +197,30 @@
 			Tried:         query.tried[entry.ID],
 			Unhealthy:     !b.detector.Healthy(now, entry.ID),
 			Draining:      !entry.Listed(),
-			Barred:        bars,
-			MissingTokens: tokens - held[entry.ID],
+			Barred:        excluded,
+			MissingTokens: tokens - cachedTokens[entry.ID],
 		})
 	}
 	return s
 }
 
-// load returns the estimated number of requests at an endpoint.
-func (b *balancer) load(now time.Time, entry *roster.Entry) float64 {
+// estimatedLoad returns the estimated number of requests at an endpoint.
+func (b *balancer) estimatedLoad(now time.Time, entry *roster.Entry) float64 {
 	sample := b.peers.Sample(now, entry.Service)
 	requests, _ := b.estimate(now, entry, sample, sample.Mean(len(b.roster.Serving(entry.Service))))
 	return requests
 }
 
-// estimate returns the estimated number of requests at an endpoint and its standard deviation. sample says what is known
-// of the peers' requests, and mean how many they are expected to have at the endpoint.
+// estimate returns the estimated number of requests at an endpoint and its standard deviation. sample is what peers
+// report of their requests. mean is the expected number of the peers' requests at the endpoint.
 func (b *balancer) estimate(now time.Time, entry *roster.Entry, sample peers.Sample, mean float64) (requests, deviation float64) {
 	known := b.loads.Observe(now, entry.ID, entry.Hash)
 	known.Peers, known.Share, known.Mean = b.peers.Requests(now, entry.ID), sample.Share(known.Reports), mean
 	return known.Estimate()
 }
 
-// source returns the endpoint from which the chosen one may fetch what it lacks of
-// the prompt, or nil.
+// source returns the endpoint from which the chosen one may fetch missing parts of the prompt,
+// or nil.
 func (b *balancer) source(now time.Time, query *endpointQuery, entries []*roster.Entry, chosen *choice.Choice) *roster.Entry {
 	to := entries[chosen.Index]
 	indexed, parts := b.prefixes.Longest(now, query.shared, func(id ryeford.EndpointID) bool {
@@ -234,16 +234,16 @@
 	return b.roster.Entry(indexed)
 }
 
-// choose chooses the endpoint of the next attempt, or nil if there is none, and the
-// one from which it may fetch the cached part of the prompt, or nil.
+// choose chooses the endpoint of the next attempt, and the one from which it may fetch the
+// cached part of the prompt. Either may be nil.
 func (x *exchange) choose() (to, source *roster.Entry) {
 	q := x.request
 	query := endpointQuery{service: q.service, rule: q.catalog.Service(q.service), affinity: q.affinity, tried: x.tried}
-	if q.shared {
+	if q.hasSharedPrefix {
 		query.shared = q.sharedParts()
 	}
 	selected := x.forwarder.choose(clock.Now(), &query)
-	for selected.to != nil && !(x.tries(selected.to) && x.forwarder.takeTurn(clock.Now(), selected.to, query.rule)) {
+	for selected.to != nil && !(x.mayAttempt(selected.to) && x.forwarder.takeTimeSlot(clock.Now(), selected.to, query.rule)) {
 		x.tried[selected.to.ID] = true
 		selected = x.forwarder.choose(clock.Now(), &query)
 	}
@@ -251,17 +251,17 @@
 		x.logNoChoice(&selected)
 		return nil, nil
 	}
-	x.sentHome = selected.choice.Reason == choice.ReasonHome
+	x.sentToHome = selected.choice.Reason == choice.ReasonHome
 	x.logChoice(&selected)
 	return selected.to, selected.source
 }
 
-// tries reports whether an attempt may go to an endpoint.
-func (x *exchange) tries(to *roster.Entry) bool {
+// mayAttempt reports whether an attempt may be made at an endpoint.
+func (x *exchange) mayAttempt(to *roster.Entry) bool {
 	return x.history.Tries(x.forwarder.detector.Unusable(clock.Now(), to.ID))
 }
 
-// logChoice logs where an attempt goes and why.
+// logChoice logs the endpoint of an attempt and the reason for the choice.
 func (x *exchange) logChoice(s *selection) {
 	f, q := x.forwarder, x.request
 	var sourceID ryeford.EndpointID
@@ -269,18 +269,17 @@
 		sourceID = s.source.ID
 	}
 	_ = f.log.Log("decision", "send", "request", q.meta.ID, "route", q.rule.Name, "account", q.accountID(), "service", q.service,
-		"endpoint", s.to.ID, "why", s.choice.Reason, "load", roundLoad(s.load), "mean", roundLoad(s.choice.Mean), "cap", roundLoad(s.choice.Cap), "candidates", s.candidates, "evacuated", s.barred.evacuated, "cold", s.barred.cold, "resting", s.barred.resting, "prompt", promptText(q.meta.Prefix), "source", sourceID,
+		"endpoint", s.to.ID, "why", s.choice.Reason, "load", roundLoad(s.load), "mean", roundLoad(s.choice.Mean), "cap", roundLoad(s.choice.Cap), "candidates", s.candidates, "evacuated", s.excluded.evacuated, "cold", s.excluded.cold, "resting", s.excluded.backingOff, "prompt", promptText(q.meta.Prefix), "source", sourceID,
 		"sent", x.history.Sent, "unsent", x.history.Unsent, "version", q.catalog.Version(), "lease", f.configuration.leaseLeft())
 }
 
 // logNoChoice logs that no endpoint may be sent the request now.
 func (x *exchange) logNoChoice(s *selection) {
 	f, q := x.forwarder, x.request
-	_ = f.log.Log("decision", "no_endpoint", "request", q.meta.ID, "service", q.service, "candidates", s.candidates, "tried", len(x.tried), "evacuated", s.barred.evacuated, "cold", s.barred.cold, "resting", s.barred.resting)
+	_ = f.log.Log("decision", "no_endpoint", "request", q.meta.ID, "service", q.service, "candidates", s.candidates, "tried", len(x.tried), "evacuated", s.excluded.evacuated, "cold", s.excluded.cold, "resting", s.excluded.backingOff)
 }
 
-// promptText returns the shared parts of a prompt as they are logged: ID and tokens
-// of each.
+// promptText formats the shared parts of a prompt for the log: ID and number of tokens of each.
 func promptText(parts []ryeford.PromptPart) string {
 	var texts []string
 	for i := 0; i+1 < len(parts); i++ {
--- a/gateway/balancer_test.go
+++ b/gateway/balancer_test.go
@@ -107,8 +107,8 @@
 	assert.Equal(t, b.unavailableFor(now, "s"), time.Second, "a is back first")
 	b.rests.Ask(now, "a", 2*time.Second)
 	assert.Equal(t, b.unavailableFor(now, "s"), 2*time.Second, "a is back first, once it has rested")
-	assert.Equal(t, b.restingFor(now, "s"), time.Duration(0), "b doesn't rest")
+	assert.Equal(t, b.backingOffFor(now, "s"), time.Duration(0), "b doesn't rest")
 	b.rests.Ask(now, "b", time.Minute)
-	assert.Equal(t, b.restingFor(now, "s"), 2*time.Second)
+	assert.Equal(t, b.backingOffFor(now, "s"), 2*time.Second)
 	assert.Equal(t, b.unavailableFor(now, "another"), time.Duration(0))
 }
--- a/gateway/bounds_test.go
+++ b/gateway/bounds_test.go
@@ -11,9 +11,9 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// boundReserve is what each sum leaves of its bound: for the store's answer, what a slow VM takes until
+// boundMargin is what each sum leaves of its bound: for the store's answer, what a slow VM takes until
 // it has read that, and a request's way to the endpoint after the last check.
-const boundReserve = 300 * time.Millisecond
+const boundMargin = 300 * time.Millisecond
 
 // TestBoundSums checks, for fleets of each size, that a router which hears nothing from its peers has
 // read by itself, in time for each bound, what the store has acknowledged: the age of its last
@@ -32,8 +32,8 @@
 		lease := freshness.Term(s.Bounds.Revoke)
 		t.Logf("%3d routers: list %s of %s, configuration %s of %s, lease %s of %s", routers,
 			list, s.Bounds.Drain, configuration, s.Bounds.Configuration, lease, s.Bounds.Revoke)
-		assert.Check(t, list+boundReserve <= s.Bounds.Drain, "%d routers", routers)
-		assert.Check(t, configuration+boundReserve <= s.Bounds.Configuration, "%d routers", routers)
-		assert.Check(t, lease+boundReserve <= s.Bounds.Revoke)
+		assert.Check(t, list+boundMargin <= s.Bounds.Drain, "%d routers", routers)
+		assert.Check(t, configuration+boundMargin <= s.Bounds.Configuration, "%d routers", routers)
+		assert.Check(t, lease+boundMargin <= s.Bounds.Revoke)
 	}
 }
--- a/gateway/callerconn.go
+++ b/gateway/callerconn.go
@@ -5,21 +5,20 @@
 	"time"
 )
 
-// How long a caller's connection may be idle, and how long a caller may take to send
-// a request's header, are limits of the operators' configuration, which change while
-// the server runs. net/http takes both timeouts once, at the server's start. So it is
-// given two placeholders, and a callerConn puts the limits in force in their place
-// whenever net/http sets a read deadline.
+// The idle timeout and the header timeout of callers' connections are limits of the operators'
+// configuration and can change while the server runs, but net/http reads both only at the
+// server's start. So net/http is given two placeholders, and a callerConn replaces them by the
+// current limits whenever net/http sets a read deadline.
 
 const (
-	// idlePlaceholder and headerPlaceholder are the timeouts that net/http is given:
-	// far from each other and from any deadline that is set otherwise.
+	// idlePlaceholder and headerPlaceholder are the timeouts that net/http is given. They are
+	// far apart from each other and from any other deadline.
 	idlePlaceholder   = 24 * time.Hour
 	headerPlaceholder = 72 * time.Hour
-	// placeholderMargin is how much less than a placeholder may be left when the
-	// deadline arrives here.
+	// placeholderMargin is by how much the remaining time may be below a placeholder when the
+	// deadline is set.
 	placeholderMargin = time.Hour
-	// defaultIdle and defaultHeader are the limits until the operators set others.
+	// defaultIdle and defaultHeader apply if the operators set no limits.
 	defaultIdle   = 15 * time.Second
 	defaultHeader = 10 * time.Second
 )
--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -205,7 +205,7 @@
 	working := func() int {
 		n := 0
 		for _, server := range f.endpoints {
-			n += server.Working()
+			n += server.Running()
 		}
 		return n
 	}
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -8,9 +8,9 @@
 	"github.com/ryeford/ryeford/gateway/slowstart"
 )
 
-// coldUntil returns until when an endpoint is taken for cold: by its own word; and, since that may
-// come late, for a service's whole time after its failure domain was taken back and after it was
-// found unreachable, when it may have started again.
+// coldUntil returns until when an endpoint counts as cold: by its status report, and, since that may
+// arrive late, for the service's ColdTime after the endpoint's failure domain returned from an
+// evacuation and after the endpoint was last unreachable, since it may have restarted.
 func (b *balancer) coldUntil(entry *roster.Entry, service *ryeford.ServiceRule) time.Time {
 	until := entry.ColdUntil
 	for _, since := range []time.Time{entry.Returned, b.detector.ReachableSince(entry.ID)} {
@@ -24,29 +24,29 @@
 	return until
 }
 
-// fleet returns what this router knows of the routers that share what a cold endpoint bears, of none
-// if it can't tell its place among them.
+// fleet returns the routers that share the request rate of a cold endpoint, or an empty Fleet if this
+// router doesn't know its rank among them.
 func (b *balancer) fleet(now time.Time) slowstart.Fleet {
 	clock, known := b.clock.Latest(now)
 	if !known || b.start.joining(now) {
 		return slowstart.Fleet{}
 	}
-	const order = 0 // the same at all times, so that a turn isn't dealt twice as shifts change
+	const order = 0 // constant, so that no time slot is assigned twice when the order changes
 	rank, alive := b.peers.Rank(now, order)
 	return slowstart.Fleet{Clock: clock, Rank: rank, Routers: max(alive+1, b.minRouters)}
 }
 
-// A coldness answers, for one choice, whether endpoints may be sent a request though they may be cold.
-type coldness struct {
+// A coldChecker decides, for one choice, whether endpoints that may be cold may be sent a request.
+type coldChecker struct {
 	balancer *balancer
 	now      time.Time
 	service  *ryeford.ServiceRule
-	fleet    *slowstart.Fleet // nil before it is needed
+	fleet    *slowstart.Fleet // computed on first use
 }
 
-// turn returns this router's turn at an endpoint, whether the endpoint is cold, and whether it has a
-// turn that it has not taken.
-func (c *coldness) turn(entry *roster.Entry) (number int64, cold, free bool) {
+// timeSlot returns this router's time slot at an endpoint, whether the endpoint is cold, and whether
+// the time slot is free. A warm endpoint is always free.
+func (c *coldChecker) timeSlot(entry *roster.Entry) (number int64, cold, free bool) {
 	if c.service == nil || c.service.ColdRate <= 0 || !c.now.Before(c.balancer.coldUntil(entry, c.service)) {
 		return 0, false, true
 	}
@@ -58,34 +58,34 @@
 	return number, true, valid && c.balancer.slowStart.Free(entry.ID, number)
 }
 
-// state returns whether an endpoint gets few requests of all routers, since it is cold or evacuated,
-// and whether this one may send it a request.
-func (c *coldness) state(entry *roster.Entry) (few, allowed bool) {
+// check returns whether an endpoint gets a limited number of requests from all routers, because it is
+// cold or evacuated, and whether this router may send it a request.
+func (c *coldChecker) check(entry *roster.Entry) (limited, allowed bool) {
 	if entry.Evacuated {
 		return true, false
 	}
-	_, cold, free := c.turn(entry)
+	_, cold, free := c.timeSlot(entry)
 	return cold, free
 }
 
-// countWarm returns how many endpoints of a service get their share of the requests.
-func (c *coldness) countWarm(service string) int {
+// countWarm returns how many endpoints of a service get a full share of the requests.
+func (c *coldChecker) countWarm(service string) int {
 	if c.service == nil || c.service.ColdRate <= 0 {
 		return c.balancer.roster.Accepting(service)
 	}
 	n := 0
 	for _, entry := range c.balancer.roster.Serving(service) {
-		if few, _ := c.state(entry); !few {
+		if limited, _ := c.check(entry); !limited {
 			n++
 		}
 	}
 	return n
 }
 
-// takeTurn takes this router's turn at an endpoint, if that is cold, and reports whether it may be
-// sent a request.
-func (b *balancer) takeTurn(now time.Time, entry *roster.Entry, service *ryeford.ServiceRule) bool {
-	c := coldness{balancer: b, now: now, service: service}
-	number, cold, free := c.turn(entry)
+// takeTimeSlot takes this router's time slot at an endpoint if the endpoint is cold, and reports
+// whether the endpoint may be sent a request.
+func (b *balancer) takeTimeSlot(now time.Time, entry *roster.Entry, service *ryeford.ServiceRule) bool {
+	c := coldChecker{balancer: b, now: now, service: service}
+	number, cold, free := c.timeSlot(entry)
 	return !cold || free && b.slowStart.Take(entry.ID, number)
 }
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -70,7 +70,7 @@
 		chosen := b.choose(at, query).to
 		assert.Assert(t, chosen != nil)
 		if chosen.ID == home {
-			assert.Assert(t, b.takeTurn(at, chosen, service))
+			assert.Assert(t, b.takeTimeSlot(at, chosen, service))
 		}
 		return chosen.ID
 	}
--- a/gateway/durations.go
+++ b/gateway/durations.go
@@ -8,19 +8,18 @@
 )
 
 const (
-	// slowestDecay is the part of a route's slowest duration that is left after each
-	// further response, so that one slow request is forgotten. Without unit.
+	// slowestDecay is the factor by which a route's slowest duration decreases with each
+	// further response, so that a single slow request loses its influence.
 	slowestDecay = 0.995
-	// defaultSlowest is the duration assumed for a route without any response yet, and
-	// defaultSlowestStream that of a route of streams, as a part of the route's timeout.
-	//
+	// defaultSlowest is the duration assumed for a route without any response yet.
+	// defaultSlowestStream is that of a route of streams, as a fraction of the route's timeout.
 	defaultSlowest       = time.Second
 	defaultSlowestStream = 0.4
 )
 
-// durations remembers how long requests take at the slowest on each route, from their
-// arrival to the end of the response. A stopping router admits no request that would
-// take longer than the router has left. Its methods may be called concurrently.
+// durations tracks the slowest requests of each route, from arrival to the end of the response.
+// A router that is shutting down admits no request that would take longer than the time that
+// the router has left. It is safe for concurrent use.
 type durations struct {
 	mu     sync.Mutex
 	routes map[string]time.Duration
@@ -28,7 +27,7 @@
 
 func newDurations() *durations { return &durations{routes: make(map[string]time.Duration)} }
 
-// observe takes the duration of a request that was answered.
+// observe records the duration of a request that was answered.
 func (d *durations) observe(rule *ryeford.RouteRule, took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/gateway/eventstream.go
+++ b/gateway/eventstream.go
@@ -13,17 +13,17 @@
 	"github.com/ryeford/ryeford/gateway/endpoint"
 )
 
-// maxEvent is the greatest size of an event of a stream, in bytes.
+// maxEvent is the maximum size of an event of a stream, in bytes.
 const maxEvent = 1 << 20
 
-// isEventStream reports whether a response is a stream of events.
+// isEventStream reports whether a response is a stream of server-sent events.
 func isEventStream(header http.Header) bool {
 	kind, _, err := mime.ParseMediaType(header.Get("Content-Type"))
 	return err == nil && kind == "text/event-stream"
 }
 
-// readEvent reads one whole event, its empty line included. io.EOF says that the
-// stream ended after a whole event.
+// readEvent reads one complete event, including its terminating empty line. It returns io.EOF
+// if the stream ended after a complete event.
 func readEvent(reader *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -47,12 +47,12 @@
 	}
 }
 
-// isEmptyLine reports whether a line ends an event.
+// isEmptyLine reports whether a line is empty and thus ends an event.
 func isEmptyLine(line []byte) bool {
 	return len(line) == 1 || (len(line) == 2 && line[0] == '\r')
 }
 
-// eventID returns the ID of an event, or none.
+// eventID returns the ID of an event, or "" if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -62,13 +62,13 @@
 	return ""
 }
 
-// follows reports whether an event's ID comes after another's. IDs that aren't numbers
-// can't be compared; they are taken to.
-func follows(last, id string) bool {
-	before, errBefore := strconv.ParseInt(last, 10, 64)
-	after, errAfter := strconv.ParseInt(id, 10, 64)
-	if errBefore != nil || errAfter != nil {
+// isLaterEvent reports whether id follows the ID of the last event. IDs that aren't numbers
+// can't be compared and always count as later.
+func isLaterEvent(last, id string) bool {
+	lastNumber, errLast := strconv.ParseInt(last, 10, 64)
+	number, errID := strconv.ParseInt(id, 10, 64)
+	if errLast != nil || errID != nil {
 		return true
 	}
-	return after > before
+	return number > lastNumber
 }
--- a/gateway/eventstream_test.go
+++ b/gateway/eventstream_test.go
@@ -68,7 +68,7 @@
 		{"not numbers: passed on", "a", "b", true},
 		{"the first", "", "1", true},
 	} {
-		assert.Equal(t, follows(row.last, row.next), row.want, row.rule)
+		assert.Equal(t, isLaterEvent(row.last, row.next), row.want, row.rule)
 	}
 }
 
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -15,10 +15,10 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// An exchange serves one request: it sends it to endpoints until one has answered or
-// the retry policy gives it up.
+// An exchange serves one request: it sends the request to endpoints until one has answered or
+// the retry policy allows no further attempt.
 //
-// An exchange must not be used by two goroutines at once.
+// An exchange is not safe for concurrent use.
 type exchange struct {
 	forwarder *forwarder
 	request   *request
@@ -26,31 +26,30 @@
 	policy    retry.Policy
 	relay     relay
 
-	tried      map[ryeford.EndpointID]bool // endpoints that are not chosen again
-	history    retry.History
-	sentHome   bool  // the last attempt went to the first endpoint by affinity
-	paid       bool  // the retry after the last attempt was taken from the budget
-	mayHaveRun bool  // at any endpoint
-	last       error // how the last attempt ended
+	tried        map[ryeford.EndpointID]bool // endpoints that are excluded from further choices
+	history      retry.History
+	sentToHome   bool  // the last attempt went to the first endpoint by affinity
+	retryCharged bool  // the next retry was already charged to the budget
+	mayHaveRun   bool  // any attempt may have run at an endpoint
+	lastErr      error // error of the last attempt
 
-	began    time.Time              // the last attempt
-	identity quarantine.Fingerprint // zero before it is needed: see fingerprint
+	began    time.Time              // start of the last attempt
+	identity quarantine.Fingerprint // computed on first use: see fingerprint
 }
 
-// A stoppingError says that a request was given up since the gateway is about to close
+// A stoppingError reports that a request was given up because the gateway is about to close
 // its callers' connections.
 type stoppingError struct{}
 
-// Error returns the text of e.
-func (*stoppingError) Error() string { return "the gateway stops" }
+func (*stoppingError) Error() string { return "gateway is shutting down" }
 
-// serveUntil answers the request, at the latest when ending is done. A stream that has
-// begun by then goes on: its caller could not be told anything else.
+// serveUntil answers the request, at the latest when ending is done. A stream that has begun
+// by then continues, because no other response can be sent to its caller any more.
 func (x *exchange) serveUntil(ctx, ending context.Context) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stop := context.AfterFunc(ending, func() {
-		if !x.relay.begun.Load() {
+		if !x.relay.headerSent.Load() {
 			cancel(&stoppingError{})
 		}
 	})
@@ -58,11 +57,10 @@
 	x.serve(ctx)
 }
 
-// serve answers the request.
 func (x *exchange) serve(ctx context.Context) {
 	step := retry.Step{Again: true}
 	for step.Again {
-		if err := x.unservable(); err != nil {
+		if err := x.checkServable(); err != nil {
 			x.giveUp(err)
 			return
 		}
@@ -75,31 +73,32 @@
 		if end == retry.EndAnswered {
 			return
 		}
-		x.last = err
+		x.lastErr = err
 		step = x.next(ctx, end)
 	}
-	x.giveUp(x.last)
+	x.giveUp(x.lastErr)
 }
 
-// unservable returns why no endpoint may or can serve the request any more, or nil. Only a
-// request that was not sent yet is rejected for load: a retry replaces work that has ended.
-func (x *exchange) unservable() error {
+// checkServable returns an error if no endpoint may or can serve the request any more. Only a
+// request that has not been sent is rejected for overload, because a retry replaces work that
+// has ended.
+func (x *exchange) checkServable() error {
 	now, q := clock.Now(), x.request
 	if err := admit.CheckSend(x.sending(now)); err != nil {
 		return err
 	}
-	// Sent on as its callers repeat it, such a request ended 19 engines, with all their streams.
+	// A quarantined request that callers repeat could otherwise end one endpoint after another.
 	if verdict := x.checkQuarantine(now); verdict.Held {
 		return giveup.Quarantined(verdict.Left)
 	}
 	if x.history.Sent == 0 && x.forwarder.occupancy.Full(now, q.service) {
 		return giveup.NotRun(ryeford.ReasonOverload)
 	}
-	return admit.CheckTime(q.deadline.Sub(now), x.forwarder.fastest.of(now, q.service))
+	return admit.CheckTime(q.deadline.Sub(now), x.forwarder.fastest.get(now, q.service))
 }
 
-// chooseFor chooses the endpoint of an attempt, and the endpoint from which it may fetch
-// cached parts of the prompt. Either may be nil.
+// chooseFor chooses the endpoint of an attempt, and the endpoint from which it may fetch cached
+// parts of the prompt. Either may be nil.
 func (x *exchange) chooseFor(step retry.Step) (to, source *roster.Entry) {
 	to, source = x.choose()
 	if to == nil && step.AllowTried {
@@ -109,40 +108,38 @@
 	return to, source
 }
 
-// next returns what follows an attempt, and takes the retry that it needs from the
-// retry budget.
+// next returns what follows an attempt, and charges a needed retry to the retry budget.
 func (x *exchange) next(ctx context.Context, end retry.End) retry.Step {
-	over := ctx.Err() != nil
-	if end == retry.EndUnsent && !over { // else the end of ctx may have stopped it
+	ctxDone := ctx.Err() != nil
+	if end == retry.EndUnsent && !ctxDone { // otherwise the end of ctx may have caused it
 		x.history.Unsent++
 	}
-	step := x.policy.Next(end, x.history, over)
-	if step.Budgeted && !x.paid && !x.takeRetry() {
+	step := x.policy.Next(end, x.history, ctxDone)
+	if step.Budgeted && !x.retryCharged && !x.takeRetry() {
 		return retry.Step{}
 	}
 	return step
 }
 
-// takeRetry takes a retry from the service's retry budget, and reports whether there
-// was one.
+// takeRetry charges a retry to the service's retry budget. It returns false if the budget is
+// exhausted.
 func (x *exchange) takeRetry() bool {
 	now := clock.Now()
 	routers := x.forwarder.peers.Alive(now) + 1
 	return x.request.budget.TakeRetry(now, retry.Sharers(x.forwarder.minSharers, routers))
 }
 
-// withholds reports whether an endpoint's response is not passed on, because it is a
-// failure after which another attempt may follow, or one that callers would take for the
-// promise that the request has not run.
-func (x *exchange) withholds(status int) bool {
+// shouldWithhold reports whether an endpoint's response is not passed on: it is a failure that
+// may be retried, or its status tells callers that the request has not run.
+func (x *exchange) shouldWithhold(status int) bool {
 	if isSuccess(status) {
 		return false
 	}
 	return x.policy.Next(retry.EndFailed, x.history, false).Again || giveup.PromisesNotRun(status)
 }
 
-// stopped returns why a request can't go on once its context has ended.
-func (x *exchange) stopped(ctx context.Context) error {
+// stopError returns the error of a request whose context has ended.
+func (x *exchange) stopError(ctx context.Context) error {
 	var stopping *stoppingError
 	switch {
 	case errors.As(context.Cause(ctx), &stopping):
@@ -153,13 +150,13 @@
 	return giveup.Stopped(ryeford.ReasonCancelled, x.mayHaveRun)
 }
 
-// giveUp ends the request without a whole response of an endpoint.
+// giveUp ends the request without a complete response from an endpoint.
 func (x *exchange) giveUp(err error) {
 	f, q, now := x.forwarder, x.request, clock.Now()
 	verdict := giveup.Decide(giveup.Request{
-		Err: err, Last: x.last, MayHaveRun: x.mayHaveRun, Begun: x.relay.begun.Load(),
-		Unavailable: f.unavailableFor(now, q.service), Resting: f.restingFor(now, q.service), Unlisted: f.roster.Accepting(q.service) == 0, Caller: q.caller(), Recent: f.refusals.of(now, q.service),
-		Overloaded: f.overloads.lasted(now, q.service),
+		Err: err, Last: x.lastErr, MayHaveRun: x.mayHaveRun, Begun: x.relay.headerSent.Load(),
+		Unavailable: f.unavailableFor(now, q.service), Resting: f.backingOffFor(now, q.service), Unlisted: f.roster.Accepting(q.service) == 0, Caller: q.caller(), Recent: f.refusals.get(now, q.service),
+		Overloaded: f.overloads.duration(now, q.service),
 	})
 	f.refusals.add(now, q.service, verdict.Counts())
 	if verdict.Reason == string(ryeford.ReasonOverload) {
@@ -167,10 +164,10 @@
 	}
 	f.metrics.Count("ryeford_given_up_total", verdict.Reason)
 	_ = f.log.Log("decision", "give_up", "request", q.meta.ID, "route", q.rule.Name, "account", q.accountID(), "service", q.service,
-		"sent", x.history.Sent, "unsent", x.history.Unsent, "may_have_run", x.mayHaveRun, "begun", x.relay.begun.Load(), "events", x.relay.events,
+		"sent", x.history.Sent, "unsent", x.history.Unsent, "may_have_run", x.mayHaveRun, "begun", x.relay.headerSent.Load(), "events", x.relay.sentEvents,
 		"version", q.catalog.Version(), "status", verdict.Status, "reason", verdict.Reason, "took", roundTime(clock.Since(q.arrived)), "err", verdict.Err)
 	if verdict.Abort {
-		panic(http.ErrAbortHandler) // net/http then closes the connection
+		panic(http.ErrAbortHandler) // makes net/http close the connection
 	}
 	writeVerdict(x.relay.writer, f.protocol, q.meta.ID, &verdict)
 }
@@ -180,14 +177,14 @@
 	f, q := x.forwarder, x.request
 	f.metrics.Count("ryeford_tries_failed_total", end.String())
 	line := []any{"decision", "try_failed", "request", q.meta.ID, "endpoint", to.ID, "address", to.Address,
-		"outcome", end, "sent", x.history.Sent, "events", x.relay.events, "took", roundTime(clock.Since(q.arrived)), "err", err}
+		"outcome", end, "sent", x.history.Sent, "events", x.relay.sentEvents, "took", roundTime(clock.Since(q.arrived)), "err", err}
 	if end == retry.EndLost {
 		line = append(line, "fingerprint", x.fingerprint())
 	}
 	_ = f.log.Log(line...)
 }
 
-// recordAnswered logs and counts a response that the caller has whole.
+// recordAnswered logs and counts a response that was sent to the caller completely.
 func (x *exchange) recordAnswered(to *roster.Entry, status int) {
 	f, q := x.forwarder, x.request
 	took := clock.Since(q.arrived)
@@ -199,5 +196,5 @@
 	f.metrics.Count("ryeford_answered_total", "")
 	f.metrics.Observe("ryeford_answer_seconds", took.Seconds())
 	_ = f.log.Log("decision", "answer", "request", q.meta.ID, "route", q.rule.Name, "endpoint", to.ID, "status", status,
-		"sent", x.history.Sent, "unsent", x.history.Unsent, "events", x.relay.events, "first", roundTime(x.relay.first), "took", roundTime(took))
+		"sent", x.history.Sent, "unsent", x.history.Unsent, "events", x.relay.sentEvents, "first", roundTime(x.relay.timeToFirst), "took", roundTime(took))
 }
--- a/gateway/fleetload_test.go
+++ b/gateway/fleetload_test.go
@@ -30,17 +30,17 @@
 	simulatedPrompts  = 18   // prompts for each router
 	simulatedHotShare = 0.16 // part of the requests that have the hot prompt
 	simulatedCap      = 2    // times the mean, and
-	simulatedCapSlack = 3    // requests more, is the bound of the operators
+	simulatedCapMargin = 3    // requests more, is the bound of the operators
 	simulatedWarmUp   = 2 * time.Second
 	simulatedLength   = 4 * time.Second // from the onset of the hot prompt on
 	simulatedDelay    = time.Millisecond
 	simulatedFirst    = 20 * time.Millisecond // until a response begins
 )
 
-// simulatedTimes are how long requests take, with their shares.
-var simulatedTimes = []struct {
+// simulatedDurations are how long requests take, with their shares.
+var simulatedDurations = []struct {
 	share float64
-	takes time.Duration
+	mean time.Duration
 }{{0.4, 400 * time.Millisecond}, {0.3, 150 * time.Millisecond}, {0.3, 1700 * time.Millisecond}}
 
 // A fleetEvent is something that happens in a simulated fleet.
@@ -82,26 +82,26 @@
 	routers   []*simulatedRouter
 	byAddress map[netip.AddrPort]*simulatedRouter
 	ids       []ryeford.EndpointID
-	truth     map[ryeford.EndpointID]int // requests under way
-	underWay  int
+	load     map[ryeford.EndpointID]int // requests under way
+	inFlight  int
 
 	hotShare    float64 // part of the requests that have the hot prompt
-	sent, above int     // requests since the onset, and those to engines above the bound
-	spilt       int     // of those sent, the ones that did not go to the first engine by affinity
+	sent, aboveBound int     // requests since the onset, and those to engines above the bound
+	spilled       int     // of those sent, the ones that did not go to the first engine by affinity
 	errors      errorSums
-	sheds       *sheds    // nil if none
+	shedding       *shedding    // nil if none
 	leavings    *leavings // nil if none
 }
 
 // errorSums are the errors of the routers' estimates of the engines' loads.
 type errorSums struct {
 	n             int
-	truth, square float64
+	load, squaredError float64
 }
 
 // relative returns the root mean square error as a part of the mean load.
 func (s *errorSums) relative() float64 {
-	return math.Sqrt(s.square/float64(s.n)) / (s.truth / float64(s.n))
+	return math.Sqrt(s.squaredError/float64(s.n)) / (s.load / float64(s.n))
 }
 
 // newSimulatedFleet returns a fleet of so many routers that know each other.
@@ -111,7 +111,7 @@
 		random:    rand.New(rand.NewPCG(seed, 1)),
 		began:     time.Unix(1000, 0),
 		byAddress: make(map[netip.AddrPort]*simulatedRouter),
-		truth:     make(map[ryeford.EndpointID]int),
+		load:     make(map[ryeford.EndpointID]int),
 	}
 	update := &ryeford.EndpointUpdate{Snapshot: true, Revision: 1}
 	for i := range int(simulatedEngines * float64(routers)) {
@@ -137,9 +137,9 @@
 	}
 	for _, r := range f.routers {
 		r.peers.Add(f.began, addresses)
-		f.at(f.began.Add(time.Duration(f.random.Int64N(int64(peers.Interval)))), func(now time.Time) { f.tick(now, r, 1) })
+		f.at(f.began.Add(time.Duration(f.random.Int64N(int64(peers.Interval)))), func(now time.Time) { f.sendGossip(now, r, 1) })
 	}
-	f.arrive(f.began)
+	f.handleArrival(f.began)
 	f.observe(f.began.Add(simulatedWarmUp))
 	return f
 }
@@ -157,8 +157,8 @@
 	}
 }
 
-// tick sends a router's messages, and arranges for the next ones.
-func (f *simulatedFleet) tick(now time.Time, r *simulatedRouter, sequence uint64) {
+// sendGossip sends a router's messages, and arranges for the next ones.
+func (f *simulatedFleet) sendGossip(now time.Time, r *simulatedRouter, sequence uint64) {
 	alive := r.peers.Alive(now)
 	whole, brief := r.schedule.Next(now, alive)
 	targets := r.peers.Targets(now, whole+brief)
@@ -168,7 +168,7 @@
 	if len(targets) > whole {
 		f.sendTo(now, r, r.gossip.briefMessage(now, sequence), targets[whole:])
 	}
-	f.at(now.Add(peers.Interval), func(now time.Time) { f.tick(now, r, sequence+1) })
+	f.at(now.Add(peers.Interval), func(now time.Time) { f.sendGossip(now, r, sequence+1) })
 }
 
 // sendTo sends a message to some peers.
@@ -185,24 +185,24 @@
 	}
 }
 
-// arrive sends a request, and arranges for the next one.
-func (f *simulatedFleet) arrive(now time.Time) {
+// handleArrival sends a request, and arranges for the next one.
+func (f *simulatedFleet) handleArrival(now time.Time) {
 	f.send(now, f.routers[f.random.IntN(len(f.routers))])
 	rate := simulatedRate * float64(len(f.routers))
-	f.at(now.Add(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second))), f.arrive)
+	f.at(now.Add(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second))), f.handleArrival)
 }
 
 // send sends a request to the engine that a router chooses.
 func (f *simulatedFleet) send(now time.Time, r *simulatedRouter) {
-	prompt, takes := uint64(1+f.random.IntN(simulatedPrompts*len(f.routers))), f.takes()
+	prompt, takes := uint64(1+f.random.IntN(simulatedPrompts*len(f.routers))), f.drawDuration()
 	onset := now.Sub(f.began) >= simulatedWarmUp
 	if onset && f.random.Float64() < f.hotShare {
-		prompt, takes = 0, simulatedTimes[2].takes
+		prompt, takes = 0, simulatedDurations[2].mean
 	}
 	parts := []ryeford.PromptPart{{ID: 1 << 40, Tokens: 300}, {ID: 1<<41 + prompt, Tokens: 2000}}
 	query := &endpointQuery{service: "s", shared: parts, affinity: route.KeyHash(parts[1].ID), tried: make(map[ryeford.EndpointID]bool)}
 	chosen := r.choose(now, query)
-	for chosen.to != nil && f.sheds.take(f, now, r, chosen.to.ID) {
+	for chosen.to != nil && f.shedding.receive(f, now, r, chosen.to.ID) {
 		query.tried[chosen.to.ID] = true
 		chosen = r.choose(now, query)
 	}
@@ -213,51 +213,51 @@
 	if onset {
 		f.sent++
 		if !home {
-			f.spilt++
+			f.spilled++
 		}
-		if float64(f.truth[to.ID]) > simulatedCap*f.mean()+simulatedCapSlack {
-			f.above++
+		if float64(f.load[to.ID]) > simulatedCap*f.mean()+simulatedCapMargin {
+			f.aboveBound++
 		}
 	}
 	f.leavings.take(f, now, r, to.ID)
-	f.truth[to.ID]++
-	f.underWay++
+	f.load[to.ID]++
+	f.inFlight++
 	r.loads.Begin(to.ID, "s")
 	r.loads.BeginPrompt(route.KeyHash(parts[1].ID))
 	f.at(now.Add(simulatedFirst), func(now time.Time) {
-		r.loads.Report(now, to.ID, &ryeford.EndpointLoad{Running: f.truth[to.ID]})
+		r.loads.Report(now, to.ID, &ryeford.EndpointLoad{Running: f.load[to.ID]})
 		r.prefixes.Add(now, to.ID, parts)
 		r.gossip.addPrompt(to.ID, parts, home)
 	})
 	f.at(now.Add(takes), func(time.Time) {
 		r.loads.End(to.ID)
 		r.loads.EndPrompt(route.KeyHash(parts[1].ID))
-		f.truth[to.ID]--
-		f.underWay--
+		f.load[to.ID]--
+		f.inFlight--
 	})
 }
 
-// takes draws how long a request takes.
-func (f *simulatedFleet) takes() time.Duration {
+// drawDuration draws how long a request drawDuration.
+func (f *simulatedFleet) drawDuration() time.Duration {
 	drawn := f.random.Float64()
-	for _, kind := range simulatedTimes {
+	for _, kind := range simulatedDurations {
 		if drawn -= kind.share; drawn < 0 {
-			return time.Duration(float64(kind.takes) * (0.5 + f.random.Float64()))
+			return time.Duration(float64(kind.mean) * (0.5 + f.random.Float64()))
 		}
 	}
-	return simulatedTimes[0].takes
+	return simulatedDurations[0].mean
 }
 
-func (f *simulatedFleet) mean() float64 { return float64(f.underWay) / float64(len(f.ids)) }
+func (f *simulatedFleet) mean() float64 { return float64(f.inFlight) / float64(len(f.ids)) }
 
 // observe compares what a few routers estimate with the truth, every now and then.
 func (f *simulatedFleet) observe(now time.Time) {
 	for _, r := range f.routers[:min(3, len(f.routers))] {
 		for id, load := range f.estimates(now, r) {
-			difference := load - float64(f.truth[id])
+			difference := load - float64(f.load[id])
 			f.errors.n++
-			f.errors.truth += float64(f.truth[id])
-			f.errors.square += difference * difference
+			f.errors.load += float64(f.load[id])
+			f.errors.squaredError += difference * difference
 		}
 	}
 	f.at(now.Add(200*time.Millisecond), f.observe)
@@ -302,9 +302,9 @@
 			sent += r.sent
 		}
 		t.Logf("%3d routers, hot prompt %.2f: error %.2f of the mean load, %.3f of %d requests above the bound, %.3f not to the first engine, %.0f bytes a second and router, %d peers alive",
-			test.routers, test.hotShare, f.errors.relative(), float64(f.above)/float64(f.sent), f.sent, float64(f.spilt)/float64(f.sent), float64(sent)/length.Seconds()/float64(test.routers), f.routers[0].peers.Alive(f.began.Add(length)))
+			test.routers, test.hotShare, f.errors.relative(), float64(f.aboveBound)/float64(f.sent), f.sent, float64(f.spilled)/float64(f.sent), float64(sent)/length.Seconds()/float64(test.routers), f.routers[0].peers.Alive(f.began.Add(length)))
 		assert.Check(t, f.errors.relative() < test.error, "%d routers", test.routers)
-		assert.Check(t, float64(f.above) < test.above*float64(f.sent), "%d routers", test.routers)
+		assert.Check(t, float64(f.aboveBound) < test.above*float64(f.sent), "%d routers", test.routers)
 	}
 }
 
@@ -327,7 +327,7 @@
 	f := newSimulatedFleet(26, simulatedHotShare, 1)
 	f.evacuate()
 	f.run(simulatedWarmUp + simulatedLength)
-	t.Logf("error %.2f of the mean load, %.3f of %d requests above the bound", f.errors.relative(), float64(f.above)/float64(f.sent), f.sent)
+	t.Logf("error %.2f of the mean load, %.3f of %d requests above the bound", f.errors.relative(), float64(f.aboveBound)/float64(f.sent), f.sent)
 	assert.Check(t, f.errors.relative() < 0.5)
-	assert.Check(t, float64(f.above) < 0.06*float64(f.sent))
+	assert.Check(t, float64(f.aboveBound) < 0.06*float64(f.sent))
 }
--- a/gateway/forwarder.go
+++ b/gateway/forwarder.go
@@ -14,18 +14,18 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// A forwarder is what the handler and all exchanges share: what is known of the endpoints,
-// and the connections to them. It owns nothing.
+// A forwarder is the state that the handler and all exchanges share: tables of endpoint state,
+// and the connections to the endpoints. It owns none of it.
 type forwarder struct {
 	*balancer
 	protocol      ryeford.Protocol
 	configuration *configuration
 	pool          *endpoint.Pool
 	gossip        *gossip
-	minSharers    int // of the retry budget's reserve, from the settings
+	minSharers    int // minimum number of routers that share the retry budget's reserve
 	durations     *durations
-	fastest       *recent[time.Duration]
-	refusals      *recent[giveup.Recent]
+	fastest       *slidingWindow[time.Duration]
+	refusals      *slidingWindow[giveup.Recent]
 	occupancy     *occupancy.Table
 	overloads     *overloads
 	quarantine    *quarantineState
@@ -33,7 +33,7 @@
 	metrics       *telemetry.Set
 }
 
-// newExchange returns the exchange that serves a request, and writes its response to w.
+// newExchange returns the exchange that serves a request and writes its response to w.
 func (f *forwarder) newExchange(q *request, r *http.Request, w http.ResponseWriter) *exchange {
 	x := &exchange{
 		forwarder: f,
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -16,13 +16,13 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// A handler serves callers' HTTP: it reads a request, admits or refuses it
-// (package admit), and has an exchange find the response.
+// A handler serves callers' HTTP requests: it reads a request, admits or refuses it (package
+// admit), and runs an exchange that obtains the response.
 type handler struct {
 	*forwarder
 	drain       *drain
 	initialSync *initialSync
-	bodies      *semaphore.Weighted // bytes of callers' bodies that are kept
+	bodies      *semaphore.Weighted // bytes of request bodies held in memory
 	budgets     *retry.Windows
 }
 
@@ -50,7 +50,7 @@
 		return
 	}
 	defer release()
-	h.initialSync.await(r.Context(), q.callerLeft())
+	h.initialSync.await(r.Context(), q.callerTimeLeft())
 	if err := h.admit(r, q); err != nil {
 		h.refuse(w, r, q, err)
 		return
@@ -62,18 +62,18 @@
 	h.newExchange(q, r, w).serveUntil(ctx, h.drain.ending)
 }
 
-// checkUnread returns why a request whose body is still to be read is refused, or nil: its
-// caller need not send it. A router that has just started doesn't know yet.
+// checkUnread returns the error with which a request is refused before its body is read, or
+// nil. It accepts every request until the configuration and the endpoint list are loaded.
 func (h *handler) checkUnread(r *http.Request, q *request) error {
 	if r.ContentLength == 0 || h.configuration.current() == nil || !h.roster.Known() {
 		return nil
 	}
 	h.lookUp(r, q)
-	return admit.Check(h.state(q))
+	return admit.Check(h.admissionState(q))
 }
 
-// readBody reads a request's body whole, as long as its caller waits for a response. The
-// returned function gives back the part of the memory for bodies that it took.
+// readBody reads a request's body into memory, for as long as its caller waits for a response.
+// The returned function releases the memory that is reserved for the body.
 func (h *handler) readBody(w http.ResponseWriter, r *http.Request, q *request) ([]byte, func(), error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, func() {}, nil
@@ -85,9 +85,8 @@
 	}
 	release := func() { h.bodies.Release(size) }
 	control := http.NewResponseController(w)
-	// An error of setting a deadline means that the connection is closed already, which
-	// reading it shows.
-	_ = control.SetReadDeadline(time.Now().Add(admit.BodyTimeout(q.callerLeft())))
+	// SetReadDeadline fails only if the connection is closed; reading from it then fails too.
+	_ = control.SetReadDeadline(time.Now().Add(admit.BodyTimeout(q.callerTimeLeft())))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
 		release()
@@ -97,7 +96,7 @@
 	return body, release, nil
 }
 
-// configuredMaxBody returns the configuration's bound on a body in bytes, or zero.
+// configuredMaxBody returns the configured limit on a body in bytes, or zero if there is none.
 func (h *handler) configuredMaxBody() int {
 	if current := h.configuration.current(); current != nil {
 		return current.Limits().MaxBody
@@ -105,11 +104,11 @@
 	return 0
 }
 
-// admit admits a request with its route, client account and service. An error says why
-// it is refused.
+// admit sets a request's route, client account, service and retry budget. It returns an error
+// if the request is refused.
 func (h *handler) admit(r *http.Request, q *request) error {
 	h.lookUp(r, q)
-	if err := admit.Check(h.state(q)); err != nil {
+	if err := admit.Check(h.admissionState(q)); err != nil {
 		return err
 	}
 	q.setAffinity()
@@ -119,7 +118,7 @@
 	return nil
 }
 
-// lookUp looks up a request's route and client account in the configuration in force.
+// lookUp sets a request's route and client account from the current configuration.
 func (h *handler) lookUp(r *http.Request, q *request) {
 	if q.catalog = h.configuration.current(); q.catalog == nil {
 		return
@@ -129,15 +128,15 @@
 	}
 }
 
-// findRoute returns the route of a request in a configuration, or nil.
+// findRoute returns the route that matches a request, or nil.
 func findRoute(catalog *catalog.Catalog, r *http.Request) *ryeford.RouteRule {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	return catalog.Route(r.Host, path)
 }
 
-// state returns what decides whether a request is admitted, and sets its deadline once its
-// route is known.
-func (h *handler) state(q *request) admit.State {
+// admissionState returns the inputs of the decision whether a request is admitted. It also
+// sets the request's deadline if its route is known.
+func (h *handler) admissionState(q *request) admit.State {
 	state := admit.State{
 		Configured: q.catalog != nil,
 		Superseded: h.configuration.superseded(clock.Now()),
--- a/gateway/hindrance.go
+++ b/gateway/hindrance.go
@@ -7,11 +7,11 @@
 	"github.com/ryeford/ryeford/gateway/roster"
 )
 
-// hindrance returns why an endpoint may be sent nothing now, or nothing, by all that is known of it: the list,
-// the operators' orders, its own responses, and what peers pass on of these. entry is nil if it is not known.
-// It is asked for each choice, and once more right before the first byte is sent. A cold endpoint is not
-// hindered: it may be sent a request at each of this router's turns.
-func (b *balancer) hindrance(now time.Time, entry *roster.Entry) ryeford.Reason {
+// exclusionReason returns why an endpoint may be sent nothing now, or "" if it isn't excluded. It considers the
+// endpoint list, evacuations, the endpoint's status reports, and those that peers pass on. entry is nil for an
+// endpoint that is not listed. The reason is checked for each choice and again immediately before the first byte is sent.
+// A cold endpoint is not excluded: it may be sent a request in each time slot of this router.
+func (b *balancer) exclusionReason(now time.Time, entry *roster.Entry) ryeford.Reason {
 	if reason := entry.Hindrance(); reason != "" {
 		return reason
 	}
@@ -21,25 +21,25 @@
 	return ""
 }
 
-// A barred counts the candidates of a choice that may be sent nothing now, and would else.
-type barred struct {
-	evacuated int // by the operators' order
-	cold      int // without a turn of this router
-	resting   int // by their own wish
+// An exclusionCounts counts the candidates of a choice that are excluded now, by reason.
+type exclusionCounts struct {
+	evacuated  int // by an operator's evacuation order
+	cold       int // cold, and this router has no free time slot
+	backingOff int // asked for no requests for a time
 }
 
-// add counts an endpoint with a hindrance, or one without that may be cold and then has a turn or not, and
-// reports whether it is barred. Endpoints that leave don't count: they are candidates for their prompts alone.
-func (b *barred) add(hindrance ryeford.Reason, turn bool) bool {
+// add counts an endpoint with an exclusion reason, or a cold one without a free time slot, and reports whether it
+// is excluded. Endpoints that are leaving are not counted: they are candidates only as sources of cached prompts.
+func (c *exclusionCounts) add(reason ryeford.Reason, hasTimeSlot bool) bool {
 	switch {
-	case hindrance == ryeford.ReasonLeaving:
+	case reason == ryeford.ReasonLeaving:
 		return false
-	case hindrance == ryeford.ReasonEvacuated:
-		b.evacuated++
-	case hindrance == ryeford.ReasonResting:
-		b.resting++
-	case !turn:
-		b.cold++
+	case reason == ryeford.ReasonEvacuated:
+		c.evacuated++
+	case reason == ryeford.ReasonResting:
+		c.backingOff++
+	case !hasTimeSlot:
+		c.cold++
 	default:
 		return false
 	}
--- a/gateway/hindrance_test.go
+++ b/gateway/hindrance_test.go
@@ -18,33 +18,33 @@
 		name   string
 		change func(b *balancer)
 		want   ryeford.Reason
-		barred barred
+		barred exclusionCounts
 	}{
-		{"nothing", func(*balancer) {}, "", barred{}},
+		{"nothing", func(*balancer) {}, "", exclusionCounts{}},
 		{"its entry is gone", func(b *balancer) {
 			b.roster.Apply(now, &ryeford.EndpointUpdate{Revision: 3, Removed: []ryeford.EndpointID{"x"}}, time.Time{})
-		}, ryeford.ReasonLeaving, barred{}},
+		}, ryeford.ReasonLeaving, exclusionCounts{}},
 		{"its entry drains", func(b *balancer) {
 			x := *b.roster.Entry("x")
 			x.State = ryeford.EndpointDraining
 			b.roster.Apply(now, &ryeford.EndpointUpdate{Revision: 3, Present: []ryeford.Endpoint{x.Endpoint}}, time.Time{})
-		}, ryeford.ReasonLeaving, barred{}},
-		{"it has said that it leaves", func(b *balancer) { b.roster.Leave(now, "x") }, ryeford.ReasonLeaving, barred{}},
-		{"its failure domain is evacuated", func(b *balancer) { b.roster.SetEvacuated(now, evacuated) }, ryeford.ReasonEvacuated, barred{evacuated: 1}},
-		{"it has asked for rest", func(b *balancer) { b.rests.Ask(now, "x", time.Second) }, ryeford.ReasonResting, barred{resting: 1}},
+		}, ryeford.ReasonLeaving, exclusionCounts{}},
+		{"it has said that it leaves", func(b *balancer) { b.roster.Leave(now, "x") }, ryeford.ReasonLeaving, exclusionCounts{}},
+		{"its failure domain is evacuated", func(b *balancer) { b.roster.SetEvacuated(now, evacuated) }, ryeford.ReasonEvacuated, exclusionCounts{evacuated: 1}},
+		{"it has asked for rest", func(b *balancer) { b.rests.Ask(now, "x", time.Second) }, ryeford.ReasonResting, exclusionCounts{backingOff: 1}},
 		{"it rests, and leaves", func(b *balancer) {
 			b.rests.Ask(now, "x", time.Second)
 			b.roster.Leave(now, "x")
-		}, ryeford.ReasonLeaving, barred{}},
+		}, ryeford.ReasonLeaving, exclusionCounts{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newTestBalancer(now)
 			b.roster.Apply(now, &ryeford.EndpointUpdate{Revision: 2, Present: []ryeford.Endpoint{{ID: "x", Service: "other", FailureDomain: "d"}}}, time.Time{})
 			test.change(b)
-			assert.Equal(t, b.hindrance(now, b.roster.Entry("x")), test.want)
+			assert.Equal(t, b.exclusionReason(now, b.roster.Entry("x")), test.want)
 			chosen := b.choose(now, &endpointQuery{service: "other"})
 			assert.Equal(t, chosen.to != nil, test.want == "")
-			assert.Equal(t, chosen.barred, test.barred)
+			assert.Equal(t, chosen.excluded, test.barred)
 		})
 	}
 }
--- a/gateway/overloads.go
+++ b/gateway/overloads.go
@@ -5,43 +5,42 @@
 	"time"
 )
 
-// overloadGap is how long no request of a service is refused for load before its overload
-// is over.
+// overloadGap is how long no request of a service may be refused for overload until its
+// overload has ended.
 const overloadGap = time.Second
 
-// overloads remembers, for each service, since when its requests have been refused for load.
+// overloads records, for each service, since when its requests have been refused for overload.
 // It is safe for concurrent use.
 type overloads struct {
 	mu       sync.Mutex
 	services map[string]overload
 }
 
-// An overload is a span of time in which requests were refused for load.
-type overload struct{ began, last time.Time }
+// An overload is a period in which requests were refused for overload.
+type overload struct{ started, lastRefused time.Time }
 
-// newOverloads returns an overloads without any.
 func newOverloads() *overloads { return &overloads{services: make(map[string]overload)} }
 
-// add notes that a request of a service is refused for load.
+// add records that a request of a service was refused for overload.
 func (o *overloads) add(now time.Time, service string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	s := o.services[service]
-	if now.Sub(s.last) > overloadGap {
-		s.began = now
+	if now.Sub(s.lastRefused) > overloadGap {
+		s.started = now
 	}
-	s.last = now
+	s.lastRefused = now
 	o.services[service] = s
 }
 
-// lasted returns for how long a service's requests have been refused for load, zero if they
-// are not.
-func (o *overloads) lasted(now time.Time, service string) time.Duration {
+// duration returns how long a service's requests have been refused for overload, or zero if
+// they are not.
+func (o *overloads) duration(now time.Time, service string) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	s := o.services[service]
-	if now.Sub(s.last) > overloadGap {
+	if now.Sub(s.lastRefused) > overloadGap {
 		return 0
 	}
-	return now.Sub(s.began)
+	return now.Sub(s.started)
 }
--- a/gateway/overloads_test.go
+++ b/gateway/overloads_test.go
@@ -10,15 +10,15 @@
 // TestOverloads checks for how long requests of a service have been refused for load.
 func TestOverloads(t *testing.T) {
 	o, now := newOverloads(), time.Unix(1000, 0)
-	assert.Equal(t, o.lasted(now, "a"), time.Duration(0))
+	assert.Equal(t, o.duration(now, "a"), time.Duration(0))
 	for range 4 {
 		o.add(now, "a")
 		now = now.Add(overloadGap)
 	}
-	assert.Equal(t, o.lasted(now, "a"), 4*overloadGap)
-	assert.Equal(t, o.lasted(now, "b"), time.Duration(0), "another service")
+	assert.Equal(t, o.duration(now, "a"), 4*overloadGap)
+	assert.Equal(t, o.duration(now, "b"), time.Duration(0), "another service")
 	now = now.Add(1)
-	assert.Equal(t, o.lasted(now, "a"), time.Duration(0), "none was refused for a while")
+	assert.Equal(t, o.duration(now, "a"), time.Duration(0), "none was refused for a while")
 	o.add(now, "a")
-	assert.Equal(t, o.lasted(now.Add(time.Second/2), "a"), time.Second/2, "a new overload")
+	assert.Equal(t, o.duration(now.Add(time.Second/2), "a"), time.Second/2, "a new overload")
 }
--- a/gateway/panic_test.go
+++ b/gateway/panic_test.go
@@ -12,11 +12,11 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// A panicking is a protocol with a fault that a request brings out.
-type panicking struct{ platform.Protocol }
+// A panickingProtocol is a protocol with a fault that a request brings out.
+type panickingProtocol struct{ platform.Protocol }
 
 // ForwardHeader implements ryeford.Protocol.
-func (panicking) ForwardHeader(http.Header, *ryeford.ForwardMeta) http.Header { panic("a fault") }
+func (panickingProtocol) ForwardHeader(http.Header, *ryeford.ForwardMeta) http.Header { panic("a fault") }
 
 // A panic while a request is sent ends that request: net/http recovers it. What the router counts of requests
 // under way has to end with it, too: the endpoint counted as silent from a second later on, whenever it had
@@ -28,7 +28,7 @@
 	e := newExchangeTest(t)
 	e.setEndpoints(startEndpoint(t, &appserver.Server{ID: "e1"}, func() {}))
 	protocol := e.forwarder.protocol
-	e.forwarder.protocol = panicking{}
+	e.forwarder.protocol = panickingProtocol{}
 	func() {
 		defer func() { assert.Equal(t, recover(), "a fault") }()
 		e.serve()
--- a/gateway/rating.go
+++ b/gateway/rating.go
@@ -9,47 +9,47 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// A rating is what the end of an attempt says of its endpoint's health.
+// A rating is how the end of an attempt counts for the health of its endpoint.
 type rating int
 
 const (
 	ratingNone        rating = iota
-	ratingGood               // it answered
-	ratingFailure            // it failed, or refused the request
-	ratingUnreachable        // it accepts no connection
-	ratingMisdirected        // its address belongs to another endpoint
+	ratingGood               // the endpoint answered
+	ratingFailure            // the endpoint failed or refused the request
+	ratingUnreachable        // the endpoint accepts no connection
+	ratingMisdirected        // the address belongs to another endpoint
 )
 
-// An attemptEnd is what the rating of an attempt's endpoint goes by.
+// An attemptEnd is what an attempt is rated by.
 type attemptEnd struct {
 	end    retry.End
-	status int // of the response, or zero
-	// full says that the endpoint has a request or more for each of its slots.
+	status int // of the response, or zero without one
+	// full says that the endpoint has at least one request for each of its slots.
 	full bool
-	// rests says that the endpoint has refused the request and asked for rest.
-	rests bool
-	// withdrawn says that the gateway itself did not send the request, because the
-	// endpoint is draining or the request must not be sent any more.
-	withdrawn bool
-	// over says that the caller has gone or that the request's deadline has passed.
-	over bool
+	// backOff says that the endpoint refused the request with a Retry-After.
+	backOff bool
+	// blocked says that the gateway did not send the request, because the endpoint was excluded
+	// or the request must not be sent any more.
+	blocked bool
+	// ctxDone says that the caller has disconnected or the request's deadline has passed.
+	ctxDone bool
 }
 
-// rate returns the rating of an attempt's endpoint: a failure is held against it,
-// unless the gateway or the caller ended the attempt. A refusal counts as one unless the
-// endpoint is full: in an overload, ejected endpoints would leave their load to the others,
-// above the bound. One that asks for rest is left out for just that time.
-func rate(e attemptEnd) rating {
+// rateAttempt returns the rating of an attempt's endpoint. A failure counts against the endpoint
+// unless the gateway or the caller ended the attempt. A refusal counts as a failure unless the
+// endpoint is full, because ejections during an overload would move its load to the other
+// endpoints, or is backing off, because it is then excluded for just that time.
+func rateAttempt(e attemptEnd) rating {
 	switch {
 	case e.end == retry.EndAnswered && e.status < http.StatusInternalServerError:
 		return ratingGood
 	case e.end == retry.EndRefused && e.status == http.StatusMisdirectedRequest:
 		return ratingMisdirected
-	case e.end == retry.EndRefused && (e.full || e.rests):
+	case e.end == retry.EndRefused && (e.full || e.backOff):
 		return ratingNone
 	case e.end == retry.EndRefused:
 		return ratingFailure
-	case e.withdrawn || e.over:
+	case e.blocked || e.ctxDone:
 		return ratingNone
 	case e.end == retry.EndUnsent:
 		return ratingUnreachable
--- a/gateway/rating_test.go
+++ b/gateway/rating_test.go
@@ -17,24 +17,24 @@
 	}{
 		{"answered", attemptEnd{end: retry.EndAnswered, status: 200}, ratingGood},
 		{"answered what the caller did wrong", attemptEnd{end: retry.EndAnswered, status: 404}, ratingGood},
-		{"answered, though the deadline has passed since", attemptEnd{end: retry.EndAnswered, status: 200, over: true}, ratingGood},
+		{"answered, though the deadline has passed since", attemptEnd{end: retry.EndAnswered, status: 200, ctxDone: true}, ratingGood},
 		{"answered with its own failure", attemptEnd{end: retry.EndAnswered, status: 500}, ratingFailure},
 		{"its failure was not passed on", attemptEnd{end: retry.EndFailed, status: 500}, ratingFailure},
 		{"the connection broke", attemptEnd{end: retry.EndLost}, ratingFailure},
-		{"the connection was closed, because the caller is gone", attemptEnd{end: retry.EndLost, over: true}, ratingNone},
+		{"the connection was closed, because the caller is gone", attemptEnd{end: retry.EndLost, ctxDone: true}, ratingNone},
 		{"no connection", attemptEnd{end: retry.EndUnsent}, ratingUnreachable},
-		{"no connection in the time that was left", attemptEnd{end: retry.EndUnsent, over: true}, ratingNone},
-		{"it began to drain before the request was sent", attemptEnd{end: retry.EndUnsent, withdrawn: true}, ratingNone},
-		{"the key was revoked before the request was sent", attemptEnd{end: retry.EndBarred, withdrawn: true}, ratingNone},
+		{"no connection in the time that was left", attemptEnd{end: retry.EndUnsent, ctxDone: true}, ratingNone},
+		{"it began to drain before the request was sent", attemptEnd{end: retry.EndUnsent, blocked: true}, ratingNone},
+		{"the key was revoked before the request was sent", attemptEnd{end: retry.EndBarred, blocked: true}, ratingNone},
 		{"it sheds load", attemptEnd{end: retry.EndRefused, status: 503}, ratingFailure},
 		{"it is full, and sheds load", attemptEnd{end: retry.EndRefused, status: 503, full: true}, ratingNone},
-		{"it sheds load, and asks for rest", attemptEnd{end: retry.EndRefused, status: 503, rests: true}, ratingNone},
+		{"it sheds load, and asks for rest", attemptEnd{end: retry.EndRefused, status: 503, backOff: true}, ratingNone},
 		{"it is full, and another endpoint has its address", attemptEnd{end: retry.EndRefused, status: 421, full: true}, ratingMisdirected},
-		{"it sheds load, and the caller is gone", attemptEnd{end: retry.EndRefused, status: 503, over: true}, ratingFailure},
+		{"it sheds load, and the caller is gone", attemptEnd{end: retry.EndRefused, status: 503, ctxDone: true}, ratingFailure},
 		{"another endpoint has its address", attemptEnd{end: retry.EndRefused, status: 421}, ratingMisdirected},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
-			assert.Equal(t, rate(row.ended), row.want)
+			assert.Equal(t, rateAttempt(row.ended), row.want)
 		})
 	}
 }
--- a/gateway/recent.go
+++ b/gateway/recent.go
@@ -5,63 +5,61 @@
 	"time"
 )
 
-// A recent keeps, for each service, a value of the present window of time and that of the
-// window before: what it holds counts for one window at least, and for two at most. It is
-// safe for concurrent use.
-type recent[T any] struct {
+// A slidingWindow aggregates values by service over the current and the previous window: a value
+// counts for at least one window and at most two. It is safe for concurrent use.
+type slidingWindow[T any] struct {
 	window   time.Duration
-	join     func(a, b T) T // the value of two spans of time together
+	merge    func(a, b T) T // merges two aggregates
 	mu       sync.Mutex
-	services map[string]*windows[T]
+	services map[string]*windowPair[T]
 }
 
-// windows are the values of one service.
-type windows[T any] struct {
-	began            time.Time // the present window
-	current, earlier T
+// A windowPair holds the aggregates of one service.
+type windowPair[T any] struct {
+	started           time.Time // start of the current window
+	current, previous T
 }
 
-// newRecent returns a recent without any service.
-func newRecent[T any](window time.Duration, join func(a, b T) T) *recent[T] {
-	return &recent[T]{window: window, join: join, services: make(map[string]*windows[T])}
+func newSlidingWindow[T any](window time.Duration, merge func(a, b T) T) *slidingWindow[T] {
+	return &slidingWindow[T]{window: window, merge: merge, services: make(map[string]*windowPair[T])}
 }
 
-// add joins a value to that of a service.
-func (r *recent[T]) add(now time.Time, service string, value T) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	w := r.services[service]
+// add merges a value into the current window of a service.
+func (s *slidingWindow[T]) add(now time.Time, service string, value T) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	w := s.services[service]
 	if w == nil {
-		w = &windows[T]{began: now}
-		r.services[service] = w
+		w = &windowPair[T]{started: now}
+		s.services[service] = w
 	}
-	w.advance(now, r.window)
-	w.current = r.join(w.current, value)
+	w.advance(now, s.window)
+	w.current = s.merge(w.current, value)
 }
 
-// of returns the value of a service lately: the zero value, if there was none.
-func (r *recent[T]) of(now time.Time, service string) T {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	w := r.services[service]
+// get returns the aggregate of a service, or the zero value if there is none.
+func (s *slidingWindow[T]) get(now time.Time, service string) T {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	w := s.services[service]
 	if w == nil {
-		var none T
-		return none
+		var zero T
+		return zero
 	}
-	w.advance(now, r.window)
-	return r.join(w.current, w.earlier)
+	w.advance(now, s.window)
+	return s.merge(w.current, w.previous)
 }
 
-// advance begins a new window if the present one has lasted for its time.
-func (w *windows[T]) advance(now time.Time, window time.Duration) {
-	age := now.Sub(w.began)
+// advance starts a new window if the current one is over.
+func (w *windowPair[T]) advance(now time.Time, window time.Duration) {
+	age := now.Sub(w.started)
 	if age < window {
 		return
 	}
-	var none T
-	w.earlier = none
+	var zero T
+	w.previous = zero
 	if age < 2*window {
-		w.earlier = w.current
+		w.previous = w.current
 	}
-	w.began, w.current = now, none
+	w.started, w.current = now, zero
 }
--- a/gateway/recordingendpoint_test.go
+++ b/gateway/recordingendpoint_test.go
@@ -17,15 +17,15 @@
 
 	mu       sync.Mutex
 	received []receivedRequest
-	working  int // requests that are running
-	opened   int // connections
+	running  int // requests that are running
+	connections   int // connections
 }
 
 // Connections returns how many connections were opened.
 func (e *recordingEndpoint) Connections() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.opened
+	return e.connections
 }
 
 // recordConnection is an http.Server's ConnState.
@@ -35,7 +35,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.opened++
+	e.connections++
 }
 
 // A receivedRequest is a request as the endpoint got it.
@@ -67,13 +67,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.received = append(e.received, request)
-	e.working++
+	e.running++
 }
 
 func (e *recordingEndpoint) end() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.working--
+	e.running--
 }
 
 // Received returns the requests that have come, in order.
@@ -83,9 +83,9 @@
 	return slices.Clone(e.received)
 }
 
-// Working returns how many requests are running.
-func (e *recordingEndpoint) Working() int {
+// Running returns how many requests are running.
+func (e *recordingEndpoint) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.working
+	return e.running
 }
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -13,13 +13,12 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// maxDiscarded bounds what is read of a refused request's body, in bytes: as net/http does.
+// maxDiscarded is how many bytes of a refused request's body are read at most: as in net/http.
 const maxDiscarded = 256 << 10
 
-// refuseUnread answers a request that is not admitted and whose body has not been read.
-// net/http would await the rest of it, with no limit on the time, before it sends the
-// answer: so what is on the way already is read here, and if there is more the connection
-// is closed after the answer.
+// refuseUnread answers a request that is refused before its body has been read. net/http would
+// wait for the rest of the body without a timeout before it sends the answer. So the rest is
+// read here for a short time, and the connection is closed after the answer if there is more.
 func (h *handler) refuseUnread(w http.ResponseWriter, r *http.Request, q *request, err error) {
 	if r.ContentLength != 0 && !discardBody(w, r) {
 		w.Header().Set("Connection", "close")
@@ -27,17 +26,16 @@
 	h.refuse(w, r, q, err)
 }
 
-// discardBody reads the rest of a body, for a short time, and reports whether it is read
-// whole and the connection fit for another request. Once the body is read, net/http reads
-// on to notice that the caller closes the connection: if the deadline passes before it is
-// lifted, that looks like one, and ends the request's context.
+// discardBody reads the rest of a body, for a short time, and reports whether it was read
+// completely and the connection can be reused. After the body, net/http continues to read to
+// detect that the caller disconnects. A deadline that passes before it is cleared looks like a
+// disconnection and ends the request's context.
 func discardBody(w http.ResponseWriter, r *http.Request) bool {
 	control := http.NewResponseController(w)
-	// An error of setting a deadline means that the connection is closed already, which
-	// reading it shows.
+	// SetReadDeadline fails only if the connection is closed; reading from it then fails too.
 	_ = control.SetReadDeadline(time.Now().Add(admit.UnreadBodyTimeout))
 	if _, err := io.CopyN(io.Discard, r.Body, maxDiscarded); !errors.Is(err, io.EOF) {
-		return false // the deadline stays: net/http would read on without one
+		return false // the deadline is kept: net/http would read on without one
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	return r.Context().Err() == nil
@@ -45,8 +43,8 @@
 
 // refuse answers a request that is not admitted.
 func (h *handler) refuse(w http.ResponseWriter, r *http.Request, q *request, err error) {
-	// What this router lacks, another one may have: the returns are spread as those of a
-	// lone refusal.
+	// Only this router refuses the request, and another one may serve it: the Retry-After
+	// doesn't depend on recent refusals.
 	verdict := giveup.Decide(giveup.Request{Err: err, Caller: q.caller()})
 	if giveup.ClosesConnection(&verdict) {
 		w.Header().Set("Connection", "close")
@@ -57,17 +55,17 @@
 		"version", h.configuration.version(), "lease", h.configuration.leaseLeft(), "status", verdict.Status, "reason", verdict.Reason, "took", roundTime(clock.Since(q.arrived)), "err", err)
 }
 
-// headerShouldRetry keeps common clients of model APIs from sending a request again by themselves.
+// headerShouldRetry keeps common clients of model APIs from retrying a request automatically.
 const headerShouldRetry = "X-Should-Retry"
 
-// writeVerdict writes a response of the gateway's own.
+// writeVerdict writes a response that the gateway generates itself.
 func writeVerdict(w http.ResponseWriter, protocol ryeford.Protocol, id ryeford.RequestID, verdict *giveup.Verdict) {
 	header := w.Header()
 	protocol.ErrorHeader(header, id, retry.Between(verdict.RetryAfter.From, verdict.RetryAfter.To))
 	if verdict.Final {
 		header.Set(headerShouldRetry, "false")
 	}
-	header["Content-Type"] = nil // none of net/http's own
+	header["Content-Type"] = nil // suppresses net/http's default
 	header.Set("Content-Length", "0")
 	w.WriteHeader(verdict.Status)
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -18,54 +18,53 @@
 )
 
 const (
-	// maxWholeBody is the greatest size, in bytes, of a response that is read whole
-	// before it is passed on.
+	// maxWholeBody is the maximum size, in bytes, of a response that is buffered before it is
+	// passed on.
 	maxWholeBody = 8 << 20
 	// writeMargin is how long after the request's deadline the caller may still read the
 	// response.
 	writeMargin = 300 * time.Millisecond
 )
 
-// A relay passes endpoints' responses on to one caller: a stream event by event, any
-// other response whole. A stream that breaks off may be continued by the response to a
+// A relay passes endpoints' responses on to one caller. It forwards a stream event by event and
+// buffers any other response. A stream that breaks off may be continued by the response to a
 // later attempt.
 type relay struct {
 	writer   http.ResponseWriter
 	control  *http.ResponseController
 	protocol ryeford.Protocol
 	metrics  *telemetry.Set
-	arrived  time.Time // the request
-	deadline time.Time // of the request
-	headOnly bool      // the caller wants no body
+	arrived  time.Time // arrival of the request
+	deadline time.Time // deadline of the request
+	headOnly bool      // HEAD request: no body is sent
 
-	onFirst func()        // called for the first event, or once a whole response is read
-	first   time.Duration // from the request's arrival until then
-	begun   atomic.Bool   // the head of a stream was sent to the caller
-	events  int           // that were sent to the caller
-	lastID  string        // of the last event with an ID that was sent to the caller
+	onFirstResponse func()        // called once, for the first event or a complete response
+	timeToFirst     time.Duration // from the request's arrival to the first event or complete response
+	headerSent      atomic.Bool   // the header of a stream was sent to the caller
+	sentEvents      int           // number of events sent to the caller
+	lastEventID     string        // ID of the last event with an ID that was sent to the caller
 }
 
-// pass passes a response on, unless it is withheld. It returns how that ended the
-// attempt, and why unless the caller has it all.
-func (r *relay) pass(ctx context.Context, response *endpoint.Response, withheld bool) (retry.End, error) {
+// forward passes a response on, unless it is withheld. It returns how the attempt ended, and an
+// error unless the caller received the complete response.
+func (r *relay) forward(ctx context.Context, response *endpoint.Response, withheld bool) (retry.End, error) {
 	if isSuccess(response.Status) && isEventStream(response.Header) {
-		return r.passEvents(ctx, response)
+		return r.forwardEvents(ctx, response)
 	}
-	return r.passWhole(response, withheld)
+	return r.forwardWhole(response, withheld)
 }
 
-// isSuccess reports whether a status is a success.
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// passWhole reads a response whole and then passes it on.
-func (r *relay) passWhole(response *endpoint.Response, withheld bool) (retry.End, error) {
+// forwardWhole reads the complete response and then passes it on.
+func (r *relay) forwardWhole(response *endpoint.Response, withheld bool) (retry.End, error) {
 	body, err := response.ReadAll(maxWholeBody)
 	if err != nil {
 		return retry.EndLost, &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: err}
 	}
-	r.recordFirst()
+	r.recordFirstResponse()
 	switch {
-	case r.begun.Load(): // it can't continue the stream
+	case r.headerSent.Load(): // a complete response can't continue a stream
 		return retry.EndLost, newStatusError(response.Status)
 	case withheld:
 		return retry.EndFailed, newStatusError(response.Status)
@@ -81,14 +80,13 @@
 	return retry.EndAnswered, nil
 }
 
-// passEvents passes a stream on, event by event. Bytes of an event that is not whole
-// are never passed on.
-func (r *relay) passEvents(ctx context.Context, response *endpoint.Response) (retry.End, error) {
+// forwardEvents passes a stream on, event by event. An incomplete event is never passed on.
+func (r *relay) forwardEvents(ctx context.Context, response *endpoint.Response) (retry.End, error) {
 	reader := bufio.NewReader(response)
 	for {
 		event, err := readEvent(reader)
 		if errors.Is(err, io.EOF) {
-			r.begin(response) // if it had no event
+			r.sendHeader(response) // for a stream without events
 			return retry.EndAnswered, nil
 		}
 		if err != nil {
@@ -97,36 +95,36 @@
 			}
 			return retry.EndLost, &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: err}
 		}
-		r.recordFirst()
+		r.recordFirstResponse()
 		id := eventID(event)
-		if r.begun.Load() && id != "" && !follows(r.lastID, id) {
-			continue // the caller has it already
+		if r.headerSent.Load() && id != "" && !isLaterEvent(r.lastEventID, id) {
+			continue // already sent to the caller
 		}
 		if err := r.writeEvent(response, event); err != nil {
 			return retry.EndStopped, &ryeford.MayHaveRunError{Reason: ryeford.ReasonCancelled, Err: err}
 		}
 		if id != "" {
-			r.lastID = id
+			r.lastEventID = id
 		}
-		r.events++
+		r.sentEvents++
 	}
 }
 
-// recordFirst notes that the first event, or a whole response, has been read.
-func (r *relay) recordFirst() {
-	if r.onFirst != nil {
-		r.onFirst()
-		r.onFirst = nil
+// recordFirstResponse records the time of the first event, or of a complete response.
+func (r *relay) recordFirstResponse() {
+	if r.onFirstResponse != nil {
+		r.onFirstResponse()
+		r.onFirstResponse = nil
 	}
-	if r.first == 0 {
-		r.first = clock.Since(r.arrived)
-		r.metrics.Observe("ryeford_first_seconds", r.first.Seconds())
+	if r.timeToFirst == 0 {
+		r.timeToFirst = clock.Since(r.arrived)
+		r.metrics.Observe("ryeford_first_seconds", r.timeToFirst.Seconds())
 	}
 }
 
-// writeHeader sets the response's header, without sending it yet.
+// writeHeader sets the response's header fields. It does not send them.
 func (r *relay) writeHeader(response *endpoint.Response) {
-	// An error means that the connection is closed already, which writing shows.
+	// SetWriteDeadline fails only if the connection is closed; writing to it then fails too.
 	_ = r.control.SetWriteDeadline(time.Now().Add(clock.Until(r.deadline) + writeMargin))
 	header := r.writer.Header()
 	for name, values := range r.protocol.ResponseHeader(response.Header) {
@@ -134,32 +132,32 @@
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, ok := header[name]; !ok {
-			header[name] = nil // none of net/http's own
+			header[name] = nil // suppresses net/http's default
 		}
 	}
 }
 
-// begin sends the head of a stream, unless it was sent.
-func (r *relay) begin(response *endpoint.Response) {
-	if r.begun.Load() {
+// sendHeader sends the header of a stream if it has not been sent yet.
+func (r *relay) sendHeader(response *endpoint.Response) {
+	if r.headerSent.Load() {
 		return
 	}
 	r.writeHeader(response)
 	r.writer.WriteHeader(response.Status)
-	r.begun.Store(true)
+	r.headerSent.Store(true)
 }
 
-// writeEvent sends one event to the caller at once.
+// writeEvent sends one event to the caller and flushes it.
 func (r *relay) writeEvent(response *endpoint.Response, event []byte) error {
-	r.begin(response)
+	r.sendHeader(response)
 	if _, err := r.writer.Write(event); err != nil {
 		return err
 	}
 	return r.control.Flush()
 }
 
-// newStatusError returns the error of an attempt whose response was not passed on
-// because of its status.
+// newStatusError returns the error of an attempt whose response was withheld because of its
+// status.
 func newStatusError(status int) error {
 	return &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineError, Err: &ryeford.StatusError{Status: status}}
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -11,11 +11,11 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// defaultTimeout bounds a request if neither the caller nor the route does.
+// defaultTimeout applies if neither the caller nor the route sets a timeout.
 const defaultTimeout = 30 * time.Second
 
-// A request is one caller's request. What is read and looked up before it is admitted
-// is missing as long as that has not happened; once it is served it doesn't change.
+// A request is one caller's request. Its fields are set step by step until it is admitted;
+// after that they do not change.
 type request struct {
 	meta     *ryeford.RequestMeta
 	arrived  time.Time
@@ -24,23 +24,24 @@
 	rule     *ryeford.RouteRule
 	account  *ryeford.AccountRule // nil on public routes, and if requests carry no keys
 	service  string
-	budget   *retry.Window // of the service
+	budget   *retry.Window // the retry budget of the service
 	body     []byte
-	hasBody  bool // the caller sent a body, though it may be empty
-	// affinity is the hash by which requests with the same prompt prefix go to the
-	// same endpoint. shared is false if the prompt shares no part with others.
-	affinity uint64
-	shared   bool
+	hasBody  bool // true also for an empty body that the caller sent explicitly
+	// affinity is the hash that routes requests with the same prompt prefix to the same
+	// endpoint. It is set only if hasSharedPrefix, that is if the prompt has a part that
+	// other requests may share.
+	affinity        uint64
+	hasSharedPrefix bool
 }
 
-// needsKey reports whether the request's route, which is known, needs a key.
+// needsKey reports whether the request's route needs a key. The route must be set.
 func (q *request) needsKey() bool { return q.catalog.Keyed() && !q.rule.Public }
 
-// keyed reports whether the request was admitted for its key.
+// keyed reports whether the request was admitted by its key.
 func (q *request) keyed() bool { return q.account != nil }
 
-// priority returns the priority of the request: its account's, or else its route's. As
-// long as the route is not known, it is the default.
+// priority returns the priority of the request's account, or else that of its route. It is the
+// default until the route is known.
 func (q *request) priority() ryeford.Priority {
 	switch {
 	case q.account != nil && q.account.Priority != nil:
@@ -51,7 +52,7 @@
 	return ryeford.PriorityDefault
 }
 
-// id returns the request's ID, or none if it can't be read.
+// id returns the request's ID, or "" if it can't be parsed.
 func (q *request) id() ryeford.RequestID {
 	if q.meta == nil {
 		return ""
@@ -59,25 +60,25 @@
 	return q.meta.ID
 }
 
-// caller returns what the caller's return goes by if the request is refused now.
+// caller returns what the Retry-After of a refusal depends on.
 func (q *request) caller() giveup.Caller {
-	caller := giveup.Caller{Priority: q.priority(), Left: q.callerLeft()}
+	caller := giveup.Caller{Priority: q.priority(), Left: q.callerTimeLeft()}
 	if q.catalog != nil {
 		caller.InUse = q.catalog.Priorities()
 	}
 	return caller
 }
 
-// callerLeft returns for how long the caller still waits for a response. The request's
-// deadline may be sooner.
-func (q *request) callerLeft() time.Duration {
+// callerTimeLeft returns how long the caller still waits for a response. The request's deadline
+// may be earlier.
+func (q *request) callerTimeLeft() time.Duration {
 	if q.meta == nil || q.meta.Timeout <= 0 {
 		return giveup.NoLimit
 	}
 	return q.meta.Timeout - clock.Since(q.arrived)
 }
 
-// accountID returns the request's client account, or none.
+// accountID returns the request's client account, or "".
 func (q *request) accountID() ryeford.AccountID {
 	if q.account == nil {
 		return ""
@@ -85,8 +86,7 @@
 	return q.account.Account
 }
 
-// setDeadline sets the time until which the request is served: the sooner of the
-// route's timeout and the caller's.
+// setDeadline sets the deadline from the shorter of the route's timeout and the caller's.
 func (q *request) setDeadline() {
 	timeout := defaultTimeout
 	if q.rule.Timeout > 0 {
@@ -98,35 +98,33 @@
 	q.deadline = q.arrived.Add(timeout)
 }
 
-// setAffinity takes the affinity from the last part of the prompt that other requests
-// share: the last but one.
+// setAffinity derives the affinity from the last part of the prompt that other requests may
+// share, which is the last but one.
 func (q *request) setAffinity() {
 	parts := q.meta.Prefix
 	if len(parts) < 2 {
 		return
 	}
 	q.affinity = route.KeyHash(parts[len(parts)-2].ID)
-	q.shared = true
+	q.hasSharedPrefix = true
 }
 
-// sharedParts returns the parts of the prompt that other requests share: all but
-// the last.
+// sharedParts returns the parts of the prompt that other requests may share: all but the last.
 func (q *request) sharedParts() []ryeford.PromptPart {
 	return q.meta.Prefix[:len(q.meta.Prefix)-1]
 }
 
-// setService picks the service that serves the request. Requests with the same prompt
-// prefix get the same one.
+// setService picks the service that serves the request. Requests with the same prompt prefix
+// get the same service.
 func (q *request) setService() {
 	hash := q.affinity
-	if !q.shared {
+	if !q.hasSharedPrefix {
 		hash = route.NameHash(string(q.meta.ID))
 	}
 	q.service = pickService(q.rule.Split, hash)
 }
 
-// pickService picks one of the services of a route by their weights. If all weights
-// are zero, it picks the first.
+// pickService picks one of a route's services by weight, or the first if all weights are zero.
 func pickService(split []ryeford.WeightedService, hash uint64) string {
 	total := 0
 	for _, part := range split {
--- a/gateway/restsend_test.go
+++ b/gateway/restsend_test.go
@@ -38,7 +38,7 @@
 			var notRun *ryeford.NotRunError
 			assert.Assert(t, errors.As(err, &notRun))
 			assert.Equal(t, notRun.Reason, reason)
-			assert.Equal(t, endOf(&endpoint.UnsentError{Err: err}), retry.EndUnsent)
+			assert.Equal(t, classifySendError(&endpoint.UnsentError{Err: err}), retry.EndUnsent)
 		})
 	}
 }
@@ -65,6 +65,6 @@
 	assert.Assert(t, strings.Contains(e.log.String(), "resting=2"), e.log.String())
 	seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 	assert.NilError(t, err)
-	left := e.forwarder.restingFor(time.Now(), "s")
+	left := e.forwarder.backingOffFor(time.Now(), "s")
 	assert.Assert(t, left > 0 && seconds >= left.Seconds()-0.001, "%v, rests for %s", seconds, left)
 }
--- a/gateway/retries_test.go
+++ b/gateway/retries_test.go
@@ -10,8 +10,8 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// promises are the statuses that promise callers that a request has not run.
-var promises = map[int]bool{
+// notRunStatuses are the statuses that promise callers that a request has not run.
+var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
@@ -33,7 +33,7 @@
 				}
 				got := f.call("POST", path)
 				assert.Equal(t, f.runs(got.id), 1, path)
-				assert.Assert(t, !promises[got.status], "%s: %d", path, got.status)
+				assert.Assert(t, !notRunStatuses[got.status], "%s: %d", path, got.status)
 				assert.Assert(t, got.status >= 500 || got.err != nil, "%s: %d %q", path, got.status, got.body)
 			}
 		})
--- a/gateway/rounding.go
+++ b/gateway/rounding.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// logTimeStep is to what times are rounded in the log.
+	// logTimeStep is the unit to which durations are rounded in the log.
 	logTimeStep = 10 * time.Microsecond
-	// logLoadSteps is into how many steps a request of load is divided in the log.
+	// logLoadSteps is the number of steps per request to which loads are rounded in the log.
 	logLoadSteps = 100
 )
 
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -12,7 +12,7 @@
 	"github.com/go-kit/log"
 )
 
-// maxHeaderBytes is how large a request's header may be.
+// maxHeaderBytes is the maximum size of a request's header.
 const maxHeaderBytes = 64 << 10
 
 // A server is one HTTP server of the gateway. It speaks HTTP/1.1 only, as callers do.
@@ -21,8 +21,8 @@
 	listener net.Listener
 }
 
-// newServer returns a server that is bound to its address. Requests inherit the
-// context base. A failure is a *ListenError.
+// newServer returns a server that listens on address. Requests inherit the context base. A
+// failure is a *ListenError.
 func (g *Gateway) newServer(base context.Context, address netip.AddrPort, handler http.Handler) (*server, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -44,7 +44,7 @@
 	}, nil
 }
 
-// serve serves until the server is closed, which is no error.
+// serve serves requests until the server is closed. It returns nil in that case.
 func (s *server) serve() error {
 	err := s.http.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -53,11 +53,11 @@
 	return err
 }
 
-// close ends a server at once. Its error is the listener's, which takes no more
-// connections either way.
+// close closes the server at once. The error, that of closing the listener, is ignored: no more
+// connections are accepted either way.
 func (s *server) close() { _ = s.http.Close() }
 
-// A ListenError says that the gateway could not listen on an address.
+// A ListenError reports that the gateway could not listen on an address.
 type ListenError struct {
 	Address netip.AddrPort
 	Err     error
@@ -67,7 +67,7 @@
 
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// A serverLogWriter writes what net/http's server logs to the gateway's log.
+// A serverLogWriter writes the log of net/http's server to the gateway's log.
 type serverLogWriter struct {
 	log log.Logger
 }
--- a/gateway/unservable_bench_test.go
+++ b/gateway/unservable_bench_test.go
@@ -16,9 +16,9 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// silentPort returns an address that answers no attempt to connect, as that of a VM that
+// unresponsiveAddress returns an address that answers no attempt to connect, as that of a VM that
 // is gone: of a listener whose backlog is full.
-func silentPort(tb testing.TB) string {
+func unresponsiveAddress(tb testing.TB) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	assert.NilError(tb, err)
 	tb.Cleanup(func() { _ = syscall.Close(fd) })
@@ -40,7 +40,7 @@
 // BenchmarkUnservable measures the time from the moment at which the router knows that a
 // request can't be served to the answer.
 func BenchmarkUnservable(b *testing.B) {
-	silent := []string{silentPort(b), silentPort(b), silentPort(b), silentPort(b)}
+	silent := []string{unresponsiveAddress(b), unresponsiveAddress(b), unresponsiveAddress(b), unresponsiveAddress(b)}
 	slow := startEndpoint(b, &appserver.Server{ID: "e1"}, func() { time.Sleep(50 * time.Millisecond) })
 	for _, row := range []struct {
 		name    string
@@ -90,7 +90,7 @@
 func BenchmarkUnservableCrowd(b *testing.B) {
 	const crowd = 50
 	e := newExchangeTest(b)
-	e.setEndpoints(silentPort(b), silentPort(b), silentPort(b), silentPort(b))
+	e.setEndpoints(unresponsiveAddress(b), unresponsiveAddress(b), unresponsiveAddress(b), unresponsiveAddress(b))
 	assert.Equal(b, e.serve().Code, 503)
 	var took []time.Duration
 	sends := e.sends()
