--- a/gateway/affinity_test.go
+++ b/gateway/affinity_test.go
@@ -11,8 +11,8 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// TestTopEntries checks that the entries with the highest scores for a prompt are kept, however many
-// are added, in whatever order.
+// TestTopEntries checks that the entries with the highest scores for a prompt are kept, for any
+// number and order of entries.
 func TestTopEntries(t *testing.T) {
 	const prompt = 12345
 	for _, n := range []int{0, 1, maxTopEntries, maxTopEntries + 1, 500} {
--- a/gateway/attempt_test.go
+++ b/gateway/attempt_test.go
@@ -12,8 +12,8 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// TestEndOf checks what an error of sending a request proves.
-func TestEndOf(t *testing.T) {
+// TestClassifySendError checks how an attempt ends for each kind of send error.
+func TestClassifySendError(t *testing.T) {
 	for _, row := range []struct {
 		rule string
 		err  error
@@ -24,7 +24,7 @@
 		{"the configuration went stale", &endpoint.UnsentError{Err: giveup.NotRun(ryeford.ReasonStaleConfiguration)}, retry.EndBarred},
 		{"the key was revoked", &endpoint.UnsentError{Err: giveup.NotRun(ryeford.ReasonKeyRevoked)}, retry.EndBarred},
 		{"the connection broke", &endpoint.LostError{Err: errors.New("reset")}, retry.EndLost},
-		{"the response is another request's", &endpoint.LostError{Err: &endpoint.UnusableResponseError{}}, retry.EndLost},
+		{"the response belongs to another request", &endpoint.LostError{Err: &endpoint.UnusableResponseError{}}, retry.EndLost},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
 			assert.Equal(t, classifySendError(row.err), row.want)
--- a/gateway/balancer_test.go
+++ b/gateway/balancer_test.go
@@ -17,8 +17,8 @@
 	"github.com/ryeford/ryeford/gateway/roster"
 )
 
-// newTestBalancer returns a balancer of a router that has just read its first list,
-// with endpoints a and b.
+// newTestBalancer returns a balancer of a router that has just read its first endpoint list, with
+// endpoints a and b.
 func newTestBalancer(now time.Time) *balancer {
 	b := &balancer{
 		roster:   roster.New(),
@@ -35,9 +35,8 @@
 	return b
 }
 
-// TestBalancer checks to which endpoint a request goes, and from which one its prompt is
-// fetched, each row after one change of what the router knows. The prompt's home is
-// endpoint home.
+// TestBalancer checks, after one change of the router's state for each row, to which endpoint a
+// request goes and from which one its prompt is fetched. The prompt's home is endpoint home.
 func TestBalancer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	query := &endpointQuery{service: "s", shared: []ryeford.PromptPart{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}}, affinity: 7}
@@ -49,18 +48,18 @@
 		to, source ryeford.EndpointID
 		reason     choice.Reason
 	}{
-		{"nothing is known", func(*balancer) {}, home, other, choice.ReasonHome},
-		{"another endpoint was sent the beginning", func(b *balancer) { b.prefixes.Add(now, other, query.shared[:1]) },
+		{"initial state", func(*balancer) {}, home, other, choice.ReasonHome},
+		{"another endpoint holds the beginning of the prompt", func(b *balancer) { b.prefixes.Add(now, other, query.shared[:1]) },
 			home, other, choice.ReasonHome},
-		{"home drains: it is sent nothing and is the source", func(b *balancer) {
+		{"home is draining: it is only the source", func(b *balancer) {
 			b.roster.Apply(now, &ryeford.EndpointUpdate{Revision: 2, Present: []ryeford.Endpoint{{ID: home, Service: "s", State: ryeford.EndpointDraining}}}, time.Time{})
 		}, other, home, choice.ReasonHome},
-		{"home left without draining: it is the source for a time", func(b *balancer) {
+		{"home was removed without draining: it is the source for a time", func(b *balancer) {
 			b.roster.Apply(now, &ryeford.EndpointUpdate{Revision: 2, Removed: []ryeford.EndpointID{home}}, time.Time{})
 		}, other, home, choice.ReasonHome},
-		{"home is ejected: it is no source either", func(b *balancer) { b.detector.Eject(now, home, time.Second) },
+		{"home is ejected: it isn't the source either", func(b *balancer) { b.detector.Eject(now, home, time.Second) },
 			other, "", choice.ReasonHome},
-		{"home has more requests than the prompt is worth", func(b *balancer) {
+		{"home is more loaded than its cached prompt justifies", func(b *balancer) {
 			for range 2 {
 				b.loads.Begin(home, "s")
 			}
@@ -84,8 +83,8 @@
 	}
 }
 
-// TestBalancerTried checks that an endpoint that was tried is not chosen again, and
-// that none is chosen once all were tried.
+// TestBalancerTried checks that an endpoint that was tried is not chosen again, and that none is
+// chosen once all were tried.
 func TestBalancerTried(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := newTestBalancer(now)
@@ -96,18 +95,18 @@
 	assert.Assert(t, b.choose(now, &endpointQuery{service: "another"}).to == nil)
 }
 
-// TestUnavailableFor checks for how long all endpoints of a service are still ejected, or rest.
+// TestUnavailableFor checks until when all endpoints of a service are ejected or backing off.
 func TestUnavailableFor(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := newTestBalancer(now)
 	assert.Equal(t, b.unavailableFor(now, "s"), time.Duration(0))
 	b.detector.Eject(now, "a", time.Second)
-	assert.Equal(t, b.unavailableFor(now, "s"), time.Duration(0), "b is not")
+	assert.Equal(t, b.unavailableFor(now, "s"), time.Duration(0), "b is available")
 	b.detector.Eject(now, "b", 3*time.Second)
-	assert.Equal(t, b.unavailableFor(now, "s"), time.Second, "a is back first")
+	assert.Equal(t, b.unavailableFor(now, "s"), time.Second, "a is available first")
 	b.rests.Ask(now, "a", 2*time.Second)
-	assert.Equal(t, b.unavailableFor(now, "s"), 2*time.Second, "a is back first, once it has rested")
-	assert.Equal(t, b.backingOffFor(now, "s"), time.Duration(0), "b doesn't rest")
+	assert.Equal(t, b.unavailableFor(now, "s"), 2*time.Second, "a is available first, after its back-off")
+	assert.Equal(t, b.backingOffFor(now, "s"), time.Duration(0), "b is not backing off")
 	b.rests.Ask(now, "b", time.Minute)
 	assert.Equal(t, b.backingOffFor(now, "s"), 2*time.Second)
 	assert.Equal(t, b.unavailableFor(now, "another"), time.Duration(0))
--- a/gateway/bounds_test.go
+++ b/gateway/bounds_test.go
@@ -11,14 +11,13 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// boundMargin is what each sum leaves of its bound: for the store's answer, what a slow VM takes until
-// it has read that, and a request's way to the endpoint after the last check.
+// boundMargin is the part of each bound that is kept free for the store's response, the delay until a
+// slow VM has read it, and the time from the last check to the request's arrival at the endpoint.
 const boundMargin = 300 * time.Millisecond
 
-// TestBoundSums checks, for fleets of each size, that a router which hears nothing from its peers has
-// read by itself, in time for each bound, what the store has acknowledged: the age of its last
-// confirmation at which it reads, and the waits in between. Its peers can only make that sooner. The
-// last router of a shift is the worst case, and the first two are out of the way.
+// TestBoundSums checks, for several fleet sizes, that a router that receives nothing from its peers reads
+// what the store has acknowledged within each bound, even if it has the last time slot of the schedule and
+// the first two routers are down.
 func TestBoundSums(t *testing.T) {
 	s := settings.DefaultGateway()
 	limits := listLimits(s)
--- a/gateway/buffer_test.go
+++ b/gateway/buffer_test.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// A lockedBuffer is a buffer that several goroutines may use.
+// A lockedBuffer is a bytes.Buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -18,7 +18,7 @@
 	return b.buffer.Write(p)
 }
 
-// String returns what was written.
+// String returns the written text.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/callerconn_test.go
+++ b/gateway/callerconn_test.go
@@ -12,7 +12,7 @@
 	"github.com/ryeford/ryeford/gateway/catalog"
 )
 
-// A deadlineConn keeps the read deadline that it is given.
+// A deadlineConn records the read deadline that is set on it.
 type deadlineConn struct {
 	net.Conn
 	deadline time.Time
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// TestCallerTimeouts checks that net/http's timeouts become those of the
-// configuration in force, and that other deadlines stay.
+// TestCallerTimeouts checks that net/http's placeholders are replaced by the timeouts of the current
+// configuration, and that other deadlines are not changed.
 func TestCallerTimeouts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newConfiguration(configurationOptions{})
--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -17,8 +17,8 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// TestStrangers checks that a malformed request is refused and runs nowhere.
-func TestStrangers(t *testing.T) {
+// TestMalformedRequests checks that a malformed request is refused and reaches no endpoint.
+func TestMalformedRequests(t *testing.T) {
 	f := startedFixture(t, nil)
 	const head = "Host: host.example\r\nRyeford-Request-Id: s1\r\nAuthorization: Bearer key-1\r\n"
 	for name, test := range map[string]struct{ request, want string }{
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestBodies checks that callers' bodies are bounded in sum: a request whose body does
-// not fit is refused with a Retry-After, and the memory of a finished one is freed.
-func TestBodies(t *testing.T) {
+// TestBodyMemory checks that the total size of buffered bodies is limited: a request that exceeds
+// the limit is refused with a Retry-After, and memory is released when a request ends.
+func TestBodyMemory(t *testing.T) {
 	f := startedFixture(t, func(s *settings.Gateway) { s.Memory = 16 }) // 4 MB of bodies
 	f.setFaults(appserver.FaultHang, -1)
 	config := baseConfiguration()
@@ -79,8 +79,8 @@
 	f.await("memory for another body", func() bool { return f.do(f.request("POST", "/once/a", "key-1", large)).status == 200 })
 }
 
-// TestUnreadBody checks that a request that is refused for what its header says is answered
-// at once, though its body does not come.
+// TestUnreadBody checks that a request that is refused because of its header is answered without
+// waiting for its body.
 func TestUnreadBody(t *testing.T) {
 	f := startedFixture(t, func(s *settings.Gateway) { s.Memory = 16 }) // 4 MB of bodies
 	config := baseConfiguration()
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestRefusedBody checks that a connection serves on after a request is refused whose body
-// has come, and is closed after one whose body has not.
+// TestRefusedBody checks that the connection of a refused request is reused if its body arrived
+// completely, and is closed if not.
 func TestRefusedBody(t *testing.T) {
 	f := startedFixture(t, nil)
 	const head = "Host: host.example\r\nRyeford-Request-Id: s1\r\nAuthorization: Bearer key-1\r\n"
@@ -148,11 +148,10 @@
 	}
 }
 
-// TestSlowSenders checks that the connection of a caller that does not finish a header,
-// or that is idle, is closed after the operators' timeouts, and that a later
-// configuration changes these.
+// TestSlowSenders checks that the connection of a caller that sends no complete header, or is
+// idle, is closed after the configured timeouts, and that a later configuration changes them.
 func TestSlowSenders(t *testing.T) {
-	// shorter than the timeouts that apply if the operators set none
+	// shorter than the default timeouts
 	const limit = 8 * time.Second
 	const long, short = 3_600_000, 100 // milliseconds
 	for name, test := range map[string]struct {
@@ -181,10 +180,9 @@
 	}
 }
 
-// TestSlowBody checks that a body is awaited no longer than its caller waits for the
-// response: the memory for it is then free again.
+// TestSlowBody checks that an incomplete body blocks memory no longer than the caller's timeout.
 func TestSlowBody(t *testing.T) {
-	const limit = 8 * time.Second // shorter than the time for a body whose caller waits for long
+	const limit = 8 * time.Second // shorter than the body timeout of a caller with a long timeout
 	f := startedFixture(t, nil)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(f.base, "http://"))
 	assert.NilError(t, err)
@@ -198,8 +196,8 @@
 	assert.Assert(t, strings.HasPrefix(line, "HTTP/1.1 400"), line)
 }
 
-// TestCallerGone checks that an endpoint's work ends once its caller has gone.
-func TestCallerGone(t *testing.T) {
+// TestCallerDisconnects checks that an endpoint's work is canceled when its caller disconnects.
+func TestCallerDisconnects(t *testing.T) {
 	f := startedFixture(t, nil)
 	f.setFaults(appserver.FaultHang, -1)
 	working := func() int {
@@ -212,20 +210,20 @@
 	for _, path := range []string{"/safe/a", "/stream/a", "/once/a"} {
 		ctx, cancel := context.WithCancel(context.Background())
 		request := f.request("POST", path, "key-1", "body").WithContext(ctx)
-		gone := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			defer close(gone)
+			defer close(done)
 			_, _ = f.client.Do(request)
 		}()
-		f.await("the start of the work", func() bool { return working() == 1 })
+		f.await("work in progress", func() bool { return working() == 1 })
 		cancel()
-		<-gone
-		f.await("the end of the work", func() bool { return working() == 0 })
+		<-done
+		f.await("the cancellation of the work", func() bool { return working() == 0 })
 	}
 }
 
-// TestRouteTimeout checks that a request is answered 504 after its route's timeout,
-// though its caller would wait for longer.
+// TestRouteTimeout checks that a request is answered with 504 after its route's timeout, even if its
+// caller would wait longer.
 func TestRouteTimeout(t *testing.T) {
 	f := startedFixture(t, nil)
 	f.setFaults(appserver.FaultHang, -1)
--- a/gateway/choose_bench_test.go
+++ b/gateway/choose_bench_test.go
@@ -18,8 +18,8 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// BenchmarkChoose measures the choice of an endpoint with all that it reads, at the
-// sizes of a small deployment, a grown one and the largest planned one.
+// BenchmarkChoose measures the choice of an endpoint, including all state that it reads, for several
+// sizes of a deployment.
 func BenchmarkChoose(b *testing.B) {
 	for _, size := range []struct{ endpoints, peers int }{{12, 4}, {47, 25}, {180, 102}, {3500, 389}} {
 		b.Run(fmt.Sprintf("endpoints=%d/peers=%d", size.endpoints, size.peers), func(b *testing.B) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// benchExchange returns an exchange of a router that knows so many endpoints, and so
-// many peers of which each has requests at some of the endpoints.
+// benchExchange returns an exchange of a router with the given number of endpoints and live peers. Each
+// peer has requests at some of the endpoints.
 func benchExchange(endpoints, alive int) *exchange {
 	const loadsEach = 20
 	g := New(settings.DefaultGateway(), Platform{Protocol: platform.Protocol{}}, log.NewNopLogger(), telemetry.NewSet())
@@ -53,7 +53,7 @@
 			total += 1 + j%3
 		}
 		message.Totals = []peers.Total{{Service: loads.Key(route.NameHash("s")), Requests: total}}
-		g.gossip.table.Receive(now.Add(time.Hour), message) // fresh for as long as the benchmark runs
+		g.gossip.table.Receive(now.Add(time.Hour), message) // fresh while the benchmark runs
 	}
 	q := &request{
 		meta:    &ryeford.RequestMeta{ID: "r", Prefix: []ryeford.PromptPart{{ID: 1, Tokens: 2500}, {ID: 2, Tokens: 6000}, {ID: 3, Tokens: 500}}},
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -12,8 +12,8 @@
 	"github.com/ryeford/ryeford/gateway/slowstart"
 )
 
-// newColdBalancer returns a balancer of a lone router, with endpoints a and b, that knows what the
-// source's clock shows, and a service whose endpoints bear four requests a second for 3 s.
+// newColdBalancer returns a balancer of an isolated router with endpoints a and b and a known time
+// of the source's clock, and a service with a ColdTime of 3 s and a ColdRate of four requests a second.
 func newColdBalancer(now time.Time) (*balancer, *ryeford.ServiceRule) {
 	b := newTestBalancer(now)
 	b.slowStart, b.clock, b.start, b.minRouters = slowstart.New(), &freshness.SourceClock{}, &start{}, 1
@@ -21,30 +21,29 @@
 	return b, &ryeford.ServiceRule{Name: "s", ColdTime: 3 * time.Second, ColdRate: 4}
 }
 
-// TestColdUntil checks until when an endpoint is taken for cold: by its own word, as of when that
-// was first heard, and for a service's time after its failure domain was taken back and after it was
-// found unreachable.
+// TestColdUntil checks until when an endpoint counts as cold: by its first status report, and for the
+// service's ColdTime after its failure domain returned or the endpoint was unreachable.
 func TestColdUntil(t *testing.T) {
 	now := time.Unix(1000, 0)
-	said := func(cold time.Duration) *ryeford.EndpointUpdate {
+	reportCold := func(cold time.Duration) *ryeford.EndpointUpdate {
 		return &ryeford.EndpointUpdate{Revision: 5, Present: []ryeford.Endpoint{{ID: "a", Service: "s", Slots: 8, Cold: cold}}}
 	}
 	for _, test := range []struct {
 		name   string
-		happen func(b *balancer)
+		change func(b *balancer)
 		want   time.Time
 	}{
-		{"nothing", func(*balancer) {}, time.Time{}},
-		{"its word", func(b *balancer) { b.roster.Apply(now, said(2*time.Second), time.Time{}) }, now.Add(2 * time.Second)},
-		{"the same word again", func(b *balancer) {
-			b.roster.Apply(now, said(2*time.Second), time.Time{})
-			b.roster.Apply(now.Add(time.Second), said(2*time.Second), time.Time{})
+		{"no event", func(*balancer) {}, time.Time{}},
+		{"it reports that it is cold", func(b *balancer) { b.roster.Apply(now, reportCold(2*time.Second), time.Time{}) }, now.Add(2 * time.Second)},
+		{"it repeats the report", func(b *balancer) {
+			b.roster.Apply(now, reportCold(2*time.Second), time.Time{})
+			b.roster.Apply(now.Add(time.Second), reportCold(2*time.Second), time.Time{})
 		}, now.Add(2 * time.Second)},
 		{"it is cold again", func(b *balancer) {
-			b.roster.Apply(now, said(0), time.Time{})
-			b.roster.Apply(now.Add(time.Second), said(2*time.Second), time.Time{})
+			b.roster.Apply(now, reportCold(0), time.Time{})
+			b.roster.Apply(now.Add(time.Second), reportCold(2*time.Second), time.Time{})
 		}, now.Add(3 * time.Second)},
-		{"its failure domain is taken back", func(b *balancer) {
+		{"its failure domain returned", func(b *balancer) {
 			b.roster.SetEvacuated(now, ryeford.Evacuations{Revision: 1, Orders: []ryeford.Evacuation{{State: 1}}})
 			b.roster.SetEvacuated(now.Add(time.Second), ryeford.Evacuations{Revision: 2})
 		}, now.Add(4 * time.Second)},
@@ -52,14 +51,14 @@
 			now.Add(outlier.UnreachableEjection + 3*time.Second)},
 	} {
 		b, service := newColdBalancer(now)
-		test.happen(b)
+		test.change(b)
 		assert.Equal(t, b.coldUntil(b.roster.Entry("a"), service), test.want, test.name)
 	}
 }
 
-// TestColdEndpoint checks that a cold endpoint, though it is a prompt's home, gets no more requests
-// than its turns are, that the others go elsewhere, and that it gets all once it is warm; and that a
-// router which can't tell its place in the fleet sends it none.
+// TestColdEndpoint checks that a cold home gets no more requests than it has time slots, that the
+// others go elsewhere, and that it gets all once it is warm. A router that doesn't know its rank
+// sends it none.
 func TestColdEndpoint(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b, service := newColdBalancer(now)
--- a/gateway/eventstream_test.go
+++ b/gateway/eventstream_test.go
@@ -13,7 +13,7 @@
 	"github.com/ryeford/ryeford/gateway/endpoint"
 )
 
-// TestReadEvent checks that only whole events are read.
+// TestReadEvent checks that only complete events are read.
 func TestReadEvent(t *testing.T) {
 	long := "data: " + strings.Repeat("x", 8<<10) + "\n\n" // longer than the reader's buffer
 	for _, row := range []struct {
@@ -27,8 +27,8 @@
 		{"a long line", long, []string{long}, io.EOF},
 		{"an empty stream", "", nil, io.EOF},
 		{"empty lines at the end", "data: a\n\n\n", []string{"data: a\n\n"}, io.EOF},
-		{"broken off within an event", "data: a\n\ndata: b\n", []string{"data: a\n\n"}, io.ErrUnexpectedEOF},
-		{"broken off within a line", "data: a\n\nda", []string{"data: a\n\n"}, io.ErrUnexpectedEOF},
+		{"truncated within an event", "data: a\n\ndata: b\n", []string{"data: a\n\n"}, io.ErrUnexpectedEOF},
+		{"truncated within a line", "data: a\n\nda", []string{"data: a\n\n"}, io.ErrUnexpectedEOF},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
 			reader := bufio.NewReader(strings.NewReader(row.stream))
@@ -43,15 +43,15 @@
 	}
 }
 
-// TestReadLargeEvent checks that an event beyond the limit of its size is an error.
+// TestReadLargeEvent checks that an event larger than maxEvent is an error.
 func TestReadLargeEvent(t *testing.T) {
 	_, err := readEvent(bufio.NewReader(strings.NewReader("data: " + strings.Repeat("x", maxEvent))))
 	var tooLarge *endpoint.TooLargeError
 	assert.Assert(t, errors.As(err, &tooLarge), "%v", err)
 }
 
-// TestEventIDs checks the ID of an event, and which events of a resumed stream the caller
-// does not have yet.
+// TestEventIDs checks which ID an event has, and which events of a resumed stream are new to the
+// caller.
 func TestEventIDs(t *testing.T) {
 	assert.Equal(t, eventID([]byte("id: 7\ndata: x\n\n")), "7")
 	assert.Equal(t, eventID([]byte("data: x\nid:8\n\n")), "8")
@@ -61,11 +61,11 @@
 		last, next string
 		want       bool
 	}{
-		{"the next", "7", "8", true},
+		{"the next number", "7", "8", true},
 		{"compared as numbers", "9", "10", true},
 		{"the same", "7", "7", false},
 		{"an earlier one", "8", "7", false},
-		{"not numbers: passed on", "a", "b", true},
+		{"not numbers: later", "a", "b", true},
 		{"the first", "", "1", true},
 	} {
 		assert.Equal(t, isLaterEvent(row.last, row.next), row.want, row.rule)
--- a/gateway/exchange_test.go
+++ b/gateway/exchange_test.go
@@ -32,9 +32,8 @@
 	"github.com/ryeford/ryeford/standin/silentconn"
 )
 
-// An exchangeTest is an exchange of a keyed request, of service s, whose endpoints are
-// the test's own. Its request came now and its caller waits for four seconds, as does
-// the route.
+// An exchangeTest is the environment of an exchange: a keyed request of service s that has just
+// arrived, with a timeout of four seconds, and the endpoints that the test lists.
 type exchangeTest struct {
 	t             testing.TB
 	forwarder     *forwarder
@@ -44,7 +43,7 @@
 	log           testLog
 }
 
-// A testLog keeps what is logged, also by what goes on after a request.
+// A testLog is a log buffer that is safe for concurrent use.
 type testLog struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -57,22 +56,21 @@
 	return l.text.Write(line)
 }
 
-// String returns what was logged.
+// String returns the logged text.
 func (l *testLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// Reset forgets what was logged.
+// Reset removes the logged text.
 func (l *testLog) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text.Reset()
 }
 
-// newExchangeTest returns an exchangeTest without endpoints, in which nothing keeps the
-// request from being sent.
+// newExchangeTest returns an exchangeTest without endpoints whose request may be sent.
 func newExchangeTest(t testing.TB) *exchangeTest {
 	e := &exchangeTest{t: t, retries: retry.WindowLimits{Span: time.Second, Reserve: 100}}
 	e.configuration = &ryeford.Configuration{
@@ -116,7 +114,7 @@
 	return e
 }
 
-// setEndpoints lists endpoints by their addresses; they are named e1, e2 and so on.
+// setEndpoints lists endpoints by their addresses. Their IDs are e1, e2 and so on.
 func (e *exchangeTest) setEndpoints(addresses ...string) {
 	update := &ryeford.EndpointUpdate{Snapshot: true, Revision: 2}
 	for i, address := range addresses {
@@ -127,12 +125,11 @@
 	e.forwarder.roster.Apply(time.Now(), update, time.Time{})
 }
 
-// serve returns the response to the request.
 func (e *exchangeTest) serve() *httptest.ResponseRecorder {
 	return e.serveRequest(e.request)
 }
 
-// serveRequest returns the response to a request. Requests may be served concurrently.
+// serveRequest returns the response to a request. It is safe for concurrent use.
 func (e *exchangeTest) serveRequest(q *request) *httptest.ResponseRecorder {
 	q.budget = retry.NewWindow(time.Now(), e.retries)
 	r := httptest.NewRequest(http.MethodGet, "/keyed/a", nil)
@@ -144,17 +141,17 @@
 	return w
 }
 
-// sends returns how many attempts began.
+// sends returns how many attempts were started.
 func (e *exchangeTest) sends() int { return strings.Count(e.log.String(), "decision=send ") }
 
-// revokeKey puts a configuration in force that lacks the request's key.
+// revokeKey applies a configuration that lacks the request's key.
 func (e *exchangeTest) revokeKey() {
 	next := *e.configuration
 	next.Version, next.Accounts = 2, []ryeford.AccountRule{}
 	e.forwarder.configuration.inForce.Put(catalog.New(&next))
 }
 
-// fill lets the endpoints of the request's service report that all their slots are taken.
+// fill makes the endpoints of the request's service report that all their slots are taken.
 func (e *exchangeTest) fill() {
 	e.forwarder.occupancy.Begin("s")
 	for range 9 {
@@ -162,7 +159,7 @@
 	}
 }
 
-// quarantine lets three endpoints have ended, one after the other, by requests like this one.
+// quarantine records that requests like this one ended three endpoints in a row.
 func (e *exchangeTest) quarantine() {
 	now := time.Now()
 	for i := range 3 {
@@ -172,15 +169,14 @@
 	}
 }
 
-// removeRoute puts a configuration in force that lacks the request's route.
+// removeRoute applies a configuration that lacks the request's route.
 func (e *exchangeTest) removeRoute() {
 	next := *e.configuration
 	next.Version, next.Routes = 2, nil
 	e.forwarder.configuration.inForce.Put(catalog.New(&next))
 }
 
-// startEndpoint starts an endpoint, before whose responses change is called, and returns
-// its address.
+// startEndpoint starts an endpoint and returns its address. It calls change before each response.
 func startEndpoint(t testing.TB, server *appserver.Server, change func()) string {
 	httpServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		change()
@@ -190,22 +186,22 @@
 	return strings.TrimPrefix(httpServer.URL, "http://")
 }
 
-// TestUnservable checks that a request that can't be served any more is answered at once:
-// nothing is sent for it, and the answer promises that it has not run.
+// TestUnservable checks that a request that can't be served any more is answered at once, is not
+// sent, and gets a response that says that it has not run.
 func TestUnservable(t *testing.T) {
 	for _, row := range []struct {
 		rule   string
 		change func(*exchangeTest)
 		status int
 		reason string
-		again  bool // a return makes sense
+		again  bool // the caller may retry
 	}{
 		{"the deadline has passed", func(e *exchangeTest) { e.request.deadline = time.Now().Add(-time.Millisecond) }, 503, "deadline", true},
 		{"its caller's deadline has passed too", func(e *exchangeTest) {
 			e.request.arrived = time.Now().Add(-time.Minute)
 			e.request.deadline = time.Now().Add(-time.Millisecond)
 		}, 503, "deadline", false},
-		{"no endpoint was ever so fast", func(e *exchangeTest) { e.forwarder.fastest.add(time.Now(), "s", time.Hour) }, 503, "deadline", true},
+		{"less time is left than the fastest response took", func(e *exchangeTest) { e.forwarder.fastest.add(time.Now(), "s", time.Hour) }, 503, "deadline", true},
 		{"the key was revoked while it waited", (*exchangeTest).revokeKey, 401, "key_taken", false},
 		{"the route was removed while it waited", (*exchangeTest).removeRoute, 404, "route_removed", false},
 		{"the configuration went stale while it waited", func(e *exchangeTest) {
@@ -213,13 +209,13 @@
 			e.forwarder.configuration.inForce.Put(e.request.catalog)
 		}, 503, "stale_configuration", true},
 		{"the service is full", (*exchangeTest).fill, 503, "overload", true},
-		{"the service is full, and the key was revoked: it would be refused for good", func(e *exchangeTest) {
+		{"the service is full, and the key was revoked: the final refusal wins", func(e *exchangeTest) {
 			e.fill()
 			e.revokeKey()
 		}, 401, "key_taken", false},
-		{"all endpoints are gone", func(e *exchangeTest) { e.setEndpoints() }, 503, "no_candidate", true},
-		{"requests like it have ended endpoints", (*exchangeTest).quarantine, 503, "quarantined", true},
-		{"the same, and the key was revoked: it would be refused for good", func(e *exchangeTest) {
+		{"no endpoint is listed", func(e *exchangeTest) { e.setEndpoints() }, 503, "no_candidate", true},
+		{"the request is quarantined", (*exchangeTest).quarantine, 503, "quarantined", true},
+		{"the request is quarantined, and the key was revoked: the final refusal wins", func(e *exchangeTest) {
 			e.quarantine()
 			e.revokeKey()
 		}, 401, "key_taken", false},
@@ -237,9 +233,9 @@
 	}
 }
 
-// TestQuarantinedAnswer checks that the caller of a held request is told when requests like it are
-// tried again, and common clients not to send it by themselves; that the promise of 503 is not given
-// once an attempt has been made; and that it counts for no one else's return.
+// TestQuarantinedAnswer checks the response to a held request: Retry-After is the end of the
+// quarantine, clients are asked not to retry automatically, 503 is not sent once an attempt was
+// made, and the refusal doesn't affect the Retry-After of other requests.
 func TestQuarantinedAnswer(t *testing.T) {
 	e := newExchangeTest(t)
 	e.setEndpoints(startEndpoint(t, &appserver.Server{ID: "e1"}, func() {}))
@@ -263,8 +259,8 @@
 	assert.Equal(t, e.sends(), 1)
 }
 
-// TestUnservableBetweenAttempts checks that a request whose key is revoked, or whose route
-// is removed, during an attempt that an endpoint refuses is sent nowhere else.
+// TestUnservableBetweenAttempts checks that a request is not retried if its key is revoked or its
+// route is removed during an attempt that an endpoint refuses.
 func TestUnservableBetweenAttempts(t *testing.T) {
 	for name, row := range map[string]struct {
 		change func(*exchangeTest)
@@ -288,27 +284,26 @@
 	}
 }
 
-// TestUnusableEndpoints checks that a request walks to all endpoints that can't be
-// reached only if that is not known of them; else one attempt is made, in case one is
-// back. Its caller comes back when an ejection ends, if it still waits then.
+// TestUnusableEndpoints checks that a request tries all unreachable endpoints only if they are not
+// ejected yet. Otherwise one attempt is made, and the Retry-After is the end of an ejection.
 func TestUnusableEndpoints(t *testing.T) {
 	e := newExchangeTest(t)
 	e.setEndpoints(freeport.Next().String(), freeport.Next().String(), freeport.Next().String())
 	assert.Equal(t, e.serve().Code, 503)
-	assert.Equal(t, e.sends(), 3, "not known yet")
+	assert.Equal(t, e.sends(), 3, "no endpoint is ejected yet")
 	e.log.Reset()
 	e.request.meta.Timeout = time.Minute
 	w := e.serve()
 	assert.Equal(t, w.Code, 503)
-	assert.Equal(t, e.sends(), 1, "known")
+	assert.Equal(t, e.sends(), 1, "all endpoints are ejected")
 	seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 	assert.NilError(t, err)
 	ejected := e.forwarder.unavailableFor(time.Now(), "s")
 	assert.Assert(t, time.Duration(seconds*float64(time.Second)) >= ejected-time.Millisecond, "%v, ejected for %v", seconds, ejected)
 }
 
-// TestUnlistedEndpoints checks that a caller comes back later if no endpoint of the service
-// is listed than if one is and was tried.
+// TestUnlistedEndpoints checks that the Retry-After is longer if no endpoint of the service is
+// listed than if a listed one refused the request.
 func TestUnlistedEndpoints(t *testing.T) {
 	full := &appserver.Server{ID: "e1"}
 	full.SetFault(appserver.FaultShed, -1)
@@ -322,24 +317,24 @@
 		t.Run(name, func(t *testing.T) {
 			e := newExchangeTest(t)
 			e.setEndpoints(row.addresses...)
-			e.request.meta.Timeout = 10 * time.Second // so that the bands are apart: 0.15 to 0.72 s, and from 1 s
+			e.request.meta.Timeout = 10 * time.Second // keeps the Retry-After ranges apart: 0.15 to 0.72 s, and from 1 s
 			w := e.serve()
 			assert.Equal(t, w.Code, 503)
 			seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 			assert.NilError(t, err)
-			returns := time.Duration(seconds * float64(time.Second))
-			assert.Assert(t, returns >= row.earliest, "%v", returns)
-			assert.Assert(t, row.earliest == time.Second || returns < time.Second, "%v", returns)
+			retryAfter := time.Duration(seconds * float64(time.Second))
+			assert.Assert(t, retryAfter >= row.earliest, "%v", retryAfter)
+			assert.Assert(t, row.earliest == time.Second || retryAfter < time.Second, "%v", retryAfter)
 		})
 	}
 }
 
-// TestLateWithoutBudget checks that an attempt that is late is not given up if the retry
-// budget allows no other one: its response is the only one that can come.
-func TestLateWithoutBudget(t *testing.T) {
+// TestPerTryTimeoutWithoutBudget checks that the per-try timeout ends no attempt if the retry
+// budget allows no retry: the late response is the only one that can arrive.
+func TestPerTryTimeoutWithoutBudget(t *testing.T) {
 	for name, row := range map[string]struct {
 		reserve float64
-		runs    int // at both endpoints
+		runs    int // attempts at both endpoints together
 	}{
 		"without budget": {0, 1},
 		"with budget":    {100, 2},
@@ -362,13 +357,13 @@
 	}
 }
 
-// TestIsFull checks when an endpoint that refuses a request counts as full: not if it is not
-// known how many it runs at once.
+// TestIsFull checks when an endpoint that refuses a request counts as full. It does not if its
+// number of slots is unknown.
 func TestIsFull(t *testing.T) {
 	for _, row := range []struct {
 		slots int
 		load  *ryeford.EndpointLoad
-		own   int // this router's requests there
+		local int // this router's requests at the endpoint
 		want  bool
 	}{
 		{8, &ryeford.EndpointLoad{Running: 6, Waiting: 2}, 0, true},
@@ -380,7 +375,7 @@
 	} {
 		e := newExchangeTest(t)
 		to := &roster.Entry{Endpoint: ryeford.Endpoint{ID: "e1", Slots: row.slots}}
-		for range row.own {
+		for range row.local {
 			e.forwarder.loads.Begin("e1", "plain")
 		}
 		x := &exchange{forwarder: e.forwarder}
@@ -389,10 +384,9 @@
 	}
 }
 
-// TestSilentConnections checks that an endpoint whose open connections have all gone silent,
-// without a reset, while new ones work, costs one request its time, and not one for each of its
-// idle connections.
-func TestSilentConnections(t *testing.T) {
+// TestDeadConnections checks that if all open connections to an endpoint are dead without a reset,
+// one request at most times out, and not one for each idle connection.
+func TestDeadConnections(t *testing.T) {
 	const idle = 4
 	e := newExchangeTest(t)
 	server := &appserver.Server{ID: "e1"}
@@ -410,7 +404,7 @@
 		group.Go(func() { assert.Check(t, send() == http.StatusOK) })
 	}
 	group.Wait()
-	assert.Equal(t, send(), http.StatusGatewayTimeout, "its connection is silent")
+	assert.Equal(t, send(), http.StatusGatewayTimeout, "the connection is dead")
 	for range idle {
 		assert.Equal(t, send(), http.StatusOK)
 	}
--- a/gateway/fastest_test.go
+++ b/gateway/fastest_test.go
@@ -7,12 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFastest checks that the least time of a service's responses counts for at least a
-// window, and for at most two.
-func TestFastest(t *testing.T) {
+// TestMinResponseTimes checks that a response time counts for at least one window and at most two.
+func TestMinResponseTimes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := newFastest()
-	assert.Equal(t, f.get(now, "s"), time.Duration(0), "none is known")
+	assert.Equal(t, f.get(now, "s"), time.Duration(0), "no response")
 	f.add(now, "s", 30*time.Millisecond)
 	f.add(now, "s", 20*time.Millisecond)
 	f.add(now, "s", 40*time.Millisecond)
@@ -24,5 +23,5 @@
 	now = now.Add(minResponseTimesWindow)
 	assert.Equal(t, f.get(now, "s"), 25*time.Millisecond, "the first window is over")
 	now = now.Add(2 * minResponseTimesWindow)
-	assert.Equal(t, f.get(now, "s"), time.Duration(0), "no response lately")
+	assert.Equal(t, f.get(now, "s"), time.Duration(0), "no recent response")
 }
--- a/gateway/fleetload_test.go
+++ b/gateway/fleetload_test.go
@@ -21,35 +21,35 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// A simulated fleet: routers that know each other's loads by gossip alone, and engines on
-// which one prompt becomes hot. Time is simulated, and all is drawn from a seed.
+// A simulated fleet: routers that exchange their loads by gossip only, and engines on which one prompt
+// becomes hot. Time is simulated, and all random values come from a seed.
 const (
-	simulatedRate     = 12.3 // requests a second and router
-	simulatedEngines  = 1.75 // engines for each router
-	simulatedSlots    = 48
-	simulatedPrompts  = 18   // prompts for each router
-	simulatedHotShare = 0.16 // part of the requests that have the hot prompt
-	simulatedCap      = 2    // times the mean, and
-	simulatedCapMargin = 3    // requests more, is the bound of the operators
-	simulatedWarmUp   = 2 * time.Second
-	simulatedLength   = 4 * time.Second // from the onset of the hot prompt on
-	simulatedDelay    = time.Millisecond
-	simulatedFirst    = 20 * time.Millisecond // until a response begins
+	simulatedRate      = 12.3 // requests per second and router
+	simulatedEngines   = 1.75 // engines per router
+	simulatedSlots     = 48
+	simulatedPrompts   = 18   // prompts per router
+	simulatedHotShare  = 0.16 // fraction of the requests that have the hot prompt
+	simulatedCap       = 2    // the operators' load bound is this multiple of the mean load
+	simulatedCapMargin = 3    // plus this number of requests
+	simulatedWarmUp    = 2 * time.Second
+	simulatedLength    = 4 * time.Second // from the onset of the hot prompt
+	simulatedDelay     = time.Millisecond
+	simulatedFirst     = 20 * time.Millisecond // from sending to the start of the response
 )
 
-// simulatedDurations are how long requests take, with their shares.
+// simulatedDurations are how long requests take, with the fraction of requests for each.
 var simulatedDurations = []struct {
 	share float64
-	mean time.Duration
+	mean  time.Duration
 }{{0.4, 400 * time.Millisecond}, {0.3, 150 * time.Millisecond}, {0.3, 1700 * time.Millisecond}}
 
-// A fleetEvent is something that happens in a simulated fleet.
+// A fleetEvent is a scheduled event of a simulated fleet.
 type fleetEvent struct {
 	at time.Time
 	do func(now time.Time)
 }
 
-// A fleetEvents is a heap of events by time.
+// A fleetEvents is a heap of events ordered by time.
 type fleetEvents []fleetEvent
 
 func (e fleetEvents) Len() int           { return len(e) }
@@ -71,10 +71,10 @@
 	*balancer
 	gossip   *gossip
 	schedule *peers.Schedule
-	sent     int // bytes
+	sent     int // number of bytes sent
 }
 
-// A simulatedFleet is routers before engines.
+// A simulatedFleet is a set of routers that send requests to the same engines.
 type simulatedFleet struct {
 	random    *rand.Rand
 	began     time.Time
@@ -82,36 +82,36 @@
 	routers   []*simulatedRouter
 	byAddress map[netip.AddrPort]*simulatedRouter
 	ids       []ryeford.EndpointID
-	load     map[ryeford.EndpointID]int // requests under way
+	load      map[ryeford.EndpointID]int // actual number of requests in flight
 	inFlight  int
 
-	hotShare    float64 // part of the requests that have the hot prompt
-	sent, aboveBound int     // requests since the onset, and those to engines above the bound
-	spilled       int     // of those sent, the ones that did not go to the first engine by affinity
-	errors      errorSums
-	shedding       *shedding    // nil if none
-	leavings    *leavings // nil if none
+	hotShare         float64 // fraction of the requests that have the hot prompt
+	sent, aboveBound int     // requests since the onset, and those of them sent to engines above the bound
+	spilled          int     // those of sent that did not go to the first engine by affinity
+	errors           errorSums
+	shedding         *shedding // nil without
+	leavings         *leavings // nil without
 }
 
-// errorSums are the errors of the routers' estimates of the engines' loads.
+// errorSums are the sums from which the error of the routers' load estimates is computed.
 type errorSums struct {
-	n             int
+	n                  int
 	load, squaredError float64
 }
 
-// relative returns the root mean square error as a part of the mean load.
+// relative returns the root mean square error as a fraction of the mean load.
 func (s *errorSums) relative() float64 {
 	return math.Sqrt(s.squaredError/float64(s.n)) / (s.load / float64(s.n))
 }
 
-// newSimulatedFleet returns a fleet of so many routers that know each other.
+// newSimulatedFleet returns a fleet of the given number of routers, all of which are peers.
 func newSimulatedFleet(routers int, hotShare float64, seed uint64) *simulatedFleet {
 	f := &simulatedFleet{
 		hotShare:  hotShare,
 		random:    rand.New(rand.NewPCG(seed, 1)),
 		began:     time.Unix(1000, 0),
 		byAddress: make(map[netip.AddrPort]*simulatedRouter),
-		load:     make(map[ryeford.EndpointID]int),
+		load:      make(map[ryeford.EndpointID]int),
 	}
 	update := &ryeford.EndpointUpdate{Snapshot: true, Revision: 1}
 	for i := range int(simulatedEngines * float64(routers)) {
@@ -148,7 +148,7 @@
 	heap.Push(&f.events, fleetEvent{at: at, do: do})
 }
 
-// run plays the fleet for so long.
+// run simulates the fleet for the given duration.
 func (f *simulatedFleet) run(length time.Duration) {
 	end := f.began.Add(length)
 	for f.events.Len() > 0 && f.events[0].at.Before(end) {
@@ -157,7 +157,7 @@
 	}
 }
 
-// sendGossip sends a router's messages, and arranges for the next ones.
+// sendGossip sends a router's messages and schedules the next ones.
 func (f *simulatedFleet) sendGossip(now time.Time, r *simulatedRouter, sequence uint64) {
 	alive := r.peers.Alive(now)
 	whole, brief := r.schedule.Next(now, alive)
@@ -171,7 +171,7 @@
 	f.at(now.Add(peers.Interval), func(now time.Time) { f.sendGossip(now, r, sequence+1) })
 }
 
-// sendTo sends a message to some peers.
+// sendTo sends a message to the targets.
 func (f *simulatedFleet) sendTo(now time.Time, r *simulatedRouter, message *peers.Message, targets []netip.AddrPort) {
 	content, err := cbor.Marshal(message)
 	if err != nil {
@@ -185,7 +185,7 @@
 	}
 }
 
-// handleArrival sends a request, and arranges for the next one.
+// handleArrival sends a request from a random router and schedules the next arrival.
 func (f *simulatedFleet) handleArrival(now time.Time) {
 	f.send(now, f.routers[f.random.IntN(len(f.routers))])
 	rate := simulatedRate * float64(len(f.routers))
@@ -194,10 +194,10 @@
 
 // send sends a request to the engine that a router chooses.
 func (f *simulatedFleet) send(now time.Time, r *simulatedRouter) {
-	prompt, takes := uint64(1+f.random.IntN(simulatedPrompts*len(f.routers))), f.drawDuration()
+	prompt, duration := uint64(1+f.random.IntN(simulatedPrompts*len(f.routers))), f.drawDuration()
 	onset := now.Sub(f.began) >= simulatedWarmUp
 	if onset && f.random.Float64() < f.hotShare {
-		prompt, takes = 0, simulatedDurations[2].mean
+		prompt, duration = 0, simulatedDurations[2].mean
 	}
 	parts := []ryeford.PromptPart{{ID: 1 << 40, Tokens: 300}, {ID: 1<<41 + prompt, Tokens: 2000}}
 	query := &endpointQuery{service: "s", shared: parts, affinity: route.KeyHash(parts[1].ID), tried: make(map[ryeford.EndpointID]bool)}
@@ -229,7 +229,7 @@
 		r.prefixes.Add(now, to.ID, parts)
 		r.gossip.addPrompt(to.ID, parts, home)
 	})
-	f.at(now.Add(takes), func(time.Time) {
+	f.at(now.Add(duration), func(time.Time) {
 		r.loads.End(to.ID)
 		r.loads.EndPrompt(route.KeyHash(parts[1].ID))
 		f.load[to.ID]--
@@ -237,7 +237,7 @@
 	})
 }
 
-// drawDuration draws how long a request drawDuration.
+// drawDuration draws how long a request takes.
 func (f *simulatedFleet) drawDuration() time.Duration {
 	drawn := f.random.Float64()
 	for _, kind := range simulatedDurations {
@@ -250,7 +250,7 @@
 
 func (f *simulatedFleet) mean() float64 { return float64(f.inFlight) / float64(len(f.ids)) }
 
-// observe compares what a few routers estimate with the truth, every now and then.
+// observe periodically compares the load estimates of a few routers with the actual loads.
 func (f *simulatedFleet) observe(now time.Time) {
 	for _, r := range f.routers[:min(3, len(f.routers))] {
 		for id, load := range f.estimates(now, r) {
@@ -263,7 +263,7 @@
 	f.at(now.Add(200*time.Millisecond), f.observe)
 }
 
-// estimates returns what a router takes for the loads of the engines.
+// estimates returns a router's load estimates by engine.
 func (f *simulatedFleet) estimates(now time.Time, r *simulatedRouter) map[ryeford.EndpointID]float64 {
 	estimates := make(map[ryeford.EndpointID]float64)
 	entries := r.roster.Serving("s")
@@ -273,18 +273,15 @@
 	return estimates
 }
 
-// TestFleetLoads plays a prompt that becomes hot, and days without one, on fleets of several
-// sizes: how far the routers' estimates of the engines' loads are from the truth, and which part
-// of the requests goes to engines above the operators' bound. Before endpoints' reports were passed
-// on and prompts in demand were spread, the errors were 0.16, 0.60, 1.32 and 2.48 of the mean load,
-// and the parts above the bound 0.00, 0.09, 0.13 and 0.15 with the hot prompt, over 5 s. Which peers
-// a message goes to is drawn anew in each run, so the bounds lie above what runs have given; the
-// largest fleet is played for the first 2 s of the hot prompt only, in which most of it falls.
+// TestFleetLoads guards against load estimates that are too far from the actual loads, and against too
+// many requests to engines above the operators' bound, with and without a hot prompt. Message targets are
+// random, so the limits leave a margin. The largest fleet is simulated for a shorter time, because it
+// takes the longest by far.
 func TestFleetLoads(t *testing.T) {
 	for _, test := range []struct {
 		routers      int
 		hotShare     float64
-		error, above float64 // bounds: of the mean load, and of the requests
+		error, above float64 // upper limits: relative to the mean load, and as a fraction of the requests
 	}{
 		{4, 0, 0.3, 0.005}, {4, simulatedHotShare, 0.3, 0.01},
 		{26, 0, 0.55, 0.015}, {26, simulatedHotShare, 0.55, 0.045},
@@ -294,22 +291,22 @@
 		f := newSimulatedFleet(test.routers, test.hotShare, 1)
 		length := simulatedWarmUp + simulatedLength
 		if test.routers > 200 {
-			length = simulatedWarmUp + simulatedLength/2 // it takes the longest by far
+			length = simulatedWarmUp + simulatedLength/2
 		}
 		f.run(length)
 		sent := 0
 		for _, r := range f.routers {
 			sent += r.sent
 		}
-		t.Logf("%3d routers, hot prompt %.2f: error %.2f of the mean load, %.3f of %d requests above the bound, %.3f not to the first engine, %.0f bytes a second and router, %d peers alive",
+		t.Logf("%3d routers, hot prompt %.2f: error %.2f of the mean load, %.3f of %d requests above the bound, %.3f not to the first engine, %.0f bytes per second and router, %d live peers",
 			test.routers, test.hotShare, f.errors.relative(), float64(f.aboveBound)/float64(f.sent), f.sent, float64(f.spilled)/float64(f.sent), float64(sent)/length.Seconds()/float64(test.routers), f.routers[0].peers.Alive(f.began.Add(length)))
 		assert.Check(t, f.errors.relative() < test.error, "%d routers", test.routers)
 		assert.Check(t, float64(f.aboveBound) < test.above*float64(f.sent), "%d routers", test.routers)
 	}
 }
 
-// evacuate makes all routers learn at the onset that a failure domain is evacuated, with a third of
-// the engines.
+// evacuate notifies all routers, at the onset, of the evacuation of a failure domain with a third of the
+// engines.
 func (f *simulatedFleet) evacuate() {
 	orders := ryeford.Evacuations{Revision: 2, Orders: []ryeford.Evacuation{{FailureDomain: "a", State: 2}}}
 	f.at(f.began.Add(simulatedWarmUp), func(now time.Time) {
@@ -319,10 +316,8 @@
 	})
 }
 
-// TestFleetLoadsEvacuated plays a prompt that becomes hot as a third of the engines are evacuated:
-// the bound is that of the mean load of all engines, of which those have none. While they were taken
-// to have the mean of the others, the error was 0.52 to 0.56 of the mean load, now 0.43 to 0.45, and
-// the part above the bound 0.029 to 0.048, now 0.026 to 0.041.
+// TestFleetLoadsEvacuated guards against wrong estimates and exceeded bounds when a prompt becomes hot while
+// a third of the engines are evacuated. The bound follows the mean load of all engines, including those.
 func TestFleetLoadsEvacuated(t *testing.T) {
 	f := newSimulatedFleet(26, simulatedHotShare, 1)
 	f.evacuate()
--- a/gateway/fleetrest_test.go
+++ b/gateway/fleetrest_test.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	simulatedBackOff  = time.Second             // that each refusal asks for
-	simulatedShedTime = 1500 * time.Millisecond // for so long engines turn all away, from the onset on
-	simulatedSlice = 100 * time.Millisecond
+	simulatedBackOff  = time.Second             // Retry-After of each refusal
+	simulatedShedTime = 1500 * time.Millisecond // how long engines refuse all requests, from the onset
+	simulatedSlice    = 100 * time.Millisecond
 )
 
-// shedding is a third of the engines of a simulated fleet that turn all away for a time and ask for rest, and
-// what comes to them.
+// A shedding is a third of the engines of a simulated fleet that refuse all requests for a time with a
+// Retry-After, and the requests that they receive.
 type shedding struct {
 	began, ended time.Time
-	backOff         time.Duration
+	backOff      time.Duration
 	ids          map[ryeford.EndpointID]bool
-	// backOffEnds are until when each engine has asked each router for rest.
-	backOffEnds     map[*simulatedRouter]map[ryeford.EndpointID]time.Time
-	duringBackOff   int // requests within a rest that came half a second after it was asked for, or later
-	refused  int
-	arrivals map[ryeford.EndpointID]map[time.Duration]int // in each slice after the sheds
-	recovered     map[ryeford.EndpointID]time.Time             // since when an engine has its share again
+	// backOffEnds are the ends of each engine's back-off at each router.
+	backOffEnds   map[*simulatedRouter]map[ryeford.EndpointID]time.Time
+	duringBackOff int // requests during a back-off, later than half of simulatedFirst after its start
+	refused       int
+	arrivals      map[ryeford.EndpointID]map[time.Duration]int // requests in each slice after the shedding ended
+	recovered     map[ryeford.EndpointID]time.Time             // when an engine first had its share of the load again
 }
 
-// shed makes a third of the engines turn all away from the onset on.
-func (f *simulatedFleet) shed(length, rest time.Duration) *shedding {
+// shed makes a third of the engines refuse all requests from the onset.
+func (f *simulatedFleet) shed(length, backOff time.Duration) *shedding {
 	s := &shedding{
-		began: f.began.Add(simulatedWarmUp), ended: f.began.Add(simulatedWarmUp + length), backOff: rest,
-		ids:      make(map[ryeford.EndpointID]bool),
-		backOffEnds:     make(map[*simulatedRouter]map[ryeford.EndpointID]time.Time),
-		arrivals: make(map[ryeford.EndpointID]map[time.Duration]int),
-		recovered:     make(map[ryeford.EndpointID]time.Time),
+		began: f.began.Add(simulatedWarmUp), ended: f.began.Add(simulatedWarmUp + length), backOff: backOff,
+		ids:         make(map[ryeford.EndpointID]bool),
+		backOffEnds: make(map[*simulatedRouter]map[ryeford.EndpointID]time.Time),
+		arrivals:    make(map[ryeford.EndpointID]map[time.Duration]int),
+		recovered:   make(map[ryeford.EndpointID]time.Time),
 	}
 	for i, id := range f.ids {
 		if i%3 == 0 {
@@ -53,7 +53,7 @@
 	return s
 }
 
-// receive counts a request at an engine, and reports whether it is turned away.
+// receive counts a request at an engine and reports whether it is refused.
 func (s *shedding) receive(f *simulatedFleet, now time.Time, r *simulatedRouter, id ryeford.EndpointID) bool {
 	if s == nil || !s.ids[id] || now.Before(s.began) {
 		return false
@@ -74,18 +74,19 @@
 	return false
 }
 
-// maxArrivals returns the maxArrivals requests of any engine in a slice after the sheds.
+// maxArrivals returns the maximum number of requests of an engine in a slice after the shedding ended.
 func (s *shedding) maxArrivals() int {
-	most := 0
+	arrivals := 0
 	for _, slices := range s.arrivals {
 		for _, n := range slices {
-			most = max(most, n)
+			arrivals = max(arrivals, n)
 		}
 	}
-	return most
+	return arrivals
 }
 
-// recoveryTime returns how long after the sheds half of the engines have their share again.
+// recoveryTime returns how long after the shedding half of the engines had their share of the load again,
+// or -1 if they didn't.
 func (s *shedding) recoveryTime() time.Duration {
 	times := slices.SortedFunc(maps.Values(s.recovered), time.Time.Compare)
 	if len(times) < (len(s.ids)+1)/2 {
@@ -94,11 +95,11 @@
 	return times[(len(s.ids)-1)/2].Sub(s.ended)
 }
 
-// largeFleetsVariable, if it is set, has the fleets of 390 routers played too, which takes minutes with the
-// race detector.
+// largeFleetsVariable is the environment variable that enables simulations of 390 routers, which take
+// minutes with the race detector.
 const largeFleetsVariable = "RYEFORD_LARGE_FLEETS"
 
-// fleetSizes returns of how many routers fleets are played.
+// fleetSizes returns the numbers of routers for which fleets are simulated.
 func fleetSizes() []int {
 	sizes := []int{4, 27, 103}
 	if os.Getenv(largeFleetsVariable) != "" {
@@ -107,22 +108,20 @@
 	return sizes
 }
 
-// maxBurst is how many requests of all routers may reach an engine in 100 ms after its rest: the part of
-// its slots that the load bound would let it have at once at the mean load.
+// maxBurst is how many requests of all routers an engine may receive in 100 ms after its back-off: the
+// fraction of its slots that the load bound allows at the mean load.
 const maxBurst = simulatedSlots / 4
 
-// TestFleetRests plays a third of the engines turning all away and asking for rest, on fleets of several
-// sizes: no request reaches an engine within a rest, and all that waited doesn't come to it in one burst. How
-// many are refused, and how the engines get their share back, is printed. A first request as a trial after
-// each rest, and rests that are longer by a drawn quarter, were played against that: see the page of decisions.
-func TestFleetRests(t *testing.T) {
+// TestFleetBackOff guards against requests to engines that are backing off, and against a burst of requests
+// when the back-off ends, for fleets of several sizes.
+func TestFleetBackOff(t *testing.T) {
 	t.Parallel()
 	for _, routers := range fleetSizes() {
 		f := newSimulatedFleet(routers, 0, 1)
 		s := f.shed(simulatedShedTime, simulatedBackOff)
 		f.run(simulatedWarmUp + simulatedShedTime + 2500*time.Millisecond)
 		share := simulatedRate / simulatedEngines * simulatedSlice.Seconds()
-		t.Logf("%3d routers: %d of %d requests refused, %d within a rest, at most %d in 100 ms at an engine (its share is %.1f), half have it again after %s",
+		t.Logf("%3d routers: %d of %d requests refused, %d during a back-off, at most %d in 100 ms at an engine (its share is %.1f), half have their share again after %s",
 			routers, s.refused, f.sent, s.duringBackOff, s.maxArrivals(), share, s.recoveryTime())
 		assert.Check(t, s.duringBackOff == 0)
 		assert.Check(t, s.maxArrivals() <= maxBurst)
--- a/gateway/handler_test.go
+++ b/gateway/handler_test.go
@@ -19,9 +19,9 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// newRefusingHandler returns a handler that knows a configuration with a public and a
-// keyed route, and a list without endpoints, and logs to b. Its forwarder lacks
-// what exchanges need: it can only refuse. Its configuration is stale.
+// newRefusingHandler returns a handler that logs to b and can only refuse requests, because its
+// forwarder lacks what exchanges need. It has a stale configuration with a public and a keyed
+// route, and an empty endpoint list.
 func newRefusingHandler(b *strings.Builder) *handler {
 	h := &handler{
 		forwarder: &forwarder{
@@ -50,8 +50,8 @@
 	return h
 }
 
-// TestRefusals checks the response to a request that is refused, its line in the log,
-// and that it no longer counts as in flight.
+// TestRefusals guards against a wrong status, header or log line for a refused request, and
+// against one that stays counted as in flight.
 func TestRefusals(t *testing.T) {
 	fresh := func(h *handler) { h.configuration.lease.RenewRead(time.Now(), time.Now(), 0) }
 	stop := func(h *handler) {
@@ -68,7 +68,7 @@
 		body   string
 		status int
 		reason string
-		closes bool // the connection
+		closes bool // the connection is closed
 	}{
 		{"no configuration", func(h *handler) { h.configuration = newConfiguration(configurationOptions{}) }, "/keyed/a", "key", "", 503, "not_ready", false},
 		{"no list of endpoints", func(h *handler) { h.roster = roster.New() }, "/keyed/a", "key", "", 503, "not_ready", false},
--- a/gateway/hindrance_test.go
+++ b/gateway/hindrance_test.go
@@ -9,30 +9,30 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestHindrance checks why an endpoint may be sent nothing, by what is known of it; that each reason bars it
-// from choices; and that an endpoint that leaves is a candidate only as a holder of prompts.
-func TestHindrance(t *testing.T) {
+// TestExclusionReason checks each exclusion reason, that it excludes the endpoint from choices, and that an
+// endpoint that is leaving is a candidate only as a source of cached prompts.
+func TestExclusionReason(t *testing.T) {
 	now := time.Unix(1000, 0)
 	evacuated := ryeford.Evacuations{Revision: 2, Orders: []ryeford.Evacuation{{FailureDomain: "d", State: 2}}}
 	for _, test := range []struct {
 		name   string
 		change func(b *balancer)
 		want   ryeford.Reason
-		barred exclusionCounts
+		counts exclusionCounts
 	}{
-		{"nothing", func(*balancer) {}, "", exclusionCounts{}},
-		{"its entry is gone", func(b *balancer) {
+		{"no reason", func(*balancer) {}, "", exclusionCounts{}},
+		{"it is not listed any more", func(b *balancer) {
 			b.roster.Apply(now, &ryeford.EndpointUpdate{Revision: 3, Removed: []ryeford.EndpointID{"x"}}, time.Time{})
 		}, ryeford.ReasonLeaving, exclusionCounts{}},
-		{"its entry drains", func(b *balancer) {
+		{"it is listed as draining", func(b *balancer) {
 			x := *b.roster.Entry("x")
 			x.State = ryeford.EndpointDraining
 			b.roster.Apply(now, &ryeford.EndpointUpdate{Revision: 3, Present: []ryeford.Endpoint{x.Endpoint}}, time.Time{})
 		}, ryeford.ReasonLeaving, exclusionCounts{}},
-		{"it has said that it leaves", func(b *balancer) { b.roster.Leave(now, "x") }, ryeford.ReasonLeaving, exclusionCounts{}},
+		{"it reported that it is leaving", func(b *balancer) { b.roster.Leave(now, "x") }, ryeford.ReasonLeaving, exclusionCounts{}},
 		{"its failure domain is evacuated", func(b *balancer) { b.roster.SetEvacuated(now, evacuated) }, ryeford.ReasonEvacuated, exclusionCounts{evacuated: 1}},
-		{"it has asked for rest", func(b *balancer) { b.rests.Ask(now, "x", time.Second) }, ryeford.ReasonResting, exclusionCounts{backingOff: 1}},
-		{"it rests, and leaves", func(b *balancer) {
+		{"it is backing off", func(b *balancer) { b.rests.Ask(now, "x", time.Second) }, ryeford.ReasonResting, exclusionCounts{backingOff: 1}},
+		{"it is backing off and leaving", func(b *balancer) {
 			b.rests.Ask(now, "x", time.Second)
 			b.roster.Leave(now, "x")
 		}, ryeford.ReasonLeaving, exclusionCounts{}},
@@ -44,7 +44,7 @@
 			assert.Equal(t, b.exclusionReason(now, b.roster.Entry("x")), test.want)
 			chosen := b.choose(now, &endpointQuery{service: "other"})
 			assert.Equal(t, chosen.to != nil, test.want == "")
-			assert.Equal(t, chosen.excluded, test.barred)
+			assert.Equal(t, chosen.excluded, test.counts)
 		})
 	}
 }
--- a/gateway/panic_test.go
+++ b/gateway/panic_test.go
@@ -12,25 +12,26 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// A panickingProtocol is a protocol with a fault that a request brings out.
+// A panickingProtocol is a protocol that panics while a request is forwarded.
 type panickingProtocol struct{ platform.Protocol }
 
 // ForwardHeader implements ryeford.Protocol.
-func (panickingProtocol) ForwardHeader(http.Header, *ryeford.ForwardMeta) http.Header { panic("a fault") }
+func (panickingProtocol) ForwardHeader(http.Header, *ryeford.ForwardMeta) http.Header {
+	panic("test panic")
+}
 
-// A panic while a request is sent ends that request: net/http recovers it. What the router counts of requests
-// under way has to end with it, too: the endpoint counted as silent from a second later on, whenever it had
-// answered nothing else meanwhile, and was left out.
+// net/http recovers a panic on the request path, so the counters of requests in flight must be
+// restored: an endpoint would otherwise count as unresponsive and get no requests.
 
-// TestPanic checks that a request whose path panics leaves nothing behind: no load, no request that waits for a
-// response.
+// TestPanic checks that a request whose request path panics leaves no load and no pending request
+// behind.
 func TestPanic(t *testing.T) {
 	e := newExchangeTest(t)
 	e.setEndpoints(startEndpoint(t, &appserver.Server{ID: "e1"}, func() {}))
 	protocol := e.forwarder.protocol
 	e.forwarder.protocol = panickingProtocol{}
 	func() {
-		defer func() { assert.Equal(t, recover(), "a fault") }()
+		defer func() { assert.Equal(t, recover(), "test panic") }()
 		e.serve()
 	}()
 	e.forwarder.protocol = protocol
--- a/gateway/recordingendpoint_test.go
+++ b/gateway/recordingendpoint_test.go
@@ -11,14 +11,14 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// A recordingEndpoint is an endpoint that keeps the requests that have come.
+// A recordingEndpoint is an endpoint that records the requests that it receives.
 type recordingEndpoint struct {
 	*appserver.Server
 
-	mu       sync.Mutex
-	received []receivedRequest
-	running  int // requests that are running
-	connections   int // connections
+	mu          sync.Mutex
+	received    []receivedRequest
+	running     int // number of requests that are running
+	connections int // number of connections that were opened
 }
 
 // Connections returns how many connections were opened.
@@ -28,7 +28,7 @@
 	return e.connections
 }
 
-// recordConnection is an http.Server's ConnState.
+// recordConnection implements the ConnState hook of an http.Server.
 func (e *recordingEndpoint) recordConnection(_ net.Conn, state http.ConnState) {
 	if state != http.StateNew {
 		return
@@ -38,7 +38,7 @@
 	e.connections++
 }
 
-// A receivedRequest is a request as the endpoint got it.
+// A receivedRequest is a request as the endpoint received it.
 type receivedRequest struct {
 	Method string
 	Target string
@@ -50,7 +50,7 @@
 func (e *recordingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the caller's connection broke: there is nobody to answer
+		return // the connection is closed: no response can be sent
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	e.begin(receivedRequest{
@@ -76,7 +76,7 @@
 	e.running--
 }
 
-// Received returns the requests that have come, in order.
+// Received returns the received requests in order.
 func (e *recordingEndpoint) Received() []receivedRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/gateway/refusals_test.go
+++ b/gateway/refusals_test.go
@@ -9,8 +9,8 @@
 	"github.com/ryeford/ryeford/gateway/giveup"
 )
 
-// TestRefusalCounts checks that refusals and answers count for at least a window, and for at
-// most two, each for its service; and that a failure that is no refusal doesn't count.
+// TestRefusalCounts checks that refusals and answers count by service, for at least one window and
+// at most two, and that other failures don't count.
 func TestRefusalCounts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newRefusals()
--- a/gateway/reply_test.go
+++ b/gateway/reply_test.go
@@ -12,17 +12,17 @@
 	"github.com/ryeford/ryeford/platform/wire"
 )
 
-// A reply is an answer as a caller got it.
+// A reply is a response as the caller received it.
 type reply struct {
 	id     string
 	status int
 	header http.Header
 	body   string
-	close  bool  // the connection ends after the response
-	err    error // the body broke off
+	close  bool  // the connection is closed after the response
+	err    error // the request failed or the body was truncated
 }
 
-// request returns a request of a caller, with a key unless that is empty.
+// request returns a caller's request, with a key unless key is empty.
 func (f *fixture) request(method, path, key, body string) *http.Request {
 	f.t.Helper()
 	var reader io.Reader
@@ -41,7 +41,7 @@
 	return request
 }
 
-// do sends a request and reads its answer.
+// do sends a request and reads its response.
 func (f *fixture) do(request *http.Request) reply {
 	f.t.Helper()
 	id := request.Header.Get(wire.HeaderRequestID)
@@ -60,7 +60,7 @@
 	return f.do(f.request(method, path, "key-1", ""))
 }
 
-// runs returns how often a request has run at all endpoints together.
+// runs returns how many times a request has run at all endpoints together.
 func (f *fixture) runs(id string) int {
 	n := 0
 	for _, server := range f.endpoints {
@@ -69,7 +69,7 @@
 	return n
 }
 
-// events returns the whole stream of n events.
+// events returns a complete stream of n events.
 func events(n int) string {
 	var b bytes.Buffer
 	for i := 1; i <= n; i++ {
--- a/gateway/request_test.go
+++ b/gateway/request_test.go
@@ -9,8 +9,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestSetDeadline checks which of the caller's and the route's timeouts sets a request's
-// deadline.
+// TestSetDeadline checks that the shorter of the caller's and the route's timeouts applies.
 func TestSetDeadline(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	for _, row := range []struct {
@@ -36,7 +35,7 @@
 	}
 }
 
-// TestPickService checks that services get requests by their weights.
+// TestPickService checks that services get requests in proportion to their weights.
 func TestPickService(t *testing.T) {
 	split := []ryeford.WeightedService{{Service: "a", Weight: 3}, {Service: "off", Weight: 0}, {Service: "b", Weight: 1}}
 	picked := make(map[string]int)
--- a/gateway/restsend_test.go
+++ b/gateway/restsend_test.go
@@ -16,12 +16,11 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// TestHindranceBeforeFirstByte checks that a request which was chosen for an endpoint before that asked for rest,
-// said that it leaves, or was evacuated, is not sent to it, goes to another one at no cost, and counts as no
-// failure of the endpoint.
-func TestHindranceBeforeFirstByte(t *testing.T) {
-	evacuated := ryeford.Evacuations{Revision: 2, Orders: []ryeford.Evacuation{{State: 2}}} // of the domain without a name
-	for reason, hinder := range map[ryeford.Reason]func(b *balancer){
+// TestExclusionBeforeFirstByte checks that a request is not sent to an endpoint that was excluded after it
+// was chosen, and that this counts as an unsent attempt, which is retried without charge.
+func TestExclusionBeforeFirstByte(t *testing.T) {
+	evacuated := ryeford.Evacuations{Revision: 2, Orders: []ryeford.Evacuation{{State: 2}}} // evacuates the domain without a name
+	for reason, exclude := range map[ryeford.Reason]func(b *balancer){
 		ryeford.ReasonResting:   func(b *balancer) { b.rests.Ask(time.Now(), "e1", time.Minute) },
 		ryeford.ReasonLeaving:   func(b *balancer) { b.roster.Leave(time.Now(), "e1") },
 		ryeford.ReasonEvacuated: func(b *balancer) { b.roster.SetEvacuated(time.Now(), evacuated) },
@@ -33,7 +32,7 @@
 			x.incoming.Host = "host"
 			to := e.forwarder.roster.Entry("e1")
 			assert.NilError(t, x.checkSend(to))
-			hinder(e.forwarder.balancer)
+			exclude(e.forwarder.balancer)
 			err := x.checkSend(to)
 			var notRun *ryeford.NotRunError
 			assert.Assert(t, errors.As(err, &notRun))
@@ -43,15 +42,15 @@
 	}
 }
 
-// TestAllRest checks that a request whose service's endpoints all rest is rejected at once, with the end of
-// the earliest rest as its return, and reaches none of them.
-func TestAllRest(t *testing.T) {
+// TestAllBackingOff checks that a request is refused without an attempt while all endpoints of its service
+// are backing off, and that its Retry-After is the end of the first back-off.
+func TestAllBackingOff(t *testing.T) {
 	e := newExchangeTest(t)
 	var addresses []string
-	for i, rest := range []string{"2", "30"} {
+	for i, backOff := range []string{"2", "30"} {
 		server := &appserver.Server{ID: "e" + strconv.Itoa(i+1)}
 		server.SetFault(appserver.FaultShed, -1)
-		server.SetRest(rest)
+		server.SetRest(backOff)
 		addresses = append(addresses, startEndpoint(t, server, func() {}))
 	}
 	e.setEndpoints(addresses...)
@@ -66,5 +65,5 @@
 	seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 	assert.NilError(t, err)
 	left := e.forwarder.backingOffFor(time.Now(), "s")
-	assert.Assert(t, left > 0 && seconds >= left.Seconds()-0.001, "%v, rests for %s", seconds, left)
+	assert.Assert(t, left > 0 && seconds >= left.Seconds()-0.001, "Retry-After %v, backing off for %s", seconds, left)
 }
--- a/gateway/retries_test.go
+++ b/gateway/retries_test.go
@@ -10,15 +10,15 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// notRunStatuses are the statuses that promise callers that a request has not run.
+// notRunStatuses are the statuses that tell callers that a request has not run.
 var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// TestAtMostOnce checks, for each way in which an endpoint may fail, that a request
-// that may not be repeated runs at most once, that no success is answered that is not
-// the endpoint's, and that no status promises that it has not run.
+// TestAtMostOnce checks, for each fault of an endpoint, that a request that isn't idempotent runs at
+// most once, and that its response neither is a success that the endpoint didn't send nor has a status
+// that says that it has not run.
 func TestAtMostOnce(t *testing.T) {
 	for _, fault := range []appserver.Fault{
 		appserver.FaultErrors, appserver.FaultBusy, appserver.FaultReset, appserver.FaultCut,
@@ -29,7 +29,7 @@
 			f.setFaults(fault, -1)
 			for _, path := range []string{"/once/a", "/single/a", "/hasty/a", "/stream/a"} {
 				if fault == appserver.FaultHang && path != "/hasty/a" {
-					continue // it would last for the route's timeout
+					continue // it would take the route's timeout
 				}
 				got := f.call("POST", path)
 				assert.Equal(t, f.runs(got.id), 1, path)
@@ -40,10 +40,9 @@
 	}
 }
 
-// TestNotRunGoesElsewhere checks that a request that an endpoint has not run is sent to
-// another one if its route allows two attempts, and is refused with a Retry-After if
-// not.
-func TestNotRunGoesElsewhere(t *testing.T) {
+// TestNotRunIsRetried checks that a request that an endpoint did not run is sent to another one if
+// its route allows two attempts, and is refused with a Retry-After if not.
+func TestNotRunIsRetried(t *testing.T) {
 	f := startedFixture(t, nil)
 	for _, server := range f.endpoints {
 		server.SetFault(appserver.FaultShed, 0)
@@ -61,9 +60,8 @@
 	assert.Equal(t, f.runs(got.id), 0)
 }
 
-// TestRepeatable checks that an idempotent request is answered though one of two
-// endpoints fails.
-func TestRepeatable(t *testing.T) {
+// TestIdempotentRetry checks that an idempotent request is answered even if one of two endpoints fails.
+func TestIdempotentRetry(t *testing.T) {
 	for _, fault := range []appserver.Fault{
 		appserver.FaultErrors, appserver.FaultBusy, appserver.FaultReset, appserver.FaultCut,
 		appserver.FaultUnsigned, appserver.FaultEncoded, appserver.FaultGarbage, appserver.FaultShed,
@@ -81,10 +79,9 @@
 	}
 }
 
-// TestLastEndpointAgain checks that an idempotent request goes to the same endpoint
-// again if that one answered with a failure and there is no other; one that was refused
-// does not.
-func TestLastEndpointAgain(t *testing.T) {
+// TestRetrySameEndpoint checks that an idempotent request is retried at the same endpoint after a
+// server error if there is no other one. A request that was refused is not.
+func TestRetrySameEndpoint(t *testing.T) {
 	f := newFixture(t, baseConfiguration(), nil)
 	only := f.addEndpoint("plain", "p1", 0)
 	f.awaitReady(true)
@@ -95,7 +92,7 @@
 	assert.Equal(t, only.Runs()[got.id], 2)
 	only.SetFault(appserver.FaultErrors, 2)
 	got = f.call("GET", "/safe/a")
-	assert.Equal(t, got.status, 500, "the endpoint's own answer")
+	assert.Equal(t, got.status, 500, "the endpoint's response")
 	only.SetFault(appserver.FaultErrors, 1)
 	got = f.call("POST", "/once/a")
 	assert.Equal(t, got.status, 500)
@@ -106,8 +103,8 @@
 	assert.Equal(t, only.Runs()[got.id], 0)
 }
 
-// TestReusedAddress checks that a request never runs at an endpoint that has got
-// another one's address.
+// TestReusedAddress checks that a request never runs at an endpoint that took over the address of
+// another one.
 func TestReusedAddress(t *testing.T) {
 	f := startedFixture(t, nil)
 	f.endpoints["p1"].ID = "stranger"
@@ -117,9 +114,9 @@
 	assert.Equal(t, f.runs(got.id), 0)
 }
 
-// TestForeignAnswers checks that a surplus response, before or after a request's own,
+// TestSurplusResponses checks that a surplus response, before or after a request's own response,
 // reaches no caller.
-func TestForeignAnswers(t *testing.T) {
+func TestSurplusResponses(t *testing.T) {
 	for _, fault := range []appserver.Fault{appserver.FaultExtra, appserver.FaultForeign, appserver.FaultUnframed} {
 		t.Run(string(fault), func(t *testing.T) {
 			f := startedFixture(t, nil)
@@ -135,8 +132,8 @@
 	}
 }
 
-// TestResume checks that a resumable stream goes on at another endpoint, each event
-// once, and that any other one that breaks off does not look complete.
+// TestResume checks that a resumable stream continues at another endpoint with each event sent once,
+// and that any other truncated stream does not look complete.
 func TestResume(t *testing.T) {
 	f := startedFixture(t, nil)
 	for _, id := range []string{"m1", "m2"} {
--- a/gateway/unservable_bench_test.go
+++ b/gateway/unservable_bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// unresponsiveAddress returns an address that answers no attempt to connect, as that of a VM that
-// is gone: of a listener whose backlog is full.
+// unresponsiveAddress returns an address that answers no connection attempt, as that of a VM that is
+// down: the backlog of its listener is full.
 func unresponsiveAddress(tb testing.TB) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	assert.NilError(tb, err)
@@ -37,24 +37,24 @@
 	}
 }
 
-// BenchmarkUnservable measures the time from the moment at which the router knows that a
-// request can't be served to the answer.
+// BenchmarkUnservable measures the time until a request is answered after the router has detected that
+// it can't be served.
 func BenchmarkUnservable(b *testing.B) {
-	silent := []string{unresponsiveAddress(b), unresponsiveAddress(b), unresponsiveAddress(b), unresponsiveAddress(b)}
+	unresponsive := []string{unresponsiveAddress(b), unresponsiveAddress(b), unresponsiveAddress(b), unresponsiveAddress(b)}
 	slow := startEndpoint(b, &appserver.Server{ID: "e1"}, func() { time.Sleep(50 * time.Millisecond) })
 	for _, row := range []struct {
 		name    string
 		prepare func(*exchangeTest) (known func() time.Time)
 	}{
 		{"no endpoint can be reached", func(e *exchangeTest) func() time.Time {
-			e.setEndpoints(silent...)
+			e.setEndpoints(unresponsive...)
 			for _, id := range []ryeford.EndpointID{"e1", "e2", "e3", "e4"} {
 				e.forwarder.detector.Eject(time.Now(), id, outlier.UnreachableEjection)
 			}
 			return func() time.Time { return e.request.arrived }
 		}},
 		{"key revoked while connecting", func(e *exchangeTest) func() time.Time {
-			e.setEndpoints(silent...)
+			e.setEndpoints(unresponsive...)
 			revoked := make(chan time.Time, 1)
 			time.AfterFunc(100*time.Millisecond, func() {
 				e.revokeKey()
@@ -64,7 +64,7 @@
 		}},
 		{"too little time left", func(e *exchangeTest) func() time.Time {
 			e.setEndpoints(slow)
-			assert.Equal(b, e.serve().Code, 200) // how fast it is
+			assert.Equal(b, e.serve().Code, 200) // records the response time
 			e.request.arrived = time.Now()
 			e.request.deadline = time.Now().Add(30 * time.Millisecond)
 			return func() time.Time { return e.request.arrived }
@@ -85,8 +85,8 @@
 	}
 }
 
-// BenchmarkUnservableCrowd measures the time from arrival to the answer of 50 requests
-// that come at once, after the router has found out that no endpoint can be reached.
+// BenchmarkUnservableCrowd measures the time from arrival to the answer of 50 concurrent requests after
+// the router has detected that no endpoint is reachable.
 func BenchmarkUnservableCrowd(b *testing.B) {
 	const crowd = 50
 	e := newExchangeTest(b)
@@ -104,7 +104,7 @@
 	b.ReportMetric(float64(e.sends()-sends)/float64(b.N), "attempts")
 }
 
-// serveCrowd serves n requests that come at once, and returns how long each took.
+// serveCrowd serves n concurrent requests and returns how long each took.
 func (e *exchangeTest) serveCrowd(n int) []time.Duration {
 	took := make([]time.Duration, n)
 	var group sync.WaitGroup
