--- a/gateway/backoffsend_test.go
+++ b/gateway/backoffsend_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestAllBackingOff checks that a request is refused without an attempt while all endpoints of its service
-// are backing off, and that its Retry-After is the end of the first back-off.
+// are backing off, and that its Retry-After does not end before the first back-off does.
 func TestAllBackingOff(t *testing.T) {
 	e := newExchangeTest(t)
 	var addresses []string
--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -131,16 +131,17 @@
 	return choice.Prompt{Key: query.affinity, UnderWay: peers + float64(b.loads.Prompt(query.affinity))}
 }
 
-// unavailableFor returns how long it takes until the first of a service's listed endpoints is
-// neither ejected nor backing off. It is zero if one is available, or if there is none.
+// unavailableFor returns how long it takes until the first of a service's endpoints that accept
+// requests is neither ejected nor backing off. It is zero if one is available, or if there are
+// none.
 func (b *balancer) unavailableFor(now time.Time, service string) time.Duration {
 	return b.shortestWait(service, func(id ryeford.EndpointID) time.Duration {
 		return max(b.detector.EjectedFor(now, id), b.rests.Left(now, id))
 	})
 }
 
-// backingOffFor returns how long it takes until the first of a service's listed endpoints ends its back-off. It is
-// zero if one is not backing off, or if there is none.
+// backingOffFor returns how long it takes until the first of a service's endpoints that accept requests ends its
+// back-off. It is zero if one is not backing off, or if there are none.
 func (b *balancer) backingOffFor(now time.Time, service string) time.Duration {
 	return b.shortestWait(service, func(id ryeford.EndpointID) time.Duration { return b.rests.Left(now, id) })
 }
--- a/gateway/exchange_test.go
+++ b/gateway/exchange_test.go
@@ -285,7 +285,8 @@
 }
 
 // TestUnusableEndpoints checks that a request tries all unreachable endpoints only if they are not
-// ejected yet. Otherwise one attempt is made, and the Retry-After is the end of an ejection.
+// ejected yet. Otherwise one attempt is made, and the Retry-After does not end before the first
+// ejection does.
 func TestUnusableEndpoints(t *testing.T) {
 	e := newExchangeTest(t)
 	e.setEndpoints(freeport.Next().String(), freeport.Next().String(), freeport.Next().String())
@@ -385,7 +386,7 @@
 }
 
 // TestDeadConnections checks that if all open connections to an endpoint are dead without a reset,
-// one request at most times out, and not one for each idle connection.
+// only one request times out, and not one for each idle connection.
 func TestDeadConnections(t *testing.T) {
 	const idle = 4
 	e := newExchangeTest(t)
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -43,8 +43,8 @@
 
 // refuse answers a request that is not admitted.
 func (h *handler) refuse(w http.ResponseWriter, r *http.Request, q *request, err error) {
-	// Only this router refuses the request, and another one may serve it: the Retry-After
-	// doesn't depend on recent refusals.
+	// Another router may be able to serve the request. So the Retry-After is that of a single
+	// refusal and doesn't depend on recent refusals.
 	verdict := giveup.Decide(giveup.Request{Err: err, Caller: q.caller()})
 	if giveup.ClosesConnection(&verdict) {
 		w.Header().Set("Connection", "close")
