--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -119,20 +119,20 @@
 // *ryeford.NotRunError.
 func (x *exchange) checkSend(to *roster.Entry) error {
 	f, now := x.forwarder, clock.Now()
-	s := x.sending(now)
+	s := x.sendState(now)
 	s.Hindrance = f.exclusionReason(now, f.roster.Entry(to.ID))
 	return admit.CheckSend(s)
 }
 
-// sending returns the inputs of the decision whether the request may still be sent, without
+// sendState returns the inputs of the decision whether the request may still be sent, without
 // those that depend on the endpoint.
-func (x *exchange) sending(now time.Time) admit.Sending {
+func (x *exchange) sendState(now time.Time) admit.Sending {
 	f, q := x.forwarder, x.request
 	current := f.configuration.current()
 	unchanged := current == q.catalog
 	return admit.Sending{
 		RouteFound: unchanged || findRoute(current, x.incoming) != nil,
-		NeedsKey:   q.keyed(),
+		NeedsKey:   q.admittedByKey(),
 		Reliable:   f.configuration.reliable(now),
 		ServesKeys: f.configuration.servesKeys(now),
 		KeyFound:   unchanged || current.Account(q.meta.Key) != nil,
@@ -185,7 +185,7 @@
 	x.countSent(false)
 	// The body is drained so that the connection can be reused. If that fails, the connection
 	// is closed.
-	_, _ = response.ReadAll(maxWholeBody)
+	_, _ = response.ReadAll(maxBufferedBody)
 	backOff := response.Meta.Report.Rest > 0
 	rateAttempt(attemptEnd{end: retry.EndRefused, status: response.Status, full: x.isFull(to, response), backOff: backOff}).report(x.forwarder.detector, to.ID)
 	err := giveup.NotRun(ryeford.ReasonOverload)
--- a/gateway/attempt_test.go
+++ b/gateway/attempt_test.go
@@ -15,7 +15,7 @@
 // TestClassifySendError checks how an attempt ends for each kind of send error.
 func TestClassifySendError(t *testing.T) {
 	for _, row := range []struct {
-		rule string
+		name string
 		err  error
 		want retry.End
 	}{
@@ -26,7 +26,7 @@
 		{"the connection broke", &endpoint.LostError{Err: errors.New("reset")}, retry.EndLost},
 		{"the response belongs to another request", &endpoint.LostError{Err: &endpoint.UnusableResponseError{}}, retry.EndLost},
 	} {
-		t.Run(row.rule, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			assert.Equal(t, classifySendError(row.err), row.want)
 		})
 	}
--- a/gateway/eventstream_test.go
+++ b/gateway/eventstream_test.go
@@ -17,7 +17,7 @@
 func TestReadEvent(t *testing.T) {
 	long := "data: " + strings.Repeat("x", 8<<10) + "\n\n" // longer than the reader's buffer
 	for _, row := range []struct {
-		rule   string
+		name   string
 		stream string
 		events []string
 		end    error
@@ -30,7 +30,7 @@
 		{"truncated within an event", "data: a\n\ndata: b\n", []string{"data: a\n\n"}, io.ErrUnexpectedEOF},
 		{"truncated within a line", "data: a\n\nda", []string{"data: a\n\n"}, io.ErrUnexpectedEOF},
 	} {
-		t.Run(row.rule, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			reader := bufio.NewReader(strings.NewReader(row.stream))
 			for _, want := range row.events {
 				event, err := readEvent(reader)
@@ -57,7 +57,7 @@
 	assert.Equal(t, eventID([]byte("data: x\nid:8\n\n")), "8")
 	assert.Equal(t, eventID([]byte("data: id: 9\n\n")), "")
 	for _, row := range []struct {
-		rule       string
+		name       string
 		last, next string
 		want       bool
 	}{
@@ -68,7 +68,7 @@
 		{"not numbers: later", "a", "b", true},
 		{"the first", "", "1", true},
 	} {
-		assert.Equal(t, isLaterEvent(row.last, row.next), row.want, row.rule)
+		assert.Equal(t, isLaterEvent(row.last, row.next), row.want, row.name)
 	}
 }
 
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -84,7 +84,7 @@
 // has ended.
 func (x *exchange) checkServable() error {
 	now, q := clock.Now(), x.request
-	if err := admit.CheckSend(x.sending(now)); err != nil {
+	if err := admit.CheckSend(x.sendState(now)); err != nil {
 		return err
 	}
 	// A quarantined request that callers repeat could otherwise end one endpoint after another.
--- a/gateway/exchange_test.go
+++ b/gateway/exchange_test.go
@@ -151,8 +151,8 @@
 	e.forwarder.configuration.inForce.Put(catalog.New(&next))
 }
 
-// fill makes the endpoints of the request's service report that all their slots are taken.
-func (e *exchangeTest) fill() {
+// fillSlots makes the endpoints of the request's service report that all their slots are taken.
+func (e *exchangeTest) fillSlots() {
 	e.forwarder.occupancy.Begin("s")
 	for range 9 {
 		e.forwarder.occupancy.Report(time.Now(), "s", 8, &ryeford.EndpointLoad{Running: 8})
@@ -190,7 +190,7 @@
 // sent, and gets a response that says that it has not run.
 func TestUnservable(t *testing.T) {
 	for _, row := range []struct {
-		rule   string
+		name   string
 		change func(*exchangeTest)
 		status int
 		reason string
@@ -208,9 +208,9 @@
 			e.forwarder.configuration = newConfiguration(configurationOptions{})
 			e.forwarder.configuration.inForce.Put(e.request.catalog)
 		}, 503, "stale_configuration", true},
-		{"the service is full", (*exchangeTest).fill, 503, "overload", true},
+		{"the service is full", (*exchangeTest).fillSlots, 503, "overload", true},
 		{"the service is full, and the key was revoked: the final refusal wins", func(e *exchangeTest) {
-			e.fill()
+			e.fillSlots()
 			e.revokeKey()
 		}, 401, "key_taken", false},
 		{"no endpoint is listed", func(e *exchangeTest) { e.setEndpoints() }, 503, "no_candidate", true},
@@ -220,7 +220,7 @@
 			e.revokeKey()
 		}, 401, "key_taken", false},
 	} {
-		t.Run(row.rule, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			e := newExchangeTest(t)
 			e.setEndpoints(startEndpoint(t, &appserver.Server{ID: "e1"}, func() {}))
 			row.change(e)
--- a/gateway/fleetload_test.go
+++ b/gateway/fleetload_test.go
@@ -99,8 +99,8 @@
 	load, squaredError float64
 }
 
-// relative returns the root mean square error as a fraction of the mean load.
-func (s *errorSums) relative() float64 {
+// relativeError returns the root mean square error as a fraction of the mean load.
+func (s *errorSums) relativeError() float64 {
 	return math.Sqrt(s.squaredError/float64(s.n)) / (s.load / float64(s.n))
 }
 
@@ -299,8 +299,8 @@
 			sent += r.sent
 		}
 		t.Logf("%3d routers, hot prompt %.2f: error %.2f of the mean load, %.3f of %d requests above the bound, %.3f not to the first engine, %.0f bytes per second and router, %d live peers",
-			test.routers, test.hotShare, f.errors.relative(), float64(f.aboveBound)/float64(f.sent), f.sent, float64(f.spilled)/float64(f.sent), float64(sent)/length.Seconds()/float64(test.routers), f.routers[0].peers.Alive(f.began.Add(length)))
-		assert.Check(t, f.errors.relative() < test.error, "%d routers", test.routers)
+			test.routers, test.hotShare, f.errors.relativeError(), float64(f.aboveBound)/float64(f.sent), f.sent, float64(f.spilled)/float64(f.sent), float64(sent)/length.Seconds()/float64(test.routers), f.routers[0].peers.Alive(f.began.Add(length)))
+		assert.Check(t, f.errors.relativeError() < test.error, "%d routers", test.routers)
 		assert.Check(t, float64(f.aboveBound) < test.above*float64(f.sent), "%d routers", test.routers)
 	}
 }
@@ -322,7 +322,7 @@
 	f := newSimulatedFleet(26, simulatedHotShare, 1)
 	f.evacuate()
 	f.run(simulatedWarmUp + simulatedLength)
-	t.Logf("error %.2f of the mean load, %.3f of %d requests above the bound", f.errors.relative(), float64(f.aboveBound)/float64(f.sent), f.sent)
-	assert.Check(t, f.errors.relative() < 0.5)
+	t.Logf("error %.2f of the mean load, %.3f of %d requests above the bound", f.errors.relativeError(), float64(f.aboveBound)/float64(f.sent), f.sent)
+	assert.Check(t, f.errors.relativeError() < 0.5)
 	assert.Check(t, float64(f.aboveBound) < 0.06*float64(f.sent))
 }
--- a/gateway/handler_test.go
+++ b/gateway/handler_test.go
@@ -61,7 +61,7 @@
 		h.drain.stopping.Store(true)
 	}
 	for _, row := range []struct {
-		rule   string
+		name   string
 		change func(*handler)
 		path   string
 		key    string
@@ -86,7 +86,7 @@
 		}, "/keyed/a", "key", strings.Repeat("x", 100), 503, "overload", false},
 		{"no memory for the body, stale", func(h *handler) { h.bodies = semaphore.NewWeighted(99) }, "/keyed/a", "key", strings.Repeat("x", 100), 503, "stale_configuration", true},
 	} {
-		t.Run(row.rule, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			var b strings.Builder
 			h := newRefusingHandler(&b)
 			row.change(h)
--- a/gateway/rating_test.go
+++ b/gateway/rating_test.go
@@ -11,7 +11,7 @@
 // TestRateAttempt checks which ends of attempts count against their endpoints.
 func TestRateAttempt(t *testing.T) {
 	for _, row := range []struct {
-		rule string
+		name string
 		end  attemptEnd
 		want rating
 	}{
@@ -33,7 +33,7 @@
 		{"it sheds load, and the caller disconnected", attemptEnd{end: retry.EndRefused, status: 503, ctxDone: true}, ratingFailure},
 		{"another endpoint has its address", attemptEnd{end: retry.EndRefused, status: 421}, ratingMisdirected},
 	} {
-		t.Run(row.rule, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			assert.Equal(t, rateAttempt(row.end), row.want)
 		})
 	}
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// maxWholeBody is the maximum size, in bytes, of a response that is buffered before it is
+	// maxBufferedBody is the maximum size, in bytes, of a response that is buffered before it is
 	// passed on.
-	maxWholeBody = 8 << 20
+	maxBufferedBody = 8 << 20
 	// writeMargin is how long after the request's deadline the caller may still read the
 	// response.
 	writeMargin = 300 * time.Millisecond
@@ -58,7 +58,7 @@
 
 // forwardWhole reads the complete response and then passes it on.
 func (r *relay) forwardWhole(response *endpoint.Response, withheld bool) (retry.End, error) {
-	body, err := response.ReadAll(maxWholeBody)
+	body, err := response.ReadAll(maxBufferedBody)
 	if err != nil {
 		return retry.EndLost, &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: err}
 	}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -37,8 +37,8 @@
 // needsKey reports whether the request's route needs a key. The route must be set.
 func (q *request) needsKey() bool { return q.catalog.Keyed() && !q.rule.Public }
 
-// keyed reports whether the request was admitted by its key.
-func (q *request) keyed() bool { return q.account != nil }
+// admittedByKey reports whether the request was admitted by its key.
+func (q *request) admittedByKey() bool { return q.account != nil }
 
 // priority returns the priority of the request's account, or else that of its route. It is the
 // default until the route is known.
--- a/gateway/request_test.go
+++ b/gateway/request_test.go
@@ -13,7 +13,7 @@
 func TestSetDeadline(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	for _, row := range []struct {
-		rule          string
+		name          string
 		route, caller time.Duration
 		want          time.Duration
 	}{
@@ -23,7 +23,7 @@
 		{"the route sets no timeout", 0, time.Minute, 30 * time.Second},
 		{"neither sets one", 0, 0, 30 * time.Second},
 	} {
-		t.Run(row.rule, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			q := &request{
 				meta:    &ryeford.RequestMeta{Timeout: row.caller},
 				rule:    &ryeford.RouteRule{Timeout: row.route},
