--- a/gateway/handler_test.go
+++ b/gateway/handler_test.go
@@ -19,9 +19,9 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// newRefusingHandler returns a handler that knows a configuration with a public and a
-// keyed route, and a list without endpoints, and logs to b. Its forwarder lacks
-// what exchanges need: it can only refuse. Its configuration is stale.
+// newRefusingHandler returns a handler that logs to b and can only refuse requests, because its
+// forwarder lacks what exchanges need. It has a stale configuration with a public and a keyed
+// route, and an empty endpoint list.
 func newRefusingHandler(b *strings.Builder) *handler {
 	h := &handler{
 		forwarder: &forwarder{
@@ -50,8 +50,8 @@
 	return h
 }
 
-// TestRefusals checks the response to a request that is refused, its line in the log,
-// and that it no longer counts as in flight.
+// TestRefusals guards against a wrong status, header or log line for a refused request, and
+// against one that stays counted as in flight.
 func TestRefusals(t *testing.T) {
 	fresh := func(h *handler) { h.configuration.lease.RenewRead(time.Now(), time.Now(), 0) }
 	stop := func(h *handler) {
@@ -61,14 +61,14 @@
 		h.drain.stopping.Store(true)
 	}
 	for _, row := range []struct {
-		rule   string
+		name   string
 		change func(*handler)
 		path   string
 		key    string
 		body   string
 		status int
 		reason string
-		closes bool // the connection
+		closes bool // the connection is closed
 	}{
 		{"no configuration", func(h *handler) { h.configuration = newConfiguration(configurationOptions{}) }, "/keyed/a", "key", "", 503, "not_ready", false},
 		{"no list of endpoints", func(h *handler) { h.roster = roster.New() }, "/keyed/a", "key", "", 503, "not_ready", false},
@@ -86,7 +86,7 @@
 		}, "/keyed/a", "key", strings.Repeat("x", 100), 503, "overload", false},
 		{"no memory for the body, stale", func(h *handler) { h.bodies = semaphore.NewWeighted(99) }, "/keyed/a", "key", strings.Repeat("x", 100), 503, "stale_configuration", true},
 	} {
-		t.Run(row.rule, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			var b strings.Builder
 			h := newRefusingHandler(&b)
 			row.change(h)
--- a/gateway/recordingendpoint_test.go
+++ b/gateway/recordingendpoint_test.go
@@ -11,34 +11,34 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// A recordingEndpoint is an endpoint that keeps the requests that have come.
+// A recordingEndpoint is an endpoint that records the requests that it receives.
 type recordingEndpoint struct {
 	*appserver.Server
 
-	mu       sync.Mutex
-	received []receivedRequest
-	working  int // requests that are running
-	opened   int // connections
+	mu          sync.Mutex
+	received    []receivedRequest
+	running     int // number of requests that are running
+	connections int // number of connections that were opened
 }
 
 // Connections returns how many connections were opened.
 func (e *recordingEndpoint) Connections() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.opened
+	return e.connections
 }
 
-// recordConnection is an http.Server's ConnState.
+// recordConnection implements the ConnState hook of an http.Server.
 func (e *recordingEndpoint) recordConnection(_ net.Conn, state http.ConnState) {
 	if state != http.StateNew {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.opened++
+	e.connections++
 }
 
-// A receivedRequest is a request as the endpoint got it.
+// A receivedRequest is a request as the endpoint received it.
 type receivedRequest struct {
 	Method string
 	Target string
@@ -50,7 +50,7 @@
 func (e *recordingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the caller's connection broke: there is nobody to answer
+		return // the connection is closed: no response can be sent
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	e.begin(receivedRequest{
@@ -67,25 +67,25 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.received = append(e.received, request)
-	e.working++
+	e.running++
 }
 
 func (e *recordingEndpoint) end() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.working--
+	e.running--
 }
 
-// Received returns the requests that have come, in order.
+// Received returns the received requests in order.
 func (e *recordingEndpoint) Received() []receivedRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.received)
 }
 
-// Working returns how many requests are running.
-func (e *recordingEndpoint) Working() int {
+// Running returns how many requests are running.
+func (e *recordingEndpoint) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.working
+	return e.running
 }
--- a/gateway/refusals_test.go
+++ b/gateway/refusals_test.go
@@ -9,8 +9,8 @@
 	"github.com/ryeford/ryeford/gateway/giveup"
 )
 
-// TestRefusalCounts checks that refusals and answers count for at least a window, and for at
-// most two, each for its service; and that a failure that is no refusal doesn't count.
+// TestRefusalCounts checks that refusals and answers count by service, for at least one window and
+// at most two, and that other failures don't count.
 func TestRefusalCounts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newRefusals()
@@ -19,13 +19,13 @@
 	end(404)
 	end(502)
 	r.add(now, "s", giveup.Recent{Answered: 1})
-	assert.Equal(t, r.of(now, "s"), giveup.Recent{Refused: 1, Answered: 1})
-	assert.Equal(t, r.of(now, "another"), giveup.Recent{})
+	assert.Equal(t, r.get(now, "s"), giveup.Recent{Refused: 1, Answered: 1})
+	assert.Equal(t, r.get(now, "another"), giveup.Recent{})
 	now = now.Add(refusalsWindow)
 	end(503)
-	assert.Equal(t, r.of(now, "s"), giveup.Recent{Refused: 2, Answered: 1})
+	assert.Equal(t, r.get(now, "s"), giveup.Recent{Refused: 2, Answered: 1})
 	now = now.Add(refusalsWindow)
-	assert.Equal(t, r.of(now, "s"), giveup.Recent{Refused: 1})
+	assert.Equal(t, r.get(now, "s"), giveup.Recent{Refused: 1})
 	now = now.Add(2 * refusalsWindow)
-	assert.Equal(t, r.of(now, "s"), giveup.Recent{})
+	assert.Equal(t, r.get(now, "s"), giveup.Recent{})
 }
--- a/gateway/request_test.go
+++ b/gateway/request_test.go
@@ -9,12 +9,11 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestSetDeadline checks which of the caller's and the route's timeouts sets a request's
-// deadline.
+// TestSetDeadline checks that the shorter of the caller's and the route's timeouts applies.
 func TestSetDeadline(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	for _, row := range []struct {
-		rule          string
+		name          string
 		route, caller time.Duration
 		want          time.Duration
 	}{
@@ -24,7 +23,7 @@
 		{"the route sets no timeout", 0, time.Minute, 30 * time.Second},
 		{"neither sets one", 0, 0, 30 * time.Second},
 	} {
-		t.Run(row.rule, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			q := &request{
 				meta:    &ryeford.RequestMeta{Timeout: row.caller},
 				rule:    &ryeford.RouteRule{Timeout: row.route},
@@ -36,7 +35,7 @@
 	}
 }
 
-// TestPickService checks that services get requests by their weights.
+// TestPickService checks that services get requests in proportion to their weights.
 func TestPickService(t *testing.T) {
 	split := []ryeford.WeightedService{{Service: "a", Weight: 3}, {Service: "off", Weight: 0}, {Service: "b", Weight: 1}}
 	picked := make(map[string]int)
