--- a/agentfleet/admission/admission_test.go
+++ b/agentfleet/admission/admission_test.go
@@ -11,7 +11,7 @@
 
 var testLimits = Limits{PoolFactor: 1.25, Floor: 4, Capacity: 16, ShareFrom: 0.5}
 
-// fill admits requests of an account until one is refused.
+// fill admits requests until one is refused.
 func fill(g *Gate, r Request) (admitted int, last Decision) {
 	for {
 		d := g.Admit(time.Unix(0, 0), &r)
@@ -37,15 +37,15 @@
 func TestShare(t *testing.T) {
 	g := NewGate(testLimits)
 	n, d := fill(g, Request{Account: "surging", Priority: 9, Share: 0.25, PoolMean: 100})
-	assert.Equal(t, n, 8) // what is unused may be borrowed, up to half
+	assert.Equal(t, n, 8) // unused capacity may be borrowed up to ShareFrom
 	assert.Equal(t, d.Reason, ryeford.ReasonShare)
 	n, _ = fill(g, Request{Account: "other", Priority: 9, Share: 0.25, PoolMean: 100})
-	assert.Equal(t, n, 4) // its due is still there
+	assert.Equal(t, n, 4) // its share is still available
 }
 
-// TestShareUnderBound fills an engine whose bound is below the load from which
-// shares are enforced: the surging account leaves room for the other.
-func TestShareUnderBound(t *testing.T) {
+// TestShareOfSmallBound fills an engine whose bound is below the ShareFrom threshold:
+// the surging account must leave room for the other one.
+func TestShareOfSmallBound(t *testing.T) {
 	g := NewGate(Limits{PoolFactor: 1.25, Floor: 4, Capacity: 100, ShareFrom: 0.8})
 	n, d := fill(g, Request{Account: "surging", Priority: 9, Share: 0.5, PoolMean: 16})
 	assert.Equal(t, n, 18)
@@ -63,8 +63,7 @@
 	assert.Equal(t, low+high, 100)
 }
 
-// TestDecide has one row a clause of the rule: the bound, the priorities below it,
-// and the shares.
+// TestDecide checks each clause of the admission rule: bound, priorities and shares.
 func TestDecide(t *testing.T) {
 	limits := &Limits{PoolFactor: 1.25, Floor: 4, Capacity: 64, ShareFrom: 0.8}
 	const low, high = ryeford.PriorityLowest, ryeford.PriorityHighest
@@ -78,21 +77,21 @@
 		want     ryeford.Reason // empty: admitted
 	}{
 		{"an idle engine admits", 0, 0, 0, low, 0, ""},
-		{"the floor holds whatever the mean is", 3, 0, 0, high, 1, ""},
-		{"above the floor the mean decides", 4, 0, 3.2, high, 1, ryeford.ReasonOverload},
-		{"up to the factor times the mean", 9, 0, 8, high, 1, ""},
-		{"and not beyond", 10, 0, 8, high, 1, ryeford.ReasonOverload},
-		{"the capacity holds whatever the mean is", 64, 0, 1000, high, 1, ryeford.ReasonOverload},
+		{"the floor is allowed at any mean", 3, 0, 0, high, 1, ""},
+		{"the mean limits the load above the floor", 4, 0, 3.2, high, 1, ryeford.ReasonOverload},
+		{"a load of the factor times the mean is allowed", 9, 0, 8, high, 1, ""},
+		{"a load above the factor times the mean is refused", 10, 0, 8, high, 1, ryeford.ReasonOverload},
+		{"a load above the capacity is refused at any mean", 64, 0, 1000, high, 1, ryeford.ReasonOverload},
 		{"a small bound is the same for all priorities", 9, 0, 8, low, 1, ""},
-		{"of a large one the lowest priority leaves 9% free, in whole requests", 37, 0, 32, low, 1, ryeford.ReasonOverload},
-		{"for higher ones", 37, 0, 32, high, 1, ""},
-		{"below the last tenth of the bound an account may borrow", 35, 35, 32, high, 0.1, ""},
-		{"in the last tenth its share is enforced", 36, 36, 32, high, 0.1, ryeford.ReasonShare},
-		{"and others still have theirs", 36, 3, 32, high, 0.1, ""},
-		{"above share_from of the capacity too", 51, 40, 1000, high, 0.5, ryeford.ReasonShare},
-		{"an account may always hold one", 51, 0, 1000, high, 0, ""},
-		{"but not two", 51, 1, 1000, high, 0, ryeford.ReasonShare},
-		{"the bound is looked at before the share", 64, 64, 1000, high, 0, ryeford.ReasonOverload},
+		{"the lowest priority leaves 9% of a large bound free, in whole requests", 37, 0, 32, low, 1, ryeford.ReasonOverload},
+		{"the highest priority may use the whole bound", 37, 0, 32, high, 1, ""},
+		{"an account may borrow below the last tenth of the bound", 35, 35, 32, high, 0.1, ""},
+		{"shares are enforced in the last tenth of the bound", 36, 36, 32, high, 0.1, ryeford.ReasonShare},
+		{"an account within its share may use the last tenth", 36, 3, 32, high, 0.1, ""},
+		{"shares are enforced above share_from of the capacity", 51, 40, 1000, high, 0.5, ryeford.ReasonShare},
+		{"an account without a share may run one request", 51, 0, 1000, high, 0, ""},
+		{"an account without a share may not run two requests", 51, 1, 1000, high, 0, ryeford.ReasonShare},
+		{"the bound is checked before the share", 64, 64, 1000, high, 0, ryeford.ReasonOverload},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			r := &Request{Account: "a", Priority: test.priority, Share: test.share, PoolMean: test.mean}
@@ -105,8 +104,8 @@
 	}
 }
 
-// TestRetryAfter has requests end one second apart and checks when a refused
-// caller is to come back.
+// TestRetryAfter checks the retry time of an engine whose requests end one second
+// apart.
 func TestRetryAfter(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	var c completions
@@ -117,21 +116,21 @@
 	last := start.Add(2 * time.Second)
 	for _, test := range []struct {
 		rule        string
-		since       time.Duration // the last completion
+		elapsed     time.Duration // since the last completion
 		load, bound float64
 		want        time.Duration
 	}{
-		{"one spacing for one request too many", 0, 10, 10, time.Second},
-		{"never for less than one request", 0, 3, 10, time.Second},
-		{"in proportion to the excess", 0, 30, 20, 12 * time.Second},
-		{"a stalled engine is as slow as its stall", 4 * time.Second, 10, 10, 4 * time.Second},
-		{"at most", 0, 100, 10, 30 * time.Second},
+		{"one interval for one excess request", 0, 10, 10, time.Second},
+		{"the excess is at least one request", 0, 3, 10, time.Second},
+		{"the time is proportional to the excess", 0, 30, 20, 12 * time.Second},
+		{"the time since the last completion replaces a shorter interval", 4 * time.Second, 10, 10, 4 * time.Second},
+		{"the maximum", 0, 100, 10, 30 * time.Second},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
-			assert.Equal(t, c.retryAfter(last.Add(test.since), test.load, test.bound), test.want)
+			assert.Equal(t, c.retryAfter(last.Add(test.elapsed), test.load, test.bound), test.want)
 		})
 	}
-	fast := completions{last: last, spacing: time.Millisecond}
+	fast := completions{last: last, interval: time.Millisecond}
 	assert.Equal(t, fast.retryAfter(last, 10, 10), minRetryAfter)
 }
 
--- a/agentfleet/admission/retryafter.go
+++ b/agentfleet/admission/retryafter.go
@@ -2,59 +2,59 @@
 
 import "time"
 
-// The times of retryAfter.
+// Parameters of retryAfter.
 const (
-	// spacingWindow scales the weight of a gap between two completions in their
-	// average spacing: a gap of this length or more replaces the average.
-	spacingWindow = 2 * time.Second
-	// minGapWeight is the smallest weight of a gap, without unit: a burst of short
-	// gaps moves the average too.
-	minGapWeight = 0.1
-	// retryFill is the part of the bound to which the load is to fall before a
-	// refused caller comes back, without unit.
-	retryFill = 0.9
+	// averageWindow scales the weight of a new interval in the average interval
+	// between completions. An interval of at least this length replaces the average.
+	averageWindow = 2 * time.Second
+	// minWeight is the minimum weight of a new interval, so that a burst of short
+	// intervals changes the average too.
+	minWeight = 0.1
+	// retryLoad is the fraction of the bound to which the load is to fall before a
+	// refused caller retries.
+	retryLoad = 0.9
 
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
-	// firstRetryAfter is used until two requests have ended.
-	firstRetryAfter = time.Second
+	// defaultRetryAfter is used until two requests have ended.
+	defaultRetryAfter = time.Second
 )
 
-// completions measures how fast requests end: a decaying average of the time
-// between two completions.
+// completions measures how fast requests end. interval is a decaying average of the
+// time between two completions; zero before the second one.
 type completions struct {
-	last    time.Time
-	spacing time.Duration
+	last     time.Time
+	interval time.Duration
 }
 
-// add counts one completion.
+// add records one completion.
 func (c *completions) add(now time.Time) {
 	if c.last.IsZero() {
 		c.last = now
 		return
 	}
-	gap := now.Sub(c.last)
+	interval := now.Sub(c.last)
 	c.last = now
-	if c.spacing == 0 {
-		c.spacing = gap
+	if c.interval == 0 {
+		c.interval = interval
 		return
 	}
-	weight := min(1, float64(gap)/float64(spacingWindow)+minGapWeight)
-	c.spacing += time.Duration(weight * float64(gap-c.spacing))
+	weight := min(1, float64(interval)/float64(averageWindow)+minWeight)
+	c.interval += time.Duration(weight * float64(interval-c.interval))
 }
 
-// retryAfter returns when an engine is likely to be a tenth below its bound: the
-// excess in requests times the spacing of completions, within minRetryAfter and
-// maxRetryAfter. An engine that has completed nothing for longer than the average
-// spacing is taken to be as slow as that.
+// retryAfter estimates the time until the load of an engine is a tenth below its
+// bound: the number of excess requests times the interval between completions,
+// limited to minRetryAfter and maxRetryAfter. If the last completion is longer ago
+// than the average interval, the elapsed time is used as the interval.
 //
-// The gateway's Retry-After has other inputs: it knows no endpoint's completions
-// and answers a fixed time for each reason.
+// The gateway does not observe the completions of its endpoints. Its Retry-After is
+// a fixed time for each reason.
 func (c *completions) retryAfter(now time.Time, load, bound float64) time.Duration {
-	if c.spacing == 0 {
-		return firstRetryAfter
+	if c.interval == 0 {
+		return defaultRetryAfter
 	}
-	spacing := max(c.spacing, now.Sub(c.last))
-	excess := max(1, load-retryFill*bound)
-	return min(max(time.Duration(excess*float64(spacing)), minRetryAfter), maxRetryAfter)
+	interval := max(c.interval, now.Sub(c.last))
+	excess := max(1, load-retryLoad*bound)
+	return min(max(time.Duration(excess*float64(interval)), minRetryAfter), maxRetryAfter)
 }
--- a/agentfleet/lease/lease.go
+++ b/agentfleet/lease/lease.go
@@ -1,9 +1,10 @@
-// Package lease elects one holder among processes by a row of the platform's table.
+// Package lease elects one holder among several processes, with a row of the
+// platform's table.
 //
-// A lease may lapse while its holder is paused, so holding one proves nothing. What a
-// holder writes is made conditional on the lease's row, in the same transaction (see
-// Held.Renewal): that is what keeps two holders from writing. The clocks of the
-// processes decide only how soon another one takes over.
+// A lease may expire while its holder is suspended, so a holder must not rely on the
+// lease alone. Each write of a holder is conditional on the lease's row, in the same
+// transaction (Held.Renewal): this prevents two holders from writing. The clocks of
+// the processes only determine how soon another process takes over.
 //
 // The package owns the rows under lease/.
 package lease
@@ -17,30 +18,30 @@
 	"github.com/ryeford/ryeford/agentfleet/row"
 )
 
-// A record is the lease's row.
+// A record is the content of a lease's row.
 type record struct {
-	Holder  ryeford.VMID `json:"holder"`
-	Life    string       `json:"life"` // of the holder's process
-	Epoch   int64        `json:"epoch"`
-	Expires time.Time    `json:"expires"`
+	Holder      ryeford.VMID `json:"holder"`
+	Incarnation string       `json:"life"` // of the holder's process
+	Epoch       int64        `json:"epoch"`
+	Expires     time.Time    `json:"expires"`
 }
 
 // A Lease is one named lease.
 type Lease struct {
-	table  ryeford.Table
-	key    string
-	holder ryeford.VMID
-	life   string
-	ttl    time.Duration
+	table       ryeford.Table
+	key         string
+	holder      ryeford.VMID
+	incarnation string
+	ttl         time.Duration
 }
 
-// New returns a Lease that this process may hold for ttl after each renewal. The life
-// distinguishes this process from an earlier one of the same VM.
-func New(table ryeford.Table, name string, holder ryeford.VMID, life string, ttl time.Duration) *Lease {
-	return &Lease{table: table, key: "lease/" + name, holder: holder, life: life, ttl: ttl}
+// New returns a Lease that expires ttl after each renewal. The incarnation
+// distinguishes this process from earlier ones of the same VM.
+func New(table ryeford.Table, name string, holder ryeford.VMID, incarnation string, ttl time.Duration) *Lease {
+	return &Lease{table: table, key: "lease/" + name, holder: holder, incarnation: incarnation, ttl: ttl}
 }
 
-// A Held is a lease as this process took or renewed it last.
+// A Held is the state of a lease after this process acquired or renewed it.
 type Held struct {
 	Epoch int64
 
@@ -48,24 +49,24 @@
 	lease   *Lease
 }
 
-// A HeldError says that another process holds the lease. Holder is empty if that process
-// took it at the same time.
+// A HeldError reports that another process holds the lease. Holder is empty if that
+// process acquired it concurrently.
 type HeldError struct {
 	Holder ryeford.VMID
 }
 
 func (e *HeldError) Error() string { return "lease held by " + string(e.Holder) }
 
-// Acquire takes or renews the lease. If another process holds it, or took it at the
-// same time, the error is a *HeldError. After any other error it is not known who holds
-// the lease; the next call finds out.
+// Acquire acquires or renews the lease. The error is a *HeldError if another process
+// holds the lease or acquired it concurrently. After any other error the holder is
+// unknown until the next call.
 func (l *Lease) Acquire(ctx context.Context) (*Held, error) {
 	var current record
 	version, err := row.Get(ctx, l.table, l.key, &current)
 	if err != nil {
 		return nil, err
 	}
-	epoch, err := l.next(current, time.Now())
+	epoch, err := l.nextEpoch(current, time.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -76,7 +77,7 @@
 	}
 	held.version, err = l.table.Transact(ctx, write)
 	if _, ok := errors.AsType[*ryeford.ConflictError](err); ok {
-		return nil, &HeldError{} // by whom is read the next time
+		return nil, &HeldError{} // the next call reads the holder
 	}
 	if err != nil {
 		return nil, err
@@ -84,13 +85,13 @@
 	return held, nil
 }
 
-// next is the rule of the lease: it returns the epoch with which this process takes or
-// renews the lease, given the record in the row, or a *HeldError. A lease is taken once it
-// has expired, also from an earlier life of the same VM. The epoch grows whenever the
-// holder changes.
-func (l *Lease) next(current record, now time.Time) (epoch int64, err error) {
+// nextEpoch returns the epoch with which this process acquires or renews the lease,
+// given the row's record, or a *HeldError. A lease can be acquired once it has
+// expired; this includes a lease of an earlier incarnation on the same VM. The epoch
+// increases with each change of the holder.
+func (l *Lease) nextEpoch(current record, now time.Time) (epoch int64, err error) {
 	switch {
-	case current.Holder == l.holder && current.Life == l.life:
+	case current.Holder == l.holder && current.Incarnation == l.incarnation:
 		return current.Epoch, nil
 	case now.Before(current.Expires):
 		return 0, &HeldError{Holder: current.Holder}
@@ -98,10 +99,10 @@
 	return current.Epoch + 1, nil
 }
 
-// Renewal returns the write that makes a transaction conditional on the lease
-// still being as it was when h was acquired, and renews it.
+// Renewal returns a write that renews the lease. A transaction with this write fails
+// with a conflict if the lease's row has changed since h was acquired.
 func (h *Held) Renewal() (ryeford.Write, error) {
 	l := h.lease
-	next := record{Holder: l.holder, Life: l.life, Epoch: h.Epoch, Expires: time.Now().Add(l.ttl)}
+	next := record{Holder: l.holder, Incarnation: l.incarnation, Epoch: h.Epoch, Expires: time.Now().Add(l.ttl)}
 	return row.Write(l.key, &next, h.version)
 }
