--- a/agentfleet/load/load_test.go
+++ b/agentfleet/load/load_test.go
@@ -13,7 +13,7 @@
 	for _, test := range []struct {
 		name    string
 		samples []float64     // one each 10 ms
-		after   time.Duration // the last one
+		elapsed time.Duration // the last one
 		value   float64
 		count   int
 	}{
@@ -30,7 +30,7 @@
 				now = start.Add(time.Duration(i) * 10 * time.Millisecond)
 				m.Add(now, value)
 			}
-			now = now.Add(test.after)
+			now = now.Add(test.elapsed)
 			assert.Equal(t, m.Count(now), test.count)
 			assert.Equal(t, m.Value(now), test.value)
 		})
@@ -42,7 +42,7 @@
 func TestProbes(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		known     float64
+		estimate  float64
 		samples   int
 		probes    []float64
 		saturated bool
@@ -50,8 +50,8 @@
 	}{
 		{"no probe: the estimate", 4, 32, nil, false, 4},
 		{"no probe and no sample", 0, 0, nil, false, 0},
-		{"few probes, a good estimate", 4, enoughSamples, []float64{9, 9}, false, 4},
-		{"few probes, few samples", 4, enoughSamples - 1, []float64{8, 10}, false, 9},
+		{"few probes, a good estimate", 4, minSamples, []float64{9, 9}, false, 4},
+		{"few probes, few samples", 4, minSamples - 1, []float64{8, 10}, false, 9},
 		{"few samples never lower it", 4, 1, []float64{2}, false, 4},
 		{"three probes raise a good estimate, within bounds", 4, 32, []float64{9, 9, 9}, false, 4.5},
 		{"three probes, a little higher", 4, 32, []float64{4.25, 4.25, 4.25}, false, 4.25},
@@ -63,7 +63,7 @@
 			for _, value := range test.probes {
 				p.Add(value)
 			}
-			assert.Equal(t, p.Mean(test.known, test.samples), test.want)
+			assert.Equal(t, p.Mean(test.estimate, test.samples), test.want)
 		})
 	}
 }
--- a/agentfleet/load/probes.go
+++ b/agentfleet/load/probes.go
@@ -3,17 +3,17 @@
 const (
 	// enoughSamples is from how many samples on the estimate is trusted alone. Without
 	// unit.
-	enoughSamples = 8
+	minSamples = 8
 
 	// saturatedProbes is after how many probes in a row, none of which admitted the
 	// request, the fleet counts as saturated. Without unit. With 2 the worst
 	// skew was 1.79 to 1.95.
-	saturatedProbes = 3
+	saturationProbes = 3
 
 	// maxRaise is by how much probes may raise a good estimate, in requests: enough to
 	// let a saturated fleet admit one more request to each engine. Worst skew
 	// 1.56 without it, 1.51 with it (load-bound.txtar).
-	maxRaise = 0.5
+	maxIncrease = 0.5
 )
 
 // Probes are the loads that the candidates of one request reported, in requests. The
@@ -45,14 +45,14 @@
 //
 // Without the raise a fleet that is full at a small bound stays there: its mean is a
 // little below the bound, and the bound, in whole requests, does not grow.
-func (p *Probes) Mean(known float64, samples int) float64 {
-	enough := samples >= enoughSamples
-	if p.count == 0 || (enough && p.count < saturatedProbes && !p.saturated) {
-		return known
+func (p *Probes) Mean(estimate float64, samples int) float64 {
+	reliable := samples >= minSamples
+	if p.count == 0 || (reliable && p.count < saturationProbes && !p.saturated) {
+		return estimate
 	}
 	reported := p.sum / float64(p.count)
-	if enough {
-		reported = min(reported, known+maxRaise)
+	if reliable {
+		reported = min(reported, estimate+maxIncrease)
 	}
-	return max(known, reported)
+	return max(estimate, reported)
 }
