--- a/agentfleet/load/load_test.go
+++ b/agentfleet/load/load_test.go
@@ -17,11 +17,11 @@
 		value   float64
 		count   int
 	}{
-		{"none", nil, 0, 0, 0},
-		{"their mean", []float64{1, 2, 6}, 0, 3, 3},
-		{"the window's alone", []float64{1, 2, 6}, time.Second, 6, 1},
-		{"none is left", []float64{1, 2, 6}, time.Second + 1, 0, 0},
-		{"the last maxSamples", append([]float64{1000}, make([]float64, maxSamples)...), 0, 0, maxSamples},
+		{"no samples", nil, 0, 0, 0},
+		{"the mean of all samples", []float64{1, 2, 6}, 0, 3, 3},
+		{"only samples in the window", []float64{1, 2, 6}, time.Second, 6, 1},
+		{"all samples expired", []float64{1, 2, 6}, time.Second + 1, 0, 0},
+		{"only the last maxSamples", append([]float64{1000}, make([]float64, maxSamples)...), 0, 0, maxSamples},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := NewMean(time.Second)
@@ -48,14 +48,14 @@
 		saturated bool
 		want      float64
 	}{
-		{"no probe: the estimate", 4, 32, nil, false, 4},
-		{"no probe and no sample", 0, 0, nil, false, 0},
-		{"few probes, a good estimate", 4, minSamples, []float64{9, 9}, false, 4},
-		{"few probes, few samples", 4, minSamples - 1, []float64{8, 10}, false, 9},
-		{"few samples never lower it", 4, 1, []float64{2}, false, 4},
-		{"three probes raise a good estimate, within bounds", 4, 32, []float64{9, 9, 9}, false, 4.5},
-		{"three probes, a little higher", 4, 32, []float64{4.25, 4.25, 4.25}, false, 4.25},
-		{"three probes never lower it", 4, 32, []float64{1, 1, 1}, false, 4},
+		{"no probes", 4, 32, nil, false, 4},
+		{"no probes and no samples", 0, 0, nil, false, 0},
+		{"few probes and a reliable estimate", 4, minSamples, []float64{9, 9}, false, 4},
+		{"few probes and few samples", 4, minSamples - 1, []float64{8, 10}, false, 9},
+		{"a low probe does not lower an unreliable estimate", 4, 1, []float64{2}, false, 4},
+		{"three probes raise a reliable estimate by at most maxIncrease", 4, 32, []float64{9, 9, 9}, false, 4.5},
+		{"three slightly higher probes replace a reliable estimate", 4, 32, []float64{4.25, 4.25, 4.25}, false, 4.25},
+		{"three low probes do not lower a reliable estimate", 4, 32, []float64{1, 1, 1}, false, 4},
 		{"all candidates refused", 4, 32, []float64{9}, true, 4.5},
 	} {
 		t.Run(test.name, func(t *testing.T) {
