--- a/agentfleet/load/load_test.go
+++ b/agentfleet/load/load_test.go
@@ -7,13 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestMean checks which samples count in an estimate.
+// TestMean checks which samples an estimate includes.
 func TestMean(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	for _, test := range []struct {
 		name    string
-		samples []float64     // one each 10 ms
-		elapsed time.Duration // the last one
+		samples []float64     // one every 10 ms
+		elapsed time.Duration // since the last sample
 		value   float64
 		count   int
 	}{
@@ -37,8 +37,7 @@
 	}
 }
 
-// TestProbes checks which mean a request's next candidate is to admit against, by the
-// estimate, its samples, and what the candidates before reported.
+// TestProbes checks the mean that the next candidate of a request uses for admission.
 func TestProbes(t *testing.T) {
 	for _, test := range []struct {
 		name      string
