--- a/agentfleet/template/book.go
+++ b/agentfleet/template/book.go
@@ -53,7 +53,7 @@
 func (b *Book) Apply(from, to int64, templates []ryeford.Template) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !advances(b.revision, from, to) {
+	if !canApply(b.revision, from, to) {
 		return false
 	}
 	for i := range templates {
@@ -68,18 +68,18 @@
 
 // advances reports whether a delta is applied to a book at a revision. One that is old,
 // or that would leave a gap, is not.
-func advances(revision, from, to int64) bool {
+func canApply(revision, from, to int64) bool {
 	return to > revision && from <= revision
 }
 
 // apply keeps a template, unless a later one of its name is held.
 func (b *Book) apply(t *ryeford.Template) {
 	name := Name{Account: t.Account, Name: t.Name}
-	if old, ok := b.templates[name]; ok && old.Revision >= t.Revision {
+	if current, ok := b.templates[name]; ok && current.Revision >= t.Revision {
 		return
 	}
-	kept := *t
-	b.templates[name] = &kept
+	stored := *t
+	b.templates[name] = &stored
 }
 
 func (b *Book) indexKeys() {
@@ -95,14 +95,14 @@
 func (b *Book) Since(revision int64) (int64, []ryeford.Template) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	var since []ryeford.Template
+	var changed []ryeford.Template
 	for _, t := range b.templates {
 		if t.Revision > revision {
-			since = append(since, *t)
+			changed = append(changed, *t)
 		}
 	}
-	slices.SortFunc(since, func(a, c ryeford.Template) int { return cmp.Compare(a.Revision, c.Revision) })
-	return b.revision, since
+	slices.SortFunc(changed, func(a, c ryeford.Template) int { return cmp.Compare(a.Revision, c.Revision) })
+	return b.revision, changed
 }
 
 // KeyOwner returns the client account that a key's hash belongs to.
--- a/agentfleet/template/store.go
+++ b/agentfleet/template/store.go
@@ -20,19 +20,19 @@
 
 	// maxPublishes is how often a publish is made while other templates' publishes come
 	// first.
-	maxPublishes = 8
+	maxPublishTries = 8
 )
 
 // A SequenceError says that a publish was based on another version of the
 // template than the current one.
 type SequenceError struct {
 	Name    Name
-	Based   int64
+	Base    int64
 	Current int64
 }
 
 func (e *SequenceError) Error() string {
-	return fmt.Sprintf("template %s is at version %d, not %d: read it and publish again", e.Name, e.Current, e.Based)
+	return fmt.Sprintf("template %s is at version %d, not %d: read it and publish again", e.Name, e.Current, e.Base)
 }
 
 // A Store publishes templates to the platform's table, and reads them back.
@@ -50,17 +50,17 @@
 // returned has its new Sequence and Revision. The error is a *SequenceError if the
 // template is based on another version than the current one.
 func (s *Store) Publish(ctx context.Context, t ryeford.Template) (*ryeford.Template, error) {
-	var last error
-	for range maxPublishes {
-		published, err := s.publishOnce(ctx, t)
+	var lastErr error
+	for range maxPublishTries {
+		published, err := s.tryPublish(ctx, t)
 		if !ryeford.NeedsReadBack(err) {
 			return published, err
 		}
 		// The next time round reads the change's own row first, and so finds out
 		// whether a publish whose answer was lost took effect.
-		last = err
+		lastErr = err
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 // Since returns the newest revision and the templates above another one.
@@ -70,7 +70,7 @@
 		return revision, nil, err
 	}
 	var newest int64
-	if err := decode(revisionRow[0], &newest); err != nil || newest <= revision {
+	if err := decodeIfPresent(revisionRow[0], &newest); err != nil || newest <= revision {
 		return revision, nil, err
 	}
 	if revision == 0 || newest-revision > maxDelta {
@@ -119,19 +119,19 @@
 }
 
 // publishOnce makes one transaction of a publish.
-func (s *Store) publishOnce(ctx context.Context, t ryeford.Template) (*ryeford.Template, error) {
+func (s *Store) tryPublish(ctx context.Context, t ryeford.Template) (*ryeford.Template, error) {
 	name := Name{Account: t.Account, Name: t.Name}
-	rows, err := s.table.Get(ctx, rowRevision, templateKey(name), publishedKey(t.Change))
+	rows, err := s.table.Get(ctx, rowRevision, templateKey(name), publishKey(t.Change))
 	if err != nil {
 		return nil, err
 	}
-	revisionRow, templateRow, publishedRow := rows[0], rows[1], rows[2]
+	revisionRow, templateRow, publishRow := rows[0], rows[1], rows[2]
 	current := &ryeford.Template{}
-	if publishedRow.Version != 0 {
-		return current, row.Decode(publishedRow, current)
+	if publishRow.Version != 0 {
+		return current, row.Decode(publishRow, current)
 	}
 	var revision int64
-	if err := errors.Join(decode(templateRow, current), decode(revisionRow, &revision)); err != nil {
+	if err := errors.Join(decodeIfPresent(templateRow, current), decodeIfPresent(revisionRow, &revision)); err != nil {
 		return nil, err
 	}
 	next, err := nextVersion(t, current.Sequence)
@@ -149,16 +149,16 @@
 // template still have these versions.
 func (s *Store) write(ctx context.Context, t *ryeford.Template, revisionVersion, templateVersion int64) error {
 	name := Name{Account: t.Account, Name: t.Name}
-	newest, err := row.Write(templateKey(name), t, templateVersion)
+	templateWrite, err := row.Write(templateKey(name), t, templateVersion)
 	if err != nil {
 		return err
 	}
 	_, err = s.table.Transact(ctx,
-		newest,
+		templateWrite,
 		ryeford.Write{Key: rowRevision, Value: []byte(strconv.FormatInt(t.Revision, 10)), IfVersion: revisionVersion},
-		ryeford.Write{Key: publishedKey(t.Change), Value: newest.Value},
-		ryeford.Write{Key: revisionKey(t.Revision), Value: newest.Value},
-		ryeford.Write{Key: historyKey(name, t.Sequence), Value: newest.Value},
+		ryeford.Write{Key: publishKey(t.Change), Value: templateWrite.Value},
+		ryeford.Write{Key: revisionKey(t.Revision), Value: templateWrite.Value},
+		ryeford.Write{Key: historyKey(name, t.Sequence), Value: templateWrite.Value},
 	)
 	return err
 }
@@ -167,7 +167,7 @@
 // must be based.
 func nextVersion(t ryeford.Template, current int64) (*ryeford.Template, error) {
 	if t.Sequence != current {
-		return nil, &SequenceError{Name: Name{Account: t.Account, Name: t.Name}, Based: t.Sequence, Current: current}
+		return nil, &SequenceError{Name: Name{Account: t.Account, Name: t.Name}, Base: t.Sequence, Current: current}
 	}
 	t.Sequence++
 	return &t, nil
@@ -175,26 +175,26 @@
 
 // The rows of the platform's table that hold the templates.
 const (
-	rowRevision     = "revision"  // the newest accepted one
-	prefixTemplate  = "template/" // by name: the newest version
-	prefixRevision  = "change/"   // by revision: the template that made it
-	prefixHistory   = "history/"  // by name and sequence
-	prefixPublished = "publish/"  // by change id: what it led to
-	sequenceDigits  = "%020d"     // so that history rows list in order
+	rowRevision    = "revision"  // the newest accepted one
+	prefixTemplate = "template/" // by name: the newest version
+	prefixRevision = "change/"   // by revision: the template that made it
+	prefixHistory  = "history/"  // by name and sequence
+	prefixPublish  = "publish/"  // by change id: what it led to
+	sequenceFormat = "%020d"     // so that history rows list in order
 )
 
 func templateKey(name Name) string { return prefixTemplate + name.String() }
 
-func publishedKey(change string) string { return prefixPublished + change }
+func publishKey(change string) string { return prefixPublish + change }
 
 func revisionKey(revision int64) string { return prefixRevision + strconv.FormatInt(revision, 10) }
 
 func historyKey(name Name, sequence int64) string {
-	return prefixHistory + name.String() + "/" + fmt.Sprintf(sequenceDigits, sequence)
+	return prefixHistory + name.String() + "/" + fmt.Sprintf(sequenceFormat, sequence)
 }
 
 // decode reads a row into v, and leaves v alone if the row is absent.
-func decode(r ryeford.Row, v any) error {
+func decodeIfPresent(r ryeford.Row, v any) error {
 	if r.Version == 0 {
 		return nil
 	}
@@ -212,7 +212,7 @@
 }
 
 // checker may be used by several goroutines at once, and caches the types it has seen.
-var checker = validator.New(validator.WithRequiredStructEnabled())
+var validate = validator.New(validator.WithRequiredStructEnabled())
 
 // Check checks a template that is to be published. The error is a
 // *ryeford.InputError.
@@ -220,15 +220,15 @@
 	if t.Change == "" {
 		return &ryeford.InputError{Field: "change", Problem: "missing; it names the publish"}
 	}
-	err := checker.Struct(t)
+	err := validate.Struct(t)
 	if err == nil {
 		return nil
 	}
-	var list validator.ValidationErrors
-	if !errors.As(err, &list) || len(list) == 0 {
+	var invalid validator.ValidationErrors
+	if !errors.As(err, &invalid) || len(invalid) == 0 {
 		return &ryeford.InputError{Field: "template", Problem: err.Error()}
 	}
-	first := list[0]
+	first := invalid[0]
 	return &ryeford.InputError{
 		Field:   strings.ToLower(first.Field()),
 		Problem: "must satisfy " + strings.TrimSpace(first.Tag()+" "+first.Param()),
--- a/agentfleet/template/template_test.go
+++ b/agentfleet/template/template_test.go
@@ -16,36 +16,36 @@
 )
 
 // TestBookNeverReverts applies deltas in any order, repeated, and with gaps.
-func TestBookNeverReverts(t *testing.T) {
+func TestBookRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var accepted []ryeford.Template
+		var published []ryeford.Template
 		for i := range rapid.IntRange(1, 12).Draw(t, "publishes") {
 			name := fmt.Sprintf("t%d", rapid.IntRange(0, 2).Draw(t, "name"))
-			accepted = append(accepted, ryeford.Template{Account: "a", Name: name, Model: "m", Revision: int64(i + 1)})
+			published = append(published, ryeford.Template{Account: "a", Name: name, Model: "m", Revision: int64(i + 1)})
 		}
 		book := NewBook()
 		for range rapid.IntRange(1, 20).Draw(t, "deltas") {
-			from := rapid.IntRange(0, len(accepted)).Draw(t, "from")
-			to := rapid.IntRange(from, len(accepted)).Draw(t, "to")
+			from := rapid.IntRange(0, len(published)).Draw(t, "from")
+			to := rapid.IntRange(from, len(published)).Draw(t, "to")
 			before := book.Revision()
-			book.Apply(int64(from), int64(to), accepted[from:to])
+			book.Apply(int64(from), int64(to), published[from:to])
 			assert.Assert(t, book.Revision() >= before, "revision went back")
-			checkBook(t, book, accepted)
+			checkBook(t, book, published)
 		}
 	})
 }
 
 // checkBook checks that a book holds the newest accepted template of each name,
 // up to its revision.
-func checkBook(t *rapid.T, book *Book, accepted []ryeford.Template) {
+func checkBook(t *rapid.T, book *Book, published []ryeford.Template) {
 	revision, _ := book.Since(0)
 	newest := make(map[string]int64)
-	for _, a := range accepted[:revision] {
-		newest[a.Name] = a.Revision
+	for _, p := range published[:revision] {
+		newest[p.Name] = p.Revision
 	}
 	for name, want := range newest {
-		held, ok := book.Find("a", name)
-		assert.Assert(t, ok && held.Revision == want, "%s: want revision %d", name, want)
+		found, ok := book.Find("a", name)
+		assert.Assert(t, ok && found.Revision == want, "%s: want revision %d", name, want)
 	}
 }
 
@@ -60,11 +60,11 @@
 		}
 		return memtable.Succeeds
 	})
-	const operators = 6
+	const publishers = 6
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	accepted := 0
-	for i := range operators {
+	published := 0
+	for i := range publishers {
 		wait.Go(func() {
 			store := NewStore(table)
 			_, err := store.Publish(context.Background(), ryeford.Template{
@@ -74,28 +74,28 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
-				accepted++
+				published++
 			} else {
 				assert.Check(t, errors.As(err, &sequence), "%v", err)
 			}
 		})
 	}
 	wait.Wait()
-	assert.Equal(t, accepted, 1)
+	assert.Equal(t, published, 1)
 	history, err := NewStore(table).History(t.Context(), Name{Account: "bank", Name: "calls"})
 	assert.NilError(t, err)
 	assert.Equal(t, len(history), 1)
 }
 
 // TestPublishAgain checks that the same change takes effect once.
-func TestPublishAgain(t *testing.T) {
+func TestPublishIdempotent(t *testing.T) {
 	store := NewStore(memtable.New(nil))
 	change := ryeford.Template{Account: "bank", Name: "calls", Model: "lira", Change: "c1"}
 	first, err := store.Publish(t.Context(), change)
 	assert.NilError(t, err)
-	again, err := store.Publish(t.Context(), change)
+	second, err := store.Publish(t.Context(), change)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, first, again)
+	assert.DeepEqual(t, first, second)
 }
 
 // BenchmarkBook reports what a template costs a process in memory, and the time
@@ -132,7 +132,7 @@
 }
 
 // TestAdvances checks which deltas a book at revision 5 takes.
-func TestAdvances(t *testing.T) {
+func TestCanApply(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		from, to int64
@@ -145,7 +145,7 @@
 		{"the same", 4, 5, false},
 		{"with a gap", 6, 8, false},
 	} {
-		assert.Equal(t, advances(5, test.from, test.to), test.want, test.name)
+		assert.Equal(t, canApply(5, test.from, test.to), test.want, test.name)
 	}
 }
 
@@ -183,9 +183,9 @@
 // TestNextVersion checks which publish is accepted.
 func TestNextVersion(t *testing.T) {
 	for _, test := range []struct {
-		name           string
-		based, current int64
-		accepted       bool
+		name          string
+		base, current int64
+		accepted      bool
 	}{
 		{"new", 0, 0, true},
 		{"on the current version", 3, 3, true},
@@ -194,7 +194,7 @@
 		{"on a version that is not there", 4, 3, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			next, err := nextVersion(ryeford.Template{Sequence: test.based}, test.current)
+			next, err := nextVersion(ryeford.Template{Sequence: test.base}, test.current)
 			var sequence *SequenceError
 			assert.Equal(t, errors.As(err, &sequence), !test.accepted)
 			if test.accepted {
