--- a/agentfleet/template/template_test.go
+++ b/agentfleet/template/template_test.go
@@ -29,7 +29,7 @@
 			to := rapid.IntRange(from, len(published)).Draw(t, "to")
 			before := book.Revision()
 			book.Apply(int64(from), int64(to), published[from:to])
-			assert.Assert(t, book.Revision() >= before, "revision went back")
+			assert.Assert(t, book.Revision() >= before, "revision decreased")
 			checkBook(t, book, published)
 		}
 	})
@@ -138,11 +138,11 @@
 		from, to int64
 		want     bool
 	}{
-		{"the next", 5, 6, true},
+		{"the next revision", 5, 6, true},
 		{"overlapping", 3, 8, true},
-		{"from the start", 0, 6, true},
-		{"old", 3, 4, false},
-		{"the same", 4, 5, false},
+		{"from revision zero", 0, 6, true},
+		{"older than the book", 3, 4, false},
+		{"up to the book's revision", 4, 5, false},
 		{"with a gap", 6, 8, false},
 	} {
 		assert.Equal(t, canApply(5, test.from, test.to), test.want, test.name)
@@ -165,10 +165,10 @@
 		want    string // the template's name, or empty
 	}{
 		{"by name", "bank", "calls", "calls"},
-		{"a name comes before a model", "bank", "lira", "lira"},
+		{"a name takes precedence over a model", "bank", "lira", "lira"},
 		{"by model", "bank", "psalm", "lira"},
-		{"another account's", "bank", "hymn", ""},
-		{"none", "bank", "x", ""},
+		{"a model of another account", "bank", "hymn", ""},
+		{"an unknown model", "bank", "x", ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			found, ok := book.Find(test.account, test.model)
@@ -187,11 +187,11 @@
 		base, current int64
 		accepted      bool
 	}{
-		{"new", 0, 0, true},
-		{"on the current version", 3, 3, true},
-		{"on an old version", 2, 3, false},
-		{"on no version, though there is one", 0, 1, false},
-		{"on a version that is not there", 4, 3, false},
+		{"a new template", 0, 0, true},
+		{"based on the current version", 3, 3, true},
+		{"based on an old version", 2, 3, false},
+		{"based on no version of an existing template", 0, 1, false},
+		{"based on a version that does not exist", 4, 3, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			next, err := nextVersion(ryeford.Template{Sequence: test.base}, test.current)
