--- a/agentfleet/template/book.go
+++ b/agentfleet/template/book.go
@@ -1,9 +1,9 @@
-// Package template keeps the templates of the client accounts: which are in
-// force here (a Book), and how they are published (a Store).
+// Package template manages the templates of the client accounts: a Book holds the
+// templates that are in force in a process, a Store publishes them.
 //
-// A Book is in memory and as old as the last delta that reached the process, by gossip
-// or by a poll; it never goes back. A Store owns the rows revision, template/, change/,
-// history/ and publish/ of the platform's table, and relies on its transactions.
+// A Book is an in-memory copy, updated with deltas from gossip or polls; its revision
+// never decreases. A Store owns the rows revision, template/, change/, history/ and
+// publish/ of the platform's table, and relies on the table's transactions.
 package template
 
 import (
@@ -15,13 +15,14 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Book holds the templates that are in force in this process. Its revision
-// never goes down, and it holds every template up to its revision.
+// A Book holds the templates that are in force in this process. Its revision never
+// decreases, and it includes each template up to its revision. It is safe for
+// concurrent use.
 type Book struct {
 	mu        sync.RWMutex
 	revision  int64
 	templates map[Name]*ryeford.Template
-	accounts  map[string]ryeford.AccountID // by key hash
+	accounts  map[string]ryeford.AccountID // by hash of the API key
 	changed   chan struct{}
 }
 
@@ -34,22 +35,22 @@
 	}
 }
 
-// Revision returns the revision that is in force.
+// Revision returns the revision in force.
 func (b *Book) Revision() int64 {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.revision
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the book changes next.
 func (b *Book) Changed() <-chan struct{} {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.changed
 }
 
-// Apply puts a delta in force: all templates that changed after revision from,
-// up to revision to. It reports whether the book advanced.
+// Apply applies a delta: all templates that changed after revision from, up to and
+// including revision to. It reports whether the book's revision increased.
 func (b *Book) Apply(from, to int64, templates []ryeford.Template) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -66,13 +67,13 @@
 	return true
 }
 
-// advances reports whether a delta is applied to a book at a revision. One that is old,
-// or that would leave a gap, is not.
+// canApply reports whether a delta can be applied to a book at a revision. A delta that
+// is stale or would leave a gap can't.
 func canApply(revision, from, to int64) bool {
 	return to > revision && from <= revision
 }
 
-// apply keeps a template, unless a later one of its name is held.
+// apply stores a template unless the book has a version of it that is as new.
 func (b *Book) apply(t *ryeford.Template) {
 	name := Name{Account: t.Account, Name: t.Name}
 	if current, ok := b.templates[name]; ok && current.Revision >= t.Revision {
@@ -91,7 +92,8 @@
 	}
 }
 
-// Since returns the templates above a revision and the revision they lead to.
+// Since returns the book's revision and the templates that changed after the given one,
+// ordered by revision.
 func (b *Book) Since(revision int64) (int64, []ryeford.Template) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -105,7 +107,7 @@
 	return b.revision, changed
 }
 
-// KeyOwner returns the client account that a key's hash belongs to.
+// KeyOwner returns the client account of an API key, given the key's hash.
 func (b *Book) KeyOwner(hash string) (ryeford.AccountID, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -113,8 +115,8 @@
 	return account, ok
 }
 
-// Find returns the template that serves an account's model: the one of that
-// name, or the first by name with that model. A template must not be changed.
+// Find returns the template for an account's model: the template of that name, or else
+// the first one by name with that model. The caller must not modify it.
 func (b *Book) Find(account ryeford.AccountID, model string) (*ryeford.Template, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -131,7 +133,7 @@
 	return found, found != nil
 }
 
-// A Name names a template.
+// A Name identifies a template.
 type Name struct {
 	Account ryeford.AccountID
 	Name    string
@@ -140,7 +142,7 @@
 // String returns the name as ACCOUNT/NAME.
 func (n Name) String() string { return string(n.Account) + "/" + n.Name }
 
-// ParseName returns the name that ACCOUNT/NAME means.
+// ParseName parses ACCOUNT/NAME. The error is a *ryeford.InputError.
 func ParseName(text string) (Name, error) {
 	account, name, ok := strings.Cut(text, "/")
 	if !ok || account == "" || name == "" || strings.Contains(name, "/") {
--- a/agentfleet/template/store.go
+++ b/agentfleet/template/store.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// maxDelta is how many revisions are read row by row; a reader that lacks more reads
-	// all templates.
+	// maxDelta is the maximum number of revisions that Since reads one by one. If more
+	// are missing, it reads all templates.
 	maxDelta = 64
 
-	// maxPublishes is how often a publish is made while other templates' publishes come
-	// first.
+	// maxPublishTries is how often Publish tries its transaction while it conflicts with
+	// the publishes of other templates.
 	maxPublishTries = 8
 )
 
-// A SequenceError says that a publish was based on another version of the
-// template than the current one.
+// A SequenceError reports that a publish was based on a version of the template that is
+// not the current one.
 type SequenceError struct {
 	Name    Name
 	Base    int64
@@ -35,20 +35,20 @@
 	return fmt.Sprintf("template %s is at version %d, not %d: read it and publish again", e.Name, e.Current, e.Base)
 }
 
-// A Store publishes templates to the platform's table, and reads them back.
+// A Store publishes templates to the platform's table and reads them.
 type Store struct {
 	table ryeford.Table
 }
 
-// NewStore returns a Store in a table.
+// NewStore returns a Store that uses a table.
 func NewStore(table ryeford.Table) *Store {
 	return &Store{table: table}
 }
 
-// Publish accepts a template. Its Sequence is the version it is based on, zero for a
-// new one; its Change makes a repeated publish take effect once. The template that is
-// returned has its new Sequence and Revision. The error is a *SequenceError if the
-// template is based on another version than the current one.
+// Publish publishes a template. The template's Sequence is the version that it is based
+// on, zero for a new template. Its Change identifies the publish: a repeated publish
+// takes effect once. Publish returns the template with its new Sequence and Revision.
+// The error is a *SequenceError if the template is not based on the current version.
 func (s *Store) Publish(ctx context.Context, t ryeford.Template) (*ryeford.Template, error) {
 	var lastErr error
 	for range maxPublishTries {
@@ -56,14 +56,14 @@
 		if !ryeford.NeedsReadBack(err) {
 			return published, err
 		}
-		// The next time round reads the change's own row first, and so finds out
-		// whether a publish whose answer was lost took effect.
+		// The next try reads the row of the change first, which shows whether a
+		// publish took effect although its response was lost.
 		lastErr = err
 	}
 	return nil, lastErr
 }
 
-// Since returns the newest revision and the templates above another one.
+// Since returns the newest revision and the templates that changed after the given one.
 func (s *Store) Since(ctx context.Context, revision int64) (int64, []ryeford.Template, error) {
 	revisionRow, err := s.table.Get(ctx, rowRevision)
 	if err != nil {
@@ -94,7 +94,8 @@
 	return s.list(ctx, prefixTemplate)
 }
 
-// Get returns one template as it was accepted last.
+// Get returns the current version of a template. The error is a *ryeford.NotFoundError
+// if there is none.
 func (s *Store) Get(ctx context.Context, name Name) (*ryeford.Template, error) {
 	t := &ryeford.Template{}
 	version, err := row.Get(ctx, s.table, templateKey(name), t)
@@ -104,12 +105,12 @@
 	return t, err
 }
 
-// History returns all versions of a template, the oldest first.
+// History returns all versions of a template, oldest first.
 func (s *Store) History(ctx context.Context, name Name) ([]ryeford.Template, error) {
 	return s.list(ctx, prefixHistory+name.String()+"/")
 }
 
-// list returns the templates in the rows with a prefix.
+// list returns the templates in the rows with a key prefix.
 func (s *Store) list(ctx context.Context, prefix string) ([]ryeford.Template, error) {
 	rows, err := s.table.List(ctx, prefix)
 	if err != nil {
@@ -118,7 +119,8 @@
 	return decodeRows(rows)
 }
 
-// publishOnce makes one transaction of a publish.
+// tryPublish publishes a template in one transaction, unless its change was published
+// before.
 func (s *Store) tryPublish(ctx context.Context, t ryeford.Template) (*ryeford.Template, error) {
 	name := Name{Account: t.Account, Name: t.Name}
 	rows, err := s.table.Get(ctx, rowRevision, templateKey(name), publishKey(t.Change))
@@ -145,8 +147,8 @@
 	return next, nil
 }
 
-// write writes the rows of a published template, if the rows of the revision and of the
-// template still have these versions.
+// write writes the rows of a published template in one transaction. It fails with a
+// conflict if the revision row or the template row no longer has the given version.
 func (s *Store) write(ctx context.Context, t *ryeford.Template, revisionVersion, templateVersion int64) error {
 	name := Name{Account: t.Account, Name: t.Name}
 	templateWrite, err := row.Write(templateKey(name), t, templateVersion)
@@ -163,8 +165,8 @@
 	return err
 }
 
-// nextVersion returns a template with the sequence after the current one, on which it
-// must be based.
+// nextVersion returns a template with the next sequence number. The error is a
+// *SequenceError if the template is not based on the current one.
 func nextVersion(t ryeford.Template, current int64) (*ryeford.Template, error) {
 	if t.Sequence != current {
 		return nil, &SequenceError{Name: Name{Account: t.Account, Name: t.Name}, Base: t.Sequence, Current: current}
@@ -173,14 +175,14 @@
 	return &t, nil
 }
 
-// The rows of the platform's table that hold the templates.
+// Keys of the rows of the platform's table that hold the templates.
 const (
-	rowRevision    = "revision"  // the newest accepted one
-	prefixTemplate = "template/" // by name: the newest version
-	prefixRevision = "change/"   // by revision: the template that made it
-	prefixHistory  = "history/"  // by name and sequence
-	prefixPublish  = "publish/"  // by change id: what it led to
-	sequenceFormat = "%020d"     // so that history rows list in order
+	rowRevision    = "revision"  // the newest revision
+	prefixTemplate = "template/" // by name: the current version
+	prefixRevision = "change/"   // by revision: the template that was published with it
+	prefixHistory  = "history/"  // by name and sequence: each version
+	prefixPublish  = "publish/"  // by change ID: the published template
+	sequenceFormat = "%020d"     // zero-padded, so that history rows are listed in order
 )
 
 func templateKey(name Name) string { return prefixTemplate + name.String() }
@@ -193,7 +195,7 @@
 	return prefixHistory + name.String() + "/" + fmt.Sprintf(sequenceFormat, sequence)
 }
 
-// decode reads a row into v, and leaves v alone if the row is absent.
+// decodeIfPresent decodes a row into v. It does not modify v if the row is absent.
 func decodeIfPresent(r ryeford.Row, v any) error {
 	if r.Version == 0 {
 		return nil
@@ -211,10 +213,10 @@
 	return templates, nil
 }
 
-// checker may be used by several goroutines at once, and caches the types it has seen.
+// validate is safe for concurrent use, and caches struct metadata.
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// Check checks a template that is to be published. The error is a
+// Check validates a template before it is published. The error is a
 // *ryeford.InputError.
 func Check(t *ryeford.Template) error {
 	if t.Change == "" {
--- a/agentfleet/template/template_test.go
+++ b/agentfleet/template/template_test.go
@@ -15,7 +15,8 @@
 	"github.com/ryeford/ryeford/internal/memtable"
 )
 
-// TestBookNeverReverts applies deltas in any order, repeated, and with gaps.
+// TestBookRevisionNeverDecreases applies deltas out of order, repeatedly and with gaps: no
+// delta may replace a newer template or leave one out.
 func TestBookRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var published []ryeford.Template
@@ -35,8 +36,7 @@
 	})
 }
 
-// checkBook checks that a book holds the newest accepted template of each name,
-// up to its revision.
+// checkBook checks that a book has the newest template of each name up to its revision.
 func checkBook(t *rapid.T, book *Book, published []ryeford.Template) {
 	revision, _ := book.Since(0)
 	newest := make(map[string]int64)
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestPublishRace lets operators race on one template over a table that loses
-// answers: each version is published once, and no accepted change is lost.
+// TestPublishRace publishes one template concurrently to a table that loses responses:
+// exactly one publish may succeed, and it must be in the history once.
 func TestPublishRace(t *testing.T) {
 	calls := 0
 	table := memtable.New(func(write bool) memtable.Fate {
@@ -87,7 +87,7 @@
 	assert.Equal(t, len(history), 1)
 }
 
-// TestPublishAgain checks that the same change takes effect once.
+// TestPublishIdempotent checks that a repeated publish of a change takes effect once.
 func TestPublishIdempotent(t *testing.T) {
 	store := NewStore(memtable.New(nil))
 	change := ryeford.Template{Account: "bank", Name: "calls", Model: "lira", Change: "c1"}
@@ -98,8 +98,8 @@
 	assert.DeepEqual(t, first, second)
 }
 
-// BenchmarkBook reports what a template costs a process in memory, and the time
-// to apply one change among the templates of the full size.
+// BenchmarkBook reports the memory per template, and the time to apply one change to a
+// book with the templates of a full-size fleet.
 func BenchmarkBook(b *testing.B) {
 	const accounts = 3200
 	var templates []ryeford.Template
@@ -131,7 +131,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// TestAdvances checks which deltas a book at revision 5 takes.
+// TestCanApply checks which deltas can be applied to a book at revision 5.
 func TestCanApply(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -149,7 +149,7 @@
 	}
 }
 
-// TestFind checks which template serves an account's model.
+// TestFind checks which template is found for an account's model.
 func TestFind(t *testing.T) {
 	book := NewBook()
 	book.Apply(0, 4, []ryeford.Template{
@@ -180,7 +180,7 @@
 	}
 }
 
-// TestNextVersion checks which publish is accepted.
+// TestNextVersion checks that a publish must be based on the current version.
 func TestNextVersion(t *testing.T) {
 	for _, test := range []struct {
 		name          string
