--- a/agentfleet/agent/admit.go
+++ b/agentfleet/agent/admit.go
@@ -15,7 +15,7 @@
 
 // serveDispatch admits or refuses an attempt and sends its answer.
 func (a *Agent) serveDispatch(ctx context.Context, router ryeford.VMID, stream *transport.Stream, d *wire.Dispatch) {
-	d.Sent = a.offsets.sent(router, time.Now(), d.Sent)
+	d.Sent = a.offsets.sendTime(router, time.Now(), d.Sent)
 	r, refused := a.admitOrWait(ctx, d)
 	if refused != nil {
 		a.logRefused(d, refused)
@@ -57,15 +57,15 @@
 // or was admitted before. A repeated dispatch gets the earlier run, which its
 // account may join.
 func (a *Agent) admitAttempt(b *backend, d *wire.Dispatch) (*run, *wire.Refused) {
-	var decided admission.Decision
+	var decision admission.Decision
 	r, reason := a.attempts.admit(d, func(now time.Time) *run {
 		var warm bool
-		decided, warm = b.admit(now, d, a.meanLoad(now, b, d))
-		if !decided.Admitted {
+		decision, warm = b.admit(now, d, a.meanLoad(now, b, d))
+		if !decision.Admitted {
 			return nil
 		}
 		r := newRun(d, b, warm)
-		r.load = decided.Load
+		r.load = decision.Load
 		return r
 	})
 	switch {
@@ -78,12 +78,12 @@
 	case reason != "":
 		return nil, a.refusal(d, reason)
 	case r == nil:
-		refused := a.refusal(d, decided.Reason)
-		refused.Load, refused.Bound = decided.Load, decided.Bound
-		refused.RetryAfter = decided.RetryAfter
+		refused := a.refusal(d, decision.Reason)
+		refused.Load, refused.Bound = decision.Load, decision.Bound
+		refused.RetryAfter = decision.RetryAfter
 		return nil, refused
 	}
-	a.logAdmitted(d, &decided, r.warm)
+	a.logAdmitted(d, &decision, r.warm)
 	go a.execute(r)
 	return r, nil
 }
@@ -156,7 +156,7 @@
 // wait asks for admission again at each turn in the queue, for as long as the
 // load alone is the reason for the refusal and the dispatch's Wait is not over.
 func (a *Agent) wait(ctx context.Context, b *backend, d *wire.Dispatch, refused *wire.Refused) (*run, *wire.Refused) {
-	began := time.Now()
+	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, d.Wait)
 	defer cancel()
 	var r *run
@@ -178,16 +178,16 @@
 			return nil, refused
 		}
 	}
-	a.metrics.Observe("ryeford_warm_wait_seconds", time.Since(began).Seconds())
+	a.metrics.Observe("ryeford_warm_wait_seconds", time.Since(start).Seconds())
 	return r, refused
 }
 
-func (a *Agent) logAdmitted(d *wire.Dispatch, decided *admission.Decision, warm bool) {
+func (a *Agent) logAdmitted(d *wire.Dispatch, decision *admission.Decision, warm bool) {
 	a.metrics.Count("ryeford_admitted_total", "")
 	a.decisions.Record(d.Request,
 		"decision", "admit", "request", d.Request, "attempt", d.Attempt, "account", d.Account, "chat", d.Chat,
 		"engine", d.Engine, "failure_domain", a.settings.FailureDomain,
-		"load", decided.Load, "bound", decided.Bound, "mean", d.PoolMean, "mean_age", time.Since(d.Sent), "held", decided.Held, "share", d.Share, "warm", warm)
+		"load", decision.Load, "bound", decision.Bound, "mean", d.PoolMean, "mean_age", time.Since(d.Sent), "held", decision.Held, "share", d.Share, "warm", warm)
 }
 
 func (a *Agent) logRefused(d *wire.Dispatch, refused *wire.Refused) {
--- a/agentfleet/agent/admit_test.go
+++ b/agentfleet/agent/admit_test.go
@@ -14,7 +14,7 @@
 // TestAdmitOrder gives a dispatch one reason after the other to be refused, the last
 // in the order first, and checks that the first in the order is what it is refused
 // for.
-func TestAdmitOrder(t *testing.T) {
+func TestRefusalPrecedence(t *testing.T) {
 	now := time.Now()
 	pool := ryeford.Pool{Model: "lira"}
 	b := newBackend("endpoint-1.1", admission.Limits{PoolFactor: 1.25, Floor: 1, Capacity: 64, ShareFrom: 0.8}, 10)
@@ -26,13 +26,13 @@
 		Share: 1, MayRedirect: true, Completion: &ryeford.Completion{Pool: pool},
 		Expires: now.Add(time.Minute), Forget: now.Add(time.Hour),
 	}
-	other := *d
-	other.Attempt, other.Chat = "a0", "c0"
-	admitted, _ := b.admit(now, &other, 0)
-	assert.Assert(t, admitted.Admitted)
-	assert.Assert(t, !other.Completion.Admitted.Before(now))
-	remember := func(state attemptState) {
-		a.attempts.known[d.Attempt] = attempt{state: state, until: now.Add(time.Hour)}
+	running := *d
+	running.Attempt, running.Chat = "a0", "c0"
+	decision, _ := b.admit(now, &running, 0)
+	assert.Assert(t, decision.Admitted)
+	assert.Assert(t, !running.Completion.Admitted.Before(now))
+	record := func(state attemptState) {
+		a.attempts.records[d.Attempt] = attemptRecord{state: state, expires: now.Add(time.Hour)}
 	}
 
 	for _, test := range []struct {
@@ -43,8 +43,8 @@
 		{"the engine is at its bound", func() {}, ryeford.ReasonOverload},
 		{"it has not loaded the model", func() { b.setServing(true, nil) }, ryeford.ReasonNotServing},
 		{"the dispatch came too late", func() { d.Expires = now.Add(-time.Minute) }, ryeford.ReasonExpired},
-		{"the attempt was given up", func() { remember(attemptTombstone) }, ryeford.ReasonTombstone},
-		{"or was admitted before", func() { remember(attemptRan) }, ryeford.ReasonDuplicate},
+		{"the attempt was given up", func() { record(attemptTombstone) }, ryeford.ReasonTombstone},
+		{"or was admitted before", func() { record(attemptRan) }, ryeford.ReasonDuplicate},
 		{"another engine holds the prefix", func() { b.addOverflow(now, &wire.Overflow{Chat: d.ChatKey(), Engine: "endpoint-2.1"}) }, ryeford.ReasonRedirect},
 		{"the engine is not of this VM", func() { d.Engine = "endpoint-9.1" }, ryeford.ReasonNotServing},
 		{"the VM is leaving", func() { a.leaving.Store(true) }, ryeford.ReasonLeaving},
--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -100,20 +100,20 @@
 func (a *Agent) Run(ctx context.Context) error {
 	stopLeave := context.AfterFunc(ctx, func() { a.startLeaving("signal") })
 	defer stopLeave()
-	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	group, work := errgroup.WithContext(work)
-	group.Go(func() error { return a.accept(work) })
-	group.Go(func() error { return a.pollEngines(work) })
-	group.Go(func() error { return a.pollVMs(work) })
-	group.Go(func() error { return a.gossip(work) })
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	group, runCtx := errgroup.WithContext(runCtx)
+	group.Go(func() error { return a.accept(runCtx) })
+	group.Go(func() error { return a.pollEngines(runCtx) })
+	group.Go(func() error { return a.pollVMs(runCtx) })
+	group.Go(func() error { return a.gossip(runCtx) })
 	group.Go(func() error {
-		return every(work, sweepInterval, func() { a.attempts.sweep(time.Now()) })
+		return runPeriodically(runCtx, sweepInterval, func() { a.attempts.sweep(time.Now()) })
 	})
-	group.Go(func() error { return a.applyPlan(work) })
-	group.Go(func() error { return telemetry.Serve(work, a.settings.Metrics.AddrPort, a.metrics) })
+	group.Go(func() error { return a.applyPlan(runCtx) })
+	group.Go(func() error { return telemetry.Serve(runCtx, a.settings.Metrics.AddrPort, a.metrics) })
 	group.Go(func() error {
 		defer cancel()
-		return a.drain(work)
+		return a.drain(runCtx)
 	})
 	_ = a.log.Log("msg", "ready", "role", "agent", "address", a.listener.Address(), "incarnation", a.incarnation)
 	err := group.Wait()
@@ -124,11 +124,11 @@
 
 // startLeaving makes the agent refuse new work from now on, and wakes drain. Only the
 // first call has an effect.
-func (a *Agent) startLeaving(why string) {
+func (a *Agent) startLeaving(reason string) {
 	if !a.leaving.CompareAndSwap(false, true) {
 		return
 	}
-	a.decisions.Record("", "decision", "leave", "reason", why, "unfinished", a.attempts.unfinished())
+	a.decisions.Record("", "decision", "leave", "reason", reason, "unfinished", a.attempts.countUnfinished())
 	close(a.leave)
 	a.inventoryChanged()
 }
@@ -162,7 +162,7 @@
 // pollVMs makes the agent leave once the platform's list says that its VM does,
 // until ctx ends. An operator's Leave message is faster, but may not come.
 func (a *Agent) pollVMs(ctx context.Context) error {
-	return every(ctx, a.settings.Polls.VMList, func() {
+	return runPeriodically(ctx, a.settings.Polls.VMList, func() {
 		vms, err := a.vms.VMs(ctx)
 		if err != nil {
 			if ctx.Err() == nil {
@@ -180,12 +180,12 @@
 
 // every calls do after each interval until ctx ends, one call at a time. It
 // returns nil.
-func every(ctx context.Context, interval time.Duration, do func()) error {
+func runPeriodically(ctx context.Context, interval time.Duration, f func()) error {
 	ticks := time.Tick(interval)
 	for {
 		select {
 		case <-ticks:
-			do()
+			f()
 		case <-ctx.Done():
 			return nil
 		}
@@ -194,7 +194,7 @@
 
 const (
 	// drainCheck is how often a leaving agent looks whether its runs have ended.
-	drainCheck = 20 * time.Millisecond
+	drainCheckInterval = 20 * time.Millisecond
 	// drainGrace is how long a drained agent still answers: dispatches that are
 	// under way are refused, and so proved not to have run.
 	drainGrace = time.Second
@@ -212,7 +212,7 @@
 	a.awaitIdle(ctx)
 	a.exportCaches(ctx)
 	clock.Sleep(ctx, drainGrace)
-	a.decisions.Record("", "decision", "drained", "unfinished", a.attempts.unfinished())
+	a.decisions.Record("", "decision", "drained", "unfinished", a.attempts.countUnfinished())
 	return nil
 }
 
@@ -220,8 +220,8 @@
 func (a *Agent) awaitIdle(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, a.settings.Limits.Drain)
 	defer cancel()
-	for a.attempts.unfinished() > 0 {
-		if !clock.Sleep(ctx, drainCheck) {
+	for a.attempts.countUnfinished() > 0 {
+		if !clock.Sleep(ctx, drainCheckInterval) {
 			return
 		}
 	}
--- a/agentfleet/agent/attempts.go
+++ b/agentfleet/agent/attempts.go
@@ -11,22 +11,22 @@
 
 // attempts remembers which attempts were admitted here and which were given up.
 type attempts struct {
-	keep time.Duration // how long a finished answer is kept
-	skew time.Duration // by how much the clock may step back
+	retention time.Duration // how long a finished answer is kept
+	skew      time.Duration // by how much the clock may step back
 
-	mu    sync.Mutex
-	known map[ryeford.AttemptID]attempt
+	mu      sync.Mutex
+	records map[ryeford.AttemptID]attemptRecord
 }
 
 // An attempt is what is remembered of one. The zero attempt is one that was not seen.
-type attempt struct {
-	state attemptState
-	run   *run      // with attemptKept
-	until time.Time // when it may be forgotten, once there is no run
+type attemptRecord struct {
+	state   attemptState
+	run     *run      // with attemptKept
+	expires time.Time // when it may be forgotten, once there is no run
 }
 
-func newAttempts(keep, skew time.Duration) *attempts {
-	return &attempts{keep: keep, skew: skew, known: make(map[ryeford.AttemptID]attempt)}
+func newAttempts(retention, skew time.Duration) *attempts {
+	return &attempts{retention: retention, skew: skew, records: make(map[ryeford.AttemptID]attemptRecord)}
 }
 
 // admit decides on an attempt with admitAt, once it has the lock: the wait for it may
@@ -42,53 +42,53 @@
 // same attempt before, if any, and the reason; the reason is empty if decide
 // returned none. The caller holds a.mu.
 func (a *attempts) admitAt(now time.Time, d *wire.Dispatch, decide func(now time.Time) *run) (*run, ryeford.Reason) {
-	earlier := a.known[d.Attempt]
-	if reason := mayAdmit(earlier.state, now, d.Expires); reason != "" {
-		return earlier.run, reason
+	record := a.records[d.Attempt]
+	if reason := admissionRefusal(record.state, now, d.Expires); reason != "" {
+		return record.run, reason
 	}
 	r := decide(now)
 	if r == nil {
 		return nil, ""
 	}
-	until := rememberUntil(d.Expires, d.Forget, a.skew)
-	a.known[d.Attempt] = attempt{state: attemptKept, run: r, until: until}
+	expires := retainUntil(d.Expires, d.Forget, a.skew)
+	a.records[d.Attempt] = attemptRecord{state: attemptRetained, run: r, expires: expires}
 	return r, ""
 }
 
 // settle answers a join with settleAt, once it has the lock: an admission may be
 // forgotten while it waits.
-func (a *attempts) settle(j *wire.Join) (r *run, reason ryeford.Reason, unknown bool) {
+func (a *attempts) join(j *wire.Join) (r *run, reason ryeford.Reason, unknown bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.settleAt(time.Now(), j)
+	return a.joinAt(time.Now(), j)
 }
 
 // settleAt answers a join, with the run if its answer is kept and the account's, or with
 // why there is none (judge). If the attempt did not run, it leaves a tombstone, so that a
 // dispatch that is still under way is refused. The caller holds a.mu.
-func (a *attempts) settleAt(now time.Time, j *wire.Join) (r *run, reason ryeford.Reason, unknown bool) {
-	known := a.known[j.Attempt]
-	if known.run != nil && known.run.dispatch.Account != j.Account {
+func (a *attempts) joinAt(now time.Time, j *wire.Join) (r *run, reason ryeford.Reason, unknown bool) {
+	record := a.records[j.Attempt]
+	if record.run != nil && record.run.dispatch.Account != j.Account {
 		return nil, ryeford.ReasonDuplicate, true // it runs, for another account
 	}
-	reason, unknown = judge(known.state, now, j.Expires, j.Forget, j.Peek)
+	reason, unknown = joinRefusal(record.state, now, j.Expires, j.Forget, j.Peek)
 	if reason == ryeford.ReasonTombstone {
-		a.known[j.Attempt] = attempt{state: attemptTombstone, until: tombstoneUntil(j.Expires, a.skew)}
+		a.records[j.Attempt] = attemptRecord{state: attemptTombstone, expires: tombstoneUntil(j.Expires, a.skew)}
 	}
-	return known.run, reason, unknown
+	return record.run, reason, unknown
 }
 
 // finished drops a finished run's answer after keep.
-func (a *attempts) finished(r *run) {
-	time.AfterFunc(a.keep, func() { a.drop(r.dispatch.Attempt) })
+func (a *attempts) scheduleDrop(r *run) {
+	time.AfterFunc(a.retention, func() { a.dropAnswer(r.dispatch.Attempt) })
 }
 
 // drop drops the answer of an attempt that ran, which is remembered as before.
-func (a *attempts) drop(id ryeford.AttemptID) {
+func (a *attempts) dropAnswer(id ryeford.AttemptID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if known := a.known[id]; known.run != nil {
-		a.known[id] = attempt{state: attemptRan, until: known.until}
+	if record := a.records[id]; record.run != nil {
+		a.records[id] = attemptRecord{state: attemptRan, expires: record.expires}
 	}
 }
 
@@ -96,17 +96,17 @@
 func (a *attempts) sweep(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	maps.DeleteFunc(a.known, func(_ ryeford.AttemptID, known attempt) bool {
-		return known.run == nil && now.After(known.until)
+	maps.DeleteFunc(a.records, func(_ ryeford.AttemptID, record attemptRecord) bool {
+		return record.run == nil && now.After(record.expires)
 	})
 }
 
-func (a *attempts) unfinished() int {
+func (a *attempts) countUnfinished() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	count := 0
-	for _, known := range a.known {
-		if known.run != nil && !known.run.log.Finished() {
+	for _, record := range a.records {
+		if record.run != nil && !record.run.log.Finished() {
 			count++
 		}
 	}
@@ -123,7 +123,7 @@
 
 const (
 	attemptUnseen    attemptState = iota // not admitted here, or forgotten
-	attemptKept                          // admitted; it runs, or its answer is kept
+	attemptRetained                      // admitted; it runs, or its answer is kept
 	attemptRan                           // admitted; its answer is gone
 	attemptTombstone                     // given up before it was admitted
 )
@@ -132,9 +132,9 @@
 //
 // An attempt is admitted unless it was admitted before, was given up, or its
 // dispatch came after it expired: what was remembered of it may be forgotten then.
-func mayAdmit(s attemptState, now, expires time.Time) ryeford.Reason {
+func admissionRefusal(s attemptState, now, expires time.Time) ryeford.Reason {
 	switch {
-	case s == attemptKept, s == attemptRan:
+	case s == attemptRetained, s == attemptRan:
 		return ryeford.ReasonDuplicate
 	case s == attemptTombstone:
 		return ryeford.ReasonTombstone
@@ -151,13 +151,13 @@
 // remembered. The caller then has to leave a tombstone, since its dispatch may
 // still be under way. A peek leaves none, so until the attempt expires it proves
 // nothing.
-func judge(s attemptState, now, expires, forget time.Time, peek bool) (reason ryeford.Reason, unknown bool) {
+func joinRefusal(s attemptState, now, expires, forget time.Time, peek bool) (reason ryeford.Reason, unknown bool) {
 	switch {
-	case s == attemptKept:
+	case s == attemptRetained:
 		return "", false
 	case s == attemptRan:
 		return ryeford.ReasonDuplicate, true // its answer is gone
-	case now.After(later(forget, expires)):
+	case now.After(maxTime(forget, expires)):
 		return ryeford.ReasonExpired, true // nothing is remembered any more
 	case peek && !now.After(expires):
 		return ryeford.ReasonRunning, true // not so far, but it may yet
@@ -168,8 +168,8 @@
 // rememberUntil returns until when an admitted attempt is remembered: as long as
 // any router may ask for it or dispatch it again, on a clock that may step back by
 // skew.
-func rememberUntil(expires, forget time.Time, skew time.Duration) time.Time {
-	return later(forget, expires).Add(skew)
+func retainUntil(expires, forget time.Time, skew time.Duration) time.Time {
+	return maxTime(forget, expires).Add(skew)
 }
 
 // tombstoneUntil returns until when a tombstone is kept: after the attempt has
@@ -178,7 +178,7 @@
 	return expires.Add(skew)
 }
 
-func later(a, b time.Time) time.Time {
+func maxTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/agentfleet/agent/attempts_test.go
+++ b/agentfleet/agent/attempts_test.go
@@ -20,10 +20,10 @@
 		a := newAttempts(time.Minute, time.Second)
 		now := time.Unix(1_000_000, 0)
 		runs := make(map[ryeford.AttemptID]int)
-		saidNotRun := make(map[ryeford.AttemptID]bool)
+		reportedNotRun := make(map[ryeford.AttemptID]bool)
 		expires := make(map[ryeford.AttemptID]time.Time)
 		forget := make(map[ryeford.AttemptID]time.Time)
-		pick := func(t *rapid.T) ryeford.AttemptID {
+		drawAttempt := func(t *rapid.T) ryeford.AttemptID {
 			id := ryeford.AttemptID(fmt.Sprintf("a%d", rapid.IntRange(0, 4).Draw(t, "attempt")))
 			if _, ok := expires[id]; !ok {
 				expires[id] = now.Add(2 * time.Second)
@@ -33,7 +33,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"dispatch": func(t *rapid.T) {
-				id := pick(t)
+				id := drawAttempt(t)
 				d := &wire.Dispatch{Attempt: id, Expires: expires[id], Forget: forget[id]}
 				admit := rapid.Bool().Draw(t, "admit")
 				_, reason := a.admitAt(now, d, func(time.Time) *run {
@@ -44,19 +44,19 @@
 					return newRun(d, nil, false)
 				})
 				if reason == "" && admit {
-					assert.Assert(t, !saidNotRun[id], "ran behind a proof that it did not")
+					assert.Assert(t, !reportedNotRun[id], "ran behind a proof that it did not")
 				}
 			},
 			"join": func(t *rapid.T) {
-				id := pick(t)
+				id := drawAttempt(t)
 				j := &wire.Join{Attempt: id, Expires: expires[id], Forget: forget[id], Peek: rapid.Bool().Draw(t, "peek")}
-				_, reason, _ := a.settleAt(now, j)
+				_, reason, _ := a.joinAt(now, j)
 				if reason == ryeford.ReasonTombstone {
 					assert.Equal(t, runs[id], 0, "said not to have run")
-					saidNotRun[id] = true
+					reportedNotRun[id] = true
 				}
 			},
-			"drop answer": func(t *rapid.T) { a.drop(pick(t)) },
+			"drop answer": func(t *rapid.T) { a.dropAnswer(drawAttempt(t)) },
 			"sweep":       func(*rapid.T) { a.sweep(now) },
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
--- a/agentfleet/agent/backend.go
+++ b/agentfleet/agent/backend.go
@@ -22,21 +22,21 @@
 	queue     queue // dispatches that wait for the load to fall
 	lastEvent int64 // the number of the last cache event that was read; used by pollEngines only
 
-	mu         sync.Mutex
-	gate       *admission.Gate
-	pools      []ryeford.Pool
-	alive      bool
-	chats      *chatMemory
-	issued     issuedOrder // used by applyPlan only
-	overflow   overflows
-	restsUntil time.Time // the engine has asked for rest until then
+	mu           sync.Mutex
+	gate         *admission.Gate
+	pools        []ryeford.Pool
+	alive        bool
+	chats        *chatLRU
+	lastOrder    issuedOrder // used by applyPlan only
+	overflow     overflows
+	backOffUntil time.Time // the engine has asked for rest until then
 }
 
 func newBackend(id ryeford.EngineID, limits admission.Limits, chats int) *backend {
 	return &backend{
 		id:       id,
 		gate:     admission.NewGate(limits),
-		chats:    newChatMemory(chats),
+		chats:    newChatLRU(chats),
 		overflow: make(overflows),
 	}
 }
@@ -74,8 +74,8 @@
 	if !b.serves(d) {
 		return admission.Decision{Reason: ryeford.ReasonNotServing, Load: float64(b.gate.Load())}, false
 	}
-	if left := b.restsUntil.Sub(now); left > 0 {
-		return admission.Decision{Reason: ryeford.ReasonResting, Load: float64(b.gate.Load()), RetryAfter: left}, false
+	if remaining := b.backOffUntil.Sub(now); remaining > 0 {
+		return admission.Decision{Reason: ryeford.ReasonResting, Load: float64(b.gate.Load()), RetryAfter: remaining}, false
 	}
 	decision = b.gate.Admit(now, &admission.Request{
 		Account:  d.Account,
@@ -84,7 +84,7 @@
 		PoolMean: mean,
 	})
 	chat := d.ChatKey()
-	warm = b.chats.has(chat)
+	warm = b.chats.contains(chat)
 	if decision.Admitted && d.Completion != nil {
 		d.Completion.Admitted = time.Now() // now may lie before a wait for the lock
 		b.chats.add(chat, d.Completion.Pool)
@@ -98,7 +98,7 @@
 func (b *backend) isWarm(d *wire.Dispatch) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.chats.has(d.ChatKey())
+	return b.chats.contains(d.ChatKey())
 }
 
 // release removes a run that has ended from the counts, and wakes the first
@@ -133,7 +133,7 @@
 		ID:      b.id,
 		Service: b.serviceName,
 		Load:    float64(b.gate.Load()),
-		Resting: time.Now().Before(b.restsUntil),
+		Resting: time.Now().Before(b.backOffUntil),
 	}
 	if b.alive {
 		s.Pools = b.pools
@@ -166,7 +166,7 @@
 		}
 	}
 	poll()
-	return every(ctx, a.settings.Polls.Engine, poll)
+	return runPeriodically(ctx, a.settings.Polls.Engine, poll)
 }
 
 // pollServing asks an engine what it serves and reports whether that changed. An
@@ -193,7 +193,7 @@
 	defer b.mu.Unlock()
 	for _, e := range events {
 		if e.Evicted {
-			b.chats.drop(parseCacheKey(e.Chat))
+			b.chats.remove(parseCacheKey(e.Chat))
 		}
 	}
 }
--- a/agentfleet/agent/chatlru.go
+++ b/agentfleet/agent/chatlru.go
@@ -11,7 +11,7 @@
 
 // A chatMemory remembers the chats that an engine served last: those whose prefixes
 // it is believed to hold. The one served least recently is forgotten first.
-type chatMemory struct {
+type chatLRU struct {
 	limit int        // chats
 	order *list.List // of servedChat, the most recent first
 	chats map[wire.ChatKey]*list.Element
@@ -23,44 +23,44 @@
 	pool ryeford.Pool
 }
 
-func newChatMemory(limit int) *chatMemory {
-	return &chatMemory{
+func newChatLRU(limit int) *chatLRU {
+	return &chatLRU{
 		limit: limit,
 		order: list.New(),
 		chats: make(map[wire.ChatKey]*list.Element),
 	}
 }
 
-func (m *chatMemory) has(key wire.ChatKey) bool {
-	_, ok := m.chats[key]
+func (l *chatLRU) contains(key wire.ChatKey) bool {
+	_, ok := l.chats[key]
 	return ok
 }
 
-func (m *chatMemory) add(key wire.ChatKey, pool ryeford.Pool) {
-	m.drop(key)
-	m.chats[key] = m.order.PushFront(servedChat{key: key, pool: pool})
-	if m.order.Len() > m.limit {
-		m.drop(m.order.Back().Value.(servedChat).key)
+func (l *chatLRU) add(key wire.ChatKey, pool ryeford.Pool) {
+	l.remove(key)
+	l.chats[key] = l.order.PushFront(servedChat{key: key, pool: pool})
+	if l.order.Len() > l.limit {
+		l.remove(l.order.Back().Value.(servedChat).key)
 	}
 }
 
-func (m *chatMemory) drop(key wire.ChatKey) {
-	if element, ok := m.chats[key]; ok {
-		m.order.Remove(element)
-		delete(m.chats, key)
+func (l *chatLRU) remove(key wire.ChatKey) {
+	if element, ok := l.chats[key]; ok {
+		l.order.Remove(element)
+		delete(l.chats, key)
 	}
 }
 
 // recent returns up to n chats of each pool, the most recent first.
-func (m *chatMemory) recent(n int) map[ryeford.Pool][]wire.ChatKey {
-	recent := make(map[ryeford.Pool][]wire.ChatKey)
-	for e := m.order.Front(); e != nil; e = e.Next() {
+func (l *chatLRU) mostRecent(n int) map[ryeford.Pool][]wire.ChatKey {
+	chats := make(map[ryeford.Pool][]wire.ChatKey)
+	for e := l.order.Front(); e != nil; e = e.Next() {
 		chat := e.Value.(servedChat)
-		if len(recent[chat.pool]) < n {
-			recent[chat.pool] = append(recent[chat.pool], chat.key)
+		if len(chats[chat.pool]) < n {
+			chats[chat.pool] = append(chats[chat.pool], chat.key)
 		}
 	}
-	return recent
+	return chats
 }
 
 // cacheKey returns the name under which an engine caches a chat. It holds the
@@ -91,15 +91,15 @@
 
 // An overflow is the record of one chat.
 type overflow struct {
-	engine ryeford.EngineID
-	until  time.Time
+	engine  ryeford.EngineID
+	expires time.Time
 }
 
 // holder returns the engine to which a chat is to be redirected: the one that
 // served it last, within overflowTTL. It drops an older record.
 func (o overflows) holder(now time.Time, chat wire.ChatKey) (ryeford.EngineID, bool) {
 	record, ok := o[chat]
-	if !ok || now.After(record.until) {
+	if !ok || now.After(record.expires) {
 		delete(o, chat)
 		return "", false
 	}
@@ -112,5 +112,5 @@
 	if len(o) >= maxOverflows {
 		clear(o)
 	}
-	o[chat] = overflow{engine: engine, until: now.Add(overflowTTL)}
+	o[chat] = overflow{engine: engine, expires: now.Add(overflowTTL)}
 }
--- a/agentfleet/agent/chatlru_test.go
+++ b/agentfleet/agent/chatlru_test.go
@@ -17,36 +17,36 @@
 	return wire.ChatKey{Account: "account-1234", Chat: ryeford.ChatID(fmt.Sprintf("chat-%032d", i))}
 }
 
-func TestChatMemory(t *testing.T) {
-	m := newChatMemory(3)
+func TestChatLRU(t *testing.T) {
+	l := newChatLRU(3)
 	for i := range 5 {
-		m.add(testChat(i), ryeford.Pool{Model: "lira"})
+		l.add(testChat(i), ryeford.Pool{Model: "lira"})
 	}
-	assert.Assert(t, !m.has(testChat(1)))
-	assert.Assert(t, m.has(testChat(2)))
-	recent := m.recent(2)[ryeford.Pool{Model: "lira"}]
-	assert.DeepEqual(t, recent, []wire.ChatKey{testChat(4), testChat(3)})
+	assert.Assert(t, !l.contains(testChat(1)))
+	assert.Assert(t, l.contains(testChat(2)))
+	chats := l.mostRecent(2)[ryeford.Pool{Model: "lira"}]
+	assert.DeepEqual(t, chats, []wire.ChatKey{testChat(4), testChat(3)})
 }
 
 // BenchmarkChatMemory reports what a remembered chat, and the record of one that
 // another engine served, cost in memory.
-func BenchmarkChatMemory(b *testing.B) {
+func BenchmarkChatLRU(b *testing.B) {
 	const chats = 100_000
-	before := heapBytes()
+	start := heapBytes()
 	served := newBackend("endpoint-1.1", admission.Limits{}, chats)
 	for i := range chats {
 		served.chats.add(testChat(i), ryeford.Pool{Model: "lira"})
 	}
-	middle := heapBytes()
+	withChats := heapBytes()
 	for i := range chats {
 		served.addOverflow(time.Now(), &wire.Overflow{Chat: testChat(i), Engine: "endpoint-2.1"})
 	}
-	after := heapBytes()
+	withOverflows := heapBytes()
 	for i := 0; b.Loop(); i++ {
 		served.chats.add(testChat(i%chats), ryeford.Pool{Model: "lira"})
 	}
-	b.ReportMetric(float64(middle-before)/chats, "B/chat")
-	b.ReportMetric(float64(after-middle)/chats, "B/overflow")
+	b.ReportMetric(float64(withChats-start)/chats, "B/chat")
+	b.ReportMetric(float64(withOverflows-withChats)/chats, "B/overflow")
 	runtime.KeepAlive(served)
 }
 
--- a/agentfleet/agent/connections.go
+++ b/agentfleet/agent/connections.go
@@ -117,7 +117,7 @@
 		return
 	}
 	var r *run
-	r, refused.Reason, refused.Unknown = a.attempts.settle(j)
+	r, refused.Reason, refused.Unknown = a.attempts.join(j)
 	if r != nil {
 		a.sendAnswer(ctx, stream, r, r.dispatch.Request, j.Offset)
 		return
--- a/agentfleet/agent/drain_test.go
+++ b/agentfleet/agent/drain_test.go
@@ -18,10 +18,10 @@
 	for _, test := range []struct {
 		rule    string
 		runTime time.Duration // zero: nothing runs
-		took    time.Duration
+		elapsed time.Duration
 	}{
 		{"an idle agent ends after the grace", 0, drainGrace},
-		{"a run may end, seen at the next check", 3*time.Second - drainCheck/2, 3*time.Second + drainGrace},
+		{"a run may end, seen at the next check", 3*time.Second - drainCheckInterval/2, 3*time.Second + drainGrace},
 		{"up to the limit", time.Hour, limit + drainGrace},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
@@ -32,13 +32,13 @@
 				if test.runTime > 0 {
 					r := newRun(&wire.Dispatch{Attempt: "a1"}, nil, false)
 					defer r.cancel()
-					a.attempts.known["a1"] = attempt{state: attemptKept, run: r}
+					a.attempts.records["a1"] = attemptRecord{state: attemptRetained, run: r}
 					time.AfterFunc(test.runTime, func() { r.log.Append(ryeford.Chunk{Finish: ryeford.FinishStop}) })
 				}
-				began := time.Now()
+				start := time.Now()
 				a.startLeaving("signal")
 				assert.NilError(t, a.drain(t.Context()))
-				assert.Equal(t, time.Since(began), test.took)
+				assert.Equal(t, time.Since(start), test.elapsed)
 			})
 		})
 	}
--- a/agentfleet/agent/execute.go
+++ b/agentfleet/agent/execute.go
@@ -22,7 +22,7 @@
 // (mayResume) before the run is given up.
 func (a *Agent) execute(r *run) {
 	defer r.cancel()
-	defer a.attempts.finished(r)
+	defer a.attempts.scheduleDrop(r)
 	defer func() { r.backend.release(time.Now(), r.dispatch.Account) }()
 	asm := answer.NewAssembler(r.dispatch.Attempt, 0)
 	failure := a.readAnswer(r, asm, false)
@@ -33,8 +33,8 @@
 	if failure == nil {
 		return
 	}
-	if span := engine.RestOf(failure.err); span > 0 {
-		a.rest(r.backend, span)
+	if duration := engine.RetryAfter(failure.err); duration > 0 {
+		a.backOff(r.backend, duration)
 	}
 	a.fail(r, asm.Next(), failure)
 }
@@ -103,15 +103,15 @@
 	ctx, cancel := context.WithCancelCause(r.ctx)
 	defer cancel(nil)
 	limits := &a.settings.Limits
-	watchdog := time.AfterFunc(stallLimit(limits, asm.Next() > 0), func() { cancel(errStalled) })
+	watchdog := time.AfterFunc(stallTimeout(limits, asm.Next() > 0), func() { cancel(errStalled) })
 	defer watchdog.Stop()
 	reader, err := r.open(ctx, resume, asm.Next())
 	if err != nil {
 		return newStreamError(ctx, err, !resume && asm.Next() == 0 && engine.NotRun(err))
 	}
 	defer func() { _ = reader.Close() }() // the answer is whole or failed already
-	if span := engine.RestIn(reader); span > 0 {
-		a.rest(r.backend, span)
+	if duration := engine.ResponseRetryAfter(reader); duration > 0 {
+		a.backOff(r.backend, duration)
 	}
 	for !asm.Finished() {
 		chunk, err := reader.Next()
@@ -124,7 +124,7 @@
 			r.log.Append(ready[i])
 		}
 		if len(ready) > 0 {
-			watchdog.Reset(stallLimit(limits, true))
+			watchdog.Reset(stallTimeout(limits, true))
 		}
 	}
 	return nil
@@ -158,8 +158,8 @@
 //
 // The gateway's limit on the first byte only looks the same: there the request goes
 // to another endpoint, here the same engine is asked for the rest.
-func stallLimit(limits *settings.AgentLimits, begun bool) time.Duration {
-	if begun {
+func stallTimeout(limits *settings.AgentLimits, started bool) time.Duration {
+	if started {
 		return limits.BetweenTokens
 	}
 	return limits.FirstToken
@@ -190,7 +190,7 @@
 
 	mu      sync.Mutex
 	readers int
-	idle    *time.Timer // cancels the run at the end of the grace period
+	grace   *time.Timer // cancels the run at the end of the grace period
 }
 
 func newRun(d *wire.Dispatch, b *backend, warm bool) *run {
@@ -210,9 +210,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readers++
-	if r.idle != nil {
-		r.idle.Stop()
-		r.idle = nil
+	if r.grace != nil {
+		r.grace.Stop()
+		r.grace = nil
 	}
 }
 
@@ -225,7 +225,7 @@
 	if r.readers > 0 || !r.dispatch.Repeatable {
 		return
 	}
-	r.idle = time.AfterFunc(grace, r.cancel)
+	r.grace = time.AfterFunc(grace, r.cancel)
 }
 
 func (r *run) cancelIfRepeatable() {
--- a/agentfleet/agent/execute_test.go
+++ b/agentfleet/agent/execute_test.go
@@ -27,10 +27,10 @@
 
 // A fakeStream is one stream of a fakeStreamer.
 type fakeStream struct {
-	open   error // the stream is not opened
-	chunks int   // that it sends, from where the reader asked on
-	whole  bool  // the last chunk ends the answer
-	stalls bool  // after its chunks, instead of breaking off
+	openErr  error // the stream is not opened
+	chunks   int   // that it sends, from where the reader asked on
+	finishes bool  // the last chunk ends the answer
+	stalls   bool  // after its chunks, instead of breaking off
 }
 
 // A fakeStreamer is an engine that plays a stream for each call, and the last one for
@@ -42,11 +42,11 @@
 }
 
 func (e *fakeStreamer) Complete(ctx context.Context, _ ryeford.ChatID, c *ryeford.Completion) (ryeford.ChunkReader, error) {
-	return e.play(ctx, "complete", c.Attempt, 0)
+	return e.open(ctx, "complete", c.Attempt, 0)
 }
 
 func (e *fakeStreamer) Resume(ctx context.Context, attempt ryeford.AttemptID, offset int64) (ryeford.ChunkReader, error) {
-	return e.play(ctx, fmt.Sprintf("resume %d", offset), attempt, offset)
+	return e.open(ctx, fmt.Sprintf("resume %d", offset), attempt, offset)
 }
 
 func (e *fakeStreamer) Cancel(context.Context, ryeford.AttemptID) error {
@@ -55,14 +55,14 @@
 }
 
 // play notes a call and returns its stream.
-func (e *fakeStreamer) play(ctx context.Context, call string, attempt ryeford.AttemptID, offset int64) (ryeford.ChunkReader, error) {
+func (e *fakeStreamer) open(ctx context.Context, call string, attempt ryeford.AttemptID, offset int64) (ryeford.ChunkReader, error) {
 	e.calls = append(e.calls, call)
 	stream := e.streams[0]
 	if len(e.streams) > 1 {
 		e.streams = e.streams[1:]
 	}
-	if stream.open != nil {
-		return nil, stream.open
+	if stream.openErr != nil {
+		return nil, stream.openErr
 	}
 	return &fakeReader{ctx: ctx, stream: stream, attempt: attempt, next: offset}, nil
 }
@@ -87,7 +87,7 @@
 	chunk := ryeford.Chunk{Attempt: r.attempt, Offset: r.next, Data: []byte("token ")}
 	r.next++
 	r.sent++
-	if r.sent == r.stream.chunks && r.stream.whole {
+	if r.sent == r.stream.chunks && r.stream.finishes {
 		chunk.Finish = ryeford.FinishStop
 	}
 	return chunk, nil
@@ -113,8 +113,8 @@
 // TestExecuteCompletion runs completions at engines whose streams break, stall or are
 // refused, and checks which calls are made and how the answer ends.
 func TestExecuteCompletion(t *testing.T) {
-	full := &engine.Error{Op: engine.PathCompletions, Status: http.StatusServiceUnavailable}
-	gone := &ryeford.NotFoundError{Kind: "engine resource"}
+	unavailable := &engine.Error{Op: engine.PathCompletions, Status: http.StatusServiceUnavailable}
+	notFound := &ryeford.NotFoundError{Kind: "engine resource"}
 	const firstToken, betweenTokens = 4 * time.Second, 2 * time.Second
 	for _, test := range []struct {
 		rule    string
@@ -123,22 +123,22 @@
 		reason  ryeford.Reason // empty: the answer is whole
 		notRun  bool
 		chunks  int
-		took    time.Duration
+		elapsed time.Duration
 	}{
 		{
-			"a whole answer", []fakeStream{{chunks: 3, whole: true}},
+			"a whole answer", []fakeStream{{chunks: 3, finishes: true}},
 			[]string{"complete"}, "", false, 3, 0,
 		},
 		{
-			"a broken stream is resumed from the next chunk", []fakeStream{{chunks: 2}, {chunks: 1, whole: true}},
+			"a broken stream is resumed from the next chunk", []fakeStream{{chunks: 2}, {chunks: 1, finishes: true}},
 			[]string{"complete", "resume 2"}, "", false, 3, 0,
 		},
 		{
-			"one that stalls too", []fakeStream{{chunks: 2, stalls: true}, {chunks: 1, whole: true}},
+			"one that stalls too", []fakeStream{{chunks: 2, stalls: true}, {chunks: 1, finishes: true}},
 			[]string{"complete", "resume 2"}, "", false, 3, betweenTokens,
 		},
 		{
-			"the first token may take longer", []fakeStream{{stalls: true}, {chunks: 1, whole: true}},
+			"the first token may take longer", []fakeStream{{stalls: true}, {chunks: 1, finishes: true}},
 			[]string{"complete", "resume 0"}, "", false, 1, firstToken,
 		},
 		{
@@ -150,11 +150,11 @@
 			[]string{"complete", "resume 1", "resume 1", "cancel"}, ryeford.ReasonStalled, false, 2, betweenTokens,
 		},
 		{
-			"a full engine has not run it", []fakeStream{{open: full}},
+			"a full engine has not run it", []fakeStream{{openErr: unavailable}},
 			[]string{"complete"}, ryeford.ReasonEngineLost, true, 1, 0,
 		},
 		{
-			"that it does not know the run later proves nothing", []fakeStream{{}, {open: gone}},
+			"that it does not know the run later proves nothing", []fakeStream{{}, {openErr: notFound}},
 			[]string{"complete", "resume 0", "resume 0", "cancel"}, ryeford.ReasonEngineLost, false, 1, 0,
 		},
 	} {
@@ -167,9 +167,9 @@
 				a.settings.Limits = settings.AgentLimits{FirstToken: firstToken, BetweenTokens: betweenTokens}
 				const offset = 10 // another attempt sent the chunks before
 				r := newRun(&wire.Dispatch{Attempt: "a1", Offset: offset, Completion: &ryeford.Completion{Attempt: "a1"}}, b, false)
-				began := time.Now()
+				start := time.Now()
 				a.execute(r)
-				assert.Equal(t, time.Since(began), test.took)
+				assert.Equal(t, time.Since(start), test.elapsed)
 				assert.DeepEqual(t, e.calls, test.calls)
 
 				chunks, err := r.log.Read(t.Context(), offset)
--- a/agentfleet/agent/export.go
+++ b/agentfleet/agent/export.go
@@ -58,9 +58,9 @@
 // exportBackend hands on the chats that an engine served last, by pool.
 func (e *exporter) exportBackend(ctx context.Context, b *backend) {
 	b.mu.Lock()
-	recent := b.chats.recent(exportChats)
+	chatsByPool := b.chats.mostRecent(exportChats)
 	b.mu.Unlock()
-	for pool, chats := range recent {
+	for pool, chats := range chatsByPool {
 		for batch := range slices.Chunk(chats, exportBatchSize) {
 			e.exportBatch(ctx, b, pool, batch)
 		}
--- a/agentfleet/agent/gossip_test.go
+++ b/agentfleet/agent/gossip_test.go
@@ -20,19 +20,19 @@
 func TestGossipWhilePulling(t *testing.T) {
 	t.Parallel()
 	chat := wire.ChatKey{Account: "bank", Chat: "c1"}
-	behind, err := wire.Marshal(&wire.Gossip{Revision: 1}) // the agent has none
+	revision, err := wire.Marshal(&wire.Gossip{Revision: 1}) // the agent has none
 	assert.NilError(t, err)
-	message, err := wire.Marshal(&wire.Gossip{
+	overflow, err := wire.Marshal(&wire.Gossip{
 		Revision:  1,
 		Overflows: []wire.Overflow{{Home: "endpoint-1.1", Chat: chat, Engine: "endpoint-2.1"}},
 	})
 	assert.NilError(t, err)
 
-	conn := dialRouter(t, narrowLink, func(router *transport.Conn) {
-		_ = router.SendDatagram(behind)
+	conn := dialRouter(t, slowLink, func(router *transport.Conn) {
+		_ = router.SendDatagram(revision)
 		router.Serve(context.Background(), func(s *transport.Stream, _ *wire.Message) {
 			go func() {
-				for router.SendDatagram(message) == nil { // the link may lose some
+				for router.SendDatagram(overflow) == nil { // the link may lose some
 					time.Sleep(100 * time.Millisecond)
 				}
 			}()
@@ -45,9 +45,9 @@
 	a.plan = plan.NewCurrent()
 	go a.receiveGossip(t.Context(), conn)
 	for {
-		_, known := b.holder(time.Now(), &wire.Dispatch{Account: chat.Account, Chat: chat.Chat})
+		_, ok := b.holder(time.Now(), &wire.Dispatch{Account: chat.Account, Chat: chat.Chat})
 		assert.Equal(t, a.book.Revision(), int64(0), "the message did not come before the templates")
-		if known {
+		if ok {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/agentfleet/agent/lockwait_test.go
+++ b/agentfleet/agent/lockwait_test.go
@@ -15,7 +15,7 @@
 const lockWait = 200 * time.Millisecond
 
 // holdAttempts locks the attempts for lockWait.
-func holdAttempts(a *attempts) {
+func lockAttempts(a *attempts) {
 	a.mu.Lock()
 	time.AfterFunc(lockWait, a.mu.Unlock)
 }
@@ -24,15 +24,15 @@
 // and a join for longer than its attempt is remembered. It fails if either is judged by a
 // time before the wait: an attempt that a join found not to have run could then run, and
 // one that ran be found not to have run.
-func TestLateDispatch(t *testing.T) {
+func TestLockWait(t *testing.T) {
 	t.Run("dispatch", func(t *testing.T) {
 		pool := ryeford.Pool{Model: "lira"}
 		b := newBackend("endpoint-1.1", admission.Limits{PoolFactor: 1.25, Floor: 4, Capacity: 64, ShareFrom: 0.8}, 10)
-		b.engine = &fakeStreamer{streams: []fakeStream{{chunks: 1, whole: true}}}
+		b.engine = &fakeStreamer{streams: []fakeStream{{chunks: 1, finishes: true}}}
 		b.setServing(true, []ryeford.Pool{pool})
 		a := testAgent(b)
 		expires := time.Now().Add(lockWait / 2)
-		holdAttempts(a.attempts)
+		lockAttempts(a.attempts)
 		r, refused := a.admit(&wire.Dispatch{
 			Attempt: "a1", Account: "bank", Chat: "c1", Engine: b.id, Incarnation: a.incarnation,
 			Share: 1, Completion: &ryeford.Completion{Attempt: "a1", Pool: pool}, Expires: expires, Forget: expires,
@@ -43,8 +43,8 @@
 	t.Run("join", func(t *testing.T) {
 		a := newAttempts(time.Minute, time.Second)
 		forget := time.Now().Add(lockWait / 2)
-		holdAttempts(a)
-		_, reason, unknown := a.settle(&wire.Join{Attempt: "a1", Expires: forget, Forget: forget})
+		lockAttempts(a)
+		_, reason, unknown := a.join(&wire.Join{Attempt: "a1", Expires: forget, Forget: forget})
 		assert.Equal(t, reason, ryeford.ReasonExpired)
 		assert.Assert(t, unknown)
 	})
--- a/agentfleet/agent/meanload.go
+++ b/agentfleet/agent/meanload.go
@@ -15,7 +15,7 @@
 	maxMeanAge = 200 * time.Millisecond
 
 	// oldMeanPart is the part of a mean above maxMeanAge that counts. Without unit.
-	oldMeanPart = 0.9
+	staleMeanFactor = 0.9
 )
 
 // lowerMean returns the mean load, in requests, that an engine admits against, given the
@@ -24,11 +24,11 @@
 // The estimate lags while load falls, the more so the later the dispatch comes. The VM's own
 // mean is of few engines, but exact and as old as the decision. Too low a mean costs a
 // dispatch to another engine, too high a one the bound.
-func lowerMean(estimate float64, age time.Duration, own float64) float64 {
+func admissionMean(estimate float64, age time.Duration, local float64) float64 {
 	if age > maxMeanAge {
-		estimate *= oldMeanPart
+		estimate *= staleMeanFactor
 	}
-	return min(estimate, own)
+	return min(estimate, local)
 }
 
 // meanLoad returns the mean load that a dispatch to a backend is admitted against.
@@ -43,7 +43,7 @@
 	if count == 0 {
 		return d.PoolMean // the backend refuses it
 	}
-	return lowerMean(d.PoolMean, now.Sub(d.Sent), sum/count)
+	return admissionMean(d.PoolMean, now.Sub(d.Sent), sum/count)
 }
 
 // offsetWindow is for how long the least offset of a router's clock counts, at least:
@@ -62,13 +62,13 @@
 
 // A clockOffset is the least offset of one router in this window and in the one before.
 type clockOffset struct {
-	began         time.Time
-	least, before time.Duration
+	windowStart       time.Time
+	current, previous time.Duration
 }
 
 // sent returns when a router sent what is received now, given the time by its own clock.
 // Zero, of a router that does not say, is now.
-func (c *clockOffsets) sent(router ryeford.VMID, now, sent time.Time) time.Time {
+func (c *clockOffsets) sendTime(router ryeford.VMID, now, sent time.Time) time.Time {
 	if sent.IsZero() {
 		return now
 	}
@@ -78,14 +78,14 @@
 	o, ok := c.routers[router]
 	switch {
 	case !ok:
-		o = &clockOffset{began: now, least: offset, before: offset}
+		o = &clockOffset{windowStart: now, current: offset, previous: offset}
 		if c.routers == nil {
 			c.routers = make(map[ryeford.VMID]*clockOffset)
 		}
 		c.routers[router] = o
-	case now.Sub(o.began) > offsetWindow:
-		*o = clockOffset{began: now, least: offset, before: o.least}
+	case now.Sub(o.windowStart) > offsetWindow:
+		*o = clockOffset{windowStart: now, current: offset, previous: o.current}
 	}
-	o.least = min(o.least, offset)
-	return sent.Add(min(o.least, o.before))
+	o.current = min(o.current, offset)
+	return sent.Add(min(o.current, o.previous))
 }
--- a/agentfleet/agent/meanload_test.go
+++ b/agentfleet/agent/meanload_test.go
@@ -12,12 +12,12 @@
 )
 
 // TestLowerMean has one row a clause of the rule.
-func TestLowerMean(t *testing.T) {
+func TestAdmissionMean(t *testing.T) {
 	for _, test := range []struct {
 		rule     string
 		estimate float64
 		age      time.Duration
-		own      float64
+		local    float64
 		want     float64
 	}{
 		{"the router's estimate", 8, 0, 9, 8},
@@ -28,7 +28,7 @@
 		{"none", 0, 0, 5, 0},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
-			assert.Equal(t, lowerMean(test.estimate, test.age, test.own), test.want)
+			assert.Equal(t, admissionMean(test.estimate, test.age, test.local), test.want)
 		})
 	}
 }
@@ -37,33 +37,33 @@
 // and checks when they were sent, by the agent's clock.
 func TestClockOffsets(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
-	const way = 2 * time.Millisecond
+	const latency = 2 * time.Millisecond
 	var c clockOffsets
 	for _, step := range []struct {
-		rule   string
-		router ryeford.VMID
-		after  time.Duration // the start: the receipt
-		ahead  time.Duration // the router's clock
-		took   time.Duration // the way, with what it waited
-		age    time.Duration
+		rule     string
+		router   ryeford.VMID
+		received time.Duration // the start: the receipt
+		skew     time.Duration // the router's clock
+		delay    time.Duration // the way, with what it waited
+		age      time.Duration
 	}{
-		{"the first has no age", "router-1", 0, time.Hour, way, 0},
-		{"nor has one as fast", "router-1", time.Second, time.Hour, way, 0},
+		{"the first has no age", "router-1", 0, time.Hour, latency, 0},
+		{"nor has one as fast", "router-1", time.Second, time.Hour, latency, 0},
 		{"one that waited has the wait", "router-1", 2 * time.Second, time.Hour, 300 * time.Millisecond, 298 * time.Millisecond},
-		{"another router has another clock", "router-2", 2 * time.Second, -time.Hour, way, 0},
-		{"a faster one shows the way to be shorter", "router-1", 3 * time.Second, time.Hour, way / 2, 0},
-		{"and later ones to have waited", "router-1", 4 * time.Second, time.Hour, way, way / 2},
-		{"a clock that is set back makes dispatches old", "router-1", 5 * time.Second, time.Hour - time.Second, way, time.Second + way/2},
-		{"still in the next window", "router-1", 31 * time.Second, time.Hour - time.Second, way, time.Second + way/2},
-		{"and not in the one after", "router-1", 62 * time.Second, time.Hour - time.Second, way, 0},
+		{"another router has another clock", "router-2", 2 * time.Second, -time.Hour, latency, 0},
+		{"a faster one shows the way to be shorter", "router-1", 3 * time.Second, time.Hour, latency / 2, 0},
+		{"and later ones to have waited", "router-1", 4 * time.Second, time.Hour, latency, latency / 2},
+		{"a clock that is set back makes dispatches old", "router-1", 5 * time.Second, time.Hour - time.Second, latency, time.Second + latency/2},
+		{"still in the next window", "router-1", 31 * time.Second, time.Hour - time.Second, latency, time.Second + latency/2},
+		{"and not in the one after", "router-1", 62 * time.Second, time.Hour - time.Second, latency, 0},
 	} {
 		t.Run(step.rule, func(t *testing.T) {
-			now := start.Add(step.after)
-			sent := now.Add(-step.took).Add(step.ahead)
-			assert.Equal(t, now.Sub(c.sent(step.router, now, sent)), step.age)
+			now := start.Add(step.received)
+			sent := now.Add(-step.delay).Add(step.skew)
+			assert.Equal(t, now.Sub(c.sendTime(step.router, now, sent)), step.age)
 		})
 	}
-	assert.Equal(t, c.sent("router-1", start, time.Time{}), start)
+	assert.Equal(t, c.sendTime("router-1", start, time.Time{}), start)
 }
 
 // TestMeanLoad gives an engine a dispatch with the router's mean, while another engine of
@@ -89,13 +89,13 @@
 		t.Run(test.rule, func(t *testing.T) {
 			limits := admission.Limits{PoolFactor: factor, Floor: floor, Capacity: 64, ShareFrom: 1}
 			b, other := newBackend("endpoint-1.1", limits, 10), newBackend("endpoint-1.2", limits, 10)
-			b.engine, other.engine = &fakeStreamer{streams: []fakeStream{{chunks: 1, whole: true}}}, &fakeEngine{}
+			b.engine, other.engine = &fakeStreamer{streams: []fakeStream{{chunks: 1, finishes: true}}}, &fakeEngine{}
 			b.setServing(true, []ryeford.Pool{pool})
 			other.setServing(true, []ryeford.Pool{test.otherPool})
 			run := func(b *backend, pool ryeford.Pool, count int) {
 				for range count {
 					d := &wire.Dispatch{Account: "bank", Priority: ryeford.PriorityHighest, Share: 1, Completion: &ryeford.Completion{Pool: pool}}
-					assert.Assert(t, first(b.admit(time.Now(), d, 64)).Admitted)
+					assert.Assert(t, decisionOf(b.admit(time.Now(), d, 64)).Admitted)
 				}
 			}
 			run(b, pool, test.load)
@@ -116,4 +116,4 @@
 	}
 }
 
-func first(d admission.Decision, _ bool) admission.Decision { return d }
+func decisionOf(d admission.Decision, _ bool) admission.Decision { return d }
--- a/agentfleet/agent/plan.go
+++ b/agentfleet/agent/plan.go
@@ -40,7 +40,7 @@
 // applyPlan orders the engines to serve what the plan says, until ctx ends.
 // One order is under way at a time. A leaving agent gives none.
 func (a *Agent) applyPlan(ctx context.Context) error {
-	return every(ctx, planCheckInterval, func() {
+	return runPeriodically(ctx, planCheckInterval, func() {
 		plan := a.plan.Get()
 		if plan == nil || a.leaving.Load() {
 			return
@@ -68,8 +68,8 @@
 	if serving.Epoch > plan.Epoch || slices.Equal(serving.Pools, assigned) {
 		return false
 	}
-	given := last.epoch == plan.Epoch && last.sequence == plan.Sequence
-	loading := given && serving.Epoch == plan.Epoch
+	issued := last.epoch == plan.Epoch && last.sequence == plan.Sequence
+	loading := issued && serving.Epoch == plan.Epoch
 	return !loading || now.Sub(last.at) >= orderTimeout
 }
 
@@ -86,10 +86,10 @@
 		return // pollServing logs an engine that does not answer; the next check asks again
 	}
 	now := time.Now()
-	if !orderDue(&serving, plan, assignment.Pools, b.issued, now) {
+	if !orderDue(&serving, plan, assignment.Pools, b.lastOrder, now) {
 		return
 	}
-	b.issued = issuedOrder{epoch: plan.Epoch, sequence: plan.Sequence, at: now}
+	b.lastOrder = issuedOrder{epoch: plan.Epoch, sequence: plan.Sequence, at: now}
 	err = b.engine.Order(ctx, ryeford.Order{Epoch: plan.Epoch, Pools: assignment.Pools})
 	a.decisions.Record("", "decision", "order", "engine", b.id, "epoch", plan.Epoch, "sequence", plan.Sequence,
 		"seen", serving.Epoch, "pools", len(assignment.Pools), "reason", assignment.Reason, "checks_fences", b.checksFences, "err", err)
--- a/agentfleet/agent/plan_test.go
+++ b/agentfleet/agent/plan_test.go
@@ -38,7 +38,7 @@
 	now := time.Unix(1_000_000, 0)
 	plan := &ryeford.Plan{Epoch: 7, Sequence: 3}
 	want, other := []ryeford.Pool{{Model: "lira"}}, []ryeford.Pool{{Model: "old"}}
-	given := issuedOrder{epoch: 7, sequence: 3, at: now.Add(-time.Second)}
+	current := issuedOrder{epoch: 7, sequence: 3, at: now.Add(-time.Second)}
 	overdue := issuedOrder{epoch: 7, sequence: 3, at: now.Add(-orderTimeout)}
 	for _, test := range []struct {
 		rule    string
@@ -51,9 +51,9 @@
 		{"one that serves nothing too", 0, nil, issuedOrder{}, true},
 		{"one that serves what it should is not", 6, want, issuedOrder{}, false},
 		{"nor one that a newer plan has reached", 8, other, issuedOrder{}, false},
-		{"nor one that is loading", 7, other, given, false},
+		{"nor one that is loading", 7, other, current, false},
 		{"unless it takes too long", 7, other, overdue, true},
-		{"an older epoch after the order shows a stale one: repaired at once", 6, other, given, true},
+		{"an older epoch after the order shows a stale one: repaired at once", 6, other, current, true},
 		{"an order of an older plan is no reason to wait", 7, other, issuedOrder{epoch: 7, sequence: 2, at: now}, true},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
@@ -65,7 +65,7 @@
 
 // TestStaleOrderIsRepaired lets an old order reach an engine that checks no
 // fences, after the current one: the agent gives the current one again.
-func TestStaleOrderIsRepaired(t *testing.T) {
+func TestStaleOrderIsCorrected(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			e := &fakeEngine{fences: fences}
--- a/agentfleet/agent/pull_test.go
+++ b/agentfleet/agent/pull_test.go
@@ -25,14 +25,14 @@
 
 // A narrow link that a test's packets pass.
 const (
-	packetTime = 4 * time.Millisecond // between two packets: at most 363 KB/s of 1,452 bytes each
-	packetsMax = 64                   // that wait; the others are lost
-	linkBytes  = 1500 << 10           // takes longer than gossip.PullTimeout: 4.2 s at least
+	packetInterval = 4 * time.Millisecond // between two packets: at most 363 KB/s of 1,452 bytes each
+	maxPackets     = 64                   // that wait; the others are lost
+	transferSize   = 1500 << 10           // takes longer than gossip.PullTimeout: 4.2 s at least
 )
 
 // narrowLink relays packets between one dialer and a listener's address, those of the
 // listener one by one each packetTime. It returns the address to dial.
-func narrowLink(t *testing.T, listener netip.AddrPort) netip.AddrPort {
+func slowLink(t *testing.T, listener netip.AddrPort) netip.AddrPort {
 	t.Helper()
 	near, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	assert.NilError(t, err)
@@ -54,7 +54,7 @@
 			_, _ = far.Write(packet[:n]) // a link may lose packets
 		}
 	}()
-	queue := make(chan []byte, packetsMax)
+	queue := make(chan []byte, maxPackets)
 	go func() {
 		defer close(queue)
 		for {
@@ -71,7 +71,7 @@
 	}()
 	go func() {
 		for packet := range queue {
-			time.Sleep(packetTime)
+			time.Sleep(packetInterval)
 			_, _ = near.WriteToUDPAddrPort(packet, *dialer.Load()) // a link may lose packets
 		}
 	}()
@@ -80,9 +80,9 @@
 
 // dialNarrow returns a connection over a narrow link to a router that answers each stream
 // with a message.
-func dialNarrow(t *testing.T, answer *wire.Message) *transport.Conn {
+func dialSlow(t *testing.T, answer *wire.Message) *transport.Conn {
 	t.Helper()
-	return dialRouter(t, narrowLink, func(conn *transport.Conn) {
+	return dialRouter(t, slowLink, func(conn *transport.Conn) {
 		conn.Serve(context.Background(), func(s *transport.Stream, _ *wire.Message) { s.Reply(answer) })
 	})
 }
@@ -124,7 +124,7 @@
 // largeDelta returns templates of linkBytes.
 func largeDelta() *wire.Delta {
 	delta := &wire.Delta{Revision: 1}
-	for size := 0; size < linkBytes; size += 64 {
+	for size := 0; size < transferSize; size += 64 {
 		name := fmt.Sprintf("%064d", size)
 		delta.Templates = append(delta.Templates, ryeford.Template{Account: "bank", Name: name, Revision: 1})
 	}
@@ -133,42 +133,42 @@
 
 // TestPullTemplatesNarrow checks that templates come over a link on which they take longer
 // than gossip.PullTimeout.
-func TestPullTemplatesNarrow(t *testing.T) {
+func TestPullTemplatesSlowLink(t *testing.T) {
 	t.Parallel()
-	conn := dialNarrow(t, &wire.Message{Delta: largeDelta()})
+	conn := dialSlow(t, &wire.Message{Delta: largeDelta()})
 	book := template.NewBook()
-	began := time.Now()
+	start := time.Now()
 	revision, ok := gossip.PullTemplates(t.Context(), conn, book)
-	assert.Assert(t, ok, "after %s", time.Since(began))
+	assert.Assert(t, ok, "after %s", time.Since(start))
 	assert.Equal(t, revision, int64(1))
 	assert.Equal(t, book.Revision(), int64(1))
-	assert.Assert(t, time.Since(began) > gossip.PullTimeout)
+	assert.Assert(t, time.Since(start) > gossip.PullTimeout)
 }
 
 // TestPullPlanNarrow checks the same of this VM's part of a plan.
-func TestPullPlanNarrow(t *testing.T) {
+func TestPullPlanSlowLink(t *testing.T) {
 	t.Parallel()
 	next := &ryeford.Plan{Epoch: 1, Sequence: 1}
-	for size := 0; size < linkBytes; size += 64 {
+	for size := 0; size < transferSize; size += 64 {
 		reason := fmt.Sprintf("%064d", size)
 		next.Assignments = append(next.Assignments, ryeford.Assignment{Engine: "endpoint-1.1", Reason: reason})
 	}
-	conn := dialNarrow(t, &wire.Message{Plan: next})
+	conn := dialSlow(t, &wire.Message{Plan: next})
 	a := &Agent{
 		settings:  settings.DefaultAgent(),
 		plan:      plan.NewCurrent(),
 		decisions: decision.NewLog(log.NewNopLogger()),
 	}
-	began := time.Now()
+	start := time.Now()
 	a.pullPlan(t.Context(), conn)
-	assert.Assert(t, a.plan.Get() != nil, "after %s", time.Since(began))
+	assert.Assert(t, a.plan.Get() != nil, "after %s", time.Since(start))
 	assert.Equal(t, len(a.plan.Get().Assignments), len(next.Assignments))
-	assert.Assert(t, time.Since(began) > gossip.PullTimeout)
+	assert.Assert(t, time.Since(start) > gossip.PullTimeout)
 }
 
 // TestPullTemplatesLarge has an agent read more templates from another one than fit into a
 // message. It fails if they do not all come, or the book has a revision without all of them.
-func TestPullTemplatesLarge(t *testing.T) {
+func TestPullTemplatesInParts(t *testing.T) {
 	t.Parallel()
 	const count, keys = 1400, 100 // some 6.6 KB each, 9.2 MB together
 	templates := make([]ryeford.Template, count)
--- a/agentfleet/agent/queue_test.go
+++ b/agentfleet/agent/queue_test.go
@@ -16,10 +16,10 @@
 // none.
 func TestQueue(t *testing.T) {
 	var q queue
-	early, late := q.enter(5), q.enter(5)
-	urgent, gone := q.enter(ryeford.PriorityHighest), q.enter(ryeford.PriorityHighest)
-	q.leave(gone)
-	for _, want := range []*waiter{urgent, early, late} {
+	first, second := q.enter(5), q.enter(5)
+	highest, left := q.enter(ryeford.PriorityHighest), q.enter(ryeford.PriorityHighest)
+	q.leave(left)
+	for _, want := range []*waiter{highest, first, second} {
 		assert.Equal(t, q.waiters[0], want)
 		q.wake()
 		select {
@@ -40,12 +40,12 @@
 func TestAdmitOrWait(t *testing.T) {
 	const runTime = 30 * time.Millisecond
 	for _, test := range []struct {
-		rule string
-		wait time.Duration // that the router allows
-		warm bool
-		full bool           // the queue
-		want ryeford.Reason // empty: admitted
-		took time.Duration
+		rule    string
+		wait    time.Duration // that the router allows
+		warm    bool
+		full    bool           // the queue
+		want    ryeford.Reason // empty: admitted
+		elapsed time.Duration
 	}{
 		{"a chat whose prefix is here waits for the run to end", 100 * time.Millisecond, true, false, "", runTime},
 		{"no longer than allowed", 20 * time.Millisecond, true, false, ryeford.ReasonOverload, 20 * time.Millisecond},
@@ -57,7 +57,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				pool := ryeford.Pool{Model: "lira"}
 				b := newBackend("endpoint-1.1", admission.Limits{Floor: 1, Capacity: 1, ShareFrom: 1}, 10)
-				b.engine = &fakeStreamer{streams: []fakeStream{{chunks: 1, whole: true}}}
+				b.engine = &fakeStreamer{streams: []fakeStream{{chunks: 1, finishes: true}}}
 				b.setServing(true, []ryeford.Pool{pool})
 				a := testAgent(b)
 				d := &wire.Dispatch{
@@ -74,9 +74,9 @@
 				}
 				for test.full && b.queue.enter(ryeford.PriorityLowest) != nil {
 				}
-				began := time.Now()
+				start := time.Now()
 				r, refused := a.admitOrWait(t.Context(), d)
-				assert.Equal(t, time.Since(began), test.took)
+				assert.Equal(t, time.Since(start), test.elapsed)
 				assert.Equal(t, r != nil, test.want == "")
 				if r == nil {
 					assert.Equal(t, refused.Reason, test.want)
--- a/agentfleet/agent/resume_test.go
+++ b/agentfleet/agent/resume_test.go
@@ -11,10 +11,10 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-func TestStallLimit(t *testing.T) {
+func TestStallTimeout(t *testing.T) {
 	limits := &settings.AgentLimits{FirstToken: 4 * time.Second, BetweenTokens: 2 * time.Second}
-	assert.Equal(t, stallLimit(limits, false), 4*time.Second)
-	assert.Equal(t, stallLimit(limits, true), 2*time.Second)
+	assert.Equal(t, stallTimeout(limits, false), 4*time.Second)
+	assert.Equal(t, stallTimeout(limits, true), 2*time.Second)
 }
 
 func TestMayResume(t *testing.T) {
--- a/agentfleet/agent/run_test.go
+++ b/agentfleet/agent/run_test.go
@@ -18,7 +18,7 @@
 		rule       string
 		repeatable bool
 		readers    int           // before one of them goes
-		away       time.Duration // without a reader
+		elapsed    time.Duration // without a reader
 		cancelled  bool
 	}{
 		{"a repeatable run is cancelled after the grace period", true, 1, grace + 1, true},
@@ -34,7 +34,7 @@
 					r.attach()
 				}
 				r.detach(grace)
-				time.Sleep(test.away)
+				time.Sleep(test.elapsed)
 				synctest.Wait()
 				assert.Equal(t, r.ctx.Err() != nil, test.cancelled)
 
--- a/agentfleet/engine/client.go
+++ b/agentfleet/engine/client.go
@@ -144,7 +144,7 @@
 }
 
 // callJSON makes a short call with JSON bodies; request and answer may be nil.
-func (c *Client) callJSON(ctx context.Context, method, path string, request, answer any) error {
+func (c *Client) callJSON(ctx context.Context, method, path string, request, response any) error {
 	var body []byte
 	if request != nil {
 		var err error
@@ -153,10 +153,10 @@
 		}
 	}
 	content, err := c.call(ctx, method, path, body)
-	if err != nil || answer == nil {
+	if err != nil || response == nil {
 		return err
 	}
-	if err := json.Unmarshal(content, answer); err != nil {
+	if err := json.Unmarshal(content, response); err != nil {
 		return &Error{Op: path, Err: err}
 	}
 	return nil
@@ -240,7 +240,7 @@
 	Status int    // the HTTP status, if there was a response
 	Err    error  // nil if the status is the failure
 	// Rest is for how long an engine that is full wants no requests; zero if it doesn't say.
-	Rest time.Duration
+	RetryAfter time.Duration
 }
 
 func (e *Error) Error() string {
@@ -260,13 +260,13 @@
 	case http.StatusPreconditionFailed:
 		return &ryeford.FenceError{}
 	}
-	return &Error{Op: op, Status: status, Rest: retry.Rest(status, response.Header)}
+	return &Error{Op: op, Status: status, RetryAfter: retry.Rest(status, response.Header)}
 }
 
 // RestOf returns for how long an engine whose call failed with err wants no requests; zero if it doesn't say.
-func RestOf(err error) time.Duration {
+func RetryAfter(err error) time.Duration {
 	if engineErr, ok := errors.AsType[*Error](err); ok {
-		return engineErr.Rest
+		return engineErr.RetryAfter
 	}
 	return 0
 }
--- a/agentfleet/engine/eventreader_test.go
+++ b/agentfleet/engine/eventreader_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestEventReaderRefuses reads events that are no chunk.
-func TestEventReaderRefuses(t *testing.T) {
+func TestEventReaderInvalid(t *testing.T) {
 	for _, body := range []string{
 		"data: {}\n",          // no id
 		"id: a1\ndata: {}\n",  // no offset
--- a/agentfleet/engine/notrun_test.go
+++ b/agentfleet/engine/notrun_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestNotRun(t *testing.T) {
-	transport := func(op string, err error) error {
+	netError := func(op string, err error) error {
 		return &Error{Op: PathCompletions, Err: &url.Error{Op: "Post", Err: &net.OpError{Op: op, Err: err}}}
 	}
 	for _, test := range []struct {
@@ -22,9 +22,9 @@
 		err  error
 		want bool
 	}{
-		{"the connection was not made", transport("dial", io.EOF), true},
-		{"it broke while the request was written", transport("write", io.EOF), false},
-		{"or before the response came", transport("read", io.EOF), false},
+		{"the connection was not made", netError("dial", io.EOF), true},
+		{"it broke while the request was written", netError("write", io.EOF), false},
+		{"or before the response came", netError("read", io.EOF), false},
 		{"the engine is full", statusError(PathCompletions, &http.Response{StatusCode: http.StatusServiceUnavailable}), true},
 		{"or has too many requests", statusError(PathCompletions, &http.Response{StatusCode: http.StatusTooManyRequests}), true},
 		{"it does not know the model", statusError(PathCompletions, &http.Response{StatusCode: http.StatusNotFound}), true},
--- a/agentfleet/engine/protocol_test.go
+++ b/agentfleet/engine/protocol_test.go
@@ -14,7 +14,7 @@
 
 // TestStart checks that an engine is told when an attempt was admitted, to the
 // microsecond, and nothing if that is not known.
-func TestStart(t *testing.T) {
+func TestHeaderStart(t *testing.T) {
 	for _, admitted := range []time.Time{{}, time.UnixMicro(1_796_229_370_914_653)} {
 		var sent []string
 		server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
@@ -37,7 +37,7 @@
 }
 
 // TestParseStartRefuses checks values that name no time.
-func TestParseStartRefuses(t *testing.T) {
+func TestParseStartInvalid(t *testing.T) {
 	for _, value := range []string{"", "t=", "1796229370914653", "t=now", "t=1.5"} {
 		_, err := ParseStart(value)
 		assert.ErrorContains(t, err, HeaderStart, "%q", value)
--- a/agentfleet/engine/service.go
+++ b/agentfleet/engine/service.go
@@ -17,17 +17,17 @@
 
 // A ServiceClient is a ryeford.Service. Its errors are *Error.
 type ServiceClient struct {
-	base       string       // the service's URL without a path
-	repeatable *http.Client // reuses connections, and may repeat a call on a new one
-	once       *http.Client // a new connection for each call; never repeats one
+	base        string       // the service's URL without a path
+	retrying    *http.Client // reuses connections, and may repeat a call on a new one
+	nonRetrying *http.Client // a new connection for each call; never repeats one
 }
 
 // NewService returns a ServiceClient of the service at an address.
 func NewService(address netip.AddrPort) *ServiceClient {
 	return &ServiceClient{
-		base:       "http://" + address.String(),
-		repeatable: &http.Client{Transport: &http.Transport{}, CheckRedirect: noRedirect},
-		once:       &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: noRedirect},
+		base:        "http://" + address.String(),
+		retrying:    &http.Client{Transport: &http.Transport{}, CheckRedirect: noRedirect},
+		nonRetrying: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: noRedirect},
 	}
 }
 
@@ -42,9 +42,9 @@
 	if call.ContentType != "" {
 		request.Header.Set("Content-Type", call.ContentType)
 	}
-	client := c.once
+	client := c.nonRetrying
 	if call.Repeatable {
-		client = c.repeatable
+		client = c.retrying
 	}
 	response, err := client.Do(request)
 	if err != nil {
@@ -85,7 +85,7 @@
 }
 
 // RestIn returns for how long a service wants no calls by the answer that is read; zero if it doesn't say.
-func RestIn(reader ryeford.ChunkReader) time.Duration {
+func ResponseRetryAfter(reader ryeford.ChunkReader) time.Duration {
 	r, ok := reader.(*bodyReader)
 	if !ok {
 		return 0
