--- a/agentfleet/agent/admit_test.go
+++ b/agentfleet/agent/admit_test.go
@@ -40,15 +40,15 @@
 		cause func()
 		want  ryeford.Reason
 	}{
-		{"the engine is at its bound", func() {}, ryeford.ReasonOverload},
-		{"it has not loaded the model", func() { b.setServing(true, nil) }, ryeford.ReasonNotServing},
-		{"the dispatch came too late", func() { d.Expires = now.Add(-time.Minute) }, ryeford.ReasonExpired},
-		{"the attempt was given up", func() { record(attemptTombstone) }, ryeford.ReasonTombstone},
-		{"or was admitted before", func() { record(attemptRan) }, ryeford.ReasonDuplicate},
+		{"the engine's bound is reached", func() {}, ryeford.ReasonOverload},
+		{"the engine has not loaded the model", func() { b.setServing(true, nil) }, ryeford.ReasonNotServing},
+		{"the attempt has expired", func() { d.Expires = now.Add(-time.Minute) }, ryeford.ReasonExpired},
+		{"the attempt was abandoned", func() { record(attemptTombstone) }, ryeford.ReasonTombstone},
+		{"the attempt was admitted before", func() { record(attemptRan) }, ryeford.ReasonDuplicate},
 		{"another engine holds the prefix", func() { b.addOverflow(now, &wire.Overflow{Chat: d.ChatKey(), Engine: "endpoint-2.1"}) }, ryeford.ReasonRedirect},
-		{"the engine is not of this VM", func() { d.Engine = "endpoint-9.1" }, ryeford.ReasonNotServing},
+		{"the engine is not on this VM", func() { d.Engine = "endpoint-9.1" }, ryeford.ReasonNotServing},
 		{"the VM is leaving", func() { a.leaving.Store(true) }, ryeford.ReasonLeaving},
-		{"the agent restarted", func() { d.Incarnation = "life-1" }, ryeford.ReasonIncarnation},
+		{"the agent restarted", func() { d.Incarnation = "incarnation-1" }, ryeford.ReasonIncarnation},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			test.cause()
--- a/agentfleet/agent/attemptrules_test.go
+++ b/agentfleet/agent/attemptrules_test.go
@@ -19,12 +19,12 @@
 		want      ryeford.Reason
 	}{
 		{"a new attempt is admitted", attemptUnseen, time.Second, ""},
-		{"up to the moment at which it expires", attemptUnseen, 0, ""},
-		{"not after it", attemptUnseen, -1, ryeford.ReasonExpired},
-		{"an attempt that runs is not admitted again", attemptRetained, time.Second, ryeford.ReasonDuplicate},
-		{"nor one whose answer is gone", attemptRan, time.Second, ryeford.ReasonDuplicate},
-		{"nor one that was given up", attemptTombstone, time.Second, ryeford.ReasonTombstone},
-		{"what is remembered goes before the expiry", attemptRan, -1, ryeford.ReasonDuplicate},
+		{"an attempt is admitted at the time it expires", attemptUnseen, 0, ""},
+		{"an expired attempt is refused", attemptUnseen, -1, ryeford.ReasonExpired},
+		{"a running attempt is not admitted again", attemptRetained, time.Second, ryeford.ReasonDuplicate},
+		{"an attempt without a retained answer is not admitted again", attemptRan, time.Second, ryeford.ReasonDuplicate},
+		{"an abandoned attempt is refused", attemptTombstone, time.Second, ryeford.ReasonTombstone},
+		{"a record takes precedence over the expiry", attemptRan, -1, ryeford.ReasonDuplicate},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			assert.Equal(t, admissionRefusal(test.state, now, now.Add(test.remaining)), test.want)
@@ -43,19 +43,19 @@
 		want    ryeford.Reason
 		unknown bool
 	}{
-		{"an attempt that was admitted is joined", attemptRetained, 1, 2, false, "", false},
-		{"also long after", attemptRetained, -9, -8, false, "", false},
-		{"without its answer, it ran", attemptRan, 1, 2, false, ryeford.ReasonDuplicate, true},
+		{"an admitted attempt is joined", attemptRetained, 1, 2, false, "", false},
+		{"a retained answer is joined after the expiry", attemptRetained, -9, -8, false, "", false},
+		{"an attempt without a retained answer has run", attemptRan, 1, 2, false, ryeford.ReasonDuplicate, true},
 		{"an unseen attempt did not run", attemptUnseen, 1, 2, false, ryeford.ReasonTombstone, false},
-		{"nor one that was given up", attemptTombstone, 1, 2, false, ryeford.ReasonTombstone, false},
+		{"an abandoned attempt did not run", attemptTombstone, 1, 2, false, ryeford.ReasonTombstone, false},
 		{
-			"after its expiry an admission would still be remembered",
+			"an unseen attempt did not run while a record would be retained",
 			attemptUnseen, -1, 0, false, ryeford.ReasonTombstone, false,
 		},
-		{"but not for ever", attemptUnseen, -2, -1, false, ryeford.ReasonExpired, true},
-		{"the later of both times counts", attemptUnseen, 0, -1, false, ryeford.ReasonTombstone, false},
+		{"an unseen attempt may have run after records are removed", attemptUnseen, -2, -1, false, ryeford.ReasonExpired, true},
+		{"records are removed after the later of both times", attemptUnseen, 0, -1, false, ryeford.ReasonTombstone, false},
 		{"a peek proves nothing before the expiry", attemptUnseen, 0, 2, true, ryeford.ReasonRunning, true},
-		{"after it, it does", attemptUnseen, -1, 2, true, ryeford.ReasonTombstone, false},
+		{"a peek after the expiry proves that the attempt did not run", attemptUnseen, -1, 2, true, ryeford.ReasonTombstone, false},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			got, unknown := joinRefusal(test.state, now, now.Add(test.expires), now.Add(test.forget), test.peek)
--- a/agentfleet/agent/attempts_test.go
+++ b/agentfleet/agent/attempts_test.go
@@ -44,7 +44,7 @@
 					return newRun(d, nil, false)
 				})
 				if reason == "" && admit {
-					assert.Assert(t, !reportedNotRun[id], "ran behind a proof that it did not")
+					assert.Assert(t, !reportedNotRun[id], "attempt admitted after it was reported as not run")
 				}
 			},
 			"join": func(t *rapid.T) {
@@ -52,7 +52,7 @@
 				j := &wire.Join{Attempt: id, Expires: expires[id], Forget: forget[id], Peek: rapid.Bool().Draw(t, "peek")}
 				_, reason, _ := a.joinAt(now, j)
 				if reason == ryeford.ReasonTombstone {
-					assert.Equal(t, runs[id], 0, "said not to have run")
+					assert.Equal(t, runs[id], 0, "attempt ran but is reported as not run")
 					reportedNotRun[id] = true
 				}
 			},
--- a/agentfleet/agent/drain_test.go
+++ b/agentfleet/agent/drain_test.go
@@ -20,9 +20,9 @@
 		runTime time.Duration // zero: nothing runs
 		elapsed time.Duration
 	}{
-		{"an idle agent ends after the grace", 0, drainGrace},
-		{"a run may end, seen at the next check", 3*time.Second - drainCheckInterval/2, 3*time.Second + drainGrace},
-		{"up to the limit", time.Hour, limit + drainGrace},
+		{"an idle agent ends after the grace period", 0, drainGrace},
+		{"the end of a run is noticed at the next check", 3*time.Second - drainCheckInterval/2, 3*time.Second + drainGrace},
+		{"a run that does not end is awaited up to the limit", time.Hour, limit + drainGrace},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/agentfleet/agent/execute.go
+++ b/agentfleet/agent/execute.go
@@ -59,7 +59,7 @@
 	a.metrics.Add("ryeford_chunks_dropped_total", "foreign", dropped.Foreign)
 	a.metrics.Add("ryeford_chunks_dropped_total", "repeated", dropped.Repeated)
 	a.metrics.Add("ryeford_chunks_dropped_total", "overflow", dropped.Overflow)
-	_ = a.log.Log("msg", "chunks dropped", "attempt", r.dispatch.Attempt, "engine", r.dispatch.Engine,
+	_ = a.log.Log("msg", "dropped chunks of the engine's stream that were of another attempt, repeated or too far ahead; the answer does not contain them", "attempt", r.dispatch.Attempt, "engine", r.dispatch.Engine,
 		"foreign", dropped.Foreign, "repeated", dropped.Repeated, "overflow", dropped.Overflow)
 }
 
@@ -85,7 +85,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	if err := r.backend.engine.Cancel(ctx, d.Attempt); err != nil {
-		_ = a.log.Log("msg", "run not cancelled", "attempt", d.Attempt, "engine", d.Engine, "err", err)
+		_ = a.log.Log("msg", "could not cancel a failed run at its engine; it may run to its end there", "attempt", d.Attempt, "engine", d.Engine, "err", err)
 	}
 }
 
--- a/agentfleet/agent/execute_test.go
+++ b/agentfleet/agent/execute_test.go
@@ -100,7 +100,7 @@
 	logger := log.NewNopLogger()
 	return &Agent{
 		settings:    &settings.Agent{},
-		incarnation: "life-2",
+		incarnation: "incarnation-2",
 		log:         logger,
 		decisions:   decision.NewLog(logger),
 		metrics:     telemetry.NewSet(),
@@ -126,7 +126,7 @@
 		elapsed time.Duration
 	}{
 		{
-			"a whole answer", []fakeStream{{chunks: 3, finishes: true}},
+			"a complete answer", []fakeStream{{chunks: 3, finishes: true}},
 			[]string{"complete"}, "", false, 3, 0,
 		},
 		{
@@ -134,7 +134,7 @@
 			[]string{"complete", "resume 2"}, "", false, 3, 0,
 		},
 		{
-			"one that stalls too", []fakeStream{{chunks: 2, stalls: true}, {chunks: 1, finishes: true}},
+			"a stalled stream is resumed", []fakeStream{{chunks: 2, stalls: true}, {chunks: 1, finishes: true}},
 			[]string{"complete", "resume 2"}, "", false, 3, betweenTokens,
 		},
 		{
@@ -142,19 +142,19 @@
 			[]string{"complete", "resume 0"}, "", false, 1, firstToken,
 		},
 		{
-			"a run is given up after two resumes, and cancelled", []fakeStream{{chunks: 1}},
+			"a run fails after two resumes and is cancelled", []fakeStream{{chunks: 1}},
 			[]string{"complete", "resume 1", "resume 2", "cancel"}, ryeford.ReasonEngineLost, false, 4, 0,
 		},
 		{
-			"the reason says that the last stream stalled", []fakeStream{{chunks: 1}, {}, {stalls: true}},
+			"the reason is that of the last stream", []fakeStream{{chunks: 1}, {}, {stalls: true}},
 			[]string{"complete", "resume 1", "resume 1", "cancel"}, ryeford.ReasonStalled, false, 2, betweenTokens,
 		},
 		{
-			"a full engine has not run it", []fakeStream{{openErr: unavailable}},
+			"an unavailable engine did not run the attempt", []fakeStream{{openErr: unavailable}},
 			[]string{"complete"}, ryeford.ReasonEngineLost, true, 1, 0,
 		},
 		{
-			"that it does not know the run later proves nothing", []fakeStream{{}, {openErr: notFound}},
+			"a run that is not found by a resume may have run", []fakeStream{{}, {openErr: notFound}},
 			[]string{"complete", "resume 0", "resume 0", "cancel"}, ryeford.ReasonEngineLost, false, 1, 0,
 		},
 	} {
@@ -183,7 +183,7 @@
 				assert.Equal(t, last.NotRun, test.notRun)
 				assert.Equal(t, last.Finish == ryeford.FinishStop, test.reason == "")
 				_, err = r.log.Read(t.Context(), last.Offset+1)
-				assert.ErrorType(t, err, &answer.OffsetError{}, "the answer goes on after its end")
+				assert.ErrorType(t, err, &answer.OffsetError{}, "the answer continues after its last chunk")
 			})
 		})
 	}
--- a/agentfleet/agent/gossip_test.go
+++ b/agentfleet/agent/gossip_test.go
@@ -46,7 +46,7 @@
 	go a.receiveGossip(t.Context(), conn)
 	for {
 		_, ok := b.holder(time.Now(), &wire.Dispatch{Account: chat.Account, Chat: chat.Chat})
-		assert.Equal(t, a.book.Revision(), int64(0), "the message did not come before the templates")
+		assert.Equal(t, a.book.Revision(), int64(0), "the message was not processed before the templates")
 		if ok {
 			return
 		}
--- a/agentfleet/agent/meanload_test.go
+++ b/agentfleet/agent/meanload_test.go
@@ -21,11 +21,11 @@
 		want     float64
 	}{
 		{"the router's estimate", 8, 0, 9, 8},
-		{"the VM's own, if it is lower", 8, 0, 5, 5},
-		{"the estimate up to maxMeanAge", 10, maxMeanAge, 12, 10},
-		{"a part of an older one", 10, maxMeanAge + 1, 12, 9},
-		{"the VM's own has no age", 10, time.Hour, 5, 5},
-		{"none", 0, 0, 5, 0},
+		{"a lower local mean", 8, 0, 5, 5},
+		{"an estimate of maxMeanAge is not reduced", 10, maxMeanAge, 12, 10},
+		{"a stale estimate is reduced", 10, maxMeanAge + 1, 12, 9},
+		{"the local mean is not reduced", 10, time.Hour, 5, 5},
+		{"an estimate of zero", 0, 0, 5, 0},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			assert.Equal(t, admissionMean(test.estimate, test.age, test.local), test.want)
@@ -47,15 +47,15 @@
 		delay    time.Duration // the way, with what it waited
 		age      time.Duration
 	}{
-		{"the first has no age", "router-1", 0, time.Hour, latency, 0},
-		{"nor has one as fast", "router-1", time.Second, time.Hour, latency, 0},
-		{"one that waited has the wait", "router-1", 2 * time.Second, time.Hour, 300 * time.Millisecond, 298 * time.Millisecond},
-		{"another router has another clock", "router-2", 2 * time.Second, -time.Hour, latency, 0},
-		{"a faster one shows the way to be shorter", "router-1", 3 * time.Second, time.Hour, latency / 2, 0},
-		{"and later ones to have waited", "router-1", 4 * time.Second, time.Hour, latency, latency / 2},
-		{"a clock that is set back makes dispatches old", "router-1", 5 * time.Second, time.Hour - time.Second, latency, time.Second + latency/2},
-		{"still in the next window", "router-1", 31 * time.Second, time.Hour - time.Second, latency, time.Second + latency/2},
-		{"and not in the one after", "router-1", 62 * time.Second, time.Hour - time.Second, latency, 0},
+		{"the first dispatch has no age", "router-1", 0, time.Hour, latency, 0},
+		{"a dispatch with the same latency has no age", "router-1", time.Second, time.Hour, latency, 0},
+		{"a delayed dispatch has the age of its delay", "router-1", 2 * time.Second, time.Hour, 300 * time.Millisecond, 298 * time.Millisecond},
+		{"each router has its own offset", "router-2", 2 * time.Second, -time.Hour, latency, 0},
+		{"a faster dispatch reduces the minimum latency", "router-1", 3 * time.Second, time.Hour, latency / 2, 0},
+		{"a dispatch with the earlier latency then has an age", "router-1", 4 * time.Second, time.Hour, latency, latency / 2},
+		{"a clock that is set back increases the age", "router-1", 5 * time.Second, time.Hour - time.Second, latency, time.Second + latency/2},
+		{"the old offset applies in the next window", "router-1", 31 * time.Second, time.Hour - time.Second, latency, time.Second + latency/2},
+		{"the old offset has expired in the window after", "router-1", 62 * time.Second, time.Hour - time.Second, latency, 0},
 	} {
 		t.Run(step.rule, func(t *testing.T) {
 			now := start.Add(step.received)
@@ -79,12 +79,12 @@
 		mean        float64 // the router's
 		want        ryeford.Reason
 	}{
-		{"the router's mean, if the VM's is as high", 8, 8, pool, 8, ""},
-		{"or higher", 8, 8, pool, 6, ryeford.ReasonOverload},
-		{"the VM's, if it is lower", 8, 2, pool, 8, ryeford.ReasonOverload},
-		{"within its bound", 5, 5, pool, 8, ""},
-		{"the floor holds whatever it is", 3, 0, pool, 8, ""},
-		{"an engine with another model does not count", 8, 0, ryeford.Pool{Model: "psalm"}, 8, ""},
+		{"the router's mean, if the local mean is the same", 8, 8, pool, 8, ""},
+		{"the router's mean, if the local mean is higher", 8, 8, pool, 6, ryeford.ReasonOverload},
+		{"the local mean, if it is lower", 8, 2, pool, 8, ryeford.ReasonOverload},
+		{"a load within the bound of the local mean", 5, 5, pool, 8, ""},
+		{"the floor is allowed at any mean", 3, 0, pool, 8, ""},
+		{"an engine with another model is not included", 8, 0, ryeford.Pool{Model: "psalm"}, 8, ""},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			limits := admission.Limits{PoolFactor: factor, Floor: floor, Capacity: 64, ShareFrom: 1}
--- a/agentfleet/agent/overflow_test.go
+++ b/agentfleet/agent/overflow_test.go
@@ -17,10 +17,10 @@
 		age  time.Duration
 		want ryeford.EngineID // empty: no redirect
 	}{
-		{"a chat goes to the engine that served it last", 1, 0, "endpoint-3.1"},
-		{"for as long as the record is kept", 1, overflowTTL, "endpoint-3.1"},
-		{"not after that", 1, overflowTTL + 1, ""},
-		{"a chat without a record stays", 2, 0, ""},
+		{"a chat is redirected to the engine that served it last", 1, 0, "endpoint-3.1"},
+		{"a record is valid for overflowTTL", 1, overflowTTL, "endpoint-3.1"},
+		{"an expired record is not used", 1, overflowTTL + 1, ""},
+		{"a chat without a record is not redirected", 2, 0, ""},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			o := make(overflows)
--- a/agentfleet/agent/plan_test.go
+++ b/agentfleet/agent/plan_test.go
@@ -47,14 +47,14 @@
 		last    issuedOrder
 		due     bool
 	}{
-		{"an engine that serves something else is ordered", 6, other, issuedOrder{}, true},
-		{"one that serves nothing too", 0, nil, issuedOrder{}, true},
-		{"one that serves what it should is not", 6, want, issuedOrder{}, false},
-		{"nor one that a newer plan has reached", 8, other, issuedOrder{}, false},
-		{"nor one that is loading", 7, other, current, false},
-		{"unless it takes too long", 7, other, overdue, true},
-		{"an older epoch after the order shows a stale one: repaired at once", 6, other, current, true},
-		{"an order of an older plan is no reason to wait", 7, other, issuedOrder{epoch: 7, sequence: 2, at: now}, true},
+		{"an engine that serves another pool is ordered", 6, other, issuedOrder{}, true},
+		{"an engine that serves no pool is ordered", 0, nil, issuedOrder{}, true},
+		{"an engine that serves the assigned pools is not ordered", 6, want, issuedOrder{}, false},
+		{"an engine with a newer epoch is not ordered", 8, other, issuedOrder{}, false},
+		{"a loading engine is not ordered", 7, other, current, false},
+		{"an engine that exceeds orderTimeout is ordered again", 7, other, overdue, true},
+		{"an engine that accepted a stale order is ordered again immediately", 6, other, current, true},
+		{"an order of an older plan does not delay the current one", 7, other, issuedOrder{epoch: 7, sequence: 2, at: now}, true},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			serving := &ryeford.Order{Epoch: test.epoch, Pools: test.serving}
--- a/agentfleet/agent/queue_test.go
+++ b/agentfleet/agent/queue_test.go
@@ -25,7 +25,7 @@
 		select {
 		case <-want.ready:
 		default:
-			t.Error("not woken in its turn")
+			t.Error("the first waiter was not woken")
 		}
 	}
 	q.wake() // nobody waits
@@ -47,11 +47,11 @@
 		want    ryeford.Reason // empty: admitted
 		elapsed time.Duration
 	}{
-		{"a chat whose prefix is here waits for the run to end", 100 * time.Millisecond, true, false, "", runTime},
-		{"no longer than allowed", 20 * time.Millisecond, true, false, ryeford.ReasonOverload, 20 * time.Millisecond},
-		{"and only if that is allowed", 0, true, false, ryeford.ReasonOverload, 0},
-		{"another chat is refused at once", 100 * time.Millisecond, false, false, ryeford.ReasonOverload, 0},
-		{"a full queue takes none", 100 * time.Millisecond, true, true, ryeford.ReasonOverload, 0},
+		{"a chat whose prefix the engine holds waits for a run to end", 100 * time.Millisecond, true, false, "", runTime},
+		{"the wait ends after the allowed time", 20 * time.Millisecond, true, false, ryeford.ReasonOverload, 20 * time.Millisecond},
+		{"a dispatch without an allowed wait is refused immediately", 0, true, false, ryeford.ReasonOverload, 0},
+		{"a chat whose prefix the engine does not hold is refused immediately", 100 * time.Millisecond, false, false, ryeford.ReasonOverload, 0},
+		{"a dispatch is refused immediately if the queue is full", 100 * time.Millisecond, true, true, ryeford.ReasonOverload, 0},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/agentfleet/agent/resume_test.go
+++ b/agentfleet/agent/resume_test.go
@@ -27,11 +27,11 @@
 		want      bool
 	}{
 		{"a broken stream is resumed", nil, false, 0, false, true},
-		{"as often as allowed", nil, false, maxResumes - 1, false, true},
-		{"and not once more", nil, false, maxResumes, false, false},
-		{"a run that did not start has no rest", nil, true, 0, false, false},
-		{"a cancelled one is not wanted", nil, false, 0, true, false},
-		{"a service sends no rest", &ryeford.Call{}, false, 0, false, false},
+		{"a run is resumed up to maxResumes times", nil, false, maxResumes - 1, false, true},
+		{"a run is not resumed more than maxResumes times", nil, false, maxResumes, false, false},
+		{"a run that did not start is not resumed", nil, true, 0, false, false},
+		{"a cancelled run is not resumed", nil, false, 0, true, false},
+		{"a call of a service is not resumed", &ryeford.Call{}, false, 0, false, false},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			d, failure := &wire.Dispatch{Call: test.call}, &streamError{notRun: test.notRun}
--- a/agentfleet/agent/run_test.go
+++ b/agentfleet/agent/run_test.go
@@ -22,9 +22,9 @@
 		cancelled  bool
 	}{
 		{"a repeatable run is cancelled after the grace period", true, 1, grace + 1, true},
-		{"not before", true, 1, grace - 1, false},
-		{"not while another reader is there", true, 2, 0, false},
-		{"one that is not repeatable goes on", false, 1, time.Hour, false},
+		{"a repeatable run is not cancelled during the grace period", true, 1, grace - 1, false},
+		{"a run with another reader is not cancelled", true, 2, 0, false},
+		{"a run that is not repeatable is not cancelled", false, 1, time.Hour, false},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/agentfleet/engine/eventreader_test.go
+++ b/agentfleet/engine/eventreader_test.go
@@ -20,9 +20,9 @@
 		want *ryeford.Chunk // nil: none
 		err  error          // of the last read
 	}{
-		{"an event is a chunk", event + "data: [DONE]\n", &ryeford.Chunk{Attempt: "a1", Offset: 3, Data: []byte("good")}, io.EOF},
-		{"the marker ends the stream", "data: [DONE]\n", nil, io.EOF},
-		{"without it the stream is broken", "", nil, io.ErrUnexpectedEOF},
+		{"an event is read as a chunk", event + "data: [DONE]\n", &ryeford.Chunk{Attempt: "a1", Offset: 3, Data: []byte("good")}, io.EOF},
+		{"the end marker ends the stream", "data: [DONE]\n", nil, io.EOF},
+		{"a stream without the end marker is broken", "", nil, io.ErrUnexpectedEOF},
 		{"comments and unknown fields are skipped", ": ping\nretry: 5\n\ndata: [DONE]\n", nil, io.EOF},
 		{
 			"an engine's error ends the answer",
--- a/agentfleet/engine/notrun_test.go
+++ b/agentfleet/engine/notrun_test.go
@@ -22,17 +22,17 @@
 		err  error
 		want bool
 	}{
-		{"the connection was not made", netError("dial", io.EOF), true},
-		{"it broke while the request was written", netError("write", io.EOF), false},
-		{"or before the response came", netError("read", io.EOF), false},
-		{"the engine is full", statusError(PathCompletions, &http.Response{StatusCode: http.StatusServiceUnavailable}), true},
-		{"or has too many requests", statusError(PathCompletions, &http.Response{StatusCode: http.StatusTooManyRequests}), true},
-		{"it does not know the model", statusError(PathCompletions, &http.Response{StatusCode: http.StatusNotFound}), true},
-		{"it failed", statusError(PathCompletions, &http.Response{StatusCode: http.StatusInternalServerError}), false},
-		{"it refused an order", statusError(PathServing, &http.Response{StatusCode: http.StatusPreconditionFailed}), false},
+		{"the connection could not be established", netError("dial", io.EOF), true},
+		{"the connection failed while the request was written", netError("write", io.EOF), false},
+		{"the connection failed while the response was read", netError("read", io.EOF), false},
+		{"the engine is unavailable", statusError(PathCompletions, &http.Response{StatusCode: http.StatusServiceUnavailable}), true},
+		{"the engine has too many requests", statusError(PathCompletions, &http.Response{StatusCode: http.StatusTooManyRequests}), true},
+		{"the engine does not have the model", statusError(PathCompletions, &http.Response{StatusCode: http.StatusNotFound}), true},
+		{"the engine failed", statusError(PathCompletions, &http.Response{StatusCode: http.StatusInternalServerError}), false},
+		{"the engine refused an order", statusError(PathServing, &http.Response{StatusCode: http.StatusPreconditionFailed}), false},
 		{"the stream broke", &Error{Op: "read stream", Err: io.ErrUnexpectedEOF}, false},
 		{"the context ended", &Error{Op: PathCompletions, Err: context.Canceled}, false},
-		{"an input error says nothing", &ryeford.InputError{}, false},
+		{"the event ID is invalid", &ryeford.InputError{}, false},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			assert.Equal(t, NotRun(test.err), test.want)
--- a/agentfleet/engine/service_test.go
+++ b/agentfleet/engine/service_test.go
@@ -24,11 +24,11 @@
 		length int // bytes that are announced
 		chunks int // 0: the body breaks off
 	}{
-		{"no body", 0, 0, 1},
+		{"an empty body", 0, 0, 1},
 		{"a short body", 10, 10, 1},
-		{"a chunk, and an empty last one", serviceChunkSize, serviceChunkSize, 2},
+		{"a full chunk and an empty last one", serviceChunkSize, serviceChunkSize, 2},
 		{"two chunks", serviceChunkSize + 1, serviceChunkSize + 1, 2},
-		{"a body that breaks off", 10, 20, 0},
+		{"a truncated body", 10, 20, 0},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
