--- a/agentfleet/agent/admit.go
+++ b/agentfleet/agent/admit.go
@@ -13,7 +13,7 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// serveDispatch admits or refuses an attempt and sends its answer.
+// serveDispatch admits or refuses an attempt and sends the answer or the refusal.
 func (a *Agent) serveDispatch(ctx context.Context, router ryeford.VMID, stream *transport.Stream, d *wire.Dispatch) {
 	d.Sent = a.offsets.sendTime(router, time.Now(), d.Sent)
 	r, refused := a.admitOrWait(ctx, d)
@@ -25,13 +25,14 @@
 	a.sendAnswer(ctx, stream, r, d.Request, d.Offset)
 }
 
-// admit decides on a dispatch at once. It returns the run, or why there is none.
+// admit decides on a dispatch without waiting. It returns the run or the refusal.
 //
-// A dispatch is refused, by the first that applies, if it is meant for an earlier
-// life of this process, the VM is leaving, the engine is not one of this VM's,
-// another engine holds the chat's prefix (overflows), the attempt may not be
-// admitted (mayAdmit), the engine has not loaded the model, or it is at its bound
-// or the account's share (package admission).
+// A dispatch is refused for the first of these reasons that applies: it is meant for
+// another incarnation of the agent; the VM is leaving; the engine does not belong to
+// this VM; another engine holds the chat's prefix (overflows); the attempt must not be
+// admitted (admissionRefusal); the engine has not loaded the model; the engine is
+// backing off; the engine's bound or the account's share is reached (package
+// admission).
 func (a *Agent) admit(d *wire.Dispatch) (*run, *wire.Refused) {
 	b, ok := a.backends[d.Engine]
 	switch {
@@ -53,9 +54,9 @@
 	return a.admitAttempt(b, d)
 }
 
-// admitAttempt admits an attempt to a backend and starts it, unless it is refused
-// or was admitted before. A repeated dispatch gets the earlier run, which its
-// account may join.
+// admitAttempt admits an attempt to a backend and starts it. If the attempt was
+// admitted before, a repeated dispatch of the same account joins the earlier run, and
+// one of another account is refused.
 func (a *Agent) admitAttempt(b *backend, d *wire.Dispatch) (*run, *wire.Refused) {
 	var decision admission.Decision
 	r, reason := a.attempts.admit(d, func(now time.Time) *run {
@@ -96,23 +97,23 @@
 	}
 }
 
-// maxQueued is how many dispatches may wait at one engine.
+// maxQueued is the maximum number of dispatches that wait for one engine.
 const maxQueued = 8
 
-// A queue holds the dispatches that wait for an engine's load to fall, those of
-// the highest priority first, and those of one priority in the order of arrival.
+// A queue holds the dispatches that wait for an engine's load to fall, ordered by
+// priority, highest first, and then by arrival.
 type queue struct {
 	mu      sync.Mutex
 	waiters []*waiter
 }
 
-// A waiter is one dispatch that waits.
+// A waiter is one waiting dispatch.
 type waiter struct {
 	priority ryeford.Priority
-	ready    chan struct{} // closed when it is the waiter's turn
+	ready    chan struct{} // closed when the dispatch is to try again
 }
 
-// enter adds a waiter, or returns nil if the queue is full.
+// enter adds a waiter. It returns nil if the queue is full.
 func (q *queue) enter(priority ryeford.Priority) *waiter {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -131,7 +132,7 @@
 	q.waiters = slices.DeleteFunc(q.waiters, func(o *waiter) bool { return o == w })
 }
 
-// wake removes the first waiter, which tries again to be admitted.
+// wake removes the first waiter and signals it to try again.
 func (q *queue) wake() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -141,9 +142,9 @@
 	}
 }
 
-// admitOrWait decides on a dispatch. One that is refused for the load alone waits
-// for a run to end, up to its Wait, if the engine holds the chat's prefix: that
-// takes less time than to build the prefix again elsewhere.
+// admitOrWait decides on a dispatch. If only the engine's load prevents its admission
+// and the engine holds the chat's prefix, the dispatch waits up to its Wait for a run
+// to end, which is faster than a prefill on another engine.
 func (a *Agent) admitOrWait(ctx context.Context, d *wire.Dispatch) (*run, *wire.Refused) {
 	r, refused := a.admit(d)
 	b, ok := a.backends[d.Engine]
@@ -153,8 +154,8 @@
 	return a.wait(ctx, b, d, refused)
 }
 
-// wait asks for admission again at each turn in the queue, for as long as the
-// load alone is the reason for the refusal and the dispatch's Wait is not over.
+// wait retries the admission whenever the queue signals it, until the dispatch is
+// admitted, is refused for another reason than the load, or its Wait has elapsed.
 func (a *Agent) wait(ctx context.Context, b *backend, d *wire.Dispatch, refused *wire.Refused) (*run, *wire.Refused) {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, d.Wait)
@@ -165,7 +166,7 @@
 		if w == nil {
 			break
 		}
-		// A run may have ended between the refusal and the entry.
+		// A run may have ended after the refusal and before the dispatch was queued.
 		if r, refused = a.admit(d); refused == nil {
 			b.queue.leave(w)
 			break
--- a/agentfleet/agent/admit_test.go
+++ b/agentfleet/agent/admit_test.go
@@ -11,9 +11,8 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// TestAdmitOrder gives a dispatch one reason after the other to be refused, the last
-// in the order first, and checks that the first in the order is what it is refused
-// for.
+// TestRefusalPrecedence adds one reason for a refusal after the other, with increasing
+// precedence, and checks that a dispatch is refused for the one with the highest.
 func TestRefusalPrecedence(t *testing.T) {
 	now := time.Now()
 	pool := ryeford.Pool{Model: "lira"}
@@ -57,7 +56,7 @@
 			assert.Equal(t, refused.Reason, test.want)
 			assert.Equal(t, refused.Attempt, d.Attempt)
 			assert.Equal(t, refused.Incarnation, a.incarnation)
-			// Only an attempt that ran, or may have, is unknown.
+			// Unknown is set only for an attempt that ran or may have run.
 			assert.Equal(t, refused.Unknown, test.want == ryeford.ReasonDuplicate)
 		})
 	}
--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -1,15 +1,16 @@
-// Package agent is the process in the slot of an endpoint VM: the only way to
-// the VM's engines and services. It admits or refuses, runs each attempt at
-// most once, keeps answers for callers that come again, and drains.
+// Package agent implements the agent process of an endpoint VM, through which all
+// requests reach the VM's engines and services. It admits or refuses attempts, runs
+// each attempt at most once, retains answers for callers that reconnect, and drains
+// the VM.
 //
-// It owns what its VM runs: the load of each engine and service (backend), the
-// attempts that were admitted or given up, the answers of late, and which chats'
-// prefixes the engines are believed to hold. All of it is lost when the process
-// ends; a new incarnation shows it to routers.
+// It owns the state of its VM: the load of each engine and service (backend), the
+// admitted and the abandoned attempts, the recent answers, and the chats whose
+// prefixes the engines are expected to hold. This state is lost when the process
+// ends; routers detect that by the new incarnation.
 //
-// It relies on routers for the templates, the plan and the mean load; on package
-// admission for the rule of the load, and on its engines to run an attempt once
-// when it is sent once. The rules are listed in docs/decisions.md.
+// It relies on routers for the templates, the plan and the mean load, on package
+// admission for the load limits, and on the engines to run an attempt once if it is
+// sent once. The rules are listed in docs/decisions.md.
 package agent
 
 import (
@@ -35,11 +36,11 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// sweepInterval is how often attempts that need not be remembered are dropped:
-// it bounds memory only.
+// sweepInterval is the interval at which expired attempt records are removed. It only
+// affects memory use.
 const sweepInterval = time.Second
 
-// An Agent runs the attempts of one endpoint VM.
+// An Agent runs the attempts that routers dispatch to one endpoint VM.
 type Agent struct {
 	settings    *settings.Agent
 	incarnation ryeford.Incarnation
@@ -55,18 +56,18 @@
 	attempts *attempts
 	offsets  clockOffsets
 	book     *template.Book
-	plan     *plan.Current // this VM's part of it
+	plan     *plan.Current // the part for this VM
 
 	leaving atomic.Bool
-	leave   chan struct{} // closed when leaving begins
+	leave   chan struct{} // closed when the agent starts leaving
 
 	mu      sync.Mutex
-	changed chan struct{}                // closed at the next change of the inventory
+	changed chan struct{}                // closed when the inventory changes next
 	peers   map[*transport.Conn]struct{} // connected routers
 }
 
-// New returns an Agent that listens. Its engines are asked what they serve once
-// it runs.
+// New returns an Agent that listens on its address. It does not contact its engines
+// before Run.
 func New(s *settings.Agent, tlsConfig *tls.Config, vms ryeford.VMList, logger log.Logger) (*Agent, error) {
 	listener, err := transport.Listen(s.Listen.AddrPort, tlsConfig, &s.Transport)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return a, nil
 }
 
-// Run serves until the agent has drained. The end of ctx makes it leave.
+// Run serves until the agent has drained. It starts leaving when ctx ends.
 func (a *Agent) Run(ctx context.Context) error {
 	stopLeave := context.AfterFunc(ctx, func() { a.startLeaving("signal") })
 	defer stopLeave()
@@ -117,13 +118,13 @@
 	})
 	_ = a.log.Log("msg", "ready", "role", "agent", "address", a.listener.Address(), "incarnation", a.incarnation)
 	err := group.Wait()
-	_ = a.listener.Close() // the process ends, and no one is left to act on it
+	_ = a.listener.Close() // the process ends, so an error has no consequence
 	_ = a.log.Log("msg", "stopped", "role", "agent")
 	return err
 }
 
-// startLeaving makes the agent refuse new work from now on, and wakes drain. Only the
-// first call has an effect.
+// startLeaving makes the agent refuse new attempts and starts draining. Only the first
+// call has an effect.
 func (a *Agent) startLeaving(reason string) {
 	if !a.leaving.CompareAndSwap(false, true) {
 		return
@@ -159,8 +160,9 @@
 	a.metrics.Gauge(`ryeford_engine_load{engine="`+string(b.id)+`"}`, b.load)
 }
 
-// pollVMs makes the agent leave once the platform's list says that its VM does,
-// until ctx ends. An operator's Leave message is faster, but may not come.
+// pollVMs polls the platform's list of VMs until ctx ends, and makes the agent leave
+// once its VM is listed as leaving. An operator's Leave message takes effect sooner, but
+// may be lost.
 func (a *Agent) pollVMs(ctx context.Context) error {
 	return runPeriodically(ctx, a.settings.Polls.VMList, func() {
 		vms, err := a.vms.VMs(ctx)
@@ -178,8 +180,8 @@
 	})
 }
 
-// every calls do after each interval until ctx ends, one call at a time. It
-// returns nil.
+// runPeriodically calls f after each interval until ctx ends, one call at a time. It
+// always returns nil.
 func runPeriodically(ctx context.Context, interval time.Duration, f func()) error {
 	ticks := time.Tick(interval)
 	for {
@@ -193,16 +195,18 @@
 }
 
 const (
-	// drainCheck is how often a leaving agent looks whether its runs have ended.
+	// drainCheckInterval is the interval at which a leaving agent checks whether its
+	// runs have ended.
 	drainCheckInterval = 20 * time.Millisecond
-	// drainGrace is how long a drained agent still answers: dispatches that are
-	// under way are refused, and so proved not to have run.
+	// drainGrace is how long a drained agent continues to answer. Dispatches that
+	// arrive in this time are refused, which proves to the router that they did not run.
 	drainGrace = time.Second
 )
 
-// drain waits until the agent is to leave. From then on admit refuses; runs may
-// end within the setting drain; then the chats' KV caches are handed on, and
-// drainGrace later the agent ends. Runs that are left then are lost.
+// drain waits until the agent starts leaving, from when on admit refuses dispatches.
+// drain then waits for the runs to end, for at most the setting drain, exports the
+// chats' KV caches, and returns after drainGrace. Runs that have not ended by then are
+// lost.
 func (a *Agent) drain(ctx context.Context) error {
 	select {
 	case <-a.leave:
@@ -216,7 +220,7 @@
 	return nil
 }
 
-// awaitIdle waits until all runs have finished, for the setting drain at most.
+// awaitIdle waits until all runs have ended, for at most the setting drain.
 func (a *Agent) awaitIdle(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, a.settings.Limits.Drain)
 	defer cancel()
--- a/agentfleet/agent/attemptrules_test.go
+++ b/agentfleet/agent/attemptrules_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestSettleAccount checks that a run is joined by its own account only; another one learns
-// that it may have run, and no more.
+// TestJoinAccount checks that only the run's account may join it. A join of another
+// account is refused without details of the run.
 func TestJoinAccount(t *testing.T) {
 	a := newAttempts(time.Minute, time.Second)
 	now := time.Unix(1_000_000, 0)
--- a/agentfleet/agent/attempts.go
+++ b/agentfleet/agent/attempts.go
@@ -9,38 +9,39 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// attempts remembers which attempts were admitted here and which were given up.
+// attempts records which attempts were admitted by this agent and which were abandoned.
 type attempts struct {
-	retention time.Duration // how long a finished answer is kept
+	retention time.Duration // of a finished answer
 	skew      time.Duration // by how much the clock may step back
 
 	mu      sync.Mutex
 	records map[ryeford.AttemptID]attemptRecord
 }
 
-// An attempt is what is remembered of one. The zero attempt is one that was not seen.
+// An attemptRecord is the record of one attempt. The zero record stands for an attempt
+// that was not seen.
 type attemptRecord struct {
 	state   attemptState
-	run     *run      // with attemptKept
-	expires time.Time // when it may be forgotten, once there is no run
+	run     *run      // if the state is attemptRetained
+	expires time.Time // when the record may be removed, if it has no run
 }
 
 func newAttempts(retention, skew time.Duration) *attempts {
 	return &attempts{retention: retention, skew: skew, records: make(map[ryeford.AttemptID]attemptRecord)}
 }
 
-// admit decides on an attempt with admitAt, once it has the lock: the wait for it may
-// last beyond the dispatch's expiry.
+// admit calls admitAt with the lock held. It reads the time after it has acquired the
+// lock, since the dispatch may expire in the meantime.
 func (a *attempts) admit(d *wire.Dispatch, decide func(now time.Time) *run) (*run, ryeford.Reason) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.admitAt(time.Now(), d, decide)
 }
 
-// admitAt adds the run that decide returns, if the attempt may be admitted and
-// decide returns one. Otherwise it returns the run that was admitted under the
-// same attempt before, if any, and the reason; the reason is empty if decide
-// returned none. The caller holds a.mu.
+// admitAt records the run that decide returns, if the attempt may be admitted. If it may
+// not, admitAt returns the reason and the run that was admitted earlier for the attempt,
+// if any. If decide returns nil, the run is nil and the reason empty. The caller holds
+// a.mu.
 func (a *attempts) admitAt(now time.Time, d *wire.Dispatch, decide func(now time.Time) *run) (*run, ryeford.Reason) {
 	record := a.records[d.Attempt]
 	if reason := admissionRefusal(record.state, now, d.Expires); reason != "" {
@@ -55,17 +56,18 @@
 	return r, ""
 }
 
-// settle answers a join with settleAt, once it has the lock: an admission may be
-// forgotten while it waits.
+// join calls joinAt with the lock held. It reads the time after it has acquired the
+// lock, since the record of an admission may expire in the meantime.
 func (a *attempts) join(j *wire.Join) (r *run, reason ryeford.Reason, unknown bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.joinAt(time.Now(), j)
 }
 
-// settleAt answers a join, with the run if its answer is kept and the account's, or with
-// why there is none (judge). If the attempt did not run, it leaves a tombstone, so that a
-// dispatch that is still under way is refused. The caller holds a.mu.
+// joinAt returns the run that a join asks for, if its answer is retained and belongs to
+// the account, or the reason why not (joinRefusal). If the attempt did not run, joinAt
+// records a tombstone, so that a dispatch that arrives later is refused. The caller
+// holds a.mu.
 func (a *attempts) joinAt(now time.Time, j *wire.Join) (r *run, reason ryeford.Reason, unknown bool) {
 	record := a.records[j.Attempt]
 	if record.run != nil && record.run.dispatch.Account != j.Account {
@@ -78,12 +80,12 @@
 	return record.run, reason, unknown
 }
 
-// finished drops a finished run's answer after keep.
+// scheduleDrop drops the answer of a finished run after the retention period.
 func (a *attempts) scheduleDrop(r *run) {
 	time.AfterFunc(a.retention, func() { a.dropAnswer(r.dispatch.Attempt) })
 }
 
-// drop drops the answer of an attempt that ran, which is remembered as before.
+// dropAnswer drops the answer of an attempt. The record that the attempt ran remains.
 func (a *attempts) dropAnswer(id ryeford.AttemptID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -92,7 +94,7 @@
 	}
 }
 
-// sweep forgets what need not be remembered any more.
+// sweep removes expired records.
 func (a *attempts) sweep(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -113,25 +115,26 @@
 	return count
 }
 
-// The rules of this file make "at most once" and "not run" true. They rest on
-// three facts of package wire: an attempt's id is never used for another request;
-// an agent that restarted has another incarnation and refuses older dispatches; a
-// dispatch's Expires is before its Forget.
+// The rules below guarantee that an attempt runs at most once, and that an attempt that
+// is reported as not run never runs. They rely on three properties of package wire: an
+// attempt's ID is never reused for another request; a restarted agent has another
+// incarnation and refuses older dispatches; a dispatch's Expires is before its Forget.
 
-// An attemptState is what an agent remembers of an attempt.
+// An attemptState is the recorded state of an attempt.
 type attemptState int
 
 const (
-	attemptUnseen    attemptState = iota // not admitted here, or forgotten
-	attemptRetained                      // admitted; it runs, or its answer is kept
-	attemptRan                           // admitted; its answer is gone
-	attemptTombstone                     // given up before it was admitted
+	attemptUnseen    attemptState = iota // not admitted by this agent, or the record was removed
+	attemptRetained                      // admitted; it runs, or its answer is retained
+	attemptRan                           // admitted; its answer was dropped
+	attemptTombstone                     // abandoned before it was admitted
 )
 
-// mayAdmit returns why an attempt may not be admitted; empty if it may.
+// admissionRefusal returns the reason why an attempt must not be admitted, or an empty
+// reason if it may be.
 //
-// An attempt is admitted unless it was admitted before, was given up, or its
-// dispatch came after it expired: what was remembered of it may be forgotten then.
+// An attempt is refused if it was admitted before, was abandoned, or has expired. The
+// record of an expired attempt may have been removed.
 func admissionRefusal(s attemptState, now, expires time.Time) ryeford.Reason {
 	switch {
 	case s == attemptRetained, s == attemptRan:
@@ -144,36 +147,37 @@
 	return ""
 }
 
-// judge returns why a join does not get the answer of an attempt, and whether the attempt
-// may have run, or may still. The reason is empty if the run is kept.
+// joinRefusal returns the reason why a join does not get the answer of an attempt, and
+// whether the attempt may have run or may still run. The reason is empty if the run is
+// retained.
 //
-// An attempt did not run if it was not admitted and an admission would still be
-// remembered. The caller then has to leave a tombstone, since its dispatch may
-// still be under way. A peek leaves none, so until the attempt expires it proves
-// nothing.
+// An attempt did not run if there is no record of its admission and such a record would
+// not have been removed yet. The caller must then record a tombstone, since the dispatch
+// may still arrive. A peek records none, so it proves nothing until the attempt has
+// expired.
 func joinRefusal(s attemptState, now, expires, forget time.Time, peek bool) (reason ryeford.Reason, unknown bool) {
 	switch {
 	case s == attemptRetained:
 		return "", false
 	case s == attemptRan:
-		return ryeford.ReasonDuplicate, true // its answer is gone
+		return ryeford.ReasonDuplicate, true // its answer was dropped
 	case now.After(maxTime(forget, expires)):
-		return ryeford.ReasonExpired, true // nothing is remembered any more
+		return ryeford.ReasonExpired, true // its record may have been removed
 	case peek && !now.After(expires):
-		return ryeford.ReasonRunning, true // not so far, but it may yet
+		return ryeford.ReasonRunning, true // it did not run yet, but still may
 	}
-	return ryeford.ReasonTombstone, false // it did not and never will
+	return ryeford.ReasonTombstone, false // it did not run and never will
 }
 
-// rememberUntil returns until when an admitted attempt is remembered: as long as
-// any router may ask for it or dispatch it again, on a clock that may step back by
-// skew.
+// retainUntil returns the time until which the record of an admitted attempt is retained:
+// as long as a router may join the attempt or dispatch it again, with a margin for a
+// clock that steps back by skew.
 func retainUntil(expires, forget time.Time, skew time.Duration) time.Time {
 	return maxTime(forget, expires).Add(skew)
 }
 
-// tombstoneUntil returns until when a tombstone is kept: after the attempt has
-// expired, a dispatch is refused without it.
+// tombstoneUntil returns the time until which a tombstone is retained. It is not needed
+// after the attempt has expired, because a dispatch is then refused anyway.
 func tombstoneUntil(expires time.Time, skew time.Duration) time.Time {
 	return expires.Add(skew)
 }
--- a/agentfleet/agent/attempts_test.go
+++ b/agentfleet/agent/attempts_test.go
@@ -12,9 +12,8 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// TestAttemptsAtMostOnce drives dispatches, repeated and late, joins, forgotten
-// answers and sweeps in any order, and checks what "not run" and "at most once"
-// rest on.
+// TestAttemptsAtMostOnce makes dispatches, joins, dropped answers and sweeps in random
+// order: no attempt may run twice, or run after it was reported as not run.
 func TestAttemptsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newAttempts(time.Minute, time.Second)
--- a/agentfleet/agent/backend.go
+++ b/agentfleet/agent/backend.go
@@ -11,7 +11,7 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// A backend is one engine, or one plain service, of the agent's VM.
+// A backend is one engine or one plain service of the agent's VM.
 type backend struct {
 	id           ryeford.EngineID
 	engine       ryeford.Engine  // nil for a service
@@ -20,7 +20,7 @@
 	checksFences bool
 
 	queue     queue // dispatches that wait for the load to fall
-	lastEvent int64 // the number of the last cache event that was read; used by pollEngines only
+	lastEvent int64 // sequence of the last cache event that was read; used by pollEngines only
 
 	mu           sync.Mutex
 	gate         *admission.Gate
@@ -29,7 +29,7 @@
 	chats        *chatLRU
 	lastOrder    issuedOrder // used by applyPlan only
 	overflow     overflows
-	backOffUntil time.Time // the engine has asked for rest until then
+	backOffUntil time.Time // requested by the engine or service
 }
 
 func newBackend(id ryeford.EngineID, limits admission.Limits, chats int) *backend {
@@ -41,14 +41,14 @@
 	}
 }
 
-// load returns how many requests run.
+// load returns the number of running requests.
 func (b *backend) load() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return float64(b.gate.Load())
 }
 
-// servingLoad returns how many requests run, and whether b can serve a dispatch.
+// servingLoad returns the number of running requests, and whether b can serve a dispatch.
 func (b *backend) servingLoad(d *wire.Dispatch) (load float64, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -66,8 +66,9 @@
 	return slices.Contains(b.pools, d.Completion.Pool)
 }
 
-// admit decides on a dispatch against a mean load, in requests, and counts it if it is
-// admitted. warm reports whether the engine is believed to hold the chat's prefix already.
+// admit decides on a dispatch, given the mean load in requests, and adds it to the load
+// if it is admitted. warm reports whether the engine is expected to hold the chat's
+// prefix already.
 func (b *backend) admit(now time.Time, d *wire.Dispatch, mean float64) (decision admission.Decision, warm bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,23 +87,22 @@
 	chat := d.ChatKey()
 	warm = b.chats.contains(chat)
 	if decision.Admitted && d.Completion != nil {
-		d.Completion.Admitted = time.Now() // now may lie before a wait for the lock
+		d.Completion.Admitted = time.Now() // now may be earlier, by the time spent waiting for the lock
 		b.chats.add(chat, d.Completion.Pool)
 		delete(b.overflow, chat)
 	}
 	return decision, warm
 }
 
-// isWarm reports whether the engine is believed to hold the prefix of a dispatch's
-// chat.
+// isWarm reports whether the engine is expected to hold the prefix of a dispatch's chat.
 func (b *backend) isWarm(d *wire.Dispatch) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.chats.contains(d.ChatKey())
 }
 
-// release removes a run that has ended from the counts, and wakes the first
-// dispatch in the queue.
+// release removes a run that has ended from the load, and wakes the first dispatch in
+// the queue.
 func (b *backend) release(now time.Time, account ryeford.AccountID) {
 	b.mu.Lock()
 	b.gate.Release(now, account)
@@ -110,22 +110,22 @@
 	b.queue.wake()
 }
 
-// holder returns the engine to which a dispatch's chat is to be redirected, if
-// another one holds its prefix.
+// holder returns the engine to which a dispatch is to be redirected, if another engine
+// holds the prefix of its chat.
 func (b *backend) holder(now time.Time, d *wire.Dispatch) (ryeford.EngineID, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.overflow.holder(now, d.ChatKey())
 }
 
-// addOverflow records that another engine served a chat whose home b is.
+// addOverflow records that another engine served a chat whose home is b.
 func (b *backend) addOverflow(now time.Time, o *wire.Overflow) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.overflow.add(now, o.Chat, o.Engine)
 }
 
-// state returns the part of the inventory on b.
+// state returns the inventory entry of b.
 func (b *backend) state() wire.EngineState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -141,7 +141,7 @@
 	return s
 }
 
-// setServing records what the engine serves, and reports whether that changed.
+// setServing records the pools that the engine serves, and reports whether they changed.
 func (b *backend) setServing(alive bool, pools []ryeford.Pool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -151,7 +151,7 @@
 	return changed
 }
 
-// pollEngines asks the engines what they serve, at once and after each interval,
+// pollEngines polls the state of the engines immediately and then after each interval,
 // until ctx ends.
 func (a *Agent) pollEngines(ctx context.Context) error {
 	poll := func() {
@@ -169,8 +169,8 @@
 	return runPeriodically(ctx, a.settings.Polls.Engine, poll)
 }
 
-// pollServing asks an engine what it serves and reports whether that changed. An
-// engine that does not answer serves nothing.
+// pollServing polls the pools that an engine serves, and reports whether they changed.
+// An engine that does not respond is recorded as serving none.
 func (a *Agent) pollServing(ctx context.Context, b *backend) bool {
 	order, err := b.engine.Serving(ctx)
 	changed := b.setServing(err == nil, order.Pools)
@@ -180,9 +180,9 @@
 	return changed
 }
 
-// pollCache reads what the engine's cache has evicted since the last poll. After an error
-// the next poll asks for the same events again; a gap costs only a wrong belief about a
-// chat's prefix.
+// pollCache reads the engine's cache events since the last poll and removes evicted
+// chats. After an error the next poll requests the same events again. A missed event only
+// makes isWarm wrong for its chat.
 func (b *backend) pollCache(ctx context.Context) {
 	events, err := b.engine.CacheEvents(ctx, b.lastEvent)
 	if err != nil || len(events) == 0 {
--- a/agentfleet/agent/backoff.go
+++ b/agentfleet/agent/backoff.go
@@ -4,8 +4,9 @@
 	"time"
 )
 
-// rest takes that an engine or a service has refused a request and asked for rest. Until that is over its dispatches are
-// refused, and routers know so from the inventory; an end that is sooner than the last one changes nothing.
+// backOff starts or extends the back-off that an engine or service requested when it
+// refused a request. Until it ends, dispatches to the backend are refused, and the
+// inventory reports it to routers. A back-off never shortens the current one.
 func (a *Agent) backOff(b *backend, duration time.Duration) {
 	if !b.extendBackOff(time.Now().Add(duration)) {
 		return
@@ -13,11 +14,12 @@
 	a.metrics.Count("ryeford_rests_total", "")
 	a.decisions.Record("", "decision", "rest", "engine", b.id, "for", duration)
 	a.inventoryChanged()
-	// A little later than the end, so that the inventory has it as over.
+	// The margin ensures that the new inventory no longer reports the back-off.
 	time.AfterFunc(duration+time.Millisecond, a.inventoryChanged)
 }
 
-// rest sets until when the engine rests, and reports whether that is later than before.
+// extendBackOff sets the end of the back-off, and reports whether it is later than the
+// current one.
 func (b *backend) extendBackOff(until time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/agentfleet/agent/backoff_test.go
+++ b/agentfleet/agent/backoff_test.go
@@ -18,17 +18,14 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// An engine that refuses a completion with 503 may say when it wants the next one. Nothing read that: the
-// agent admitted each dispatch that came, and each was refused again and sent to another engine, for one of its
-// account's budget: six of six dispatches reached an engine that had asked for a minute of rest.
-
-// A restTest is an agent before a backend that refuses all and asks for a minute of rest.
+// A backOffTest is an agent with a backend whose server refuses all requests and asks for
+// a back-off of one minute.
 type backOffTest struct {
 	t       *testing.T
 	agent   *Agent
 	backend *backend
-	address netip.AddrPort // of what the backend calls
-	calls   atomic.Int64   // that have come there
+	address netip.AddrPort // of the server
+	calls   atomic.Int64   // received by the server
 }
 
 func newBackOffTest(t *testing.T) *backOffTest {
@@ -45,7 +42,8 @@
 	return b
 }
 
-// dispatch dispatches an attempt at a completion or a call, and waits until its answer has ended, if it is admitted.
+// dispatch dispatches an attempt of a completion or a call. If it is admitted, dispatch
+// waits until its answer has ended.
 func (b *backOffTest) dispatch(attempt string, completion *ryeford.Completion, call *ryeford.Call) (*run, *wire.Refused) {
 	admitted, refused := b.agent.admit(&wire.Dispatch{
 		Attempt: ryeford.AttemptID(attempt), Account: "bank", Chat: "c1", Engine: b.backend.id, Incarnation: b.agent.incarnation, Share: 1,
@@ -60,8 +58,8 @@
 	return admitted, refused
 }
 
-// TestEngineAsksForRest checks that an agent sends nothing to an engine that has asked for rest before that is
-// over, refuses what routers dispatch to it, and says when it is over.
+// TestEngineBackOff checks that an agent sends no request to an engine that is backing
+// off, and refuses dispatches with the remaining time.
 func TestEngineBackOff(t *testing.T) {
 	b := newBackOffTest(t)
 	pool := ryeford.Pool{Model: "lira"}
@@ -79,7 +77,8 @@
 	assert.Equal(t, b.calls.Load(), int64(1))
 }
 
-// TestServiceAsksForRest checks the same for a plain service, whose refusal is an answer that callers get.
+// TestServiceBackOff checks the same for a plain service, whose refusal is returned to the
+// caller.
 func TestServiceBackOff(t *testing.T) {
 	b := newBackOffTest(t)
 	b.backend.service = engine.NewService(b.address)
--- a/agentfleet/agent/chatlru.go
+++ b/agentfleet/agent/chatlru.go
@@ -9,11 +9,11 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// A chatMemory remembers the chats that an engine served last: those whose prefixes
-// it is believed to hold. The one served least recently is forgotten first.
+// A chatLRU holds the chats that an engine served last, whose prefixes it is expected to
+// hold. It evicts the least recently served chat.
 type chatLRU struct {
 	limit int        // chats
-	order *list.List // of servedChat, the most recent first
+	order *list.List // of servedChat, most recent first
 	chats map[wire.ChatKey]*list.Element
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// recent returns up to n chats of each pool, the most recent first.
+// mostRecent returns up to n chats of each pool, most recent first.
 func (l *chatLRU) mostRecent(n int) map[ryeford.Pool][]wire.ChatKey {
 	chats := make(map[ryeford.Pool][]wire.ChatKey)
 	for e := l.order.Front(); e != nil; e = e.Next() {
@@ -63,30 +63,28 @@
 	return chats
 }
 
-// cacheKey returns the name under which an engine caches a chat. It holds the
-// account, so that no account ever finds another one's cache.
+// cacheKey returns the ID under which an engine caches a chat. It includes the account,
+// so that accounts never share a cache entry.
 func cacheKey(key wire.ChatKey) ryeford.ChatID {
 	return ryeford.ChatID(string(key.Account) + "/" + string(key.Chat))
 }
 
-// parseCacheKey returns the chat that an engine's name of it means.
+// parseCacheKey returns the chat for a cacheKey.
 func parseCacheKey(id ryeford.ChatID) wire.ChatKey {
 	account, chat, _ := strings.Cut(string(id), "/")
 	return wire.ChatKey{Account: ryeford.AccountID(account), Chat: ryeford.ChatID(chat)}
 }
 
 const (
-	// overflowTTL is how long a chat is redirected to the engine that served it
-	// last.
+	// overflowTTL is how long a chat is redirected to the engine that served it last.
 	overflowTTL = 30 * time.Minute
-	// maxOverflows bounds the records of one engine;
-	// BenchmarkChatMemory shows what a record costs.
+	// maxOverflows is the maximum number of records for one engine.
 	maxOverflows = 100_000
 )
 
-// overflows records, for chats whose home this engine is, which other engine
-// served them last and so holds their prefix. Routers report it by gossip. A
-// record may be wrong: the router asks the home next if the other engine refuses.
+// overflows records, for chats whose home is this engine, which other engine served
+// them last and therefore holds their prefix. Routers report this by gossip. A record
+// may be wrong: if the other engine refuses, the router dispatches to the home next.
 type overflows map[wire.ChatKey]overflow
 
 // An overflow is the record of one chat.
@@ -95,8 +93,8 @@
 	expires time.Time
 }
 
-// holder returns the engine to which a chat is to be redirected: the one that
-// served it last, within overflowTTL. It drops an older record.
+// holder returns the engine to which a chat is to be redirected: the one that served it
+// last, within overflowTTL. It removes an expired record.
 func (o overflows) holder(now time.Time, chat wire.ChatKey) (ryeford.EngineID, bool) {
 	record, ok := o[chat]
 	if !ok || now.After(record.expires) {
@@ -106,8 +104,8 @@
 	return record.engine, true
 }
 
-// add records that an engine served a chat. At maxOverflows all records are
-// dropped, which is cheaper than to find the oldest: they are hints only.
+// add records that an engine served a chat. At maxOverflows it removes all records,
+// which is cheaper than finding the oldest one. Records are only hints.
 func (o overflows) add(now time.Time, chat wire.ChatKey, engine ryeford.EngineID) {
 	if len(o) >= maxOverflows {
 		clear(o)
--- a/agentfleet/agent/chatlru_test.go
+++ b/agentfleet/agent/chatlru_test.go
@@ -28,8 +28,7 @@
 	assert.DeepEqual(t, chats, []wire.ChatKey{testChat(4), testChat(3)})
 }
 
-// BenchmarkChatMemory reports what a remembered chat, and the record of one that
-// another engine served, cost in memory.
+// BenchmarkChatLRU reports the memory per chat in a chatLRU and per overflow record.
 func BenchmarkChatLRU(b *testing.B) {
 	const chats = 100_000
 	start := heapBytes()
--- a/agentfleet/agent/connections.go
+++ b/agentfleet/agent/connections.go
@@ -12,7 +12,7 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// accept serves connections until ctx ends or the listener fails.
+// accept accepts and serves connections until ctx ends or the listener fails.
 func (a *Agent) accept(ctx context.Context) error {
 	for {
 		conn, err := a.listener.Accept(ctx)
@@ -39,8 +39,8 @@
 	conn.Serve(ctx, func(stream *transport.Stream, m *wire.Message) { a.serveStream(ctx, conn, stream, m) })
 }
 
-// serveStream answers the one message that a stream begins with. Another message than
-// those of a router or an agent gets no answer.
+// serveStream answers the first message of a stream. Messages that an agent does not
+// support get no answer.
 func (a *Agent) serveStream(ctx context.Context, conn *transport.Conn, stream *transport.Stream, m *wire.Message) {
 	switch {
 	case m.Dispatch != nil:
@@ -62,8 +62,8 @@
 	}
 }
 
-// inventory returns the state of the agent, and a channel that is closed at the next
-// change of it. Loads are not a change: they go by gossip.
+// inventory returns the state of the agent and a channel that is closed when it changes
+// next. A change of loads does not close the channel: loads are sent by gossip.
 func (a *Agent) inventory() (*wire.Inventory, <-chan struct{}) {
 	a.mu.Lock()
 	changed := a.changed
@@ -94,7 +94,7 @@
 	for {
 		inv, changed := a.inventory()
 		if stream.Send(&wire.Message{Inventory: inv}) != nil {
-			return // the connection is lost; the router asks again on a new one
+			return // the connection is lost; the router sends Watch again on a new one
 		}
 		select {
 		case <-changed:
@@ -106,9 +106,9 @@
 	}
 }
 
-// serveJoin sends the answer of an attempt that may have been admitted before. If
-// the attempt is another account's, or its answer is not kept, it says what that
-// proves (judge).
+// serveJoin sends the answer of an attempt that may have been admitted before. If the
+// attempt belongs to another account or its answer is not retained, it sends a refusal
+// that states whether the attempt may have run (joinRefusal).
 func (a *Agent) serveJoin(ctx context.Context, stream *transport.Stream, j *wire.Join) {
 	refused := &wire.Refused{Attempt: j.Attempt, Incarnation: a.incarnation}
 	if j.Incarnation != a.incarnation {
@@ -126,8 +126,8 @@
 	stream.Reply(&wire.Message{Refused: refused})
 }
 
-// sendAnswer sends a run's answer from an offset on, until its end or until the
-// router is gone. The run goes on without a reader: see run.
+// sendAnswer sends the answer of a run, starting at an offset, until the answer ends or
+// the router disconnects. The run may continue without a reader (see run).
 func (a *Agent) sendAnswer(ctx context.Context, stream *transport.Stream, r *run, request ryeford.RequestID, offset int64) {
 	r.attach()
 	defer func() { r.detach(a.settings.Limits.Grace) }()
@@ -139,7 +139,7 @@
 	defer cancel()
 	go func() {
 		defer cancel()
-		// A message is the router's cancel; an error says that this reader alone is gone.
+		// A message is a Cancel of the router; an error means that only this reader left.
 		if m, err := stream.Receive(); err == nil && m.Cancel != nil {
 			r.cancelIfRepeatable()
 		}
@@ -147,7 +147,7 @@
 	for {
 		chunks, err := r.log.Read(ctx, offset)
 		if err != nil {
-			return // the router is gone, or asked for an offset that is not there
+			return // the router disconnected or requested an invalid offset
 		}
 		for i := range chunks {
 			if stream.Send(&wire.Message{Frame: wire.NewFrame(request, &chunks[i])}) != nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-// gossip sends the engines' loads and the revision to routers until ctx ends.
+// gossip sends the engines' loads and the template revision to routers until ctx ends.
 func (a *Agent) gossip(ctx context.Context) error {
 	loop := &gossip.Loop{
 		Interval:    a.settings.Transport.GossipInterval,
@@ -198,7 +198,7 @@
 	return gossip.Sample(slices.Collect(maps.Keys(a.peers)), n)
 }
 
-// receiveGossip takes a router's datagrams until the connection ends.
+// receiveGossip processes a router's gossip messages until the connection ends.
 func (a *Agent) receiveGossip(ctx context.Context, conn *transport.Conn) {
 	var templates, plans gossip.Puller
 	gossip.Receive(ctx, conn, func(m *wire.Gossip) {
--- a/agentfleet/agent/drain_test.go
+++ b/agentfleet/agent/drain_test.go
@@ -12,7 +12,7 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// TestDrain lets an agent leave while a run goes on, and checks when it ends.
+// TestDrain checks how long an agent with a running attempt drains.
 func TestDrain(t *testing.T) {
 	const limit = time.Minute
 	for _, test := range []struct {
--- a/agentfleet/agent/execute.go
+++ b/agentfleet/agent/execute.go
@@ -14,12 +14,12 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// cancelTimeout bounds the call that cancels a failed run at its engine.
+// cancelTimeout limits the call that cancels a failed run at its engine.
 const cancelTimeout = 2 * time.Second
 
-// execute runs an admitted attempt to its end: the answer is whole, or ends with a
-// failure. An engine whose stream breaks or stalls is asked for the rest of the same run
-// (mayResume) before the run is given up.
+// execute runs an admitted attempt until its answer is complete or has failed. If the
+// engine's stream breaks or stalls, execute requests the remainder of the same run
+// (mayResume) before it fails the run.
 func (a *Agent) execute(r *run) {
 	defer r.cancel()
 	defer a.attempts.scheduleDrop(r)
@@ -39,7 +39,8 @@
 	a.fail(r, asm.Next(), failure)
 }
 
-// open opens the stream of a run's answer, or with resume that of the rest from an offset.
+// open opens the stream of a run's answer. With resume it opens the stream of the
+// remainder that starts at offset.
 func (r *run) open(ctx context.Context, resume bool, offset int64) (ryeford.ChunkReader, error) {
 	d := r.dispatch
 	switch {
@@ -51,7 +52,7 @@
 	return r.backend.engine.Complete(ctx, cacheKey(d.ChatKey()), d.Completion)
 }
 
-// logDropped counts the chunks that were not part of an answer.
+// logDropped logs and counts the chunks that the assembler dropped.
 func (a *Agent) logDropped(r *run, dropped answer.Dropped) {
 	if dropped == (answer.Dropped{}) {
 		return
@@ -63,8 +64,8 @@
 		"foreign", dropped.Foreign, "repeated", dropped.Repeated, "overflow", dropped.Overflow)
 }
 
-// fail ends a run's answer with a failure, and cancels it at its engine unless it
-// did not start there.
+// fail ends the answer of a run with a failure, and cancels the run at its engine unless
+// it did not start there.
 func (a *Agent) fail(r *run, next int64, failure *streamError) {
 	d := r.dispatch
 	r.log.Append(ryeford.Chunk{
@@ -89,16 +90,16 @@
 	}
 }
 
-// A streamError says why a stream ended before the answer did.
+// A streamError reports why a stream ended before the answer was complete.
 type streamError struct {
 	reason ryeford.Reason
 	notRun bool // the attempt provably did not run
 	err    error
 }
 
-// readAnswer reads one stream of an answer into the run's log. It returns nil
-// once the answer is finished. A failure to resume never proves that the attempt did not
-// run: the engine had the request before.
+// readAnswer reads one stream of an answer into the run's log. It returns nil once the
+// answer is complete. A failure to resume never proves that the attempt did not run,
+// since the engine received the request before.
 func (a *Agent) readAnswer(r *run, asm *answer.Assembler, resume bool) *streamError {
 	ctx, cancel := context.WithCancelCause(r.ctx)
 	defer cancel(nil)
@@ -109,7 +110,7 @@
 	if err != nil {
 		return newStreamError(ctx, err, !resume && asm.Next() == 0 && engine.NotRun(err))
 	}
-	defer func() { _ = reader.Close() }() // the answer is whole or failed already
+	defer func() { _ = reader.Close() }() // the answer is complete or has failed already
 	if duration := engine.ResponseRetryAfter(reader); duration > 0 {
 		a.backOff(r.backend, duration)
 	}
@@ -130,11 +131,11 @@
 	return nil
 }
 
-// errStalled is the cause of a stream that was cancelled at its stallLimit.
+// errStalled is the cancellation cause of a stream that reached its stallTimeout.
 var errStalled = errors.New("stalled")
 
-// newStreamError returns the streamError of a failed open or read. A cancelled
-// context is the cause of whatever error came of it.
+// newStreamError returns the streamError for a failed open or read. If ctx was cancelled,
+// the reason depends on its cause, not on err.
 func newStreamError(ctx context.Context, err error, notRun bool) *streamError {
 	e := &streamError{reason: ryeford.ReasonEngineLost, notRun: notRun, err: err}
 	switch {
@@ -148,16 +149,16 @@
 	return e
 }
 
-// maxResumes is how often an engine whose stream broke or stalled is asked for the
-// rest of the same run.
+// maxResumes is the maximum number of times that the remainder of a run is requested
+// from its engine after a stream broke or stalled.
 const maxResumes = 2
 
-// stallLimit returns how long an engine may send nothing new before its stream is
-// given up. begun reports whether a part of the answer has come. Until then the
-// engine may be reading the prompt, which takes longer than a token.
+// stallTimeout returns how long an engine may send no new chunk before its stream is
+// cancelled. started reports whether a part of the answer has been received. Until then
+// the engine may be processing the prompt, which takes longer than a token.
 //
-// The gateway's limit on the first byte only looks the same: there the request goes
-// to another endpoint, here the same engine is asked for the rest.
+// The gateway's timeout for the first byte is a different rule: there the request is sent
+// to another endpoint. Here the remainder is requested from the same engine.
 func stallTimeout(limits *settings.AgentLimits, started bool) time.Duration {
 	if started {
 		return limits.BetweenTokens
@@ -165,20 +166,21 @@
 	return limits.FirstToken
 }
 
-// mayResume reports whether the same engine is asked for the rest of a run whose
-// stream ended early: unless the run did not start, was cancelled, or was resumed
-// maxResumes times before. To resume runs nothing twice, so it is allowed for
-// requests that are not repeatable too. A plain service can't send the rest of a response.
+// mayResume reports whether the remainder of a run whose stream ended early is requested
+// from the same engine. This is not done if the run did not start, was cancelled, or was
+// resumed maxResumes times. A resume never runs a request twice, so it is also allowed
+// for requests that are not repeatable. Plain services don't support it.
 func mayResume(d *wire.Dispatch, failure *streamError, resumes int, cancelled bool) bool {
 	return d.Call == nil && !failure.notRun && !cancelled && resumes < maxResumes
 }
 
-// A run is an attempt that was admitted here. Any number of streams read its
+// A run is an attempt that this agent admitted. Any number of streams may read its
 // answer.
 //
-// A run goes on to its end, whatever becomes of its readers, unless its request is
-// repeatable: then it is cancelled when the caller gives the request up, or when it
-// has had no reader for the grace period, in which a router may join it again.
+// The run of a request that is not repeatable continues to its end even without
+// readers. The run of a repeatable request is cancelled when the caller abandons the
+// request, or when the run has had no reader for the grace period, in which a router
+// may join it again.
 type run struct {
 	dispatch *wire.Dispatch
 	backend  *backend
@@ -205,7 +207,7 @@
 	}
 }
 
-// attach counts a reader of the run and ends the grace period.
+// attach adds a reader and ends the grace period.
 func (r *run) attach() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -216,8 +218,8 @@
 	}
 }
 
-// detach counts a reader out. Without the last one, the grace period of a
-// repeatable run begins.
+// detach removes a reader. If it was the last one of a repeatable run, the grace period
+// starts.
 func (r *run) detach(grace time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/agentfleet/agent/execute_test.go
+++ b/agentfleet/agent/execute_test.go
@@ -22,19 +22,19 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// errBroken is how a test's stream ends that breaks off.
+// errBroken is the error of a fakeStream that breaks.
 var errBroken = errors.New("broken")
 
 // A fakeStream is one stream of a fakeStreamer.
 type fakeStream struct {
-	openErr  error // the stream is not opened
-	chunks   int   // that it sends, from where the reader asked on
+	openErr  error // returned instead of a stream
+	chunks   int   // number of chunks, starting at the requested offset
 	finishes bool  // the last chunk ends the answer
-	stalls   bool  // after its chunks, instead of breaking off
+	stalls   bool  // the stream stalls after its chunks instead of breaking
 }
 
-// A fakeStreamer is an engine that plays a stream for each call, and the last one for
-// all further calls. Its other calls are not made here.
+// A fakeStreamer is an engine that returns one stream per call. It repeats the last one
+// for further calls. Its other methods are not called.
 type fakeStreamer struct {
 	ryeford.Engine
 	streams []fakeStream
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// play notes a call and returns its stream.
+// open records a call and returns its stream.
 func (e *fakeStreamer) open(ctx context.Context, call string, attempt ryeford.AttemptID, offset int64) (ryeford.ChunkReader, error) {
 	e.calls = append(e.calls, call)
 	stream := e.streams[0]
@@ -95,7 +95,7 @@
 
 func (r *fakeReader) Close() error { return nil }
 
-// testAgent returns an Agent of one backend that does not listen.
+// testAgent returns an Agent with one backend. It does not listen.
 func testAgent(b *backend) *Agent {
 	logger := log.NewNopLogger()
 	return &Agent{
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestExecuteCompletion runs completions at engines whose streams break, stall or are
-// refused, and checks which calls are made and how the answer ends.
+// TestExecuteCompletion checks the calls to an engine and the end of the answer if streams
+// break, stall or can't be opened.
 func TestExecuteCompletion(t *testing.T) {
 	unavailable := &engine.Error{Op: engine.PathCompletions, Status: http.StatusServiceUnavailable}
 	notFound := &ryeford.NotFoundError{Kind: "engine resource"}
@@ -120,7 +120,7 @@
 		rule    string
 		streams []fakeStream
 		calls   []string
-		reason  ryeford.Reason // empty: the answer is whole
+		reason  ryeford.Reason // empty: the answer is complete
 		notRun  bool
 		chunks  int
 		elapsed time.Duration
@@ -165,7 +165,7 @@
 				b.engine = e
 				a := testAgent(b)
 				a.settings.Limits = settings.AgentLimits{FirstToken: firstToken, BetweenTokens: betweenTokens}
-				const offset = 10 // another attempt sent the chunks before
+				const offset = 10 // another attempt sent the earlier chunks
 				r := newRun(&wire.Dispatch{Attempt: "a1", Offset: offset, Completion: &ryeford.Completion{Attempt: "a1"}}, b, false)
 				start := time.Now()
 				a.execute(r)
--- a/agentfleet/agent/export.go
+++ b/agentfleet/agent/export.go
@@ -11,17 +11,17 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// The bounds of the export.
+// Limits of the export.
 const (
-	exportTimeout     = 20 * time.Second // of the whole export
-	exportDialTimeout = 2 * time.Second  // of one connection
-	exportChats       = 2000             // of each pool and engine
+	exportTimeout     = 20 * time.Second // for the whole export
+	exportDialTimeout = 2 * time.Second  // for one connection
+	exportChats       = 2000             // per pool and engine
 	exportBatchSize   = 200              // chats in one message to the router
 )
 
-// exportCaches hands the KV caches of the chats that were served last to the
-// engines that are next in their order, as a router knows it. A chat that is not
-// handed on costs its next request the time to build the prefix again.
+// exportCaches sends the KV caches of the most recently served chats to the engines
+// that a router names as their next candidates. The next request of a chat that is not
+// exported needs a full prefill.
 func (a *Agent) exportCaches(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, exportTimeout)
 	defer cancel()
@@ -35,7 +35,7 @@
 		_ = a.log.Log("msg", "could not export KV caches to other VMs; draining continues without the export", "err", err)
 		return
 	}
-	defer func() { _ = dialer.Close() }() // what was sent is confirmed; the process ends
+	defer func() { _ = dialer.Close() }() // all exports have been confirmed
 	e := &exporter{agent: a, router: routers[0], dialer: dialer, conns: make(map[netip.AddrPort]*transport.Conn)}
 	for _, b := range a.backends {
 		if b.engine != nil {
@@ -45,7 +45,7 @@
 	a.decisions.Record("", "decision", "export", "exported", e.exported, "failed", e.failed)
 }
 
-// An exporter hands KV caches to other VMs.
+// An exporter sends KV caches to other VMs.
 type exporter struct {
 	agent    *Agent
 	router   *transport.Conn
@@ -55,7 +55,7 @@
 	failed   int
 }
 
-// exportBackend hands on the chats that an engine served last, by pool.
+// exportBackend exports the most recently served chats of an engine.
 func (e *exporter) exportBackend(ctx context.Context, b *backend) {
 	b.mu.Lock()
 	chatsByPool := b.chats.mostRecent(exportChats)
@@ -67,8 +67,8 @@
 	}
 }
 
-// exportBatch hands on chats of one engine and pool. A chat that fails is counted;
-// the causes are not logged, since a lost router or VM fails them all alike.
+// exportBatch exports chats of one engine and pool. Failures are counted but not logged
+// one by one, since a lost router or VM fails many chats for the same reason.
 func (e *exporter) exportBatch(ctx context.Context, b *backend, pool ryeford.Pool, chats []wire.ChatKey) {
 	request := &wire.Successors{Pool: pool, Chats: chats, Leaving: e.agent.settings.VM}
 	m, err := e.router.Ask(ctx, &wire.Message{Successors: request})
@@ -85,8 +85,8 @@
 	}
 }
 
-// exportChat hands one chat's KV cache on, and reports whether the other agent
-// confirmed it. A chat without a successor has no address.
+// exportChat sends the KV cache of one chat to another agent, and reports whether that
+// agent confirmed it. The address is empty if the chat has no successor.
 func (e *exporter) exportChat(ctx context.Context, b *backend, pool ryeford.Pool, chat wire.ChatKey, to wire.Placement) bool {
 	address, err := netip.ParseAddrPort(to.Address)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return err == nil && m.Done != nil
 }
 
-// connect returns a connection to another agent, the open one if there is one.
+// connect returns a connection to another agent. It reuses an open connection.
 func (e *exporter) connect(ctx context.Context, address netip.AddrPort) (*transport.Conn, error) {
 	if conn, ok := e.conns[address]; ok {
 		return conn, nil
@@ -119,8 +119,8 @@
 	return conn, nil
 }
 
-// serveImport puts a chat's KV cache from another VM into an engine. Without an
-// answer the other agent counts the chat as not handed on.
+// serveImport imports a chat's KV cache from another VM into an engine. It does not answer
+// after a failure; the other agent then counts the export of the chat as failed.
 func (a *Agent) serveImport(ctx context.Context, stream *transport.Stream, m *wire.Import) {
 	b, ok := a.backends[m.Engine]
 	if !ok || b.engine == nil {
--- a/agentfleet/agent/gossip_test.go
+++ b/agentfleet/agent/gossip_test.go
@@ -14,13 +14,12 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// TestGossipWhilePulling has a router send an agent where a chat went while the agent reads
-// templates from it, which takes longer than gossip.PullTimeout. It fails if the agent takes
-// the message only once it has the templates.
+// TestGossipWhilePulling checks that an agent processes gossip messages while it pulls
+// templates from the same router.
 func TestGossipWhilePulling(t *testing.T) {
 	t.Parallel()
 	chat := wire.ChatKey{Account: "bank", Chat: "c1"}
-	revision, err := wire.Marshal(&wire.Gossip{Revision: 1}) // the agent has none
+	revision, err := wire.Marshal(&wire.Gossip{Revision: 1}) // the agent has revision zero
 	assert.NilError(t, err)
 	overflow, err := wire.Marshal(&wire.Gossip{
 		Revision:  1,
@@ -32,7 +31,7 @@
 		_ = router.SendDatagram(revision)
 		router.Serve(context.Background(), func(s *transport.Stream, _ *wire.Message) {
 			go func() {
-				for router.SendDatagram(overflow) == nil { // the link may lose some
+				for router.SendDatagram(overflow) == nil { // the link may lose datagrams
 					time.Sleep(100 * time.Millisecond)
 				}
 			}()
--- a/agentfleet/agent/lockwait_test.go
+++ b/agentfleet/agent/lockwait_test.go
@@ -11,19 +11,18 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// lockWait is how long a test's call waits for the lock of the attempts.
+// lockWait is how long a call waits for the lock of the attempts.
 const lockWait = 200 * time.Millisecond
 
-// holdAttempts locks the attempts for lockWait.
+// lockAttempts locks the attempts for lockWait.
 func lockAttempts(a *attempts) {
 	a.mu.Lock()
 	time.AfterFunc(lockWait, a.mu.Unlock)
 }
 
-// TestLateDispatch has a dispatch wait for the lock of the attempts until it has expired,
-// and a join for longer than its attempt is remembered. It fails if either is judged by a
-// time before the wait: an attempt that a join found not to have run could then run, and
-// one that ran be found not to have run.
+// TestLockWait checks that dispatches and joins that expire while they wait for the lock
+// of the attempts are refused as expired. Otherwise an attempt could run after it was
+// reported as not run, or be reported as not run although it ran.
 func TestLockWait(t *testing.T) {
 	t.Run("dispatch", func(t *testing.T) {
 		pool := ryeford.Pool{Model: "lira"}
--- a/agentfleet/agent/meanload.go
+++ b/agentfleet/agent/meanload.go
@@ -9,21 +9,23 @@
 )
 
 const (
-	// maxMeanAge is from what age on a router's mean is held to be too high: its engines'
-	// loads may have fallen since. Above a wait for a warm engine (limits.warm_wait, 100 ms)
-	// and the way from the router, unless a process stands still.
+	// maxMeanAge is the age above which a router's mean is considered stale and reduced,
+	// since loads may have fallen since. It is longer than the wait for a warm engine
+	// (limits.warm_wait) and the network latency together.
 	maxMeanAge = 200 * time.Millisecond
 
-	// oldMeanPart is the part of a mean above maxMeanAge that counts. Without unit.
+	// staleMeanFactor is the factor by which a stale mean is multiplied.
 	staleMeanFactor = 0.9
 )
 
-// lowerMean returns the mean load, in requests, that an engine admits against, given the
-// router's estimate, its age, and the mean of the VM's own engines with the same model.
+// admissionMean returns the mean load, in requests, that an engine uses for admission,
+// given the router's estimate, its age, and the mean load of the VM's engines with the
+// same model.
 //
-// The estimate lags while load falls, the more so the later the dispatch comes. The VM's own
-// mean is of few engines, but exact and as old as the decision. Too low a mean costs a
-// dispatch to another engine, too high a one the bound.
+// The estimate lags behind while loads fall, and more so if the dispatch is delayed. The
+// local mean covers few engines but is exact and current. If the result is too low, the
+// request is dispatched to another engine; if it is too high, the engine exceeds its
+// bound.
 func admissionMean(estimate float64, age time.Duration, local float64) float64 {
 	if age > maxMeanAge {
 		estimate *= staleMeanFactor
@@ -31,7 +33,8 @@
 	return min(estimate, local)
 }
 
-// meanLoad returns the mean load that a dispatch to a backend is admitted against.
+// meanLoad returns the mean load, in requests, that is used for the admission of a
+// dispatch to a backend.
 func (a *Agent) meanLoad(now time.Time, target *backend, d *wire.Dispatch) float64 {
 	sum, count := 0.0, 0.0
 	for _, b := range a.backends {
@@ -46,28 +49,31 @@
 	return admissionMean(d.PoolMean, now.Sub(d.Sent), sum/count)
 }
 
-// offsetWindow is for how long the least offset of a router's clock counts, at least:
-// many dispatches come in it, and a clock that was set is believed soon.
+// offsetWindow is the duration of a measurement window of clockOffsets: long enough to
+// include many dispatches, short enough to adapt soon after a clock was adjusted.
 const offsetWindow = 30 * time.Second
 
-// A clockOffsets estimates when routers sent their dispatches, by the agent's clock. The
-// least time from a router's sending to the receipt, by their two clocks, is how far these
-// are apart and a way without a wait; what a dispatch took beyond it is its age.
+// A clockOffsets converts the send times of dispatches from the routers' clocks to the
+// agent's clock. The minimum difference between receive time and send time of a router's
+// dispatches is taken as the clock offset plus the minimum latency. The delay of a
+// dispatch beyond this minimum is its age.
 //
-// The zero clockOffsets is ready to use, by several goroutines at once.
+// The zero value is ready to use. It is safe for concurrent use.
 type clockOffsets struct {
 	mu      sync.Mutex
 	routers map[ryeford.VMID]*clockOffset
 }
 
-// A clockOffset is the least offset of one router in this window and in the one before.
+// A clockOffset holds the minimum offset of one router in the current and in the previous
+// window.
 type clockOffset struct {
 	windowStart       time.Time
 	current, previous time.Duration
 }
 
-// sent returns when a router sent what is received now, given the time by its own clock.
-// Zero, of a router that does not say, is now.
+// sendTime returns the time, by the agent's clock, at which a router sent a message that
+// is received now, given the send time by the router's clock. If that is zero, the router
+// did not state it, and sendTime returns now.
 func (c *clockOffsets) sendTime(router ryeford.VMID, now, sent time.Time) time.Time {
 	if sent.IsZero() {
 		return now
--- a/agentfleet/agent/meanload_test.go
+++ b/agentfleet/agent/meanload_test.go
@@ -11,7 +11,7 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// TestLowerMean has one row a clause of the rule.
+// TestAdmissionMean checks each clause of the rule.
 func TestAdmissionMean(t *testing.T) {
 	for _, test := range []struct {
 		rule     string
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestClockOffsets has dispatches come from routers whose clocks are apart from the agent's,
-// and checks when they were sent, by the agent's clock.
+// TestClockOffsets checks the age of dispatches from routers whose clocks differ from the
+// agent's.
 func TestClockOffsets(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	const latency = 2 * time.Millisecond
@@ -42,9 +42,9 @@
 	for _, step := range []struct {
 		rule     string
 		router   ryeford.VMID
-		received time.Duration // the start: the receipt
-		skew     time.Duration // the router's clock
-		delay    time.Duration // the way, with what it waited
+		received time.Duration // after the start
+		skew     time.Duration // of the router's clock
+		delay    time.Duration // latency and queueing
 		age      time.Duration
 	}{
 		{"the first dispatch has no age", "router-1", 0, time.Hour, latency, 0},
@@ -66,15 +66,14 @@
 	assert.Equal(t, c.sendTime("router-1", start, time.Time{}), start)
 }
 
-// TestMeanLoad gives an engine a dispatch with the router's mean, while another engine of
-// the VM runs so many requests. It fails if a mean from before the load fell lets the engine
-// be loaded further above the other than the bound allows.
+// TestMeanLoad checks that a router's mean from before the load fell does not let an engine
+// exceed the bound that follows from the load of the VM's other engine.
 func TestMeanLoad(t *testing.T) {
 	const factor, floor = 1.25, 4
 	pool := ryeford.Pool{Model: "lira"}
 	for _, test := range []struct {
 		rule        string
-		load, other int // requests that run
+		load, other int // running requests
 		otherPool   ryeford.Pool
 		mean        float64 // the router's
 		want        ryeford.Reason
--- a/agentfleet/agent/plan.go
+++ b/agentfleet/agent/plan.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// planCheckInterval is how often engines are compared with the plan.
+	// planCheckInterval is the interval at which the engines are compared with the plan.
 	planCheckInterval = 500 * time.Millisecond
-	// orderTimeout is how long an engine may take to load what it was ordered,
-	// before the order is given again.
+	// orderTimeout is how long an engine may take to load the ordered pools before the
+	// order is repeated.
 	orderTimeout = time.Minute
 )
 
-// pullNewerPlan reads this VM's part of the plan that a message names from its sender,
-// unless it is known by now.
+// pullNewerPlan pulls the plan that a gossip message announces from the message's sender,
+// unless the agent has it already.
 func (a *Agent) pullNewerPlan(ctx context.Context, conn *transport.Conn, m *wire.Gossip) {
 	if a.plan.OlderThan(m.PlanEpoch, m.PlanSequence) {
 		a.pullPlan(ctx, conn)
 	}
 }
 
-// pullPlan reads this VM's part of the plan from a router. After an error the next
-// gossip of a router shows the newer plan again.
+// pullPlan pulls the part of the plan for this VM from a router. It does not retry after
+// an error: the next gossip message announces the newer plan again.
 func (a *Agent) pullPlan(ctx context.Context, conn *transport.Conn) {
 	m, err := conn.Fetch(ctx, &wire.Message{PullPlan: &wire.PullPlan{VM: a.settings.VM}}, gossip.PullTimeout)
 	if err != nil || m.Plan == nil || !a.plan.Set(m.Plan) {
@@ -37,8 +37,8 @@
 	a.decisions.Record("", "decision", "plan", "epoch", m.Plan.Epoch, "sequence", m.Plan.Sequence, "assignments", len(m.Plan.Assignments))
 }
 
-// applyPlan orders the engines to serve what the plan says, until ctx ends.
-// One order is under way at a time. A leaving agent gives none.
+// applyPlan orders the engines to serve the pools that the plan assigns to them, until
+// ctx ends. It sends one order at a time. A leaving agent sends none.
 func (a *Agent) applyPlan(ctx context.Context) error {
 	return runPeriodically(ctx, planCheckInterval, func() {
 		plan := a.plan.Get()
@@ -51,19 +51,20 @@
 	})
 }
 
-// An issuedOrder is the last order that an engine was given.
+// An issuedOrder identifies the last order that was sent to an engine.
 type issuedOrder struct {
 	epoch    int64
 	sequence int64
 	at       time.Time
 }
 
-// orderDue reports whether an engine is to be ordered to serve what a plan assigns
-// to it: unless it does already, has seen a newer epoch, or was given this very
-// order less than orderTimeout ago and shows its epoch, so that it is loading.
+// orderDue reports whether an engine must be ordered to serve the pools that a plan
+// assigns to it. No order is due if the engine serves them already, has seen a newer
+// epoch, or is still loading: it reports the plan's epoch and was sent this order less
+// than orderTimeout ago.
 //
-// An engine that shows an older epoch is ordered again at once: an old order came
-// after the current one, and the engine checks no fences.
+// An engine that reports an older epoch after this order is ordered again immediately: it
+// does not check fences and accepted a stale order after the current one.
 func orderDue(serving *ryeford.Order, plan *ryeford.Plan, assigned []ryeford.Pool, last issuedOrder, now time.Time) bool {
 	if serving.Epoch > plan.Epoch || slices.Equal(serving.Pools, assigned) {
 		return false
@@ -73,9 +74,9 @@
 	return !loading || now.Sub(last.at) >= orderTimeout
 }
 
-// applyAssignment orders one engine, from the assignment's start on, if an order is
-// due. What the engine serves is read right before, so that one without fences is
-// not given an order that another one superseded.
+// applyAssignment sends an order to one engine if one is due and the assignment has
+// started. It reads the engine's state immediately before the order, so that an engine
+// that does not check fences is not sent a superseded order.
 func (a *Agent) applyAssignment(ctx context.Context, plan *ryeford.Plan, assignment *ryeford.Assignment) {
 	b, ok := a.backends[assignment.Engine]
 	if !ok || b.engine == nil || time.Now().Before(assignment.Start) {
@@ -83,7 +84,7 @@
 	}
 	serving, err := b.engine.Serving(ctx)
 	if err != nil {
-		return // pollServing logs an engine that does not answer; the next check asks again
+		return // pollServing logs an engine that does not respond; the next check retries
 	}
 	now := time.Now()
 	if !orderDue(&serving, plan, assignment.Pools, b.lastOrder, now) {
--- a/agentfleet/agent/plan_test.go
+++ b/agentfleet/agent/plan_test.go
@@ -13,8 +13,8 @@
 	"github.com/ryeford/ryeford/agentfleet/decision"
 )
 
-// A fakeEngine takes orders, with or without a look at their epoch. Its other
-// calls are not made here.
+// A fakeEngine accepts orders, and checks their fences if fences is set. Its other
+// methods are not called.
 type fakeEngine struct {
 	ryeford.Engine
 	fences  bool
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// TestOrderDue has one row a clause of the rule.
+// TestOrderDue checks each clause of the rule.
 func TestOrderDue(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	plan := &ryeford.Plan{Epoch: 7, Sequence: 3}
@@ -42,7 +42,7 @@
 	overdue := issuedOrder{epoch: 7, sequence: 3, at: now.Add(-orderTimeout)}
 	for _, test := range []struct {
 		rule    string
-		epoch   int64 // that the engine has seen
+		epoch   int64 // highest that the engine has seen
 		serving []ryeford.Pool
 		last    issuedOrder
 		due     bool
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestStaleOrderIsRepaired lets an old order reach an engine that checks no
-// fences, after the current one: the agent gives the current one again.
+// TestStaleOrderIsCorrected checks that the agent repeats the current order after a stale
+// one has reached an engine that does not check fences.
 func TestStaleOrderIsCorrected(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -77,7 +77,7 @@
 			plan := &ryeford.Plan{Epoch: 7, Sequence: 1}
 			assignment := &ryeford.Assignment{Engine: "e", Pools: want, Start: time.Now().Add(time.Minute)}
 			a.applyAssignment(t.Context(), plan, assignment)
-			assert.Equal(t, e.orders, 0) // not before its start
+			assert.Equal(t, e.orders, 0) // the assignment has not started
 			time.Sleep(2 * time.Minute)
 			a.applyAssignment(t.Context(), plan, assignment)
 			a.applyAssignment(t.Context(), plan, assignment)
@@ -87,7 +87,7 @@
 			a.applyAssignment(t.Context(), plan, assignment)
 			assert.DeepEqual(t, e.serving, ryeford.Order{Epoch: 7, Pools: want})
 
-			// The agent itself has an old plan: it gives no order.
+			// An agent with an older plan sends no order.
 			orders := e.orders
 			a.applyAssignment(t.Context(), &ryeford.Plan{Epoch: 6, Sequence: 9}, &ryeford.Assignment{Engine: "e"})
 			assert.Equal(t, e.orders, orders)
--- a/agentfleet/agent/pull_test.go
+++ b/agentfleet/agent/pull_test.go
@@ -23,15 +23,15 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// A narrow link that a test's packets pass.
+// Properties of a slow link.
 const (
-	packetInterval = 4 * time.Millisecond // between two packets: at most 363 KB/s of 1,452 bytes each
-	maxPackets     = 64                   // that wait; the others are lost
-	transferSize   = 1500 << 10           // takes longer than gossip.PullTimeout: 4.2 s at least
+	packetInterval = 4 * time.Millisecond // between two packets: at most 363 KB/s with packets of 1,452 bytes
+	maxPackets     = 64                   // in the queue; further packets are dropped
+	transferSize   = 1500 << 10           // bytes; the transfer takes 4.2 s or more, which exceeds gossip.PullTimeout
 )
 
-// narrowLink relays packets between one dialer and a listener's address, those of the
-// listener one by one each packetTime. It returns the address to dial.
+// slowLink relays packets between one dialer and a listener. It forwards the listener's
+// packets at packetInterval. It returns the address to dial.
 func slowLink(t *testing.T, listener netip.AddrPort) netip.AddrPort {
 	t.Helper()
 	near, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
@@ -78,8 +78,8 @@
 	return near.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// dialNarrow returns a connection over a narrow link to a router that answers each stream
-// with a message.
+// dialSlow returns a connection over a slow link to a router that answers each stream with
+// a message.
 func dialSlow(t *testing.T, answer *wire.Message) *transport.Conn {
 	t.Helper()
 	return dialRouter(t, slowLink, func(conn *transport.Conn) {
@@ -87,8 +87,8 @@
 	})
 }
 
-// dialRouter returns a connection to a router, whose end is given to serve. link returns
-// the address to dial for that of the router's listener.
+// dialRouter returns a connection to a router. serve serves the router's end of it. link
+// maps the address of the router's listener to the address to dial.
 func dialRouter(t *testing.T, link func(*testing.T, netip.AddrPort) netip.AddrPort, serve func(*transport.Conn)) *transport.Conn {
 	t.Helper()
 	authority, err := transport.NewAuthority()
@@ -121,7 +121,7 @@
 	return conn
 }
 
-// largeDelta returns templates of linkBytes.
+// largeDelta returns a delta of transferSize bytes.
 func largeDelta() *wire.Delta {
 	delta := &wire.Delta{Revision: 1}
 	for size := 0; size < transferSize; size += 64 {
@@ -131,8 +131,8 @@
 	return delta
 }
 
-// TestPullTemplatesNarrow checks that templates come over a link on which they take longer
-// than gossip.PullTimeout.
+// TestPullTemplatesSlowLink checks that a pull of templates succeeds on a slow link,
+// although it takes longer than gossip.PullTimeout.
 func TestPullTemplatesSlowLink(t *testing.T) {
 	t.Parallel()
 	conn := dialSlow(t, &wire.Message{Delta: largeDelta()})
@@ -145,7 +145,7 @@
 	assert.Assert(t, time.Since(start) > gossip.PullTimeout)
 }
 
-// TestPullPlanNarrow checks the same of this VM's part of a plan.
+// TestPullPlanSlowLink checks the same for a pull of a plan.
 func TestPullPlanSlowLink(t *testing.T) {
 	t.Parallel()
 	next := &ryeford.Plan{Epoch: 1, Sequence: 1}
@@ -166,11 +166,11 @@
 	assert.Assert(t, time.Since(start) > gossip.PullTimeout)
 }
 
-// TestPullTemplatesLarge has an agent read more templates from another one than fit into a
-// message. It fails if they do not all come, or the book has a revision without all of them.
+// TestPullTemplatesInParts pulls more templates than fit into one message: all must be
+// received, and the book must not have the new revision without all of them.
 func TestPullTemplatesInParts(t *testing.T) {
 	t.Parallel()
-	const count, keys = 1400, 100 // some 6.6 KB each, 9.2 MB together
+	const count, keys = 1400, 100 // 6.6 KB each, 9.2 MB in total
 	templates := make([]ryeford.Template, count)
 	for i := range templates {
 		templates[i] = ryeford.Template{Account: "bank", Name: fmt.Sprintf("t%d", i), Revision: int64(i + 1)}
--- a/agentfleet/agent/queue_test.go
+++ b/agentfleet/agent/queue_test.go
@@ -12,7 +12,7 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// TestQueue checks in which order waiters are woken, and that a full queue takes
+// TestQueue checks the order in which waiters are woken, and that a full queue accepts
 // none.
 func TestQueue(t *testing.T) {
 	var q queue
@@ -28,22 +28,22 @@
 			t.Error("the first waiter was not woken")
 		}
 	}
-	q.wake() // nobody waits
+	q.wake() // the queue is empty
 	for range maxQueued {
 		assert.Assert(t, q.enter(ryeford.PriorityLowest) != nil)
 	}
 	assert.Assert(t, q.enter(ryeford.PriorityHighest) == nil)
 }
 
-// TestAdmitOrWait sends a dispatch to an engine at its bound, whose run ends after a
-// while, and checks whether the dispatch waits for that.
+// TestAdmitOrWait checks whether a dispatch to an engine at its bound waits for a run to
+// end.
 func TestAdmitOrWait(t *testing.T) {
 	const runTime = 30 * time.Millisecond
 	for _, test := range []struct {
 		rule    string
-		wait    time.Duration // that the router allows
+		wait    time.Duration // allowed by the router
 		warm    bool
-		full    bool           // the queue
+		full    bool           // the queue is full
 		want    ryeford.Reason // empty: admitted
 		elapsed time.Duration
 	}{
--- a/agentfleet/agent/run_test.go
+++ b/agentfleet/agent/run_test.go
@@ -10,15 +10,15 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// TestRunWithoutReader checks which runs are cancelled once their last reader is
-// gone, and when.
+// TestRunWithoutReader checks which runs are cancelled after their last reader has left,
+// and when.
 func TestRunWithoutReader(t *testing.T) {
 	const grace = 15 * time.Second
 	for _, test := range []struct {
 		rule       string
 		repeatable bool
-		readers    int           // before one of them goes
-		elapsed    time.Duration // without a reader
+		readers    int           // before one of them leaves
+		elapsed    time.Duration // since then
 		cancelled  bool
 	}{
 		{"a repeatable run is cancelled after the grace period", true, 1, grace + 1, true},
@@ -38,7 +38,7 @@
 				synctest.Wait()
 				assert.Equal(t, r.ctx.Err() != nil, test.cancelled)
 
-				// A reader that comes in time ends the grace period.
+				// A new reader ends the grace period.
 				r.attach()
 				time.Sleep(2 * grace)
 				synctest.Wait()
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestCancelByCaller checks that only a repeatable run is cancelled with its caller.
+// TestCancelByCaller checks that a caller can cancel only a repeatable run.
 func TestCancelByCaller(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		r := newRun(&wire.Dispatch{Repeatable: repeatable}, nil, false)
--- a/agentfleet/engine/client.go
+++ b/agentfleet/engine/client.go
@@ -1,14 +1,13 @@
-// Package engine reaches the model engines and services of a VM over HTTP: OpenAI's
-// chat completions with server-sent events, the engines' own control calls, and the
+// Package engine implements HTTP clients for the model engines and services of a VM:
+// OpenAI chat completions with server-sent events, the control calls of engines, and
 // plain calls of services.
 //
-// It owns the protocol (protocol.go, which the stand-in shares), the connections,
-// and the rule of what an error proves (NotRun). It relies on an engine to number
-// the chunks of a run and to keep a run for Resume.
+// It owns the protocol (protocol.go, shared with the stand-in), the connections, and the
+// rule for when an error proves that an attempt did not run (NotRun). It relies on
+// engines to number the chunks of a run and to retain a run for Resume.
 //
-// It uses net/http and not fasthttp, since a stream has to end at the moment
-// its context does, and since calls that may not be repeated need a transport
-// that never repeats one.
+// It uses net/http instead of fasthttp, because a stream must end as soon as its context
+// does, and because calls that are not repeatable need a transport that never retries.
 package engine
 
 import (
@@ -31,26 +30,26 @@
 )
 
 const (
-	// controlTimeout bounds a call that is not a completion.
+	// controlTimeout limits a control call, which is any call but a completion.
 	controlTimeout = 3 * time.Second
-	// maxControlBody bounds the body of its response, in bytes. A longer one is cut
-	// off: JSON is then malformed, and a KV cache is too large for a message of
-	// package wire anyway.
+	// maxControlBody is the maximum size of the response body of a control call, in
+	// bytes. A longer body is truncated: JSON is then malformed, and a KV cache of this
+	// size does not fit into a message of package wire anyway.
 	maxControlBody = 64 << 20
 )
 
-// A Client is a ryeford.Engine. Its errors are *Error, *ryeford.NotFoundError and
-// *ryeford.FenceError.
+// A Client is a client of one engine and implements ryeford.Engine. Its errors are
+// *Error, *ryeford.NotFoundError and *ryeford.FenceError.
 type Client struct {
 	base    string       // the engine's URL without a path
-	streams *http.Client // for streamed answers: a new connection for each
-	control *http.Client // for the short calls: keeps its connections
+	streams *http.Client // for streamed answers; opens a new connection for each
+	control *http.Client // for control calls; reuses connections
 }
 
 // New returns a Client of the engine at an address.
 func New(address netip.AddrPort) *Client {
-	// Connections are not reused for completions: http.Transport repeats a request
-	// by itself, but only after a reused connection broke.
+	// Completions don't reuse connections: http.Transport automatically retries a
+	// request, but only if a reused connection failed.
 	transport := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	return &Client{
 		base:    "http://" + address.String(),
@@ -124,26 +123,26 @@
 	return c.callJSON(ctx, http.MethodPost, PathServing, &order, nil)
 }
 
-// stream opens a streamed answer. It lasts until ctx ends or the reader is closed.
+// stream opens a streamed answer. The stream lasts until ctx ends or the reader is closed.
 func (c *Client) stream(ctx context.Context, method, path string, header http.Header, body []byte) (ryeford.ChunkReader, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, &Error{Op: path, Err: err}
 	}
-	request.GetBody = nil // so that no transport can send it again
+	request.GetBody = nil // prevents the transport from retrying the request
 	request.Header = header
 	response, err := c.streams.Do(request)
 	if err != nil {
 		return nil, &Error{Op: path, Err: err}
 	}
 	if response.StatusCode != http.StatusOK {
-		_ = response.Body.Close() // nothing of it is read
+		_ = response.Body.Close() // the body is not read
 		return nil, statusError(path, response)
 	}
 	return newEventReader(response.Body), nil
 }
 
-// callJSON makes a short call with JSON bodies; request and answer may be nil.
+// callJSON makes a control call with JSON bodies. request and response may be nil.
 func (c *Client) callJSON(ctx context.Context, method, path string, request, response any) error {
 	var body []byte
 	if request != nil {
@@ -162,7 +161,7 @@
 	return nil
 }
 
-// call makes a short call and returns the body of the response.
+// call makes a control call and returns the response body.
 func (c *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -174,7 +173,7 @@
 	if err != nil {
 		return nil, &Error{Op: path, Err: err}
 	}
-	defer func() { _ = response.Body.Close() }() // all that counts of it has been read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	if response.StatusCode != http.StatusOK {
 		return nil, statusError(path, response)
 	}
@@ -185,7 +184,7 @@
 	return content, nil
 }
 
-// An eventReader is a ryeford.ChunkReader of server-sent events.
+// An eventReader reads chunks from server-sent events. It implements ryeford.ChunkReader.
 type eventReader struct {
 	io.Closer
 	events *eventstream.Reader
@@ -195,8 +194,8 @@
 	return &eventReader{Closer: body, events: eventstream.NewReader(body)}
 }
 
-// Next implements ryeford.ChunkReader. Only the end marker ends a stream with
-// io.EOF: a stream that just stops is broken.
+// Next implements ryeford.ChunkReader. It returns io.EOF only after the end marker of
+// the stream. A stream that ends without it is broken.
 func (r *eventReader) Next() (ryeford.Chunk, error) {
 	if r.events.Next() {
 		return parseChunk(r.events.ID, r.events.Data)
@@ -234,12 +233,12 @@
 	return chunk, nil
 }
 
-// An Error is a failed call of an engine or a service.
+// An Error is a failed call to an engine or a service.
 type Error struct {
-	Op     string // what failed; the path of a call
-	Status int    // the HTTP status, if there was a response
-	Err    error  // nil if the status is the failure
-	// Rest is for how long an engine that is full wants no requests; zero if it doesn't say.
+	Op     string // the failed operation, or the path of the failed call
+	Status int    // HTTP status of the response, if there was one
+	Err    error  // nil if the call failed because of Status
+	// RetryAfter is the back-off that the engine requested in the response, or zero.
 	RetryAfter time.Duration
 }
 
@@ -263,7 +262,8 @@
 	return &Error{Op: op, Status: status, RetryAfter: retry.Rest(status, response.Header)}
 }
 
-// RestOf returns for how long an engine whose call failed with err wants no requests; zero if it doesn't say.
+// RetryAfter returns the back-off that an engine requested when a call failed with err,
+// or zero if it did not request one.
 func RetryAfter(err error) time.Duration {
 	if engineErr, ok := errors.AsType[*Error](err); ok {
 		return engineErr.RetryAfter
@@ -271,13 +271,13 @@
 	return 0
 }
 
-// NotRun reports whether err, of the first call of an attempt, proves that the
-// attempt did not run: the connection was not made, or the engine refused it
-// because it is full (429, 503) or does not know the model (404). A connection that
-// broke later proves nothing.
+// NotRun reports whether err, returned by the first call for an attempt, proves that the
+// attempt did not run: the connection could not be established, or the engine refused
+// the attempt because it is at capacity (429, 503) or does not have the model (404). A
+// connection that failed later proves nothing.
 //
-// The gateway's rule only looks the same: its endpoints state in a header that a
-// request did not run, and neither 429, 503 nor 404 proves it without that.
+// The gateway has a different rule: its endpoints state in a header that a request did
+// not run, and without the header neither 429, 503 nor 404 proves it.
 func NotRun(err error) bool {
 	if netErr, ok := errors.AsType[*net.OpError](err); ok && netErr.Op == "dial" {
 		return true
--- a/agentfleet/engine/eventreader_test.go
+++ b/agentfleet/engine/eventreader_test.go
@@ -17,8 +17,8 @@
 	for _, test := range []struct {
 		rule string
 		body string
-		want *ryeford.Chunk // nil: none
-		err  error          // of the last read
+		want *ryeford.Chunk // nil: no chunk
+		err  error          // returned by the last call of Next
 	}{
 		{"an event is read as a chunk", event + "data: [DONE]\n", &ryeford.Chunk{Attempt: "a1", Offset: 3, Data: []byte("good")}, io.EOF},
 		{"the end marker ends the stream", "data: [DONE]\n", nil, io.EOF},
@@ -43,13 +43,13 @@
 	}
 }
 
-// TestEventReaderRefuses reads events that are no chunk.
+// TestEventReaderInvalid checks that invalid events are errors.
 func TestEventReaderInvalid(t *testing.T) {
 	for _, body := range []string{
-		"data: {}\n",          // no id
+		"data: {}\n",          // no ID
 		"id: a1\ndata: {}\n",  // no offset
 		"id: :1\ndata: {}\n",  // no attempt
-		"id: a1:1\ndata: {\n", // no JSON
+		"id: a1:1\ndata: {\n", // malformed JSON
 		"id: a1:1\ndata: " + strings.Repeat("x", eventstream.MaxLine) + "\n",
 	} {
 		_, err := newEventReader(io.NopCloser(strings.NewReader(body))).Next()
--- a/agentfleet/engine/protocol.go
+++ b/agentfleet/engine/protocol.go
@@ -9,12 +9,12 @@
 	"github.com/ryeford/ryeford"
 )
 
-// The paths and headers of an engine.
+// Paths and headers of the engine protocol.
 //
-// HeaderAttempt carries the attempt, HeaderChat the name under which the engine
-// caches the chat, HeaderLastEvent the last event that a resumed stream has. HeaderStart
-// carries when the attempt was admitted (FormatStart): an engine that logs it shows what
-// time a request took to reach it.
+// HeaderAttempt carries the attempt ID, HeaderChat the ID under which the engine caches
+// the chat, and HeaderLastEvent the ID of the last event that the client of a resumed
+// stream has received. HeaderStart carries the time at which the attempt was admitted
+// (FormatStart), from which an engine can log the time until the request arrived.
 const (
 	PathCompletions = "/v1/chat/completions"
 	PathEvents      = "/cache_events"
@@ -33,11 +33,11 @@
 	Stream    bool              `json:"stream"`
 	MaxTokens int               `json:"max_tokens,omitempty"`
 	Priority  int               `json:"priority"`
-	// Prefix is the beginning of the answer, which the engine continues.
+	// Prefix is the beginning of an answer that the engine is to continue.
 	Prefix string `json:"prefix,omitempty"`
 }
 
-// A CompletionChunk is the data of one event of a streamed answer.
+// A CompletionChunk is the data of one event in a streamed answer.
 type CompletionChunk struct {
 	ID      string           `json:"id"`
 	Object  string           `json:"object,omitempty"`
@@ -46,31 +46,30 @@
 	Error   *CompletionError `json:"error,omitempty"`
 }
 
-// A Choice is a piece of a streamed answer.
+// A Choice is the part of a streamed answer in one chunk.
 type Choice struct {
 	Index        int                  `json:"index"`
 	Delta        Delta                `json:"delta"`
 	FinishReason ryeford.FinishReason `json:"finish_reason,omitempty"`
 }
 
-// A Delta is the text that a chunk adds.
+// A Delta is the text that a chunk adds to the answer.
 type Delta struct {
 	Content string `json:"content,omitempty"`
 }
 
-// A CompletionError is an engine's error within a stream.
+// A CompletionError is an error that an engine reports within a stream.
 type CompletionError struct {
 	Type    string `json:"type"`
 	Message string `json:"message"`
 }
 
-// EventID returns the event id of a chunk: ATTEMPT:OFFSET.
+// EventID returns the event ID of a chunk, in the form ATTEMPT:OFFSET.
 func EventID(attempt ryeford.AttemptID, offset int64) string {
 	return string(attempt) + ":" + strconv.FormatInt(offset, 10)
 }
 
-// ParseEventID returns the attempt and the offset that an event id names, or an
-// *ryeford.InputError.
+// ParseEventID parses an event ID. The error is a *ryeford.InputError.
 func ParseEventID(id string) (ryeford.AttemptID, int64, error) {
 	attempt, text, ok := strings.Cut(id, ":")
 	offset, err := strconv.ParseInt(text, 10, 64)
@@ -80,15 +79,16 @@
 	return ryeford.AttemptID(attempt), offset, nil
 }
 
-// startPrefix begins the value of HeaderStart, by the convention of proxies.
+// startPrefix is the prefix of a HeaderStart value, as proxies conventionally set it.
 const startPrefix = "t="
 
-// FormatStart returns the value of HeaderStart: t= and microseconds since 1970.
+// FormatStart returns the HeaderStart value for a time: t= and the Unix time in
+// microseconds.
 func FormatStart(at time.Time) string {
 	return startPrefix + strconv.FormatInt(at.UnixMicro(), 10)
 }
 
-// ParseStart returns the time that a HeaderStart names, or an *ryeford.InputError.
+// ParseStart parses a HeaderStart value. The error is a *ryeford.InputError.
 func ParseStart(value string) (time.Time, error) {
 	text, ok := strings.CutPrefix(value, startPrefix)
 	micros, err := strconv.ParseInt(text, 10, 64)
--- a/agentfleet/engine/protocol_test.go
+++ b/agentfleet/engine/protocol_test.go
@@ -12,8 +12,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestStart checks that an engine is told when an attempt was admitted, to the
-// microsecond, and nothing if that is not known.
+// TestHeaderStart checks that a completion request carries the admission time with
+// microsecond precision, or no header if the time is unknown.
 func TestHeaderStart(t *testing.T) {
 	for _, admitted := range []time.Time{{}, time.UnixMicro(1_796_229_370_914_653)} {
 		var sent []string
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestParseStartRefuses checks values that name no time.
+// TestParseStartInvalid checks that invalid values are errors.
 func TestParseStartInvalid(t *testing.T) {
 	for _, value := range []string{"", "t=", "1796229370914653", "t=now", "t=1.5"} {
 		_, err := ParseStart(value)
--- a/agentfleet/engine/service.go
+++ b/agentfleet/engine/service.go
@@ -12,14 +12,15 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// serviceChunkSize is the largest number of bytes of a body in one chunk.
+// serviceChunkSize is the maximum number of bytes of a response body in one chunk.
 const serviceChunkSize = 16 << 10
 
-// A ServiceClient is a ryeford.Service. Its errors are *Error.
+// A ServiceClient is a client of one service and implements ryeford.Service. Its errors
+// are *Error.
 type ServiceClient struct {
 	base        string       // the service's URL without a path
-	retrying    *http.Client // reuses connections, and may repeat a call on a new one
-	nonRetrying *http.Client // a new connection for each call; never repeats one
+	retrying    *http.Client // reuses connections, and may retry a call on a new one
+	nonRetrying *http.Client // opens a new connection for each call, and never retries
 }
 
 // NewService returns a ServiceClient of the service at an address.
@@ -53,7 +54,7 @@
 	return &bodyReader{attempt: call.Attempt, response: response}, nil
 }
 
-// A bodyReader is a ryeford.ChunkReader of a plain response body.
+// A bodyReader reads chunks from a plain response body. It implements ryeford.ChunkReader.
 type bodyReader struct {
 	attempt  ryeford.AttemptID
 	response *http.Response
@@ -84,7 +85,8 @@
 	return chunk, nil
 }
 
-// RestIn returns for how long a service wants no calls by the answer that is read; zero if it doesn't say.
+// ResponseRetryAfter returns the back-off that a service requested with the response that
+// reader reads, or zero if it did not request one.
 func ResponseRetryAfter(reader ryeford.ChunkReader) time.Duration {
 	r, ok := reader.(*bodyReader)
 	if !ok {
@@ -96,8 +98,8 @@
 // Close implements ryeford.ChunkReader.
 func (r *bodyReader) Close() error { return r.response.Body.Close() }
 
-// noRedirect passes redirects on to the caller instead of following them: a
-// followed one would be a second call.
+// noRedirect makes a client return redirects instead of following them, which would be a
+// second call.
 func noRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
--- a/agentfleet/engine/service_test.go
+++ b/agentfleet/engine/service_test.go
@@ -15,14 +15,14 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestServiceBody reads a response's body as chunks: the first one has the status,
-// the last one ends the answer, and a body that breaks off is an error.
+// TestServiceBody checks how a response body is split into chunks: the first one has the
+// status, the last one ends the answer, and a truncated body is an error.
 func TestServiceBody(t *testing.T) {
 	for _, test := range []struct {
 		rule   string
-		body   int // bytes that are sent
-		length int // bytes that are announced
-		chunks int // 0: the body breaks off
+		body   int // bytes sent
+		length int // Content-Length
+		chunks int // 0: the body is truncated
 	}{
 		{"an empty body", 0, 0, 1},
 		{"a short body", 10, 10, 1},
