--- a/agentfleet/gossip/gossip.go
+++ b/agentfleet/gossip/gossip.go
@@ -90,7 +90,7 @@
 
 // Receive passes a peer's messages to take until the connection or ctx ends. A datagram
 // that is no message is skipped: the peer is of the fleet, so it is of a later version.
-func Receive(ctx context.Context, conn *transport.Conn, take func(*wire.Gossip)) {
+func Receive(ctx context.Context, conn *transport.Conn, handle func(*wire.Gossip)) {
 	for {
 		data, err := conn.ReceiveDatagram(ctx)
 		if err != nil {
@@ -100,7 +100,7 @@
 		if wire.Unmarshal(data, &m) != nil {
 			continue
 		}
-		take(&m)
+		handle(&m)
 	}
 }
 
@@ -113,10 +113,10 @@
 }
 
 // Start begins a read. If one runs, the new one follows it, in place of another that would.
-func (p *Puller) Start(read func()) {
+func (p *Puller) Start(pull func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.next = read
+	p.next = pull
 	if p.running {
 		return
 	}
@@ -126,19 +126,19 @@
 
 // run makes the reads until none follows.
 func (p *Puller) run() {
-	for read := p.take(); read != nil; read = p.take() {
-		read()
+	for pull := p.takeNext(); pull != nil; pull = p.takeNext() {
+		pull()
 	}
 }
 
 // take returns the read that follows. Without one, run has ended.
-func (p *Puller) take() func() {
+func (p *Puller) takeNext() func() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	read := p.next
+	pull := p.next
 	p.next = nil
-	p.running = read != nil
-	return read
+	p.running = pull != nil
+	return pull
 }
 
 // PullNewer reads the templates up to a revision from a peer, unless they are known by now.
@@ -154,18 +154,18 @@
 
 // NewDelta returns the answer to a pull: the templates of a book above a revision, or those
 // of them that changed first and fit into a message.
-func NewDelta(book *template.Book, above int64) *wire.Delta {
-	revision, templates := book.Since(above)
-	fit := fitting(templates, maxDeltaSize)
-	if fit == len(templates) {
+func NewDelta(book *template.Book, since int64) *wire.Delta {
+	revision, templates := book.Since(since)
+	count := countFitting(templates, maxDeltaSize)
+	if count == len(templates) {
 		return &wire.Delta{Revision: revision, Templates: templates}
 	}
-	return &wire.Delta{Revision: templates[fit-1].Revision, Templates: templates[:fit], More: true}
+	return &wire.Delta{Revision: templates[count-1].Revision, Templates: templates[:count], More: true}
 }
 
 // fitting returns how many of the first templates have so many bytes together, and 1 if the
 // first is larger.
-func fitting(templates []ryeford.Template, bytes int) int {
+func countFitting(templates []ryeford.Template, bytes int) int {
 	size := 0
 	for i := range templates {
 		data, err := wire.Marshal(&templates[i])
--- a/agentfleet/gossip/gossip_test.go
+++ b/agentfleet/gossip/gossip_test.go
@@ -71,7 +71,7 @@
 }
 
 // TestFitting checks how many templates go into one message.
-func TestFitting(t *testing.T) {
+func TestCountFitting(t *testing.T) {
 	templates := []ryeford.Template{{Name: "t1"}, {Name: "t2"}, {Name: "t3"}}
 	data, err := wire.Marshal(&templates[0])
 	assert.NilError(t, err)
@@ -85,8 +85,8 @@
 		{"one that is larger goes alone", len(data) - 1, 1},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
-			assert.Equal(t, fitting(templates, test.bytes), test.want)
+			assert.Equal(t, countFitting(templates, test.bytes), test.want)
 		})
 	}
-	assert.Equal(t, fitting(nil, 0), 0)
+	assert.Equal(t, countFitting(nil, 0), 0)
 }
