--- a/agentfleet/gossip/gossip_test.go
+++ b/agentfleet/gossip/gossip_test.go
@@ -23,7 +23,7 @@
 		change func(book *template.Book, plans chan struct{}) // 50 ms after the start
 		want   []int                                          // within 250 ms, at an interval of 100 ms
 	}{
-		{"nothing changes", func(*template.Book, chan struct{}) {}, []int{1, 1}},
+		{"no change", func(*template.Book, chan struct{}) {}, []int{1, 1}},
 		{"a new revision", func(book *template.Book, _ chan struct{}) { book.Apply(0, 1, nil) }, []int{fanout, 1, 1}},
 		{"a new plan", func(_ *template.Book, plans chan struct{}) { plans <- struct{}{} }, []int{fanout, 1, 1}},
 	} {
@@ -80,9 +80,9 @@
 		bytes int
 		want  int
 	}{
-		{"all", 3 * len(data), 3},
-		{"no more than there is room for", 3*len(data) - 1, 2},
-		{"one that is larger goes alone", len(data) - 1, 1},
+		{"all templates fit", 3 * len(data), 3},
+		{"the last template does not fit", 3*len(data) - 1, 2},
+		{"a template that is too large is sent alone", len(data) - 1, 1},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			assert.Equal(t, countFitting(templates, test.bytes), test.want)
