--- a/agentfleet/gossip/gossip.go
+++ b/agentfleet/gossip/gossip.go
@@ -1,12 +1,12 @@
-// Package gossip is what routers and agents have in common in spreading new templates
-// and plans: when a message is sent, to how many peers, under which budget, and how the
-// templates that a message shows to be missing are read from its sender.
+// Package gossip implements the parts of the gossip protocol that routers and agents
+// share: when a message is sent, to how many peers and within which bandwidth limit, and
+// how a process pulls the templates that a message announces from its sender.
 //
-// A message is one datagram, which may be lost. It names the sender's newest revision
-// and plan and carries neither, so that the next message makes up for a lost one. Below
-// it lies the platform's table, which routers poll.
+// A message is one datagram, which may be lost. It announces the sender's newest
+// revision and plan without their contents, so the next message replaces a lost one. If
+// gossip fails altogether, routers still poll the platform's table.
 //
-// The package owns no state: peers, book and plan belong to the process.
+// The package has no state of its own: peers, book and plan belong to the process.
 package gossip
 
 import (
@@ -23,30 +23,28 @@
 )
 
 const (
-	// fanout is to how many random peers a process passes a change at once. Without
-	// unit. 390 routers and 880 agents are
-	// reached in four rounds (docs/CAPACITY.md, "A change in force within 9 s").
+	// fanout is the number of random peers to which a process sends a change immediately.
 	fanout = 8
 
-	// PullTimeout bounds how long a read of templates or of a plan from a peer makes no
-	// progress (package transfer).
+	// PullTimeout limits how long a pull of templates or of a plan may make no progress
+	// (package transfer).
 	PullTimeout = 3 * time.Second
 )
 
-// A Loop sends gossip at the times when it is due.
+// A Loop sends gossip messages periodically and after changes.
 type Loop struct {
-	Interval  time.Duration // between messages while nothing changes
+	Interval  time.Duration // between messages without a change
 	Book      *template.Book
 	Decisions *decision.Log
-	// PlanChanged returns a channel that is closed at the next plan, or nil in a process
-	// that passes no plans on.
+	// PlanChanged returns a channel that receives or is closed when the plan changes, or
+	// nil in a process that does not distribute plans.
 	PlanChanged func() <-chan struct{}
-	// Send sends a message to so many random peers.
+	// Send sends a message to the given number of random peers.
 	Send func(peers int)
 }
 
-// Run sends to one peer each interval, and to several at once after a new revision or a
-// new plan, until ctx ends. It returns nil.
+// Run sends a message to one peer after each interval, and to fanout peers after a change
+// of the revision or the plan, until ctx ends. It always returns nil.
 func (l *Loop) Run(ctx context.Context) error {
 	ticks := time.Tick(l.Interval)
 	changed := l.Book.Changed()
@@ -66,20 +64,19 @@
 	}
 }
 
-// Sample puts peers in a random order, in place, and returns the first n, or all if
-// there are fewer.
+// Sample returns n random peers, or all if there are fewer. It shuffles peers in place.
 func Sample[T any](peers []T, n int) []T {
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	return peers[:min(n, len(peers))]
 }
 
-// Send sends a message to peers, as far as the budget of control traffic allows.
-// Messages that are not sent are not counted as lost: the next one says the same, and a
-// connection that is lost is noticed by its streams.
+// Send sends a message to peers within the limit for control traffic. It ignores
+// failures: the next message has the same contents, and a lost connection is detected by
+// the users of its streams.
 func Send(control *transport.ControlLimiter, m *wire.Gossip, peers ...*transport.Conn) {
 	data, err := wire.Marshal(m)
 	if err != nil {
-		return // not possible: a Gossip holds numbers and strings
+		return // unreachable: a Gossip has only numbers and strings
 	}
 	for _, peer := range peers {
 		if control.Allow(len(data)) {
@@ -88,8 +85,9 @@
 	}
 }
 
-// Receive passes a peer's messages to take until the connection or ctx ends. A datagram
-// that is no message is skipped: the peer is of the fleet, so it is of a later version.
+// Receive calls handle with each message of a peer until the connection or ctx ends. It
+// skips datagrams that it can't decode: peers are authenticated, so these come from a
+// newer version.
 func Receive(ctx context.Context, conn *transport.Conn, handle func(*wire.Gossip)) {
 	for {
 		data, err := conn.ReceiveDatagram(ctx)
@@ -104,15 +102,16 @@
 	}
 }
 
-// A Puller reads from a peer while the peer's messages go on being taken, one read at a
-// time. The zero Puller is ready to use.
+// A Puller runs pulls from a peer in the background, one at a time, so that messages of
+// the peer are processed in the meantime. The zero value is ready to use.
 type Puller struct {
 	mu      sync.Mutex
 	running bool
-	next    func() // begun once the read that runs has ended; nil if there is none
+	next    func() // runs after the current pull; may be nil
 }
 
-// Start begins a read. If one runs, the new one follows it, in place of another that would.
+// Start runs a pull. While another pull runs, Start makes the new one the next and
+// replaces an earlier next one.
 func (p *Puller) Start(pull func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,14 +123,14 @@
 	go p.run()
 }
 
-// run makes the reads until none follows.
+// run runs pulls until there is no next one.
 func (p *Puller) run() {
 	for pull := p.takeNext(); pull != nil; pull = p.takeNext() {
 		pull()
 	}
 }
 
-// take returns the read that follows. Without one, run has ended.
+// takeNext returns the next pull, or nil if run is to end.
 func (p *Puller) takeNext() func() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,19 +140,19 @@
 	return pull
 }
 
-// PullNewer reads the templates up to a revision from a peer, unless they are known by now.
+// PullNewer pulls templates from a peer if the book is older than a revision.
 func PullNewer(ctx context.Context, conn *transport.Conn, book *template.Book, revision int64) {
 	if revision > book.Revision() {
 		PullTemplates(ctx, conn, book)
 	}
 }
 
-// maxDeltaSize is how many bytes of templates, encoded, a Delta holds at most, unless one
-// alone is larger: half of what package wire takes as a message.
+// maxDeltaSize is the maximum size of the encoded templates in a Delta, in bytes, unless a
+// single template is larger. It is half of the maximum message size of package wire.
 const maxDeltaSize = 4 << 20
 
-// NewDelta returns the answer to a pull: the templates of a book above a revision, or those
-// of them that changed first and fit into a message.
+// NewDelta returns the answer to a pull: the templates of a book that changed after a
+// revision, or as many of the oldest of them as fit into a message.
 func NewDelta(book *template.Book, since int64) *wire.Delta {
 	revision, templates := book.Since(since)
 	count := countFitting(templates, maxDeltaSize)
@@ -163,14 +162,14 @@
 	return &wire.Delta{Revision: templates[count-1].Revision, Templates: templates[:count], More: true}
 }
 
-// fitting returns how many of the first templates have so many bytes together, and 1 if the
-// first is larger.
+// countFitting returns how many of the first templates fit into the given number of bytes
+// when encoded, but at least 1 if there are any.
 func countFitting(templates []ryeford.Template, bytes int) int {
 	size := 0
 	for i := range templates {
 		data, err := wire.Marshal(&templates[i])
 		if err != nil {
-			return max(1, i) // not possible: a Template holds numbers, strings and times
+			return max(1, i) // unreachable: a Template has only numbers, strings and times
 		}
 		if size += len(data); size > bytes {
 			return max(1, i)
@@ -179,10 +178,10 @@
 	return len(templates)
 }
 
-// PullTemplates reads the templates that a book lacks from a peer, in parts if they are
-// many, and puts them in force together. It reports the peer's revision, and whether the
-// peer answered. A failure needs no repeat: a message that shows templates to be missing
-// comes again.
+// PullTemplates pulls the templates that are newer than a book from a peer, in several
+// parts if necessary, and applies all parts together. It returns the peer's revision, and
+// whether the pull succeeded. It does not retry after a failure: the next gossip message
+// announces the revision again.
 func PullTemplates(ctx context.Context, conn *transport.Conn, book *template.Book) (int64, bool) {
 	from := book.Revision()
 	var templates []ryeford.Template
@@ -197,7 +196,7 @@
 			return m.Delta.Revision, true
 		}
 		if m.Delta.Revision <= revision {
-			return 0, false // a part that brings nothing would be asked for without end
+			return 0, false // without progress the loop would not end
 		}
 		revision = m.Delta.Revision
 	}
--- a/agentfleet/gossip/gossip_test.go
+++ b/agentfleet/gossip/gossip_test.go
@@ -16,12 +16,12 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// TestLoop checks when gossip is sent, and to how many peers.
+// TestLoop checks when messages are sent, and to how many peers.
 func TestLoop(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(book *template.Book, plans chan struct{}) // 50 ms after the start
-		want   []int                                          // within 250 ms, at an interval of 100 ms
+		want   []int                                          // peers per message, within 250 ms at an interval of 100 ms
 	}{
 		{"no change", func(*template.Book, chan struct{}) {}, []int{1, 1}},
 		{"a new revision", func(book *template.Book, _ chan struct{}) { book.Apply(0, 1, nil) }, []int{fanout, 1, 1}},
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestSample checks that a sample has no peer twice, and all if it asks for more than
-// there are.
+// TestSample checks that a sample has no duplicates, and that it includes all peers if
+// there are fewer than requested.
 func TestSample(t *testing.T) {
 	for _, test := range []struct{ peers, n, want int }{
 		{0, 1, 0},
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestFitting checks how many templates go into one message.
+// TestCountFitting checks how many templates fit into one message.
 func TestCountFitting(t *testing.T) {
 	templates := []ryeford.Template{{Name: "t1"}, {Name: "t2"}, {Name: "t3"}}
 	data, err := wire.Marshal(&templates[0])
