--- a/agentfleet/transport/conn.go
+++ b/agentfleet/transport/conn.go
@@ -63,7 +63,7 @@
 // message that each begins with, until the connection or ctx ends. A stream is closed when
 // serve returns, and one that ends before a message without it: the peer sees that it got
 // no answer.
-func (c *Conn) Serve(ctx context.Context, serve func(*Stream, *wire.Message)) {
+func (c *Conn) Serve(ctx context.Context, handle func(*Stream, *wire.Message)) {
 	for {
 		stream, err := c.Accept(ctx)
 		if err != nil {
@@ -72,7 +72,7 @@
 		go func() {
 			defer stream.Close()
 			if m, err := stream.Receive(); err == nil {
-				serve(stream, m)
+				handle(stream, m)
 			}
 		}()
 	}
@@ -120,24 +120,24 @@
 	if ctx.Err() != nil {
 		err = context.Cause(ctx)
 	}
-	return nil, failed("fetch", watch.Broken(err))
+	return nil, wrapError("fetch", watch.Broken(err))
 }
 
 // SendDatagram sends a datagram, which may be lost on the way.
 func (c *Conn) SendDatagram(data []byte) error {
-	return failed("send datagram", c.quic.SendDatagram(data))
+	return wrapError("send datagram", c.quic.SendDatagram(data))
 }
 
 // ReceiveDatagram returns the next datagram.
 func (c *Conn) ReceiveDatagram(ctx context.Context) ([]byte, error) {
 	data, err := c.quic.ReceiveDatagram(ctx)
-	return data, failed("receive datagram", err)
+	return data, wrapError("receive datagram", err)
 }
 
 // Close closes the connection and sends the peer the reason. An error would say that
 // the connection was closed before.
-func (c *Conn) Close(why string) {
-	_ = c.quic.CloseWithError(0, why)
+func (c *Conn) Close(reason string) {
+	_ = c.quic.CloseWithError(0, reason)
 }
 
 // codeClosed is the error code with which a side of a stream is given up. It is the only
@@ -152,7 +152,7 @@
 
 // Send sends a message.
 func (s *Stream) Send(m *wire.Message) error {
-	return failed("send", wire.WriteMessage(s.quic, m))
+	return wrapError("send", wire.WriteMessage(s.quic, m))
 }
 
 // Reply sends the only message that answers a stream, and ends the sending side. If it
@@ -167,7 +167,7 @@
 // sending side, and those of wire.ReadMessage.
 func (s *Stream) Receive() (*wire.Message, error) {
 	m, err := wire.ReadMessage(s.quic)
-	return m, failed("receive", err)
+	return m, wrapError("receive", err)
 }
 
 // SetReadDeadline bounds how long Receive waits. It can't fail: quic-go always
@@ -197,7 +197,7 @@
 }
 
 // failed returns the failure of op, or nil if err is nil.
-func failed(op string, err error) error {
+func wrapError(op string, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/agentfleet/transport/identity.go
+++ b/agentfleet/transport/identity.go
@@ -25,7 +25,7 @@
 	certificateDays = 365
 	// clockSkewAllowed is by how much a VM's clock may lag that of the process that
 	// makes a certificate.
-	clockSkewAllowed = time.Hour
+	allowedClockSkew = time.Hour
 )
 
 // An Authority signs the certificates of VMs.
@@ -48,7 +48,7 @@
 	}
 	template := &x509.Certificate{
 		Subject:               pkix.Name{CommonName: "ryeford authority"},
-		NotBefore:             time.Now().Add(-clockSkewAllowed),
+		NotBefore:             time.Now().Add(-allowedClockSkew),
 		NotAfter:              time.Now().AddDate(authorityYears, 0, 0),
 		IsCA:                  true,
 		KeyUsage:              x509.KeyUsageCertSign,
@@ -77,7 +77,7 @@
 	template := &x509.Certificate{
 		Subject:     pkix.Name{CommonName: string(vm)},
 		DNSNames:    []string{serverName},
-		NotBefore:   time.Now().Add(-clockSkewAllowed),
+		NotBefore:   time.Now().Add(-allowedClockSkew),
 		NotAfter:    time.Now().AddDate(0, 0, certificateDays),
 		KeyUsage:    x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
@@ -123,7 +123,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return nil, &Error{Op: "read authority", Err: errNoCertificate{}}
+		return nil, &Error{Op: "read authority", Err: noCertificateError{}}
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{cert},
@@ -137,6 +137,6 @@
 }
 
 // An errNoCertificate says that a PEM file holds no certificate.
-type errNoCertificate struct{}
+type noCertificateError struct{}
 
-func (errNoCertificate) Error() string { return "no certificate in the file" }
+func (noCertificateError) Error() string { return "no certificate in the file" }
--- a/agentfleet/transport/transport_test.go
+++ b/agentfleet/transport/transport_test.go
@@ -75,29 +75,29 @@
 
 // TestStrangers checks that only peers of the same authority get a message
 // through, and that a peer has the name in its certificate.
-func TestStrangers(t *testing.T) {
-	ours, err := NewAuthority()
+func TestPeerAuthentication(t *testing.T) {
+	authority, err := NewAuthority()
 	assert.NilError(t, err)
-	theirs, err := NewAuthority()
+	otherAuthority, err := NewAuthority()
 	assert.NilError(t, err)
-	l := listen(t, testTLS(t, ours, "endpoint-1"), testOptions)
-	question := &wire.Message{Done: &wire.Done{}}
+	l := listen(t, testTLS(t, authority, "endpoint-1"), testOptions)
+	message := &wire.Message{Done: &wire.Done{}}
 
-	conn, err := dial(t, testTLS(t, ours, "router-1"), l.Address(), testOptions)
+	conn, err := dial(t, testTLS(t, authority, "router-1"), l.Address(), testOptions)
 	assert.NilError(t, err)
 	assert.Equal(t, conn.Peer(), ryeford.VMID("endpoint-1"))
-	answer, err := conn.Ask(t.Context(), question)
+	answer, err := conn.Ask(t.Context(), message)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, answer, question)
+	assert.DeepEqual(t, answer, message)
 
-	stranger := testTLS(t, theirs, "router-1")
-	stranger.InsecureSkipVerify = true
-	nameless := testTLS(t, ours, "router-1")
-	nameless.Certificates = nil
-	for _, config := range []*tls.Config{stranger, nameless} {
+	untrusted := testTLS(t, otherAuthority, "router-1")
+	untrusted.InsecureSkipVerify = true
+	anonymous := testTLS(t, authority, "router-1")
+	anonymous.Certificates = nil
+	for _, config := range []*tls.Config{untrusted, anonymous} {
 		conn, err = dial(t, config, l.Address(), testOptions)
 		if err == nil {
-			_, err = conn.Ask(t.Context(), question)
+			_, err = conn.Ask(t.Context(), message)
 		}
 		assert.Assert(t, err != nil, "a stranger was answered")
 	}
@@ -161,7 +161,7 @@
 }
 
 // TestControlBudget checks that no more control bytes are sent than allowed.
-func TestControlBudget(t *testing.T) {
+func TestControlLimiter(t *testing.T) {
 	sent := 0
 	c := NewControlLimiter(1000, func(n int) { sent += n })
 	for range 1000 {
@@ -194,28 +194,28 @@
 	d, err := NewDialer(loopback, testTLS(b, authority, "router-1"), options)
 	assert.NilError(b, err)
 	defer func() { _ = d.Close() }()
-	before := heap()
-	began := time.Now()
+	heapBefore := heapBytes()
+	start := time.Now()
 	open := make([]*Conn, conns)
 	for i := range open {
 		open[i], err = d.Dial(b.Context(), l.Address())
 		assert.NilError(b, err)
 	}
-	handshake := time.Since(began) / time.Duration(conns)
+	handshake := time.Since(start) / time.Duration(conns)
 	time.Sleep(10 * time.Second) // the path's MTU is found
-	sentBefore, _ := total(open)
+	sentBefore, _ := totalBytes(open)
 	cpuBefore := cpuTime()
 	const idle = 40 * time.Second
 	time.Sleep(idle)
-	sent, _ := total(open)
+	sent, _ := totalBytes(open)
 	cpu := cpuTime() - cpuBefore
-	b.ReportMetric(float64(heap()-before)/float64(2*conns), "B/conn-end")
+	b.ReportMetric(float64(heapBytes()-heapBefore)/float64(2*conns), "B/conn-end")
 	b.ReportMetric(float64(sent-sentBefore)/float64(conns)/idle.Seconds(), "idle-B/s/conn")
 	b.ReportMetric(float64(cpu.Microseconds())/float64(2*conns)/idle.Seconds(), "idle-cpu-us/s/conn-end")
 	b.ReportMetric(float64(handshake.Microseconds()), "handshake-us")
 }
 
-func total(conns []*Conn) (sent, received uint64) {
+func totalBytes(conns []*Conn) (sent, received uint64) {
 	for _, c := range conns {
 		stats := c.quic.ConnectionStats()
 		sent += stats.BytesSent
@@ -233,7 +233,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
