--- a/agentfleet/transport/identity.go
+++ b/agentfleet/transport/identity.go
@@ -139,4 +139,4 @@
 // An errNoCertificate says that a PEM file holds no certificate.
 type noCertificateError struct{}
 
-func (noCertificateError) Error() string { return "no certificate in the file" }
+func (noCertificateError) Error() string { return "no PEM certificate in the authority file" }
--- a/agentfleet/transport/transport_test.go
+++ b/agentfleet/transport/transport_test.go
@@ -99,7 +99,7 @@
 		if err == nil {
 			_, err = conn.Ask(t.Context(), message)
 		}
-		assert.Assert(t, err != nil, "a stranger was answered")
+		assert.Assert(t, err != nil, "an unauthenticated peer got an answer")
 	}
 }
 
@@ -117,8 +117,8 @@
 		interval time.Duration // without progress that is allowed
 		ends     bool          // the context ends meanwhile
 	}{
-		{"a part, and no more", 64 << 10, false, interval, false},
-		{"a byte now and then", 0, true, interval, false},
+		{"a part of the message", 64 << 10, false, interval, false},
+		{"single bytes", 0, true, interval, false},
 		{"the context ends", 0, false, time.Hour, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -167,7 +167,7 @@
 	for range 1000 {
 		c.Allow(100)
 	}
-	assert.Assert(t, sent <= 4*1000+100, "%d bytes at once", sent)
+	assert.Assert(t, sent <= 4*1000+100, "burst of %d bytes", sent)
 }
 
 // BenchmarkConnection reports what an idle connection costs both ends: memory,
