--- a/agentfleet/transport/conn.go
+++ b/agentfleet/transport/conn.go
@@ -1,11 +1,13 @@
-// Package transport carries the messages of package wire between routers and agents
-// over QUIC with mutual TLS.
+// Package transport sends the messages of package wire between routers and agents over
+// QUIC with mutual TLS.
 //
-// It owns the sockets, the certificates' form (identity.go) and the budget of control
-// traffic. It relies on the fleet's authority to issue a certificate only to the VM
-// that it names: a peer is the VM in its certificate, whatever its address.
+// It owns the sockets, the format of the certificates (identity.go) and the rate limit
+// for control traffic. A peer is identified by the VM in its certificate, not by its
+// address, so the fleet's authority must issue a certificate only to the VM that it
+// names.
 //
-// Its errors are *Error, but for the files of LoadTLSConfig.
+// All errors are of type *Error, except errors of LoadTLSConfig for files that can't be
+// read.
 package transport
 
 import (
@@ -20,8 +22,8 @@
 	"github.com/ryeford/ryeford/internal/transfer"
 )
 
-// A Conn is a connection to a peer whose certificate names its VM. Its methods may be
-// called concurrently.
+// A Conn is a connection to an authenticated peer. Its methods are safe for concurrent
+// use.
 type Conn struct {
 	quic *quic.Conn
 	peer ryeford.VMID
@@ -35,10 +37,10 @@
 	return conn
 }
 
-// Peer returns the VM that the peer's certificate names.
+// Peer returns the VM in the peer's certificate.
 func (c *Conn) Peer() ryeford.VMID { return c.peer }
 
-// Done is closed once the connection is lost or closed.
+// Done returns a channel that is closed when the connection is lost or closed.
 func (c *Conn) Done() <-chan struct{} { return c.quic.Context().Done() }
 
 // Open opens a stream to the peer.
@@ -59,15 +61,15 @@
 	return &Stream{quic: s}, nil
 }
 
-// Serve calls serve, in a goroutine each, with the streams that the peer opens and the
-// message that each begins with, until the connection or ctx ends. A stream is closed when
-// serve returns, and one that ends before a message without it: the peer sees that it got
-// no answer.
+// Serve accepts the streams that the peer opens until the connection or ctx ends. It reads
+// the first message of each stream and calls handle in a new goroutine. It closes the
+// stream when handle returns, or if there is no first message; the peer then detects that
+// it gets no answer.
 func (c *Conn) Serve(ctx context.Context, handle func(*Stream, *wire.Message)) {
 	for {
 		stream, err := c.Accept(ctx)
 		if err != nil {
-			return // the connection, or ctx, has ended
+			return // the connection or ctx has ended
 		}
 		go func() {
 			defer stream.Close()
@@ -78,8 +80,8 @@
 	}
 }
 
-// Ask sends one message on a new stream of c and returns the answer. It waits until
-// the deadline of ctx; to cancel ctx does not end the wait for the answer.
+// Ask sends a message on a new stream and returns the answer. It waits until the deadline
+// of ctx; cancelling ctx does not end the wait for the answer.
 func (c *Conn) Ask(ctx context.Context, m *wire.Message) (*wire.Message, error) {
 	s, err := c.Open(ctx)
 	if err != nil {
@@ -95,9 +97,9 @@
 	return s.Receive()
 }
 
-// Fetch sends one message on a new stream of c and returns the answer, however large it is.
-// It gives up once ctx ends or the transfer makes no progress for interval (package
-// transfer). The error then wraps ctx's cause or a *transfer.StallError.
+// Fetch sends a message on a new stream and returns the answer, which may take any time to
+// transfer. It fails when ctx ends, or when the transfer makes no progress for interval
+// (package transfer). The error then wraps the cause of ctx or a *transfer.StallError.
 func (c *Conn) Fetch(ctx context.Context, m *wire.Message, interval time.Duration) (*wire.Message, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -123,7 +125,7 @@
 	return nil, wrapError("fetch", watch.Broken(err))
 }
 
-// SendDatagram sends a datagram, which may be lost on the way.
+// SendDatagram sends a datagram, which may be lost.
 func (c *Conn) SendDatagram(data []byte) error {
 	return wrapError("send datagram", c.quic.SendDatagram(data))
 }
@@ -134,17 +136,17 @@
 	return data, wrapError("receive datagram", err)
 }
 
-// Close closes the connection and sends the peer the reason. An error would say that
-// the connection was closed before.
+// Close closes the connection and sends the reason to the peer. It ignores the error,
+// which only means that the connection is closed already.
 func (c *Conn) Close(reason string) {
 	_ = c.quic.CloseWithError(0, reason)
 }
 
-// codeClosed is the error code with which a side of a stream is given up. It is the only
-// one: a peer need not know more.
+// codeClosed is the error code for closing a side of a stream. It is the only code, since
+// peers don't distinguish reasons.
 const codeClosed quic.StreamErrorCode = 1
 
-// A Stream carries messages both ways. One goroutine may send while another one
+// A Stream carries messages in both directions. One goroutine may send while another one
 // receives.
 type Stream struct {
 	quic *quic.Stream
@@ -155,36 +157,36 @@
 	return wrapError("send", wire.WriteMessage(s.quic, m))
 }
 
-// Reply sends the only message that answers a stream, and ends the sending side. If it
-// can't be sent, the connection is lost, and the peer sees that it got no answer.
+// Reply sends the only answer on a stream and ends the sending side. It ignores the error
+// if the connection is lost; the peer then detects that it gets no answer.
 func (s *Stream) Reply(m *wire.Message) {
 	if s.Send(m) == nil {
 		s.CloseSend()
 	}
 }
 
-// Receive returns the next message. Its error wraps io.EOF if the peer has ended its
-// sending side, and those of wire.ReadMessage.
+// Receive returns the next message. The error wraps that of wire.ReadMessage; it is io.EOF
+// if the peer has ended its sending side.
 func (s *Stream) Receive() (*wire.Message, error) {
 	m, err := wire.ReadMessage(s.quic)
 	return m, wrapError("receive", err)
 }
 
-// SetReadDeadline bounds how long Receive waits. It can't fail: quic-go always
+// SetReadDeadline sets the time until which Receive waits. It can't fail: quic-go always
 // returns nil.
 func (s *Stream) SetReadDeadline(t time.Time) { _ = s.quic.SetReadDeadline(t) }
 
-// CloseSend ends the sending side, after what was sent. An error would say that the
-// side was cancelled or the connection lost, which ends it as well.
+// CloseSend ends the sending side after all sent messages. It ignores the error, which
+// only means that the side is cancelled or the connection lost.
 func (s *Stream) CloseSend() { _ = s.quic.Close() }
 
-// Close ends the sending side as CloseSend does, and gives the receiving side up.
+// Close ends the sending side like CloseSend, and cancels the receiving side.
 func (s *Stream) Close() {
 	s.quic.CancelRead(codeClosed)
 	_ = s.quic.Close()
 }
 
-// abort gives both sides up, also what is being sent and received.
+// abort cancels both sides, including pending transfers.
 func (s *Stream) abort() {
 	s.quic.CancelRead(codeClosed)
 	s.quic.CancelWrite(codeClosed)
@@ -192,11 +194,11 @@
 
 // An Error is a failure of the transport.
 type Error struct {
-	Op  string // what failed
+	Op  string // the failed operation
 	Err error
 }
 
-// failed returns the failure of op, or nil if err is nil.
+// wrapError returns an *Error for op, or nil if err is nil.
 func wrapError(op string, err error) error {
 	if err == nil {
 		return nil
@@ -208,19 +210,18 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// controlBurst is for how many seconds of its rate a process may send control traffic
-// at once.
+// controlBurst is the maximum burst of control traffic, in seconds of its rate.
 const controlBurst = 4
 
-// A ControlLimiter bounds and counts the control traffic that a process sends: gossip. Its
-// methods may be called concurrently.
+// A ControlLimiter limits and counts the control traffic that a process sends, which is
+// gossip. Its methods are safe for concurrent use.
 type ControlLimiter struct {
 	limiter *rate.Limiter
 	count   func(bytes int)
 }
 
-// NewControlLimiter returns a ControlLimiter of so many bytes a second. It calls count with the
-// bytes that may be sent, each time.
+// NewControlLimiter returns a ControlLimiter for a rate in bytes per second. It calls count
+// with the number of bytes each time Allow returns true.
 func NewControlLimiter(bytesPerSecond int, count func(bytes int)) *ControlLimiter {
 	return &ControlLimiter{
 		limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), controlBurst*bytesPerSecond),
@@ -228,7 +229,7 @@
 	}
 }
 
-// Allow takes bytes from the budget, or reports false if too few are left.
+// Allow reports whether a number of bytes may be sent now, and counts them if so.
 func (c *ControlLimiter) Allow(bytes int) bool {
 	if !c.limiter.AllowN(time.Now(), bytes) {
 		return false
--- a/agentfleet/transport/dialer.go
+++ b/agentfleet/transport/dialer.go
@@ -13,7 +13,7 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// A Dialer opens connections, all from one UDP socket.
+// A Dialer opens connections from one UDP socket.
 type Dialer struct {
 	transport *quic.Transport
 	tls       *tls.Config
@@ -33,8 +33,7 @@
 	}, nil
 }
 
-// Dial connects to an address. The caller compares Conn.Peer with the VM that it
-// expects there.
+// Dial connects to an address. The caller must compare Conn.Peer with the expected VM.
 func (d *Dialer) Dial(ctx context.Context, address netip.AddrPort) (*Conn, error) {
 	c, err := d.transport.Dial(ctx, net.UDPAddrFromAddrPort(address), d.tls, newQUICConfig(d.settings))
 	if err != nil {
@@ -48,12 +47,12 @@
 	return errors.Join(d.transport.Close(), d.transport.Conn.Close())
 }
 
-// A Listener accepts connections on a UDP socket of its own.
+// A Listener accepts connections on a UDP socket.
 type Listener struct {
 	quic *quic.Listener
 }
 
-// Listen returns a Listener on a UDP address; port 0 is any free one.
+// Listen returns a Listener on a UDP address. Port 0 selects a free port.
 func Listen(address netip.AddrPort, tlsConfig *tls.Config, s *settings.Transport) (*Listener, error) {
 	l, err := quic.ListenAddr(address.String(), tlsConfig, newQUICConfig(s))
 	if err != nil {
@@ -62,7 +61,7 @@
 	return &Listener{quic: l}, nil
 }
 
-// Accept returns the next connection whose peer proved its identity.
+// Accept returns the next connection from an authenticated peer.
 func (l *Listener) Accept(ctx context.Context) (*Conn, error) {
 	c, err := l.quic.Accept(ctx)
 	if err != nil {
@@ -71,7 +70,7 @@
 	return newConn(c), nil
 }
 
-// Address returns the address that l listens on.
+// Address returns the local address.
 func (l *Listener) Address() netip.AddrPort {
 	return l.quic.Addr().(*net.UDPAddr).AddrPort()
 }
@@ -79,20 +78,19 @@
 // Close closes the listener and its connections.
 func (l *Listener) Close() error { return l.quic.Close() }
 
-// protocol is the name of the protocol in the TLS handshake.
+// protocol is the ALPN protocol name.
 const protocol = "ryeford/1"
 
-// The bounds of a connection.
+// Limits of a connection.
 const (
 	handshakeTimeout = 3 * time.Second
-	maxStreams       = 1 << 16   // that a peer may have open at once
-	streamWindow     = 64 << 10  // bytes of a stream in flight, at first
-	connectionWindow = 256 << 10 // bytes of all streams in flight, at first
-	maxWindow        = 8 << 20   // bytes up to which both may grow
+	maxStreams       = 1 << 16   // open streams per peer
+	streamWindow     = 64 << 10  // initial flow control window of a stream, in bytes
+	connectionWindow = 256 << 10 // initial flow control window of a connection, in bytes
+	maxWindow        = 8 << 20   // maximum of both windows, in bytes
 )
 
-// newQUICConfig returns the QUIC settings of both ends. What the keep-alives of idle
-// connections cost: docs/CAPACITY.md, S10 and S11.
+// newQUICConfig returns the QUIC configuration for dialers and listeners.
 func newQUICConfig(s *settings.Transport) *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:           handshakeTimeout,
@@ -104,8 +102,8 @@
 		InitialConnectionReceiveWindow: connectionWindow,
 		MaxConnectionReceiveWindow:     maxWindow,
 		EnableDatagrams:                true,
-		// Messages are small, and each probe for a larger packet goes along with a
-		// keep-alive of an idle connection.
+		// Messages are small, so larger packets are not worth the probes, which would be
+		// sent on idle connections too.
 		DisablePathMTUDiscovery: true,
 	}
 }
--- a/agentfleet/transport/identity.go
+++ b/agentfleet/transport/identity.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// serverName is the DNS name in all certificates: a peer is identified by its
-	// common name.
+	// serverName is the DNS name in all certificates. Peers are identified by the common
+	// name instead.
 	serverName = "ryeford"
 
-	// How long certificates are valid.
+	// Validity of certificates.
 	authorityYears  = 10
 	certificateDays = 365
-	// clockSkewAllowed is by how much a VM's clock may lag that of the process that
-	// makes a certificate.
+	// allowedClockSkew is how far a VM's clock may be behind the clock of the process
+	// that issues its certificate.
 	allowedClockSkew = time.Hour
 )
 
-// An Authority signs the certificates of VMs.
+// An Authority is a certificate authority for VMs.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// A KeyPair is a certificate and its private key, in PEM.
+// A KeyPair is a certificate and its private key, both in PEM.
 type KeyPair struct {
 	Certificate []byte
 	Key         []byte
 }
 
-// NewAuthority returns a new Authority.
+// NewAuthority returns an Authority with a new key.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -68,7 +68,7 @@
 // Certificate returns the authority's certificate, in PEM.
 func (a *Authority) Certificate() []byte { return encodeCertificate(a.cert.Raw) }
 
-// Issue returns a certificate that names a VM.
+// Issue returns a certificate and key for a VM.
 func (a *Authority) Issue(vm ryeford.VMID) (KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -100,8 +100,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
 }
 
-// LoadTLSConfig returns the TLS settings of the process whose files settings name.
-// A file that can't be read is a *settings.Error.
+// LoadTLSConfig returns the TLS configuration for the files in the settings. The error is
+// a *settings.Error if a file can't be read.
 func LoadTLSConfig(files *settings.TLS) (*tls.Config, error) {
 	var contents [3][]byte
 	for i, name := range []string{files.Authority, files.Certificate, files.Key} {
@@ -114,8 +114,8 @@
 	return TLSConfig(contents[0], KeyPair{Certificate: contents[1], Key: contents[2]})
 }
 
-// TLSConfig returns the TLS settings of a process: it presents its certificate and
-// accepts peers only with one of the same authority.
+// TLSConfig returns a TLS configuration that presents the certificate in pair and accepts
+// only peers with a certificate of the authority.
 func TLSConfig(authority []byte, pair KeyPair) (*tls.Config, error) {
 	cert, err := tls.X509KeyPair(pair.Certificate, pair.Key)
 	if err != nil {
@@ -136,7 +136,7 @@
 	}, nil
 }
 
-// An errNoCertificate says that a PEM file holds no certificate.
+// A noCertificateError reports that a PEM file contains no certificate.
 type noCertificateError struct{}
 
 func (noCertificateError) Error() string { return "no PEM certificate in the authority file" }
--- a/agentfleet/transport/transport_test.go
+++ b/agentfleet/transport/transport_test.go
@@ -32,7 +32,7 @@
 	return config
 }
 
-// listen runs a peer that accepts connections until the test ends.
+// listen returns a Listener that serves echo on its connections until the test ends.
 func listen(t testing.TB, config *tls.Config, options *settings.Transport) *Listener {
 	l, err := Listen(netip.AddrPortFrom(loopback, 0), config, options)
 	assert.NilError(t, err)
@@ -49,7 +49,7 @@
 	return l
 }
 
-// echo answers each message with itself.
+// echo answers the first message of each stream with the same message.
 func echo(conn *Conn) {
 	for {
 		stream, err := conn.Accept(context.Background())
@@ -73,8 +73,8 @@
 	return d.Dial(ctx, to)
 }
 
-// TestStrangers checks that only peers of the same authority get a message
-// through, and that a peer has the name in its certificate.
+// TestPeerAuthentication checks that only peers with a certificate of the same authority
+// get an answer, and that a peer is identified by its certificate.
 func TestPeerAuthentication(t *testing.T) {
 	authority, err := NewAuthority()
 	assert.NilError(t, err)
@@ -103,19 +103,19 @@
 	}
 }
 
-// TestFetchStalled checks that an answer which no longer comes is given up, also if a byte
-// comes now and then, and that the error says so; and that the end of the context ends the
+// TestFetchStalled checks that Fetch fails if the answer stalls, also if single bytes still
+// arrive, and that the error reports the stall; and that the end of the context ends the
 // wait.
 func TestFetchStalled(t *testing.T) {
 	const interval = 200 * time.Millisecond
 	errEnded := errors.New("ended")
-	header := []byte{0, 0x10, 0, 0} // of a message of 1 MiB
+	header := []byte{0, 0x10, 0, 0} // for a message of 1 MiB
 	for _, test := range []struct {
 		name     string
-		part     int           // bytes of the message that are sent at once
-		trickle  bool          // and then a byte now and then
-		interval time.Duration // without progress that is allowed
-		ends     bool          // the context ends meanwhile
+		part     int           // bytes of the message that are sent immediately
+		trickle  bool          // single bytes follow
+		interval time.Duration // allowed without progress
+		ends     bool          // the context ends during the transfer
 	}{
 		{"a part of the message", 64 << 10, false, interval, false},
 		{"single bytes", 0, true, interval, false},
@@ -160,7 +160,7 @@
 	}
 }
 
-// TestControlBudget checks that no more control bytes are sent than allowed.
+// TestControlLimiter checks that a burst of control traffic is limited.
 func TestControlLimiter(t *testing.T) {
 	sent := 0
 	c := NewControlLimiter(1000, func(n int) { sent += n })
@@ -170,8 +170,7 @@
 	assert.Assert(t, sent <= 4*1000+100, "burst of %d bytes", sent)
 }
 
-// BenchmarkConnection reports what an idle connection costs both ends: memory,
-// and bytes a second that one end sends.
+// BenchmarkConnection reports the memory, CPU time and bandwidth of an idle connection.
 func BenchmarkConnection(b *testing.B) {
 	const conns = 300
 	authority, err := NewAuthority()
@@ -188,7 +187,7 @@
 	}
 }
 
-// measureIdle opens connections and leaves them idle for a while.
+// measureIdle opens connections and measures them while they are idle.
 func measureIdle(b *testing.B, authority *Authority, options *settings.Transport, conns int) {
 	l := listen(b, testTLS(b, authority, "endpoint-1"), options)
 	d, err := NewDialer(loopback, testTLS(b, authority, "router-1"), options)
@@ -202,7 +201,7 @@
 		assert.NilError(b, err)
 	}
 	handshake := time.Since(start) / time.Duration(conns)
-	time.Sleep(10 * time.Second) // the path's MTU is found
+	time.Sleep(10 * time.Second) // until the connections are idle
 	sentBefore, _ := totalBytes(open)
 	cpuBefore := cpuTime()
 	const idle = 40 * time.Second
@@ -224,7 +223,7 @@
 	return sent, received
 }
 
-// cpuTime returns the processor time that this process has used.
+// cpuTime returns the CPU time of this process.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
