--- a/agentfleet/wire/wire_test.go
+++ b/agentfleet/wire/wire_test.go
@@ -36,7 +36,7 @@
 // back whole. Usage goes along on the last frame alone.
 func TestFrame(t *testing.T) {
 	usage := ryeford.Usage{PromptTokens: 3}
-	usageOnWire := map[any]any{uint64(1): uint64(3), uint64(2): uint64(0), uint64(3): uint64(0)}
+	encodedUsage := map[any]any{uint64(1): uint64(3), uint64(2): uint64(0), uint64(3): uint64(0)}
 	for _, test := range []struct {
 		name  string
 		chunk ryeford.Chunk
@@ -46,12 +46,12 @@
 			1: "r", 2: "a", 3: uint64(3), 4: []byte("x"),
 		}},
 		{"the last", ryeford.Chunk{Attempt: "a", Finish: ryeford.FinishStop, Usage: usage}, map[int]any{
-			1: "r", 2: "a", 3: uint64(0), 5: "stop", 7: usageOnWire,
+			1: "r", 2: "a", 3: uint64(0), 5: "stop", 7: encodedUsage,
 		}},
 		{"a failure", ryeford.Chunk{
 			Attempt: "a", Finish: ryeford.FinishError, Failure: "f", Reason: ryeford.ReasonOverload, NotRun: true, Usage: usage,
 		}, map[int]any{
-			1: "r", 2: "a", 3: uint64(0), 5: "error", 6: "f", 7: usageOnWire, 10: "overload", 11: true,
+			1: "r", 2: "a", 3: uint64(0), 5: "error", 6: "f", 7: encodedUsage, 10: "overload", 11: true,
 		}},
 		{"of a service", ryeford.Chunk{Attempt: "a", Status: 200, ContentType: "text/plain"}, map[int]any{
 			1: "r", 2: "a", 3: uint64(0), 8: uint64(200), 9: "text/plain",
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestTooLarge(t *testing.T) {
+func TestReadMessageTooLarge(t *testing.T) {
 	_, err := ReadMessage(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}))
 	var size *SizeError
 	assert.Assert(t, errors.As(err, &size))
@@ -89,9 +89,9 @@
 		if err != nil {
 			return
 		}
-		var again bytes.Buffer
-		assert.NilError(t, WriteMessage(&again, m))
-		_, err = ReadMessage(&again)
+		var rewritten bytes.Buffer
+		assert.NilError(t, WriteMessage(&rewritten, m))
+		_, err = ReadMessage(&rewritten)
 		assert.NilError(t, err)
 	})
 }
