--- a/agentfleet/wire/wire_test.go
+++ b/agentfleet/wire/wire_test.go
@@ -45,7 +45,7 @@
 		{"a token", ryeford.Chunk{Attempt: "a", Offset: 3, Data: []byte("x")}, map[int]any{
 			1: "r", 2: "a", 3: uint64(3), 4: []byte("x"),
 		}},
-		{"the last", ryeford.Chunk{Attempt: "a", Finish: ryeford.FinishStop, Usage: usage}, map[int]any{
+		{"the last chunk", ryeford.Chunk{Attempt: "a", Finish: ryeford.FinishStop, Usage: usage}, map[int]any{
 			1: "r", 2: "a", 3: uint64(0), 5: "stop", 7: encodedUsage,
 		}},
 		{"a failure", ryeford.Chunk{
@@ -53,7 +53,7 @@
 		}, map[int]any{
 			1: "r", 2: "a", 3: uint64(0), 5: "error", 6: "f", 7: encodedUsage, 10: "overload", 11: true,
 		}},
-		{"of a service", ryeford.Chunk{Attempt: "a", Status: 200, ContentType: "text/plain"}, map[int]any{
+		{"a chunk of a service", ryeford.Chunk{Attempt: "a", Status: 200, ContentType: "text/plain"}, map[int]any{
 			1: "r", 2: "a", 3: uint64(0), 8: uint64(200), 9: "text/plain",
 		}},
 	} {
