--- a/agentfleet/wire/framing.go
+++ b/agentfleet/wire/framing.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// maxMessageSize bounds one encoded message, in bytes. It has to hold a prompt
-	// and a chat's KV cache.
+	// maxMessageSize is the maximum size of an encoded message, in bytes. It must be large
+	// enough for a prompt and for a chat's KV cache.
 	maxMessageSize = 8 << 20
-	// lengthSize is the size of the length before a message, in bytes.
+	// lengthSize is the size of the length prefix of a message, in bytes.
 	lengthSize = 4
 
-	// The bounds of a message's structure.
+	// Limits of a message's structure.
 	maxNestedLevels  = 16
 	maxArrayElements = 1 << 20
 )
 
 var encMode, decMode = newModes()
 
-// newModes returns the CBOR modes of the protocol. They are valid, or no test of
-// the package runs: hence the panics.
+// newModes returns the CBOR modes of the protocol. It panics on invalid options, which
+// are constant.
 func newModes() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
 	if err != nil {
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// WriteMessage writes one framed message in one call of Write. The error is a
-// *MalformedError, a *SizeError or that of w.
+// WriteMessage writes a framed message with a single call of Write. The error is a
+// *MalformedError, a *SizeError or the error of w.
 func WriteMessage(w io.Writer, m *Message) error {
 	body, err := encMode.Marshal(m)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return err
 }
 
-// ReadMessage reads one framed message. The error is a *MalformedError, a
-// *SizeError, io.ErrUnexpectedEOF within a message, or that of r.
+// ReadMessage reads a framed message. The error is a *MalformedError, a *SizeError,
+// io.ErrUnexpectedEOF if the message is truncated, or the error of r.
 func ReadMessage(r io.Reader) (*Message, error) {
 	var header [lengthSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -90,7 +90,7 @@
 	return m, nil
 }
 
-// A SizeError says that a message is larger than maxMessageSize.
+// A SizeError reports that a message is larger than maxMessageSize.
 type SizeError struct {
 	Size uint32
 }
@@ -99,7 +99,7 @@
 	return fmt.Sprintf("message of %d bytes is over %d", e.Size, maxMessageSize)
 }
 
-// A MalformedError says that bytes are not a message.
+// A MalformedError reports that a message can't be encoded or decoded.
 type MalformedError struct {
 	Err error
 }
--- a/agentfleet/wire/wire_test.go
+++ b/agentfleet/wire/wire_test.go
@@ -32,8 +32,8 @@
 	assert.DeepEqual(t, m, testDispatch())
 }
 
-// TestFrame checks the numbers of a chunk's fields on the wire, and that the chunk comes
-// back whole. Usage goes along on the last frame alone.
+// TestFrame checks the field numbers of an encoded chunk and that it is decoded unchanged.
+// Only the last frame includes the usage.
 func TestFrame(t *testing.T) {
 	usage := ryeford.Usage{PromptTokens: 3}
 	encodedUsage := map[any]any{uint64(1): uint64(3), uint64(2): uint64(0), uint64(3): uint64(0)}
@@ -76,8 +76,8 @@
 	assert.Assert(t, errors.As(err, &size))
 }
 
-// FuzzReadMessage checks that no bytes crash the reader, and that what it
-// accepts can be written and read again.
+// FuzzReadMessage checks that no input crashes ReadMessage, and that each accepted message
+// can be written and read again.
 func FuzzReadMessage(f *testing.F) {
 	var b bytes.Buffer
 	assert.NilError(f, WriteMessage(&b, testDispatch()))
@@ -108,7 +108,7 @@
 	benchmarkMessage(b, m)
 }
 
-// benchmarkMessage writes a message and reads it again.
+// benchmarkMessage measures writing and reading a message.
 func benchmarkMessage(b *testing.B, m *Message) {
 	var buf bytes.Buffer
 	b.ReportAllocs()
