--- a/agentfleet/tableservice/client.go
+++ b/agentfleet/tableservice/client.go
@@ -25,7 +25,7 @@
 
 const (
 	// maxAnswer bounds an answer, in bytes.
-	maxAnswer = 64 << 20
+	maxResponse = 64 << 20
 
 	// callTimeout bounds how long a call makes no progress (package transfer):
 	// well above the some hundred milliseconds that a slow store takes, below
@@ -33,7 +33,7 @@
 	callTimeout = 2 * time.Second
 
 	// maxIdle is how many connections are kept for later calls.
-	maxIdle = 16
+	maxIdleConns = 16
 )
 
 // A Client is a ryeford.Table, ryeford.ObjectStore and ryeford.VMList. It may be used by
@@ -44,8 +44,8 @@
 	http *http.Client
 
 	mu      sync.Mutex
-	listTag string // of the list of VMs that was read last
-	list    []ryeford.VM
+	vmsETag string // of the list of VMs that was read last
+	vms     []ryeford.VM
 }
 
 // New returns a Client of the platform at an address. vm is the VM that calls; it is
@@ -56,34 +56,34 @@
 		vm:   vm,
 		// A write is sent once only: a transport that repeats it on its own
 		// would hide that it may have taken effect.
-		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdle}},
+		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
 	}
 }
 
 // Get implements ryeford.Table.
 func (c *Client) Get(ctx context.Context, keys ...string) ([]ryeford.Row, error) {
-	var answer RowsAnswer
-	err := c.post(ctx, PathGet, &GetRequest{Keys: keys}, &answer, false)
-	return answer.Rows, err
+	var response RowsAnswer
+	err := c.post(ctx, PathGet, &GetRequest{Keys: keys}, &response, false)
+	return response.Rows, err
 }
 
 // List implements ryeford.Table.
 func (c *Client) List(ctx context.Context, prefix string) ([]ryeford.Row, error) {
-	var answer RowsAnswer
-	err := c.post(ctx, PathList, &ListRequest{Prefix: prefix}, &answer, false)
-	return answer.Rows, err
+	var response RowsAnswer
+	err := c.post(ctx, PathList, &ListRequest{Prefix: prefix}, &response, false)
+	return response.Rows, err
 }
 
 // Transact implements ryeford.Table.
 func (c *Client) Transact(ctx context.Context, writes ...ryeford.Write) (int64, error) {
-	var answer TransactAnswer
-	if err := c.post(ctx, PathTransact, &TransactRequest{Writes: writes}, &answer, true); err != nil {
+	var response TransactAnswer
+	if err := c.post(ctx, PathTransact, &TransactRequest{Writes: writes}, &response, true); err != nil {
 		return 0, err
 	}
-	if len(answer.Conflicts) > 0 {
-		return 0, &ryeford.ConflictError{Keys: answer.Conflicts}
+	if len(response.Conflicts) > 0 {
+		return 0, &ryeford.ConflictError{Keys: response.Conflicts}
 	}
-	return answer.Version, nil
+	return response.Version, nil
 }
 
 // GetObject implements ryeford.ObjectStore.
@@ -103,18 +103,18 @@
 func (c *Client) VMs(ctx context.Context) ([]ryeford.VM, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	response, body, err := c.send(ctx, http.MethodGet, PathVMs, c.listTag, nil, false)
+	response, body, err := c.send(ctx, http.MethodGet, PathVMs, c.vmsETag, nil, false)
 	if err != nil {
 		return nil, err
 	}
 	if response.StatusCode == http.StatusNotModified {
-		return slices.Clone(c.list), nil
+		return slices.Clone(c.vms), nil
 	}
 	var vms []ryeford.VM
 	if err := json.Unmarshal(body, &vms); err != nil {
 		return nil, &ryeford.UnavailableError{Service: PathVMs, Err: err}
 	}
-	c.listTag, c.list = response.Header.Get("ETag"), vms
+	c.vmsETag, c.vms = response.Header.Get("ETag"), vms
 	return slices.Clone(vms), nil
 }
 
@@ -124,16 +124,16 @@
 }
 
 // post sends a JSON request and decodes the JSON answer.
-func (c *Client) post(ctx context.Context, path string, request, answer any, write bool) error {
+func (c *Client) post(ctx context.Context, path string, request, response any, write bool) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return &ryeford.UnavailableError{Service: path, Err: err}
 	}
 	_, content, err := c.send(ctx, http.MethodPost, path, "", body, write)
-	if err != nil || answer == nil {
+	if err != nil || response == nil {
 		return err
 	}
-	if err := json.Unmarshal(content, answer); err != nil {
+	if err := json.Unmarshal(content, response); err != nil {
 		return &ryeford.UnavailableError{Service: path, MayHaveApplied: write, Err: err}
 	}
 	return nil
@@ -142,7 +142,7 @@
 // send makes one HTTP call. If tag is set, an answer that has it is not sent again. A write
 // whose answer is lost may have been applied. The response's body has been read and closed.
 // It gives up once nothing more is transferred, however large the body and the answer are.
-func (c *Client) send(ctx context.Context, method, path, tag string, body []byte, write bool) (*http.Response, []byte, error) {
+func (c *Client) send(ctx context.Context, method, path, etag string, body []byte, write bool) (*http.Response, []byte, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	watch := transfer.NewWatch(0, callTimeout, cancel)
@@ -156,19 +156,19 @@
 		request.Body = io.NopCloser(watch.Request(request.Body))
 	}
 	request.Header.Set(HeaderVM, string(c.vm))
-	if tag != "" {
-		request.Header.Set("If-None-Match", tag)
+	if etag != "" {
+		request.Header.Set("If-None-Match", etag)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
 		return nil, nil, &ryeford.UnavailableError{Service: path, MayHaveApplied: write, Err: err}
 	}
 	defer func() { _ = response.Body.Close() }() // all that counts of it has been read
-	content, err := io.ReadAll(watch.Reader(io.LimitReader(response.Body, maxAnswer+1)))
+	content, err := io.ReadAll(watch.Reader(io.LimitReader(response.Body, maxResponse+1)))
 	if err != nil {
 		return nil, nil, &ryeford.UnavailableError{Service: path, MayHaveApplied: write, Err: watch.Broken(err)}
 	}
-	if len(content) > maxAnswer {
+	if len(content) > maxResponse {
 		return nil, nil, &ryeford.UnavailableError{Service: path, MayHaveApplied: write, Err: &SizeError{}}
 	}
 	if err := statusError(path, response.StatusCode); err != nil {
@@ -192,7 +192,7 @@
 // A SizeError says that an answer is longer than maxAnswer.
 type SizeError struct{}
 
-func (e *SizeError) Error() string { return fmt.Sprintf("answer of more than %d bytes", maxAnswer) }
+func (e *SizeError) Error() string { return fmt.Sprintf("answer of more than %d bytes", maxResponse) }
 
 // The paths of the platform's services.
 const (
--- a/agentfleet/tableservice/client_test.go
+++ b/agentfleet/tableservice/client_test.go
@@ -14,34 +14,34 @@
 
 // TestErrors checks what each answer to a call means.
 func TestErrors(t *testing.T) {
-	answer := func(status int, body string) http.HandlerFunc {
+	respond := func(status int, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(status)
 			_, _ = w.Write([]byte(body))
 		}
 	}
-	cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	for _, test := range []struct {
-		name       string
-		handler    http.HandlerFunc
-		write      func(err error) bool // checks the error of a write
-		mayApplied bool
+		name           string
+		handler        http.HandlerFunc
+		check          func(err error) bool // checks the error of a write
+		mayHaveApplied bool
 	}{
-		{"accepted", answer(200, `{"version":7}`), func(err error) bool { return err == nil }, false},
-		{"in conflict", answer(200, `{"conflicts":["k"]}`), as[*ryeford.ConflictError], false},
-		{"refused with a status", answer(500, ``), as[*ryeford.UnavailableError], false},
-		{"no such path", answer(404, ``), as[*ryeford.NotFoundError], false},
-		{"answer can't be read", answer(200, `{`), as[*ryeford.UnavailableError], true},
-		{"answer cut", cut, as[*ryeford.UnavailableError], true},
+		{"accepted", respond(200, `{"version":7}`), func(err error) bool { return err == nil }, false},
+		{"in conflict", respond(200, `{"conflicts":["k"]}`), as[*ryeford.ConflictError], false},
+		{"refused with a status", respond(500, ``), as[*ryeford.UnavailableError], false},
+		{"no such path", respond(404, ``), as[*ryeford.NotFoundError], false},
+		{"answer can't be read", respond(200, `{`), as[*ryeford.UnavailableError], true},
+		{"answer cut", abort, as[*ryeford.UnavailableError], true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server := httptest.NewServer(test.handler)
 			defer server.Close()
 			client := New(netip.MustParseAddrPort(server.Listener.Addr().String()), "")
 			_, err := client.Transact(t.Context(), ryeford.Write{Key: "k"})
-			assert.Assert(t, test.write(err), "%v", err)
+			assert.Assert(t, test.check(err), "%v", err)
 			var unavailable *ryeford.UnavailableError
-			assert.Equal(t, errors.As(err, &unavailable) && unavailable.MayHaveApplied, test.mayApplied)
+			assert.Equal(t, errors.As(err, &unavailable) && unavailable.MayHaveApplied, test.mayHaveApplied)
 
 			// A read never takes effect.
 			_, err = client.Get(t.Context(), "k")
@@ -57,7 +57,7 @@
 }
 
 // TestUnchangedList checks that a list of VMs that has not changed is not sent again.
-func TestUnchangedList(t *testing.T) {
+func TestVMsNotModified(t *testing.T) {
 	sent := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("If-None-Match") == `"1"` {
--- a/agentfleet/tableservice/transfer_test.go
+++ b/agentfleet/tableservice/transfer_test.go
@@ -19,12 +19,12 @@
 )
 
 // A link is a listener whose connections are pipes, so that a test may pause the clock.
-type link struct {
+type pipeListener struct {
 	conns chan net.Conn
 }
 
 // Accept implements net.Listener.
-func (l *link) Accept() (net.Conn, error) {
+func (l *pipeListener) Accept() (net.Conn, error) {
 	conn, ok := <-l.conns
 	if !ok {
 		return nil, net.ErrClosed
@@ -33,16 +33,16 @@
 }
 
 // Close implements net.Listener.
-func (l *link) Close() error {
+func (l *pipeListener) Close() error {
 	close(l.conns)
 	return nil
 }
 
 // Addr implements net.Listener.
-func (l *link) Addr() net.Addr { return &net.UnixAddr{Name: "link"} }
+func (l *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "link"} }
 
 // dial returns the client's end of a new connection.
-func (l *link) dial(context.Context, string, string) (net.Conn, error) {
+func (l *pipeListener) dial(context.Context, string, string) (net.Conn, error) {
 	client, server := net.Pipe()
 	l.conns <- server
 	return client, nil
@@ -50,10 +50,10 @@
 
 // overLink runs check, with the clock paused, on a client of a platform that answers with
 // a handler.
-func overLink(t *testing.T, handler http.HandlerFunc, check func(t *testing.T, c *Client)) {
+func testClient(t *testing.T, handler http.HandlerFunc, check func(t *testing.T, c *Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		l := &link{conns: make(chan net.Conn)}
+		l := &pipeListener{conns: make(chan net.Conn)}
 		server := &http.Server{Handler: handler}
 		go func() { _ = server.Serve(l) }()
 		client := New(netip.MustParseAddrPort("192.0.2.1:80"), "router-1")
@@ -68,15 +68,15 @@
 
 // Parts of a transfer over a narrow link: 1.28 MB in 10 s.
 const (
-	parts    = 40
-	partSize = 32 << 10
-	partTime = 250 * time.Millisecond
+	parts        = 40
+	partSize     = 32 << 10
+	partInterval = 250 * time.Millisecond
 )
 
 // sendSlowly answers with a list of rows of which a part comes each partTime.
 func sendSlowly(w http.ResponseWriter, _ *http.Request) {
 	for range parts {
-		time.Sleep(partTime)
+		time.Sleep(partInterval)
 		_, _ = io.WriteString(w, strings.Repeat(" ", partSize)) // fails once the client has given up
 		_ = http.NewResponseController(w).Flush()
 	}
@@ -97,13 +97,13 @@
 		if err != nil {
 			panic(http.ErrAbortHandler) // the client has given up
 		}
-		time.Sleep(partTime)
+		time.Sleep(partInterval)
 	}
 }
 
 // TestNarrowLink checks that a transfer may take several times callTimeout, each way, while
 // it goes on.
-func TestNarrowLink(t *testing.T) {
+func TestSlowTransfer(t *testing.T) {
 	content := make([]byte, parts*partSize)
 	for _, test := range []struct {
 		name    string
@@ -126,10 +126,10 @@
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			overLink(t, test.handler, func(t *testing.T, c *Client) {
-				began := time.Now()
+			testClient(t, test.handler, func(t *testing.T, c *Client) {
+				start := time.Now()
 				assert.NilError(t, test.call(t.Context(), c))
-				assert.Assert(t, time.Since(began) > 4*callTimeout)
+				assert.Assert(t, time.Since(start) > 4*callTimeout)
 			})
 		})
 	}
@@ -138,39 +138,39 @@
 // TestStalled checks that a call is given up once its transfer has stalled for callTimeout,
 // each way, also if a byte comes now and then.
 func TestStalled(t *testing.T) {
-	silent := func(_ http.ResponseWriter, r *http.Request) {
+	noResponse := func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body) // ends with the request, or as the client gives up
 		<-r.Context().Done()
 	}
-	deaf := func(http.ResponseWriter, *http.Request) { time.Sleep(time.Minute) }
+	noRead := func(http.ResponseWriter, *http.Request) { time.Sleep(time.Minute) }
 	trickle := func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil {
 			_, _ = io.WriteString(w, " ") // fails once the client has given up
 			_ = http.NewResponseController(w).Flush()
-			time.Sleep(partTime)
+			time.Sleep(partInterval)
 		}
 	}
 	for _, test := range []struct {
 		name    string
 		handler http.HandlerFunc
 		size    int // bytes that are written
-		after   time.Duration
+		elapsed time.Duration
 	}{
-		{"no answer", silent, 100, callTimeout},
-		{"no answer to what took all of an interval's progress", silent, 2 * partSize, callTimeout},
-		{"a request of which only the first part is taken", deaf, parts * partSize, 2 * callTimeout},
+		{"no answer", noResponse, 100, callTimeout},
+		{"no answer to what took all of an interval's progress", noResponse, 2 * partSize, callTimeout},
+		{"a request of which only the first part is taken", noRead, parts * partSize, 2 * callTimeout},
 		{"a byte now and then", trickle, 100, callTimeout},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			overLink(t, test.handler, func(t *testing.T, c *Client) {
-				began := time.Now()
+			testClient(t, test.handler, func(t *testing.T, c *Client) {
+				start := time.Now()
 				err := c.PutObject(t.Context(), "plan-1-1", make([]byte, test.size))
 				var stall *transfer.StallError
 				assert.Assert(t, errors.As(err, &stall), "%v", err)
 				var unavailable *ryeford.UnavailableError
 				assert.Assert(t, errors.As(err, &unavailable), "%v", err)
 				assert.Assert(t, unavailable.MayHaveApplied)
-				assert.Equal(t, time.Since(began), test.after)
+				assert.Equal(t, time.Since(start), test.elapsed)
 			})
 		})
 	}
@@ -178,8 +178,8 @@
 
 // TestTooLongAnswer checks that an answer over the limit is an error: an object would be
 // cut.
-func TestTooLongAnswer(t *testing.T) {
-	const half = maxAnswer / 2
+func TestResponseTooLarge(t *testing.T) {
+	const half = maxResponse / 2
 	for _, test := range []struct {
 		name  string
 		extra int // bytes above the limit
@@ -189,7 +189,7 @@
 		{"above it", 1, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			overLink(t, func(w http.ResponseWriter, _ *http.Request) {
+			testClient(t, func(w http.ResponseWriter, _ *http.Request) {
 				for _, size := range []int{half, half, test.extra} {
 					_, _ = w.Write(make([]byte, size)) // fails once the client has enough
 				}
@@ -197,7 +197,7 @@
 				content, err := c.GetObject(t.Context(), "plan-1-1")
 				if !test.fails {
 					assert.NilError(t, err)
-					assert.Equal(t, len(content), maxAnswer)
+					assert.Equal(t, len(content), maxResponse)
 					return
 				}
 				var size *SizeError
