--- a/agentfleet/tableservice/client_test.go
+++ b/agentfleet/tableservice/client_test.go
@@ -28,11 +28,11 @@
 		mayHaveApplied bool
 	}{
 		{"accepted", respond(200, `{"version":7}`), func(err error) bool { return err == nil }, false},
-		{"in conflict", respond(200, `{"conflicts":["k"]}`), as[*ryeford.ConflictError], false},
-		{"refused with a status", respond(500, ``), as[*ryeford.UnavailableError], false},
-		{"no such path", respond(404, ``), as[*ryeford.NotFoundError], false},
-		{"answer can't be read", respond(200, `{`), as[*ryeford.UnavailableError], true},
-		{"answer cut", abort, as[*ryeford.UnavailableError], true},
+		{"conflict", respond(200, `{"conflicts":["k"]}`), as[*ryeford.ConflictError], false},
+		{"error status", respond(500, ``), as[*ryeford.UnavailableError], false},
+		{"not found", respond(404, ``), as[*ryeford.NotFoundError], false},
+		{"malformed response", respond(200, `{`), as[*ryeford.UnavailableError], true},
+		{"aborted response", abort, as[*ryeford.UnavailableError], true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server := httptest.NewServer(test.handler)
--- a/agentfleet/tableservice/transfer_test.go
+++ b/agentfleet/tableservice/transfer_test.go
@@ -39,7 +39,7 @@
 }
 
 // Addr implements net.Listener.
-func (l *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "link"} }
+func (l *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe"} }
 
 // dial returns the client's end of a new connection.
 func (l *pipeListener) dial(context.Context, string, string) (net.Conn, error) {
@@ -113,15 +113,15 @@
 		{"a list of rows", sendSlowly, func(ctx context.Context, c *Client) error {
 			rows, err := c.List(ctx, "template/")
 			if err == nil && len(rows) != 1 {
-				return errors.New("not the rows that were sent")
+				return errors.New("unexpected rows")
 			}
 			return err
 		}},
-		{"an object read", sendSlowly, func(ctx context.Context, c *Client) error {
+		{"reading an object", sendSlowly, func(ctx context.Context, c *Client) error {
 			_, err := c.GetObject(ctx, "plan-1-1")
 			return err
 		}},
-		{"an object written", receiveSlowly, func(ctx context.Context, c *Client) error {
+		{"writing an object", receiveSlowly, func(ctx context.Context, c *Client) error {
 			return c.PutObject(ctx, "plan-1-1", content)
 		}},
 	} {
@@ -156,10 +156,10 @@
 		size    int // bytes that are written
 		elapsed time.Duration
 	}{
-		{"no answer", noResponse, 100, callTimeout},
-		{"no answer to what took all of an interval's progress", noResponse, 2 * partSize, callTimeout},
-		{"a request of which only the first part is taken", noRead, parts * partSize, 2 * callTimeout},
-		{"a byte now and then", trickle, 100, callTimeout},
+		{"no response", noResponse, 100, callTimeout},
+		{"no response to a request of several parts", noResponse, 2 * partSize, callTimeout},
+		{"a request of which only the first part is read", noRead, parts * partSize, 2 * callTimeout},
+		{"a response of single bytes", trickle, 100, callTimeout},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			testClient(t, test.handler, func(t *testing.T, c *Client) {
@@ -186,7 +186,7 @@
 		fails bool
 	}{
 		{"at the limit", 0, false},
-		{"above it", 1, true},
+		{"above the limit", 1, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			testClient(t, func(w http.ResponseWriter, _ *http.Request) {
