--- a/agentfleet/row/row.go
+++ b/agentfleet/row/row.go
@@ -1,5 +1,5 @@
-// Package row reads and writes rows of the platform's table that hold JSON. It owns no
-// rows: their keys are those of the packages that call it.
+// Package row reads and writes rows of the platform's table that contain JSON. The rows
+// and their keys belong to the calling packages.
 package row
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// An Error says that a row can't be read or written.
+// An Error reports that the value of a row can't be encoded or decoded.
 type Error struct {
 	Key string
 	Err error
@@ -19,8 +19,8 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Get reads a row into v and returns its version. It leaves v alone if the row is absent,
-// whose version is zero. The error is an *Error, or that of ryeford.Table.
+// Get decodes a row into v and returns its version. If the row is absent, Get returns
+// version zero and does not modify v. The error is an *Error or that of ryeford.Table.
 func Get(ctx context.Context, table ryeford.Table, key string, v any) (int64, error) {
 	rows, err := table.Get(ctx, key)
 	if err != nil || rows[0].Version == 0 {
@@ -29,7 +29,7 @@
 	return rows[0].Version, Decode(rows[0], v)
 }
 
-// Decode reads a row that is there into v. The error is an *Error.
+// Decode decodes a row that is present into v. The error is an *Error.
 func Decode(row ryeford.Row, v any) error {
 	if err := json.Unmarshal(row.Value, v); err != nil {
 		return &Error{Key: row.Key, Err: err}
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// Write returns the write that puts v into a row if the row has a version. The error is
-// an *Error.
+// Write returns a write that stores v in a row if the row's version is ifVersion. The
+// error is an *Error.
 func Write(key string, v any, ifVersion int64) (ryeford.Write, error) {
 	value, err := json.Marshal(v)
 	if err != nil {
--- a/agentfleet/tableservice/client.go
+++ b/agentfleet/tableservice/client.go
@@ -1,9 +1,9 @@
-// Package tableservice reaches the services in which the fleet with agents keeps its
-// state, over HTTP and JSON: a transactional table, an object store and the list of VMs.
+// Package tableservice is an HTTP client for the platform services that hold the state of
+// a fleet with agents: a transactional table, an object store and the list of VMs.
 //
-// It owns no state but the list of VMs that was read last. Each call is sent once:
-// whether a failed one is repeated is up to its caller, to whom a
-// ryeford.UnavailableError says whether it may have taken effect.
+// Its only state is the last list of VMs. It sends each call once. The caller decides
+// whether to repeat a failed call; a ryeford.UnavailableError reports whether the call may
+// have taken effect.
 package tableservice
 
 import (
@@ -24,38 +24,37 @@
 )
 
 const (
-	// maxAnswer bounds an answer, in bytes.
+	// maxResponse is the maximum size of a response body, in bytes.
 	maxResponse = 64 << 20
 
-	// callTimeout bounds how long a call makes no progress (package transfer):
-	// well above the some hundred milliseconds that a slow store takes, below
-	// what a caller waits.
+	// callTimeout limits how long a call may make no progress (package transfer). It is
+	// longer than the latency of a slow store, and shorter than a caller waits.
 	callTimeout = 2 * time.Second
 
-	// maxIdle is how many connections are kept for later calls.
+	// maxIdleConns is the maximum number of idle connections.
 	maxIdleConns = 16
 )
 
-// A Client is a ryeford.Table, ryeford.ObjectStore and ryeford.VMList. It may be used by
-// several goroutines at once.
+// A Client implements ryeford.Table, ryeford.ObjectStore and ryeford.VMList. It is safe
+// for concurrent use.
 type Client struct {
 	base string
 	vm   ryeford.VMID
 	http *http.Client
 
 	mu      sync.Mutex
-	vmsETag string // of the list of VMs that was read last
-	vms     []ryeford.VM
+	vmsETag string       // of vms
+	vms     []ryeford.VM // the last list of VMs
 }
 
-// New returns a Client of the platform at an address. vm is the VM that calls; it is
-// empty for a command that runs on none.
+// New returns a Client of the platform at an address. vm is the calling VM; it is empty for
+// a command that does not run on a VM.
 func New(address netip.AddrPort, vm ryeford.VMID) *Client {
 	return &Client{
 		base: "http://" + address.String(),
 		vm:   vm,
-		// A write is sent once only: a transport that repeats it on its own
-		// would hide that it may have taken effect.
+		// send prevents the transport from retrying a write, which would hide that the
+		// write may have taken effect.
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
 	}
 }
@@ -98,8 +97,8 @@
 	return err
 }
 
-// VMs implements ryeford.VMList. A list that has not changed since the last call
-// is not sent again: it is some 200 KB at the full size.
+// VMs implements ryeford.VMList. It sends the ETag of the last list, so that the platform
+// does not send an unchanged list again.
 func (c *Client) VMs(ctx context.Context) ([]ryeford.VM, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +122,7 @@
 	return c.post(ctx, PathVMs, &vm, nil, true)
 }
 
-// post sends a JSON request and decodes the JSON answer.
+// post sends a JSON request and decodes the JSON response, unless response is nil.
 func (c *Client) post(ctx context.Context, path string, request, response any, write bool) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -139,9 +138,10 @@
 	return nil
 }
 
-// send makes one HTTP call. If tag is set, an answer that has it is not sent again. A write
-// whose answer is lost may have been applied. The response's body has been read and closed.
-// It gives up once nothing more is transferred, however large the body and the answer are.
+// send makes one HTTP call and returns the response, whose body is closed, and its content.
+// If etag is not empty, the platform may respond that the content is not modified. A write
+// whose response is lost may have been applied. send fails if the transfer stalls, but does
+// not limit the total time.
 func (c *Client) send(ctx context.Context, method, path, etag string, body []byte, write bool) (*http.Response, []byte, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -151,7 +151,7 @@
 	if err != nil {
 		return nil, nil, &ryeford.UnavailableError{Service: path, Err: err}
 	}
-	request.GetBody = nil // without it, net/http can't send the body twice
+	request.GetBody = nil // prevents net/http from sending the body again
 	if len(body) > 0 {
 		request.Body = io.NopCloser(watch.Request(request.Body))
 	}
@@ -163,7 +163,7 @@
 	if err != nil {
 		return nil, nil, &ryeford.UnavailableError{Service: path, MayHaveApplied: write, Err: err}
 	}
-	defer func() { _ = response.Body.Close() }() // all that counts of it has been read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	content, err := io.ReadAll(watch.Reader(io.LimitReader(response.Body, maxResponse+1)))
 	if err != nil {
 		return nil, nil, &ryeford.UnavailableError{Service: path, MayHaveApplied: write, Err: watch.Broken(err)}
@@ -177,8 +177,8 @@
 	return response, content, nil
 }
 
-// statusError returns the error that an HTTP status stands for, or nil. A call that was
-// answered with such a status took no effect.
+// statusError returns the error for an HTTP status, or nil. A call with such a response
+// took no effect.
 func statusError(path string, status int) error {
 	switch status {
 	case http.StatusOK, http.StatusNotModified:
@@ -189,12 +189,12 @@
 	return &ryeford.UnavailableError{Service: path, Err: &ryeford.StatusError{Status: status}}
 }
 
-// A SizeError says that an answer is longer than maxAnswer.
+// A SizeError reports that a response is larger than maxResponse.
 type SizeError struct{}
 
 func (e *SizeError) Error() string { return fmt.Sprintf("answer of more than %d bytes", maxResponse) }
 
-// The paths of the platform's services.
+// Paths of the platform's services.
 const (
 	PathGet      = "/table/get"
 	PathList     = "/table/list"
@@ -203,7 +203,7 @@
 	PathVMs      = "/vms"
 )
 
-// HeaderVM names the VM that calls the platform.
+// HeaderVM carries the ID of the calling VM.
 const HeaderVM = "X-Ryeford-VM"
 
 // A GetRequest asks for rows by key.
@@ -211,22 +211,22 @@
 	Keys []string `json:"keys"`
 }
 
-// A RowsAnswer holds rows.
+// A RowsAnswer is the response to a GetRequest or a ListRequest.
 type RowsAnswer struct {
 	Rows []ryeford.Row `json:"rows"`
 }
 
-// A ListRequest asks for the rows with a prefix.
+// A ListRequest asks for the rows with a key prefix.
 type ListRequest struct {
 	Prefix string `json:"prefix"`
 }
 
-// A TransactRequest asks for writes, all or none.
+// A TransactRequest asks for several writes in one transaction.
 type TransactRequest struct {
 	Writes []ryeford.Write `json:"writes"`
 }
 
-// A TransactAnswer holds the rows' new version or the keys in conflict.
+// A TransactAnswer contains the new version of the rows, or the keys in conflict.
 type TransactAnswer struct {
 	Version   int64    `json:"version,omitempty"`
 	Conflicts []string `json:"conflicts,omitempty"`
--- a/agentfleet/tableservice/client_test.go
+++ b/agentfleet/tableservice/client_test.go
@@ -12,7 +12,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestErrors checks what each answer to a call means.
+// TestErrors checks the error for each kind of response.
 func TestErrors(t *testing.T) {
 	respond := func(status int, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -43,20 +43,20 @@
 			var unavailable *ryeford.UnavailableError
 			assert.Equal(t, errors.As(err, &unavailable) && unavailable.MayHaveApplied, test.mayHaveApplied)
 
-			// A read never takes effect.
+			// A failed read is never reported as applied.
 			_, err = client.Get(t.Context(), "k")
 			assert.Assert(t, !errors.As(err, &unavailable) || !unavailable.MayHaveApplied)
 		})
 	}
 }
 
-// as reports whether an error is of a type.
+// as reports whether an error wraps an error of type E.
 func as[E error](err error) bool {
 	var target E
 	return errors.As(err, &target)
 }
 
-// TestUnchangedList checks that a list of VMs that has not changed is not sent again.
+// TestVMsNotModified checks that an unchanged list of VMs is sent only once.
 func TestVMsNotModified(t *testing.T) {
 	sent := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/agentfleet/tableservice/transfer_test.go
+++ b/agentfleet/tableservice/transfer_test.go
@@ -18,7 +18,8 @@
 	"github.com/ryeford/ryeford/internal/transfer"
 )
 
-// A link is a listener whose connections are pipes, so that a test may pause the clock.
+// A pipeListener is a net.Listener whose connections are pipes, so that it can be used with
+// a fake clock.
 type pipeListener struct {
 	conns chan net.Conn
 }
@@ -48,8 +49,8 @@
 	return client, nil
 }
 
-// overLink runs check, with the clock paused, on a client of a platform that answers with
-// a handler.
+// testClient runs check with a fake clock on a client of a platform that is served by
+// handler.
 func testClient(t *testing.T, handler http.HandlerFunc, check func(t *testing.T, c *Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -59,31 +60,31 @@
 		client := New(netip.MustParseAddrPort("192.0.2.1:80"), "router-1")
 		transport := &http.Transport{DialContext: l.dial}
 		client.http.Transport = transport
-		defer time.Sleep(time.Hour) // by then each handler has returned
+		defer time.Sleep(time.Hour) // until all handlers have returned
 		defer func() { _ = server.Close() }()
 		defer transport.CloseIdleConnections()
 		check(t, client)
 	})
 }
 
-// Parts of a transfer over a narrow link: 1.28 MB in 10 s.
+// A slow transfer: 1.28 MB in 10 s.
 const (
 	parts        = 40
-	partSize     = 32 << 10
+	partSize     = 32 << 10 // bytes
 	partInterval = 250 * time.Millisecond
 )
 
-// sendSlowly answers with a list of rows of which a part comes each partTime.
+// sendSlowly responds with a list of rows, one part per partInterval.
 func sendSlowly(w http.ResponseWriter, _ *http.Request) {
 	for range parts {
 		time.Sleep(partInterval)
-		_, _ = io.WriteString(w, strings.Repeat(" ", partSize)) // fails once the client has given up
+		_, _ = io.WriteString(w, strings.Repeat(" ", partSize)) // fails if the client has disconnected
 		_ = http.NewResponseController(w).Flush()
 	}
 	_, _ = io.WriteString(w, `{"rows":[{"key":"template/a/b","version":1}]}`)
 }
 
-// receiveSlowly takes a part of the request, whose size must be stated, each partTime.
+// receiveSlowly reads a request with a Content-Length, one part per partInterval.
 func receiveSlowly(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != parts*partSize {
 		w.WriteHeader(http.StatusLengthRequired)
@@ -95,14 +96,14 @@
 			return
 		}
 		if err != nil {
-			panic(http.ErrAbortHandler) // the client has given up
+			panic(http.ErrAbortHandler) // the client has disconnected
 		}
 		time.Sleep(partInterval)
 	}
 }
 
-// TestNarrowLink checks that a transfer may take several times callTimeout, each way, while
-// it goes on.
+// TestSlowTransfer checks that a transfer in either direction may take longer than
+// callTimeout while it makes progress.
 func TestSlowTransfer(t *testing.T) {
 	content := make([]byte, parts*partSize)
 	for _, test := range []struct {
@@ -135,17 +136,17 @@
 	}
 }
 
-// TestStalled checks that a call is given up once its transfer has stalled for callTimeout,
-// each way, also if a byte comes now and then.
+// TestStalled checks that a call fails after its transfer has stalled for callTimeout in
+// either direction, also if single bytes still arrive.
 func TestStalled(t *testing.T) {
 	noResponse := func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // ends with the request, or as the client gives up
+		_, _ = io.Copy(io.Discard, r.Body) // returns at the end of the request, or if the client disconnects
 		<-r.Context().Done()
 	}
 	noRead := func(http.ResponseWriter, *http.Request) { time.Sleep(time.Minute) }
 	trickle := func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil {
-			_, _ = io.WriteString(w, " ") // fails once the client has given up
+			_, _ = io.WriteString(w, " ") // fails if the client has disconnected
 			_ = http.NewResponseController(w).Flush()
 			time.Sleep(partInterval)
 		}
@@ -153,7 +154,7 @@
 	for _, test := range []struct {
 		name    string
 		handler http.HandlerFunc
-		size    int // bytes that are written
+		size    int // bytes written
 		elapsed time.Duration
 	}{
 		{"no response", noResponse, 100, callTimeout},
@@ -176,8 +177,8 @@
 	}
 }
 
-// TestTooLongAnswer checks that an answer over the limit is an error: an object would be
-// cut.
+// TestResponseTooLarge checks that a response over the limit is an error, since an object
+// would otherwise be truncated.
 func TestResponseTooLarge(t *testing.T) {
 	const half = maxResponse / 2
 	for _, test := range []struct {
@@ -191,7 +192,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			testClient(t, func(w http.ResponseWriter, _ *http.Request) {
 				for _, size := range []int{half, half, test.extra} {
-					_, _ = w.Write(make([]byte, size)) // fails once the client has enough
+					_, _ = w.Write(make([]byte, size)) // fails after the client has stopped reading
 				}
 			}, func(t *testing.T, c *Client) {
 				content, err := c.GetObject(t.Context(), "plan-1-1")
