--- a/agentfleet/agent/attemptrules_test.go
+++ b/agentfleet/agent/attemptrules_test.go
@@ -35,13 +35,13 @@
 func TestJoinRefusal(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for _, test := range []struct {
-		rule    string
-		state   attemptState
-		expires time.Duration // from now
-		forget  time.Duration // from now
-		peek    bool
-		want    ryeford.Reason
-		unknown bool
+		rule        string
+		state       attemptState
+		expires     time.Duration // from now
+		removeAfter time.Duration // from now
+		peek        bool
+		want        ryeford.Reason
+		unknown     bool
 	}{
 		{"an admitted attempt is joined", attemptRetained, 1, 2, false, "", false},
 		{"a retained answer is joined after the expiry", attemptRetained, -9, -8, false, "", false},
@@ -58,7 +58,7 @@
 		{"a peek after the expiry proves that the attempt did not run", attemptUnseen, -1, 2, true, ryeford.ReasonTombstone, false},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
-			got, unknown := joinRefusal(test.state, now, now.Add(test.expires), now.Add(test.forget), test.peek)
+			got, unknown := joinRefusal(test.state, now, now.Add(test.expires), now.Add(test.removeAfter), test.peek)
 			assert.Equal(t, got, test.want)
 			assert.Equal(t, unknown, test.unknown)
 		})
@@ -70,13 +70,13 @@
 func TestJoinAccount(t *testing.T) {
 	a := newAttempts(time.Minute, time.Second)
 	now := time.Unix(1_000_000, 0)
-	expires, forget := now.Add(time.Second), now.Add(time.Minute)
-	d := &wire.Dispatch{Attempt: "a1", Account: "bank", Expires: expires, Forget: forget}
+	expires, removeAfter := now.Add(time.Second), now.Add(time.Minute)
+	d := &wire.Dispatch{Attempt: "a1", Account: "bank", Expires: expires, Forget: removeAfter}
 	admitted := newRun(d, nil, false)
 	defer admitted.cancel()
 	a.admitAt(now, d, func(time.Time) *run { return admitted })
 
-	join := &wire.Join{Attempt: "a1", Account: "bank", Expires: expires, Forget: forget}
+	join := &wire.Join{Attempt: "a1", Account: "bank", Expires: expires, Forget: removeAfter}
 	r, reason, unknown := a.joinAt(now, join)
 	assert.Equal(t, r, admitted)
 	assert.Equal(t, reason, ryeford.Reason(""))
--- a/agentfleet/agent/attempts.go
+++ b/agentfleet/agent/attempts.go
@@ -155,13 +155,13 @@
 // not have been removed yet. The caller must then record a tombstone, since the dispatch
 // may still arrive. A peek records none, so it proves nothing until the attempt has
 // expired.
-func joinRefusal(s attemptState, now, expires, forget time.Time, peek bool) (reason ryeford.Reason, unknown bool) {
+func joinRefusal(s attemptState, now, expires, removeAfter time.Time, peek bool) (reason ryeford.Reason, unknown bool) {
 	switch {
 	case s == attemptRetained:
 		return "", false
 	case s == attemptRan:
 		return ryeford.ReasonDuplicate, true // its answer was dropped
-	case now.After(maxTime(forget, expires)):
+	case now.After(maxTime(removeAfter, expires)):
 		return ryeford.ReasonExpired, true // its record may have been removed
 	case peek && !now.After(expires):
 		return ryeford.ReasonRunning, true // it did not run yet, but still may
@@ -172,8 +172,8 @@
 // retainUntil returns the time until which the record of an admitted attempt is retained:
 // as long as a router may join the attempt or dispatch it again, with a margin for a
 // clock that steps back by skew.
-func retainUntil(expires, forget time.Time, skew time.Duration) time.Time {
-	return maxTime(forget, expires).Add(skew)
+func retainUntil(expires, removeAfter time.Time, skew time.Duration) time.Time {
+	return maxTime(removeAfter, expires).Add(skew)
 }
 
 // tombstoneUntil returns the time until which a tombstone is retained. It is not needed
--- a/agentfleet/agent/attempts_test.go
+++ b/agentfleet/agent/attempts_test.go
@@ -21,19 +21,19 @@
 		runs := make(map[ryeford.AttemptID]int)
 		reportedNotRun := make(map[ryeford.AttemptID]bool)
 		expires := make(map[ryeford.AttemptID]time.Time)
-		forget := make(map[ryeford.AttemptID]time.Time)
+		removeAfter := make(map[ryeford.AttemptID]time.Time)
 		drawAttempt := func(t *rapid.T) ryeford.AttemptID {
 			id := ryeford.AttemptID(fmt.Sprintf("a%d", rapid.IntRange(0, 4).Draw(t, "attempt")))
 			if _, ok := expires[id]; !ok {
 				expires[id] = now.Add(2 * time.Second)
-				forget[id] = now.Add(time.Duration(rapid.IntRange(2, 30).Draw(t, "forget")) * time.Second)
+				removeAfter[id] = now.Add(time.Duration(rapid.IntRange(2, 30).Draw(t, "removeAfter")) * time.Second)
 			}
 			return id
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"dispatch": func(t *rapid.T) {
 				id := drawAttempt(t)
-				d := &wire.Dispatch{Attempt: id, Expires: expires[id], Forget: forget[id]}
+				d := &wire.Dispatch{Attempt: id, Expires: expires[id], Forget: removeAfter[id]}
 				admit := rapid.Bool().Draw(t, "admit")
 				_, reason := a.admitAt(now, d, func(time.Time) *run {
 					if !admit {
@@ -48,7 +48,7 @@
 			},
 			"join": func(t *rapid.T) {
 				id := drawAttempt(t)
-				j := &wire.Join{Attempt: id, Expires: expires[id], Forget: forget[id], Peek: rapid.Bool().Draw(t, "peek")}
+				j := &wire.Join{Attempt: id, Expires: expires[id], Forget: removeAfter[id], Peek: rapid.Bool().Draw(t, "peek")}
 				_, reason, _ := a.joinAt(now, j)
 				if reason == ryeford.ReasonTombstone {
 					assert.Equal(t, runs[id], 0, "attempt ran but is reported as not run")
--- a/agentfleet/agent/lockwait_test.go
+++ b/agentfleet/agent/lockwait_test.go
@@ -41,9 +41,9 @@
 	})
 	t.Run("join", func(t *testing.T) {
 		a := newAttempts(time.Minute, time.Second)
-		forget := time.Now().Add(lockWait / 2)
+		removeAfter := time.Now().Add(lockWait / 2)
 		lockAttempts(a)
-		_, reason, unknown := a.join(&wire.Join{Attempt: "a1", Expires: forget, Forget: forget})
+		_, reason, unknown := a.join(&wire.Join{Attempt: "a1", Expires: removeAfter, Forget: removeAfter})
 		assert.Equal(t, reason, ryeford.ReasonExpired)
 		assert.Assert(t, unknown)
 	})
--- a/agentfleet/agent/queue_test.go
+++ b/agentfleet/agent/queue_test.go
@@ -17,8 +17,8 @@
 func TestQueue(t *testing.T) {
 	var q queue
 	first, second := q.enter(5), q.enter(5)
-	highest, left := q.enter(ryeford.PriorityHighest), q.enter(ryeford.PriorityHighest)
-	q.leave(left)
+	highest, removed := q.enter(ryeford.PriorityHighest), q.enter(ryeford.PriorityHighest)
+	q.leave(removed)
 	for _, want := range []*waiter{highest, first, second} {
 		assert.Equal(t, q.waiters[0], want)
 		q.wake()
--- a/agentfleet/template/store.go
+++ b/agentfleet/template/store.go
@@ -27,12 +27,12 @@
 // not the current one.
 type SequenceError struct {
 	Name    Name
-	Base    int64
+	Based   int64
 	Current int64
 }
 
 func (e *SequenceError) Error() string {
-	return fmt.Sprintf("template %s is at version %d, not %d: read it and publish again", e.Name, e.Current, e.Base)
+	return fmt.Sprintf("template %s is at version %d, not %d: read it and publish again", e.Name, e.Current, e.Based)
 }
 
 // A Store publishes templates to the platform's table and reads them.
@@ -169,7 +169,7 @@
 // *SequenceError if the template is not based on the current one.
 func nextVersion(t ryeford.Template, current int64) (*ryeford.Template, error) {
 	if t.Sequence != current {
-		return nil, &SequenceError{Name: Name{Account: t.Account, Name: t.Name}, Base: t.Sequence, Current: current}
+		return nil, &SequenceError{Name: Name{Account: t.Account, Name: t.Name}, Based: t.Sequence, Current: current}
 	}
 	t.Sequence++
 	return &t, nil
