--- a/agentfleet/gossip/gossip.go
+++ b/agentfleet/gossip/gossip.go
@@ -36,8 +36,8 @@
 	Interval  time.Duration // between messages without a change
 	Book      *template.Book
 	Decisions *decision.Log
-	// PlanChanged returns a channel that receives or is closed when the plan changes, or
-	// nil in a process that does not distribute plans.
+	// PlanChanged returns a channel that is closed when the plan changes next, or nil in a
+	// process that does not distribute plans.
 	PlanChanged func() <-chan struct{}
 	// Send sends a message to the given number of random peers.
 	Send func(peers int)
--- a/agentfleet/load/probes.go
+++ b/agentfleet/load/probes.go
@@ -4,8 +4,8 @@
 	// minSamples is the number of samples from which the estimate is considered reliable.
 	minSamples = 8
 
-	// saturationProbes is the number of consecutive refusals of a request after which the
-	// fleet is considered saturated.
+	// saturationProbes is the number of candidates that reported their load without
+	// admitting the request after which the fleet is considered saturated.
 	saturationProbes = 3
 
 	// maxIncrease limits, in requests, how far probes raise a reliable estimate. It lets a
@@ -13,8 +13,8 @@
 	maxIncrease = 0.5
 )
 
-// Probes holds the loads, in requests, that the candidates of one request reported when
-// they refused it. The zero value is empty and ready to use.
+// Probes holds the loads, in requests, that the candidates of one request reported. The
+// zero value is empty and ready to use.
 //
 // Probes is not safe for concurrent use.
 type Probes struct {
