--- a/agentfleet/agent/execute.go
+++ b/agentfleet/agent/execute.go
@@ -60,7 +60,7 @@
 	a.metrics.Add("ryeford_chunks_dropped_total", "foreign", dropped.Foreign)
 	a.metrics.Add("ryeford_chunks_dropped_total", "repeated", dropped.Repeated)
 	a.metrics.Add("ryeford_chunks_dropped_total", "overflow", dropped.Overflow)
-	_ = a.log.Log("msg", "dropped chunks of the engine's stream that were of another attempt, repeated or too far ahead; the answer does not contain them", "attempt", r.dispatch.Attempt, "engine", r.dispatch.Engine,
+	_ = a.log.Log("msg", "skipped chunks of the engine's stream that were of another attempt, repeated or too far ahead; none of them was added to the answer", "attempt", r.dispatch.Attempt, "engine", r.dispatch.Engine,
 		"foreign", dropped.Foreign, "repeated", dropped.Repeated, "overflow", dropped.Overflow)
 }
 
