--- a/settings/agent.go
+++ b/settings/agent.go
@@ -19,9 +19,9 @@
 	Engines []Engine `yaml:"engines" validate:"dive"`
 	// Services are the plain services of the VM.
 	Services []Service `yaml:"services" validate:"dive"`
-	// Limits bound what the agent admits and keeps.
+	// Limits limit what the agent admits and keeps.
 	Limits AgentLimits `yaml:"limits"`
-	// Polls are how often the agent reads from its engines and the platform.
+	// Polls are the intervals at which the agent reads from its engines and the platform.
 	Polls AgentPolls `yaml:"polls"`
 }
 
@@ -48,7 +48,7 @@
 	Address Address `yaml:"address" validate:"required"`
 }
 
-// AgentLimits bound what an agent admits and keeps.
+// AgentLimits limit what an agent admits and keeps.
 type AgentLimits struct {
 	// PoolFactor times the mean load of the model's engines is the load that an
 	// engine may have. A smaller one evens the load and costs cached prefixes.
@@ -81,7 +81,7 @@
 	Chats int `yaml:"chats" unit:"chats" validate:"min=1,max=10000000"`
 }
 
-// AgentPolls are how often an agent reads from its engines and the platform.
+// AgentPolls are the intervals at which an agent reads from its engines and the platform.
 type AgentPolls struct {
 	// Engine is how often each engine's state is read. The longer, the later an
 	// engine's restart and its evictions are noticed.
@@ -91,7 +91,7 @@
 	VMList time.Duration `yaml:"vms" validate:"min=50ms,max=1m"`
 }
 
-// DefaultAgent returns an Agent with the defaults of what may be left out.
+// DefaultAgent returns an Agent with the defaults of the optional settings.
 func DefaultAgent() *Agent {
 	return &Agent{
 		Membership: Membership{Transport: defaultTransport()},
--- a/settings/derived.go
+++ b/settings/derived.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// A gateway's reads of the store are as rare as the users' bounds allow: what the
-// settings leave at zero is derived here.
+// A gateway reads the store as rarely as the users' bounds allow. The settings that
+// are zero are derived from the bounds here.
 const (
-	// contactMargin is kept between the time at which a lost read for changes is
-	// noticed and bounds.contact: for the pause and the read that follow it.
+	// contactMargin is the time kept for the pause and the read that follow a lost
+	// long poll, between its detection and bounds.contact.
 	contactMargin = 300 * time.Millisecond
-	// minEndpointsWait is the shortest time that is derived for a read for changes to
-	// be held: if bounds.contact is small, reads are rare rather than noticed in time.
+	// minEndpointsWait is the shortest derived duration of a long poll. If
+	// bounds.contact is small, it limits the rate of reads, and a lost one may be
+	// noticed late.
 	minEndpointsWait = 100 * time.Millisecond
-	// settleDivisor of bounds.drain, but no more than maxSettle, is the pause after
-	// a change of the list of endpoints; the rest of the bound is for the read that
-	// follows and for word of it to reach the other routers.
+	// The pause after a change of the list of endpoints is bounds.drain divided by
+	// settleDivisor, at most maxSettle. The rest of the bound is for the read that
+	// follows and for its update to reach the other routers.
 	settleDivisor = 8
 	maxSettle     = 500 * time.Millisecond
-	// refreshDivisor of bounds.configuration, but no more than revokeDivisor of
-	// bounds.revoke, is the age at which the configuration is read again. What is
-	// left of the lease is how long an outage of the store is bridged. They give
-	// 1 s at bounds of 2 s and 5 s.
+	// The configuration is read again at the age of bounds.configuration divided by
+	// refreshDivisor, at most bounds.revoke divided by revokeDivisor. The rest of the
+	// lease bridges an outage of the store.
 	refreshDivisor = 2
 	revokeDivisor  = 5
 )
 
-// WaitForEndpoints returns how long the store holds a read for changes of the list
-// of endpoints: long enough that reads are rare, and so short that a lost read is
-// noticed store_timeout later, and repeated, within bounds.contact.
+// WaitForEndpoints returns how long the store holds a long poll for changes of the
+// list of endpoints. It is as long as possible while a lost poll is still noticed,
+// after store_timeout more, and repeated within bounds.contact.
 func (s *Gateway) WaitForEndpoints() time.Duration {
 	derived := s.Bounds.Contact - s.Routing.StoreTimeout - contactMargin
 	return cmp.Or(s.Routing.EndpointsWait, max(minEndpointsWait, derived))
 }
 
 // SettleEndpoints returns how long a gateway waits after a change of the list of
-// endpoints before it reads on.
+// endpoints before its next read, so that one read returns several changes.
 func (s *Gateway) SettleEndpoints() time.Duration {
 	return cmp.Or(s.Routing.EndpointsSettle, min(maxSettle, s.Bounds.Drain/settleDivisor))
 }
 
-// StoreSilence returns how long a gateway may hear nothing of a store that answers its
-// calls: after a change of the list of endpoints it does not ask for a while, then the store
-// holds the read, and then its answer may be awaited.
+// StoreSilence returns the longest time between two responses of a store that answers
+// its calls: the pause after a change of the list of endpoints, the time for which the
+// store holds the next read, and the timeout of its response.
 func (s *Gateway) StoreSilence() time.Duration {
 	return s.SettleEndpoints() + s.WaitForEndpoints() + s.Routing.StoreTimeout
 }
 
-// RefreshConfiguration returns the age of the last confirmed configuration at
-// which each gateway reads it again.
+// RefreshConfiguration returns the age at which each gateway reads the last confirmed
+// configuration again.
 func (s *Gateway) RefreshConfiguration() time.Duration {
 	derived := min(s.Bounds.Configuration/refreshDivisor, s.Bounds.Revoke/revokeDivisor)
 	return cmp.Or(s.Routing.LeaseRefresh, derived)
--- a/settings/errors.go
+++ b/settings/errors.go
@@ -12,7 +12,7 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// An Error says what is wrong with a settings file.
+// An Error reports a settings file that can't be read or is invalid.
 type Error struct {
 	File string
 	Err  error
@@ -22,8 +22,8 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// A FieldError says which key of the settings is wrong and what is allowed. It
-// never shows values, which may be secret.
+// A FieldError reports an invalid or missing key and what is allowed. It never
+// contains the value, which may be secret.
 type FieldError struct {
 	Line    int // zero if the key is missing
 	Key     string
@@ -37,11 +37,11 @@
 	return fmt.Sprintf("line %d: %s: %s", e.Line, e.Key, e.Problem)
 }
 
-// withoutEmbedded leaves the names of embedded structs, whose keys are in the file those of
-// the struct around them, out of the texts of the decoder and the validator.
-var withoutEmbedded = strings.NewReplacer(".Identity.", ".", ".Membership.", ".")
+// embeddedNames removes the names of embedded structs from the texts of the decoder and
+// the validator: in the file, their keys belong to the enclosing struct.
+var embeddedNames = strings.NewReplacer(".Identity.", ".", ".Membership.", ".")
 
-// decodeError returns the FieldError of a failure to decode.
+// decodeError converts an error of the YAML decoder to a FieldError.
 func decodeError(err error) error {
 	if field, ok := errors.AsType[*FieldError](err); ok {
 		return field
@@ -52,7 +52,7 @@
 	}
 	tok := yamlErr.GetToken()
 	key := tok.Value
-	problem := withoutEmbedded.Replace(yamlErr.GetMessage())
+	problem := embeddedNames.Replace(yamlErr.GetMessage())
 	if tok.Prev != nil && tok.Prev.Prev != nil && tok.Prev.Value == ":" {
 		key = tok.Prev.Prev.Value
 	}
@@ -62,24 +62,24 @@
 	return &FieldError{Line: tok.Position.Line, Key: key, Problem: problem}
 }
 
-// validationError returns the FieldError of the first value that is not
-// allowed.
+// validationError returns a FieldError for the first value that the validator
+// rejected.
 func validationError(err error, content []byte) error {
 	list, ok := errors.AsType[validator.ValidationErrors](err)
 	if !ok || len(list) == 0 {
 		return &FieldError{Key: "file", Problem: err.Error()}
 	}
 	first := list[0]
-	_, key, _ := strings.Cut(withoutEmbedded.Replace(first.Namespace()), ".")
+	_, key, _ := strings.Cut(embeddedNames.Replace(first.Namespace()), ".")
 	return &FieldError{
 		Line:    lineOf(content, key),
 		Key:     key,
-		Problem: allowed(first),
+		Problem: ruleText(first),
 	}
 }
 
-// allowed says what a validation rule asks for.
-func allowed(e validator.FieldError) string {
+// ruleText returns the description of a failed validation rule.
+func ruleText(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required":
 		return "missing; it must be given"
@@ -99,7 +99,7 @@
 	return "must satisfy " + strings.TrimSpace(e.Tag()+" "+e.Param())
 }
 
-// lineOf returns the line of a key such as limits.floor, or zero.
+// lineOf returns the line of a key such as limits.floor, or zero if it is missing.
 func lineOf(content []byte, key string) int {
 	path, err := yaml.PathString("$." + key)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return node.GetToken().Position.Line
 }
 
-// newValidator returns a validator that names keys as the file does.
+// newValidator returns a validator whose errors use the YAML keys.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// A Gateway is the settings of a router on a platform that keeps the operators'
-// configuration and the list of endpoints itself.
+// A Gateway is the settings of a router on a platform that itself stores the
+// operators' configuration and the list of endpoints.
 type Gateway struct {
 	Identity `yaml:",inline"`
 	// Callers is the HTTP/1.1 address for callers.
@@ -29,14 +29,14 @@
 	// platform allows, the process may be killed; if it is too low, bodies wait
 	// and the collector takes processor time.
 	Memory int `yaml:"memory_mb" unit:"MiB" validate:"min=16,max=1048576"`
-	// Bounds are what the users demand of the fleet; all gateways must have the
-	// same.
+	// Bounds are the users' requirements on the fleet; they must be the same for all
+	// gateways.
 	Bounds GatewayBounds `yaml:"bounds"`
-	// Routing is what the gateway may choose itself within the bounds.
+	// Routing is the settings that the gateway may choose freely within the bounds.
 	Routing GatewayRouting `yaml:"routing"`
 }
 
-// GatewayBounds are what the users demand of the fleet.
+// GatewayBounds are the users' requirements on the fleet.
 type GatewayBounds struct {
 	// Revoke is the time from a key's revocation until no request with it may run.
 	// Less 0.5 s it is how long a confirmed configuration may be relied on, and so
@@ -71,7 +71,7 @@
 	CapFactor float64 `yaml:"cap_factor" unit:"times the mean" validate:"min=1,max=100"`
 }
 
-// GatewayRouting is what a gateway may choose itself within the bounds.
+// GatewayRouting is the settings that a gateway may choose freely within the bounds.
 type GatewayRouting struct {
 	// EndpointsWait is how long the store holds a read for changes of the list of
 	// endpoints that has none to report; zero derives it from drain and contact. The longer,
@@ -110,7 +110,7 @@
 	Quarantine bool `yaml:"quarantine"`
 }
 
-// DefaultGateway returns a Gateway with the defaults of what may be left out.
+// DefaultGateway returns a Gateway with the defaults of the optional settings.
 func DefaultGateway() *Gateway {
 	return &Gateway{
 		Memory: 256,
--- a/settings/process.go
+++ b/settings/process.go
@@ -11,8 +11,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// An Identity says which process this is. It begins the settings of every router,
-// gateway and agent.
+// An Identity identifies a process. The settings of every router, gateway and agent
+// embed it.
 type Identity struct {
 	// VM is the id of the process's VM, as the platform's list has it. It is in
 	// the log, names a gateway's row among the routers of its fleet, and is the
@@ -28,21 +28,22 @@
 	FailureDomain string `yaml:"failure_domain" validate:"required"`
 }
 
-// A Membership is how a router or an agent joins the fleet with agents.
+// A Membership is the settings by which a router or an agent joins the fleet with
+// agents.
 type Membership struct {
 	// Platform is the HTTP address of the platform's table, object store and list
 	// of VMs. If it is wrong, the process keeps running, logs each failed read and
 	// serves nothing.
 	Platform Address `yaml:"platform" validate:"required"`
-	// TLS names the files of the process's certificate.
+	// TLS is the file names of the process's certificate.
 	TLS TLS `yaml:"tls"`
-	// Transport is how the process keeps its connections to others.
+	// Transport is the settings of the process's connections to others.
 	Transport Transport `yaml:"transport"`
 }
 
-// TLS names the files of a process's certificate, in PEM. Relative names are
-// relative to the settings file. A file that is missing or isn't PEM ends the
-// start.
+// TLS is the file names of a process's certificate, in PEM. Relative names are
+// relative to the settings file. The process doesn't start if a file is missing or
+// isn't PEM.
 type TLS struct {
 	// Authority is the certificate that must have signed every peer's.
 	Authority string `yaml:"authority" validate:"required"`
@@ -52,7 +53,7 @@
 	Key string `yaml:"key" validate:"required"`
 }
 
-// Transport is how a process keeps its connections to others.
+// Transport is the settings of a process's connections to others.
 type Transport struct {
 	// IdleTimeout is how long nothing may arrive from a peer until its connection
 	// is lost. If it is too short, a paused process loses its connections; if too
@@ -69,7 +70,6 @@
 	GossipInterval time.Duration `yaml:"gossip_interval" validate:"min=50ms,max=10s"`
 }
 
-// defaultTransport returns the Transport of a file that doesn't set it.
 func defaultTransport() Transport {
 	return Transport{
 		IdleTimeout:           4 * time.Second,
@@ -79,7 +79,8 @@
 	}
 }
 
-// resolveTLS makes the names of the files of TLS relative to the settings file.
+// resolveTLS resolves the relative file names of TLS against the folder of the settings
+// file.
 func (m *Membership) resolveTLS(file string) {
 	for _, name := range []*string{&m.TLS.Authority, &m.TLS.Certificate, &m.TLS.Key} {
 		if !filepath.IsAbs(*name) {
--- a/settings/reference_test.go
+++ b/settings/reference_test.go
@@ -19,11 +19,11 @@
 	"github.com/ryeford/ryeford"
 )
 
-// referenceFile is the page of all settings, from testdata/, where package golden
-// looks for its files.
+// referenceFile is the path of the generated page, relative to testdata/, as package
+// golden expects.
 const referenceFile = "../../docs/settings.md"
 
-// referenceHead begins the page.
+// referenceHead is the beginning of the page.
 const referenceHead = `# Settings
 
 Made from the types in ` + "`settings/`" + ` by ` + "`go test ./settings -update`" + `; a test fails when it is out of date.
@@ -39,7 +39,7 @@
 roles, as it ends any program that doesn't catch it.
 `
 
-// sections are the kinds of settings files, in the order of the page.
+// sections are the sections of the page, one for each kind of settings file.
 var sections = []struct {
 	name, title string
 }{
@@ -50,8 +50,8 @@
 	{"standin", "Stand-ins, for trials"},
 }
 
-// TestReference checks that docs/settings.md says of each setting what its type
-// says, and that each one has a comment and each number a unit.
+// TestReference checks that docs/settings.md is up to date with the types, that each
+// setting has a comment and that each number has a unit.
 func TestReference(t *testing.T) {
 	r := &reference{t: t, comments: fieldComments(t)}
 	r.out.WriteString(referenceHead)
@@ -63,14 +63,14 @@
 	golden.Assert(t, r.out.String(), referenceFile)
 }
 
-// A reference collects the text of the page.
+// A reference builds the text of the page.
 type reference struct {
 	t        *testing.T
 	out      strings.Builder
 	comments map[string]string // by Type.Field
 }
 
-// addFields adds a row for each setting of a struct.
+// addFields adds a row for each setting of a struct, recursively.
 func (r *reference) addFields(v reflect.Value, prefix string) {
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
@@ -78,7 +78,7 @@
 			r.addFields(v.Field(i), prefix)
 			continue
 		}
-		key := prefix + keyIn(field)
+		key := prefix + yamlKey(field)
 		value := v.Field(i)
 		if value.Kind() == reflect.Pointer && value.IsNil() {
 			value = reflect.New(field.Type.Elem())
@@ -96,7 +96,6 @@
 	}
 }
 
-// addRow adds the row of a setting.
 func (r *reference) addRow(owner reflect.Type, field reflect.StructField, key string, value reflect.Value) {
 	comment := r.comments[owner.Name()+"."+field.Name]
 	if comment == "" {
@@ -108,33 +107,33 @@
 		r.t.Errorf("%s.%s has no unit", owner.Name(), field.Name)
 	}
 	rules := field.Tag.Get("validate")
-	byDefault := defaultText(value)
-	if mustBeGiven.MatchString(rules) {
-		byDefault = "required"
+	defaultCell := defaultText(value)
+	if requiredRules.MatchString(rules) {
+		defaultCell = "required"
 	}
-	fmt.Fprintf(&r.out, "| `%s` | %s | %s | %s | %s |\n", key, valueText(value.Type(), unit), byDefault, boundsText(owner, rules), comment)
+	fmt.Fprintf(&r.out, "| `%s` | %s | %s | %s | %s |\n", key, valueText(value.Type(), unit), defaultCell, boundsText(owner, rules), comment)
 }
 
-// mustBeGiven matches the rules that no empty value satisfies.
-var mustBeGiven = regexp.MustCompile(`^(required|gt=0|oneof=)`)
+// requiredRules matches validation rules that the zero value doesn't satisfy.
+var requiredRules = regexp.MustCompile(`^(required|gt=0|oneof=)`)
 
-// meaning returns a comment without the Go name that begins it.
+// meaning returns a comment with the leading Go name removed or replaced by the key.
 func meaning(comment string, field reflect.StructField) string {
 	for _, verb := range []string{" is ", " are "} {
-		if rest, ok := strings.CutPrefix(comment, field.Name+verb); ok {
-			return strings.ToUpper(rest[:1]) + rest[1:]
+		if text, ok := strings.CutPrefix(comment, field.Name+verb); ok {
+			return strings.ToUpper(text[:1]) + text[1:]
 		}
 	}
-	return strings.Replace(comment, field.Name+" ", "`"+keyIn(field)+"` ", 1)
+	return strings.Replace(comment, field.Name+" ", "`"+yamlKey(field)+"` ", 1)
 }
 
-// keyIn returns the key of a field in a file.
-func keyIn(field reflect.StructField) string {
+// yamlKey returns the YAML key of a field.
+func yamlKey(field reflect.StructField) string {
 	key, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 	return key
 }
 
-// isBlock reports whether a type is a block of further settings.
+// isBlock reports whether a type is a struct of nested settings.
 func isBlock(t reflect.Type) bool {
 	return t.Kind() == reflect.Struct && t.PkgPath() == reflect.TypeFor[Gateway]().PkgPath() && t != reflect.TypeFor[Address]()
 }
@@ -144,7 +143,7 @@
 	return t != reflect.TypeFor[time.Duration]() && (t.Kind() == reflect.Int || t.Kind() == reflect.Int64 || t.Kind() == reflect.Float64)
 }
 
-// valueText says what form a value has.
+// valueText returns the description of a setting's type.
 func valueText(t reflect.Type, unit string) string {
 	switch {
 	case t == reflect.TypeFor[time.Duration]():
@@ -171,10 +170,9 @@
 	return "whole number, " + unit
 }
 
-// zeroUnits matches the parts of a duration's text that say nothing, as in 2m0s.
+// zeroUnits matches the redundant zeros of a duration's text, as in 2m0s.
 var zeroUnits = regexp.MustCompile(`([hm])0[ms](0s)?$`)
 
-// defaultText returns the text of a default.
 func defaultText(value reflect.Value) string {
 	if d, ok := value.Interface().(time.Duration); ok {
 		return "`" + zeroUnits.ReplaceAllString(d.String(), "$1") + "`"
@@ -185,7 +183,7 @@
 	return fmt.Sprintf("`%v`", value.Interface())
 }
 
-// boundsText says what the rules of a validate tag allow.
+// boundsText returns the description of the rules of a validate tag.
 func boundsText(owner reflect.Type, rules string) string {
 	var texts []string
 	for rule := range strings.SplitSeq(rules, ",") {
@@ -203,7 +201,7 @@
 			texts = append(texts, strings.ReplaceAll(value, " ", " or "))
 		case "ltfield":
 			other, _ := owner.FieldByName(value)
-			texts = append(texts, "less than `"+keyIn(other)+"`")
+			texts = append(texts, "less than `"+yamlKey(other)+"`")
 		case "excludesall":
 			texts = append(texts, "without "+strings.ReplaceAll(strings.ReplaceAll(value, " ", " and spaces"), "/", "`/`"))
 		}
@@ -211,8 +209,8 @@
 	return strings.Join(texts, ", ")
 }
 
-// fieldComments returns the comments of all fields of the package's types, each on
-// one line, by Type.Field.
+// fieldComments returns the comments of the fields of the package's types, by
+// Type.Field, each joined to one line.
 func fieldComments(t *testing.T) map[string]string {
 	t.Helper()
 	comments := make(map[string]string)
--- a/settings/router.go
+++ b/settings/router.go
@@ -13,15 +13,15 @@
 	// routers have different ones, an operator's command succeeds at some only.
 	OperatorKey string `yaml:"operator_key" unit:"characters" validate:"required,min=8"`
 	Membership  `yaml:",inline"`
-	// Limits bound what the router does with a request.
+	// Limits limit what the router does for a request.
 	Limits RouterLimits `yaml:"limits"`
-	// Polls are how often the router reads from the platform.
+	// Polls are the intervals at which the router reads from the platform.
 	Polls RouterPolls `yaml:"polls"`
-	// Planner is how the router places models on engines.
+	// Planner is the settings of how the router places models on engines.
 	Planner Planner `yaml:"planner"`
 }
 
-// RouterLimits bound what a router does with a request.
+// RouterLimits limit what a router does for a request.
 type RouterLimits struct {
 	// MaxBody is the largest body of a request; a larger one is refused with 413.
 	MaxBody int `yaml:"max_body" unit:"bytes" validate:"min=1024,max=67108864"`
@@ -68,8 +68,8 @@
 	Drain time.Duration `yaml:"drain" validate:"min=1s,max=1h"`
 }
 
-// RouterPolls are how often a router reads from the platform. The shorter, the
-// sooner a change is in force, and the more the platform is read.
+// RouterPolls are the intervals at which a router reads from the platform. With
+// shorter ones, changes come into force sooner and the platform is read more often.
 type RouterPolls struct {
 	// VMList is how often the list of VMs is read.
 	VMList time.Duration `yaml:"vms" validate:"min=50ms,max=1m"`
@@ -78,8 +78,8 @@
 	Templates time.Duration `yaml:"templates" validate:"min=50ms,max=1m"`
 }
 
-// A Planner is the settings of placement: which engine serves which model. One
-// router at a time, the holder of a lease, plans for the fleet.
+// A Planner is the settings of placement, which assigns models to engines. One router
+// at a time, the holder of a lease, plans for the fleet.
 type Planner struct {
 	// Enabled says that the router may plan. If no router may, engines keep what
 	// they have loaded.
@@ -101,7 +101,7 @@
 	Ahead time.Duration `yaml:"ahead" validate:"min=0,max=1h"`
 }
 
-// DefaultRouter returns a Router with the defaults of what may be left out.
+// DefaultRouter returns a Router with the defaults of the optional settings.
 func DefaultRouter() *Router {
 	return &Router{
 		Membership: Membership{Transport: defaultTransport()},
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,12 +1,12 @@
-// Package settings reads the settings files of the processes, in YAML.
+// Package settings reads the YAML settings files of the processes.
 //
-// It owns the names, units, defaults and bounds of all settings, and the rules by
-// which a gateway derives some from others (derived.go); docs/settings.md is made
-// from its types. Reading is strict: an unknown key, a duration without its unit, a
-// value out of bounds or a missing address is an error that names the file, the
-// line and what is allowed, and never shows a value, which may be secret.
+// It defines the names, units, defaults and bounds of all settings, and how a gateway
+// derives some settings from others (derived.go); docs/settings.md is generated from
+// its types. Reading is strict: an unknown key, a duration without its unit, a value
+// out of bounds or a missing address is an error that names the file, the line and
+// what is allowed. Errors never contain the value, which may be secret.
 //
-// It relies on the root package's types only.
+// It depends on the root package's types only.
 package settings
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Load reads a file into defaults and returns them. The error is an *Error.
+// Load reads a file into defaults and returns them. Its error is an *Error.
 func Load[S any](file string, defaults *S) (*S, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
@@ -27,14 +27,14 @@
 	if err := Parse(content, defaults); err != nil {
 		return nil, &Error{File: file, Err: err}
 	}
-	if member, ok := any(defaults).(interface{ resolveTLS(file string) }); ok {
-		member.resolveTLS(file)
+	if resolver, ok := any(defaults).(interface{ resolveTLS(file string) }); ok {
+		resolver.resolveTLS(file)
 	}
 	return defaults, nil
 }
 
-// Parse reads YAML strictly into a settings value, whose fields that the YAML
-// doesn't name stay. Its errors are of type *FieldError.
+// Parse decodes YAML strictly into a settings struct. Fields that the YAML doesn't
+// name keep their values. Its errors are of type *FieldError.
 func Parse(content []byte, into any) error {
 	decoder := yaml.NewDecoder(bytes.NewReader(content), yaml.Strict())
 	if err := decoder.Decode(into); err != nil && !errors.Is(err, io.EOF) {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// examples is the folder of the annotated examples.
+// examples is the path of the annotated examples.
 const examples = "../docs/examples"
 
 // TestExamples checks that the annotated examples are accepted.
@@ -26,8 +26,8 @@
 	assert.NilError(t, err)
 }
 
-// TestErrors checks that errors name the line, the key and what is allowed, and
-// never show a value, which may be secret.
+// TestErrors checks that errors name the line, the key and what is allowed, and never
+// contain the value, which may be secret.
 func TestErrors(t *testing.T) {
 	for _, test := range []struct{ content, want string }{
 		{"vm: r\nbogus: 3\n", `line 2: bogus: unknown field "bogus"`},
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestAllowed checks what an error says of characters that a text may not have.
-func TestAllowed(t *testing.T) {
+// TestForbiddenCharacters checks the errors for strings that contain forbidden characters.
+func TestForbiddenCharacters(t *testing.T) {
 	agent := "vm: r\nregion: n\nfailure_domain: d\nlisten: 127.0.0.1:1\nmetrics: 127.0.0.1:2\nplatform: 127.0.0.1:3\n" +
 		"tls: {authority: a, certificate: b, key: c}\nservices: [{id: i, name: a/b, address: 127.0.0.1:4}]\n"
 	assert.Error(t, Parse([]byte(agent), DefaultAgent()), "line 8: services[0].name: must not contain any of /")
@@ -55,7 +55,7 @@
 	assert.Error(t, Parse([]byte(template+hash), DefaultTemplate()), "line 5: key_hashes[0]: must satisfy hexadecimal")
 }
 
-// validRouter is the settings of a router that lack nothing.
+// validRouter is a complete settings file of a router.
 const validRouter = `vm: r
 region: n
 failure_domain: d
@@ -66,7 +66,7 @@
 tls: {authority: a, certificate: b, key: c}
 `
 
-// FuzzParse checks that no text crashes the parser.
+// FuzzParse checks that no input crashes the parser.
 func FuzzParse(f *testing.F) {
 	f.Add(validRouter)
 	f.Add("limits: {first_token: 5}")
@@ -77,8 +77,8 @@
 	})
 }
 
-// TestDerived checks that the times that a gateway derives from the users' bounds are
-// within them, and that one that is set is used instead.
+// TestDerived checks that the durations that a gateway derives are within the users'
+// bounds, and that explicit settings take precedence.
 func TestDerived(t *testing.T) {
 	for _, contact := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second} {
 		for _, bound := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 9 * time.Second} {
--- a/settings/standin.go
+++ b/settings/standin.go
@@ -6,8 +6,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Standin is the settings of a process that takes the place of outside systems
-// in tests: any number of each kind.
+// A Standin is the settings of a process that simulates external systems in tests.
 type Standin struct {
 	// Platform is the platform of the fleet with agents.
 	Platform *StandinPlatform `yaml:"platform"`
@@ -21,7 +20,7 @@
 	Emulator *Emulator `yaml:"emulator"`
 }
 
-// An Emulator is a stand-in of the users' platform: its store and its servers.
+// An Emulator is a stand-in for the users' platform: its store and its servers.
 type Emulator struct {
 	// Store is the address of the store.
 	Store Address `yaml:"store" validate:"required"`
@@ -50,7 +49,7 @@
 	Step time.Duration `yaml:"step" validate:"min=0,max=10s"`
 }
 
-// A StandinPlatform is a stand-in of the services of the platform: table, object
+// A StandinPlatform is a stand-in for the services of the platform: table, object
 // store and list of VMs.
 type StandinPlatform struct {
 	// Address is its HTTP address.
@@ -79,7 +78,7 @@
 	Address Address `yaml:"address" validate:"required"`
 }
 
-// A StandinEngine is a stand-in of a model engine.
+// A StandinEngine is a stand-in for a model engine.
 type StandinEngine struct {
 	// Address is the engine's HTTP address.
 	Address Address `yaml:"address" validate:"required"`
@@ -99,7 +98,7 @@
 	LoadTime time.Duration `yaml:"load_time" validate:"min=0,max=1h"`
 }
 
-// A StandinService is a stand-in of a plain service.
+// A StandinService is a stand-in for a plain service.
 type StandinService struct {
 	// Address is the service's HTTP address.
 	Address Address `yaml:"address" validate:"required"`
@@ -107,7 +106,7 @@
 	Delay time.Duration `yaml:"delay" validate:"min=0,max=1m"`
 }
 
-// A StandinLink relays UDP, so that a link can be cut or delayed.
+// A StandinLink is a UDP relay that can drop or delay packets.
 type StandinLink struct {
 	// Address is where the link receives.
 	Address Address `yaml:"address" validate:"required"`
--- a/settings/strict_test.go
+++ b/settings/strict_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// defaults returns the defaults of each kind of settings file, by the name of its
-// example.
+// defaults has a function that returns the defaults of each kind of settings file, by
+// the name of its example.
 var defaults = map[string]func() any{
 	"agent":    func() any { return DefaultAgent() },
 	"gateway":  func() any { return DefaultGateway() },
@@ -22,13 +22,13 @@
 	"template": func() any { return DefaultTemplate() },
 }
 
-// keyAndValue matches a key with a plain value.
+// keyAndValue matches a key with a scalar value.
 var keyAndValue = regexp.MustCompile(`\b([a-z_]+): *([^ ,{}\[\]#\n]+)`)
 
-// TestStrict checks what reading each example says after one mistake: a line that
-// is missing, a value of the wrong form or out of range, an unknown key, a key
-// given twice; and which of two missing keys is named. After an intended change,
-// go test ./settings -update writes the file anew; its diff is then to be read.
+// TestStrict checks the error for each example with one mistake: a missing line, a value
+// of the wrong form or out of range, an unknown or duplicate key; and which of two missing
+// keys is named. After an intended change, run go test ./settings -update and review the
+// diff of the golden files.
 func TestStrict(t *testing.T) {
 	for kind, newDefaults := range defaults {
 		t.Run(kind, func(t *testing.T) {
@@ -47,12 +47,12 @@
 	}
 }
 
-// A mistake is a settings file with something wrong.
+// A mistake is a variant of a settings file with an error in it.
 type mistake struct{ name, content string }
 
-// mistakes returns variants of a correct file, with a mistake each. The line that
-// opens a block is never left out: which of the block's keys is then named as
-// unknown is not determined.
+// mistakes returns variants of a valid file, each with one mistake. The line that opens
+// a block is never removed, since it is not deterministic which of the block's keys is
+// then reported as unknown.
 func mistakes(content string) []mistake {
 	var all []mistake
 	lines := strings.SplitAfter(content, "\n")
@@ -70,12 +70,12 @@
 			all = append(all, mistake{fmt.Sprintf("line %d missing", i+1), replaceLine(lines, i, "")})
 			all = append(all, missingPairs(lines, i)...)
 		}
-		for _, at := range keyAndValue.FindAllStringSubmatchIndex(text, -1) {
+		for _, match := range keyAndValue.FindAllStringSubmatchIndex(text, -1) {
 			begin := strings.Index(line, text)
 			for _, value := range []string{"oops", "-1", "9999999999", "9999h", "[]", "null"} {
 				all = append(all, mistake{
-					fmt.Sprintf("line %d %s=%s", i+1, text[at[2]:at[3]], value),
-					replaceLine(lines, i, line[:begin+at[4]]+value+line[begin+at[5]:]),
+					fmt.Sprintf("line %d %s=%s", i+1, text[match[2]:match[3]], value),
+					replaceLine(lines, i, line[:begin+match[4]]+value+line[begin+match[5]:]),
 				})
 			}
 		}
@@ -83,8 +83,8 @@
 	return all
 }
 
-// missingPairs returns the variants that lack line i and another one after it,
-// both plain values at the top.
+// missingPairs returns the variants that lack line i and a later one, both scalar values
+// at the top level.
 func missingPairs(lines []string, i int) []mistake {
 	if strings.HasPrefix(lines[i], " ") {
 		return nil
@@ -100,7 +100,7 @@
 	return all
 }
 
-// replaceLine returns the lines with a text in the place of line i.
+// replaceLine returns the lines, joined, with line i replaced by text.
 func replaceLine(lines []string, i int, text string) string {
 	return strings.Join(lines[:i], "") + text + strings.Join(lines[i+1:], "")
 }
--- a/settings/strictrevoke_test.go
+++ b/settings/strictrevoke_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEmptyStrictRevoke checks that a platform that says nothing of revocation gets the strict
-// bound.
+// TestEmptyStrictRevoke checks that strict revocation is the default, also if the key has
+// no value.
 func TestEmptyStrictRevoke(t *testing.T) {
 	for text, want := range map[string]bool{"": true, "true": true, "false": false} {
 		s := DefaultGateway()
--- a/settings/template.go
+++ b/settings/template.go
@@ -6,7 +6,7 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Template is a template as an operator writes it.
+// A Template is the template file that an operator writes.
 type Template struct {
 	// Account is the client account whose template it is.
 	Account ryeford.AccountID `yaml:"account" unit:"characters" validate:"required,max=64,excludesall=/ "`
@@ -32,10 +32,10 @@
 	KeyHashes []string `yaml:"key_hashes" unit:"characters" validate:"dive,len=64,hexadecimal"`
 }
 
-// DefaultTemplate returns a Template with the defaults of what may be left out.
+// DefaultTemplate returns a Template with the defaults of the optional settings.
 func DefaultTemplate() *Template { return &Template{Priority: ryeford.PriorityDefault} }
 
-// Publishable returns the template as it is published.
+// Publishable returns the template in the form that is published, with hashed keys.
 func (t *Template) Publishable() *ryeford.Template {
 	p := &ryeford.Template{
 		Account:   t.Account,
