--- a/settings/agent.go
+++ b/settings/agent.go
@@ -9,8 +9,8 @@
 // An Agent is the settings of an agent.
 type Agent struct {
 	Identity `yaml:",inline"`
-	// Listen is the QUIC address for routers and other agents, as the platform's
-	// list has it.
+	// Listen is the QUIC address for routers and other agents, as in the platform's
+	// list.
 	Listen Address `yaml:"listen" validate:"required"`
 	// Metrics is the HTTP address of /metrics and /healthz.
 	Metrics    Address `yaml:"metrics" validate:"required"`
@@ -27,22 +27,22 @@
 
 // An Engine is a model engine of an agent's VM.
 type Engine struct {
-	// ID names the engine in the whole fleet. Two engines with one id share its
-	// chats and its place in the plan.
+	// ID identifies the engine in the whole fleet. Two engines with the same ID
+	// share their chats and their place in the plan.
 	ID ryeford.EngineID `yaml:"id" validate:"required"`
 	// Address is the engine's HTTP address.
 	Address Address `yaml:"address" validate:"required"`
-	// ChecksFences says that the engine refuses an order of an older plan than the
-	// newest it has seen. It is logged with each order; an engine without this
-	// check may still carry out an old one.
+	// ChecksFences says that the engine refuses orders of a plan older than the
+	// newest one that it has received. It is logged with each order; an engine
+	// without this check may still carry out an outdated order.
 	ChecksFences bool `yaml:"checks_fences"`
 }
 
 // A Service is a plain service of an agent's VM.
 type Service struct {
-	// ID names the instance in the whole fleet.
+	// ID identifies the instance in the whole fleet.
 	ID ryeford.EngineID `yaml:"id" validate:"required"`
-	// Name is the service's name, as callers give it in the path.
+	// Name is the name of the service in the path of requests.
 	Name string `yaml:"name" unit:"characters" validate:"required,max=64,excludesall=/"`
 	// Address is the service's HTTP address.
 	Address Address `yaml:"address" validate:"required"`
@@ -50,10 +50,12 @@
 
 // AgentLimits limit what an agent admits and keeps.
 type AgentLimits struct {
-	// PoolFactor times the mean load of the model's engines is the load that an
-	// engine may have. A smaller one evens the load and costs cached prefixes.
+	// PoolFactor times the mean load of the model's engines is the highest load that
+	// an engine may have. A lower factor balances the load better and makes less use
+	// of cached prefixes.
 	PoolFactor float64 `yaml:"pool_factor" unit:"times the mean" validate:"min=1.05,max=10"`
-	// Floor is the load that an engine may have, however low the mean.
+	// Floor is the load that an engine may always have, however low the mean load
+	// is.
 	Floor float64 `yaml:"floor" unit:"requests" validate:"min=1,max=1000"`
 	// Capacity is the load that an engine may never exceed. If it exceeds the
 	// engine's slots, requests queue in the engine.
@@ -61,33 +63,34 @@
 	// ShareFrom is the part of capacity above which the shares of client accounts
 	// are enforced.
 	ShareFrom float64 `yaml:"share_from" unit:"part of capacity" validate:"min=0,max=1"`
-	// FirstToken is how long an engine may take to the first part of an answer;
-	// then the run fails as stalled.
+	// FirstToken is how long an engine may take to send the first part of an answer
+	// before the run fails as stalled.
 	FirstToken time.Duration `yaml:"first_token" validate:"min=50ms,max=10m"`
-	// BetweenTokens is the same between two parts of an answer.
+	// BetweenTokens is how long an engine may take between two parts of an answer
+	// before the run fails as stalled.
 	BetweenTokens time.Duration `yaml:"between_tokens" validate:"min=50ms,max=10m"`
-	// Keep is how long a finished answer can still be read by a caller whose
-	// connection was lost. It costs memory.
+	// Keep is how long a finished answer is kept for a caller whose connection was
+	// lost. It costs memory.
 	Keep time.Duration `yaml:"keep" validate:"min=1s,max=1h"`
-	// Grace is how long a repeatable run goes on without a reader.
+	// Grace is how long a repeatable run continues without a reader.
 	Grace time.Duration `yaml:"grace" validate:"min=0,max=10m"`
-	// ClockSkew is by how much the clocks of two VMs may differ. If they differ by
-	// more, an attempt that was given up may still run.
+	// ClockSkew is the largest allowed difference between the clocks of two VMs. If
+	// they differ by more, an abandoned attempt may still run.
 	ClockSkew time.Duration `yaml:"clock_skew" validate:"min=0,max=1m"`
 	// Drain is how long a stopping agent waits for runs in flight.
 	Drain time.Duration `yaml:"drain" validate:"min=1s,max=1h"`
-	// Chats is how many chats an agent remembers for each engine. If it is less
-	// than the engine's cache holds, cached prefixes are not found.
+	// Chats is how many chats an agent tracks for each engine. If it is less than
+	// the engine's cache holds, some cached prefixes are not found.
 	Chats int `yaml:"chats" unit:"chats" validate:"min=1,max=10000000"`
 }
 
 // AgentPolls are the intervals at which an agent reads from its engines and the platform.
 type AgentPolls struct {
 	// Engine is how often each engine's state is read. The longer, the later an
-	// engine's restart and its evictions are noticed.
+	// engine's restart and its cache evictions are noticed.
 	Engine time.Duration `yaml:"engine" validate:"min=20ms,max=1m"`
-	// VMList is how often the platform's list of VMs is read, for a planned stop of
-	// the agent's own VM.
+	// VMList is how often the platform's list of VMs is read, to detect a planned
+	// stop of the agent's VM.
 	VMList time.Duration `yaml:"vms" validate:"min=50ms,max=1m"`
 }
 
--- a/settings/process.go
+++ b/settings/process.go
@@ -14,17 +14,17 @@
 // An Identity identifies a process. The settings of every router, gateway and agent
 // embed it.
 type Identity struct {
-	// VM is the id of the process's VM, as the platform's list has it. It is in
-	// the log, names a gateway's row among the routers of its fleet, and is the
-	// common name of a router's or agent's certificate. Two processes with one id
+	// VM is the ID of the process's VM in the platform's list. It is logged,
+	// identifies a gateway's row among the routers of its fleet, and is the common
+	// name of a router's or agent's certificate. Two processes with the same ID
 	// overwrite each other's rows and leases.
 	VM ryeford.VMID `yaml:"vm" validate:"required"`
 	// Region is the region of the VM. No process reads it.
 	Region string `yaml:"region" validate:"required"`
-	// FailureDomain is the failure domain of the VM. A gateway prefers endpoints
-	// of its own for requests to plain services, an agent reports it to routers.
-	// A wrong one costs latency, and lets placement put an account's engines into
-	// one domain.
+	// FailureDomain is the failure domain of the VM. A gateway prefers endpoints in
+	// the same one for requests to plain services; an agent reports it to routers. A
+	// wrong one costs latency, and lets placement put all of an account's engines
+	// into one domain.
 	FailureDomain string `yaml:"failure_domain" validate:"required"`
 }
 
@@ -45,9 +45,10 @@
 // relative to the settings file. The process doesn't start if a file is missing or
 // isn't PEM.
 type TLS struct {
-	// Authority is the certificate that must have signed every peer's.
+	// Authority is the certificate of the authority that must have signed the
+	// certificate of every peer.
 	Authority string `yaml:"authority" validate:"required"`
-	// Certificate is the process's own certificate.
+	// Certificate is the process's certificate.
 	Certificate string `yaml:"certificate" validate:"required"`
 	// Key is the private key of the certificate.
 	Key string `yaml:"key" validate:"required"`
@@ -55,18 +56,18 @@
 
 // Transport is the settings of a process's connections to others.
 type Transport struct {
-	// IdleTimeout is how long nothing may arrive from a peer until its connection
-	// is lost. If it is too short, a paused process loses its connections; if too
-	// long, requests wait for an agent that is gone.
+	// IdleTimeout is how long nothing may arrive from a peer before its connection
+	// counts as lost. If it is too short, a paused process loses its connections; if
+	// too long, requests wait for an agent that is gone.
 	IdleTimeout time.Duration `yaml:"idle_timeout" validate:"min=1s,max=10m"`
 	// KeepAlive is how often an idle connection is probed. It must be less than
 	// idle_timeout, or idle connections are lost.
 	KeepAlive time.Duration `yaml:"keep_alive" validate:"min=500ms,max=5m,ltfield=IdleTimeout"`
 	// ControlBytesPerSecond limits the gossip that a process sends. If it is too
-	// low, messages are left out and loads are known later.
+	// low, messages are dropped and loads are reported later.
 	ControlBytesPerSecond int `yaml:"control_bytes_per_second" unit:"bytes a second" validate:"min=1000,max=1000000"`
 	// GossipInterval is how often a process sends its loads and its revision to
-	// others. The longer, the older the loads that choices rest on.
+	// others. The longer, the older the loads on which routing decisions are based.
 	GossipInterval time.Duration `yaml:"gossip_interval" validate:"min=50ms,max=10s"`
 }
 
--- a/settings/reference_test.go
+++ b/settings/reference_test.go
@@ -26,17 +26,17 @@
 // referenceHead is the beginning of the page.
 const referenceHead = `# Settings
 
-Made from the types in ` + "`settings/`" + ` by ` + "`go test ./settings -update`" + `; a test fails when it is out of date.
+Generated from the types in ` + "`settings/`" + ` by ` + "`go test ./settings -update`" + `; a test fails when it is out of date.
 
-A settings file is YAML and read strictly: an unknown key, a value out of bounds or a
-duration without its unit (` + "`250ms`, `2s`, `10m`" + `) is an error that names the file, the line,
-the key and what is allowed. ` + "`ryeford check ROLE FILE`" + ` reads a file as the role would. A
-process learns its addresses and its failure domain from its file only. ` + "`ryeford cert VM...`" + `
-makes an authority and certificates for a trial.
+A settings file is YAML and is read strictly: an unknown key, a value out of bounds or a
+duration without a unit (` + "`250ms`, `2s`, `10m`" + `) is an error that names the file, the line,
+the key and what is allowed. ` + "`ryeford check ROLE FILE`" + ` reads a file as the role does. A
+process takes its addresses and its failure domain from its file only. ` + "`ryeford cert VM...`" + `
+creates an authority and certificates for tests.
 
-A gateway reads its file again on SIGHUP, logs whether it is right (` + "`msg=reload`" + `), and puts
-` + "`memory_mb`" + ` into use; all other settings take effect at the next start. SIGHUP ends the other
-roles, as it ends any program that doesn't catch it.
+A gateway reads its file again on SIGHUP, logs whether it is valid (` + "`msg=reload`" + `), and applies
+` + "`memory_mb`" + `; all other settings take effect at the next start. SIGHUP ends the other
+roles, since they don't handle it.
 `
 
 // sections are the sections of the page, one for each kind of settings file.
--- a/settings/standin.go
+++ b/settings/standin.go
@@ -14,7 +14,7 @@
 	Engines []StandinEngine `yaml:"engines" validate:"dive"`
 	// Services are plain services.
 	Services []StandinService `yaml:"services" validate:"dive"`
-	// Links relay UDP.
+	// Links are UDP relays.
 	Links []StandinLink `yaml:"links" validate:"dive"`
 	// Emulator is the users' platform: its store and its servers.
 	Emulator *Emulator `yaml:"emulator"`
@@ -26,26 +26,27 @@
 	Store Address `yaml:"store" validate:"required"`
 	// Admin is the HTTP address at which tests change the emulator.
 	Admin Address `yaml:"admin" validate:"required"`
-	// Configuration names a file with the operators' first configuration, in the
-	// platform's JSON; empty is none.
+	// Configuration is the name of a file with the operators' initial configuration,
+	// in the platform's JSON; empty for none.
 	Configuration string `yaml:"configuration"`
-	// Servers are the endpoints of the list.
+	// Servers are the servers in the list of endpoints.
 	Servers []EmulatorServer `yaml:"servers" validate:"dive"`
 }
 
 // An EmulatorServer is one server of an Emulator.
 type EmulatorServer struct {
-	// ID names the server in the list.
+	// ID is the server's ID in the list.
 	ID string `yaml:"id" validate:"required"`
-	// Service is the name of the service that it serves.
+	// Service is the name of the service that the server provides.
 	Service string `yaml:"service" validate:"required"`
 	// Address is the server's HTTP address.
 	Address Address `yaml:"address" validate:"required"`
 	// FailureDomain is the server's failure domain.
 	FailureDomain string `yaml:"failure_domain" validate:"required"`
-	// Events is how many events a stream has; zero makes a plain service.
+	// Events is the number of events in a stream; zero makes the server a plain
+	// service.
 	Events int `yaml:"events" unit:"events" validate:"min=0,max=100000"`
-	// Step is the time before each event, or of a plain request's work.
+	// Step is the time before each event, or the processing time of a plain request.
 	Step time.Duration `yaml:"step" validate:"min=0,max=10s"`
 }
 
@@ -54,19 +55,20 @@
 type StandinPlatform struct {
 	// Address is its HTTP address.
 	Address Address `yaml:"address" validate:"required"`
-	// VMs are the first entries of the list of VMs.
+	// VMs are the initial entries of the list of VMs.
 	VMs []StandinVM `yaml:"vms" validate:"dive"`
-	// State names a file that outlives a restart; empty is none.
+	// State is the name of a file that keeps the state across restarts; empty for
+	// none.
 	State string `yaml:"state"`
-	// WritesPerSecond limits the table's writes; zero is no limit.
+	// WritesPerSecond limits the table's writes; zero for no limit.
 	WritesPerSecond int `yaml:"writes_per_second" unit:"calls a second" validate:"min=0"`
-	// ReadsPerSecond limits the table's reads; zero is no limit.
+	// ReadsPerSecond limits the table's reads; zero for no limit.
 	ReadsPerSecond int `yaml:"reads_per_second" unit:"calls a second" validate:"min=0"`
 }
 
 // A StandinVM is an entry of the stand-in's list of VMs.
 type StandinVM struct {
-	// ID is the VM's id, as its own settings have it.
+	// ID is the VM's ID, as in the settings of the VM.
 	ID ryeford.VMID `yaml:"id" validate:"required"`
 	// Role is what runs on the VM.
 	Role ryeford.Role `yaml:"role" validate:"oneof=router agent"`
@@ -82,17 +84,17 @@
 type StandinEngine struct {
 	// Address is the engine's HTTP address.
 	Address Address `yaml:"address" validate:"required"`
-	// Pools are what the engine has loaded at first.
+	// Pools are the pools that the engine has loaded at its start.
 	Pools []ryeford.Pool `yaml:"pools"`
-	// Step is the time of one step of the batch; zero is the engine's default.
+	// Step is the time of one step of the batch; zero for the engine's default.
 	Step time.Duration `yaml:"step" validate:"min=0,max=10s"`
-	// Slots is how many requests run at once; zero is the engine's default.
+	// Slots is how many requests run at once; zero for the engine's default.
 	Slots int `yaml:"slots" unit:"requests" validate:"min=0,max=1000"`
-	// CacheChats is how many chats' prefixes the cache holds; zero is the engine's
+	// CacheChats is how many chats' prefixes the cache holds; zero for the engine's
 	// default.
 	CacheChats int `yaml:"cache_chats" unit:"chats" validate:"min=0"`
-	// ChecksFences says that the engine refuses an order of an older plan than the
-	// newest it has seen.
+	// ChecksFences makes the engine refuse orders of a plan older than the newest
+	// one that it has received.
 	ChecksFences bool `yaml:"checks_fences"`
 	// LoadTime is how long the engine takes to load a model.
 	LoadTime time.Duration `yaml:"load_time" validate:"min=0,max=1h"`
@@ -108,9 +110,9 @@
 
 // A StandinLink is a UDP relay that can drop or delay packets.
 type StandinLink struct {
-	// Address is where the link receives.
+	// Address is the UDP address at which the link receives.
 	Address Address `yaml:"address" validate:"required"`
-	// To is where it sends what it has received.
+	// To is the UDP address to which it forwards what it receives.
 	To Address `yaml:"to" validate:"required"`
 	// Admin is the HTTP address at which its faults are set.
 	Admin Address `yaml:"admin" validate:"required"`
--- a/settings/template.go
+++ b/settings/template.go
@@ -8,27 +8,27 @@
 
 // A Template is the template file that an operator writes.
 type Template struct {
-	// Account is the client account whose template it is.
+	// Account is the client account that owns the template.
 	Account ryeford.AccountID `yaml:"account" unit:"characters" validate:"required,max=64,excludesall=/ "`
-	// Name names the template among those of its account.
+	// Name is the name of the template, unique within its account.
 	Name string `yaml:"name" unit:"characters" validate:"required,max=64,excludesall=/ "`
-	// Model is the model that its requests run on.
+	// Model is the model that serves its requests.
 	Model string `yaml:"model" unit:"characters" validate:"required,max=64"`
-	// Adapter is the adapter that is loaded with the model; empty is none.
+	// Adapter is the adapter that is loaded with the model; empty for none.
 	Adapter string `yaml:"adapter" unit:"characters" validate:"max=64"`
 	// Version is the version of the model and adapter.
 	Version string `yaml:"version" unit:"characters" validate:"max=64"`
-	// Priority is the highest priority that its requests may ask for, and theirs if
-	// they ask for none: 9 is the highest.
+	// Priority is the highest priority that a request may ask for, and that of
+	// requests that ask for none; 9 is the highest.
 	Priority ryeford.Priority `yaml:"priority" unit:"levels" validate:"min=0,max=9"`
-	// Share is the part of the fleet that is the account's in an overload.
+	// Share is the part of the fleet that the account is entitled to in an overload.
 	Share float64 `yaml:"share" unit:"part of the fleet" validate:"gt=0,lte=1"`
-	// Begin is when its event begins, by which its engines are warm; left out, the
-	// template is in force at once.
+	// Begin is the start of the event that the template is for; its engines are warm
+	// by then. If it is left out, the template is in force at once.
 	Begin time.Time `yaml:"begin"`
 	// Keys are the account's keys. Only their hashes are published.
 	Keys []string `yaml:"keys" unit:"characters" validate:"dive,min=8,max=256"`
-	// KeyHashes are SHA-256 hashes of more keys, in hexadecimal.
+	// KeyHashes are SHA-256 hashes of further keys, in hexadecimal.
 	KeyHashes []string `yaml:"key_hashes" unit:"characters" validate:"dive,len=64,hexadecimal"`
 }
 
