--- a/internal/transfer/transfer_test.go
+++ b/internal/transfer/transfer_test.go
@@ -12,35 +12,35 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWatch checks which transfers are given up, and when. The interval is a second, and
+// TestWatch checks which transfers are aborted, and when. The interval is one second, and
 // the first byte may take two more.
 func TestWatch(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		every time.Duration // between two parts
+		delay time.Duration // before each part
 		parts int
 		size  int           // bytes of a part
-		whole bool          // the last part is the response's end
-		stall time.Duration // when it is given up; zero for never
+		whole bool          // the response ends after the last part
+		stall time.Duration // when it is aborted; zero for never
 	}{
-		{"nothing comes", 0, 0, 0, false, 3 * time.Second},
-		{"it comes at once", time.Millisecond, 1, 10, true, 0},
-		{"it comes late, and all", 2900 * time.Millisecond, 1, 10, true, 0},
-		{"it comes too late", 3100 * time.Millisecond, 1, 10, false, 3 * time.Second},
-		{"a large one comes slowly", 400 * time.Millisecond, 60, 8 << 10, true, 0},
-		{"a byte comes now and then", 400 * time.Millisecond, 60, 1, true, 1400 * time.Millisecond},
-		{"a part comes, and no more", 500 * time.Millisecond, 1, 100 << 10, false, 2500 * time.Millisecond},
+		{"no response", 0, 0, 0, false, 3 * time.Second},
+		{"an immediate response", time.Millisecond, 1, 10, true, 0},
+		{"a late response", 2900 * time.Millisecond, 1, 10, true, 0},
+		{"a response that is too late", 3100 * time.Millisecond, 1, 10, false, 3 * time.Second},
+		{"a slow large response", 400 * time.Millisecond, 60, 8 << 10, true, 0},
+		{"occasional single bytes", 400 * time.Millisecond, 60, 1, true, 1400 * time.Millisecond},
+		{"a response that stalls after one part", 500 * time.Millisecond, 1, 100 << 10, false, 2500 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancelCause(t.Context())
-				began := time.Now()
+				start := time.Now()
 				var stalled time.Duration
-				context.AfterFunc(ctx, func() { stalled = time.Since(began) })
+				context.AfterFunc(ctx, func() { stalled = time.Since(start) })
 				w := NewWatch(2*time.Second, time.Second, cancel)
 				for range test.parts {
-					time.Sleep(test.every)
-					w.noteReceived(test.size, nil)
+					time.Sleep(test.delay)
+					w.recordReceived(test.size, nil)
 				}
 				if test.whole {
 					w.Stop()
@@ -55,34 +55,33 @@
 	}
 }
 
-// A fullReader fills the buffer of each read before it returns, as the body of a response
-// in chunks does.
+// A fullReader fills the buffer of each read before it returns, as the body of a chunked
+// response does.
 type fullReader struct {
-	left int
-	rate int // bytes a second
+	remaining int // bytes
+	rate      int // bytes per second
 }
 
 // Read implements io.Reader.
 func (r *fullReader) Read(p []byte) (int, error) {
-	if r.left == 0 {
+	if r.remaining == 0 {
 		return 0, io.EOF
 	}
-	n := min(len(p), r.left)
-	r.left -= n
+	n := min(len(p), r.remaining)
+	r.remaining -= n
 	time.Sleep(time.Duration(n) * time.Second / time.Duration(r.rate))
 	return n, nil
 }
 
-// TestLargeBuffer checks that a transfer goes on that takes several intervals to fill the
-// buffer it is read into: json.Decoder doubles its own as it reads. It failed at the rate
-// of a link of 10 Mbit/s and with the gateway's interval, from 4 MB on for sure.
+// TestLargeBuffer checks that a transfer is not aborted while it takes several intervals to
+// fill the buffer of one read: json.Decoder doubles its buffer as it reads.
 func TestLargeBuffer(t *testing.T) {
 	const size, rate, interval = 4 << 20, 1_250_000, 700 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancelCause(t.Context())
 		w := NewWatch(0, interval, cancel)
 		defer w.Stop()
-		body := w.Reader(&fullReader{left: size, rate: rate})
+		body := w.Reader(&fullReader{remaining: size, rate: rate})
 		received := 0
 		for buffer := make([]byte, 512); ; buffer = make([]byte, 2*len(buffer)) {
 			n, err := io.ReadFull(body, buffer)
@@ -96,7 +95,7 @@
 	})
 }
 
-// TestBroken checks that the error of a broken transfer says how much had come.
+// TestBroken checks that the error of a broken transfer states the number of bytes received.
 func TestBroken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWatch(0, time.Second, func(error) {})
@@ -106,33 +105,33 @@
 		assert.NilError(t, err)
 		time.Sleep(300 * time.Millisecond)
 		err = w.Broken(errors.New("reset"))
-		assert.Error(t, err, "broken off after 5 bytes and 300ms: reset")
+		assert.Error(t, err, "response interrupted after 5 bytes and 300ms: reset")
 	})
 }
 
-// TestRequest checks which calls with a large request are given up, and when. The interval
-// is a second.
+// TestRequest checks which calls with a large request are aborted, and when. The interval is
+// one second.
 func TestRequest(t *testing.T) {
 	const part = 8 << 10
 	for _, test := range []struct {
 		name     string
-		parts    int           // of the request that are sent, one each 400 ms
-		all      bool          // they are the whole request
-		response time.Duration // until the response comes after that; zero for never
-		stall    time.Duration // when it is given up; zero for never
+		parts    int           // of the request that are sent, one every 400 ms
+		all      bool          // the parts are the whole request
+		response time.Duration // from the end of the request to the response; zero for never
+		stall    time.Duration // when it is aborted; zero for never
 	}{
-		{"it is sent slowly, and answered", 59, true, 900 * time.Millisecond, 0},
-		{"it is sent, and not answered", 59, true, 0, 24600 * time.Millisecond},
-		{"it is sent, and answered too late", 59, true, 1100 * time.Millisecond, 24600 * time.Millisecond},
-		{"it stalls", 59, false, 0, 25 * time.Second},
-		{"nothing of it is sent", 0, false, 0, time.Second},
+		{"sent slowly, and answered", 59, true, 900 * time.Millisecond, 0},
+		{"sent, and not answered", 59, true, 0, 24600 * time.Millisecond},
+		{"sent, and answered too late", 59, true, 1100 * time.Millisecond, 24600 * time.Millisecond},
+		{"stalls", 59, false, 0, 25 * time.Second},
+		{"not sent", 0, false, 0, time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancelCause(t.Context())
-				began := time.Now()
+				start := time.Now()
 				var stalled time.Duration
-				context.AfterFunc(ctx, func() { stalled = time.Since(began) })
+				context.AfterFunc(ctx, func() { stalled = time.Since(start) })
 				w := NewWatch(0, time.Second, cancel)
 				request := w.Request(strings.NewReader(strings.Repeat(" ", test.parts*part)))
 				buffer := make([]byte, part)
