--- a/internal/boundedlog/writer.go
+++ b/internal/boundedlog/writer.go
@@ -1,7 +1,7 @@
-// Package boundedlog keeps a slow or stuck log from delaying requests: lines wait
-// in a queue of limited size, and those that find it full are counted and dropped.
+// Package boundedlog prevents a slow or blocked log output from delaying requests: lines
+// are queued up to a limit, and lines beyond the limit are dropped and counted.
 //
-// It owns the queue and the goroutine that writes it. It relies on no other package.
+// It owns the queue and the goroutine that writes its lines to the output.
 package boundedlog
 
 import (
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// flushEvery is how long lines wait so that many are written at once.
-const flushEvery = 100 * time.Millisecond
+// flushInterval is how long lines are collected before they are written in one batch.
+const flushInterval = 100 * time.Millisecond
 
-// A Writer queues lines for another writer. It may be used from any goroutine.
+// A Writer queues lines for another writer. It is safe for concurrent use.
 type Writer struct {
 	out   io.Writer
 	limit int
@@ -25,12 +25,12 @@
 	stopped bool
 
 	dropped  atomic.Int64
-	reported int64 // of dropped, those that the log says; used by run only
+	reported int64 // dropped lines reported in the log; used by run only
 	wake     chan struct{}
 	done     chan struct{}
 }
 
-// New returns a Writer to out that holds at most limit bytes. It must be closed.
+// New returns a Writer to out that queues at most limit bytes. It must be closed.
 func New(out io.Writer, limit int) *Writer {
 	w := &Writer{
 		out:   out,
@@ -42,7 +42,8 @@
 	return w
 }
 
-// Write queues a line, or drops it. It never waits for out and never fails.
+// Write queues a line, or drops it if the queue is full or the Writer is closed. It never
+// waits for out and never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -63,7 +64,8 @@
 // Dropped returns how many lines were dropped.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits and stops. It waits for out, and never fails.
+// Close writes the queued lines and stops the Writer. It waits for out, and never returns an
+// error.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	stopped := w.stopped
@@ -76,23 +78,23 @@
 	return nil
 }
 
-// run writes what waits, a batch at a time.
+// run writes the queued lines in batches until the Writer is closed.
 func (w *Writer) run() {
 	defer close(w.done)
 	for range w.wake {
-		time.Sleep(flushEvery)
+		time.Sleep(flushInterval)
 		w.flush()
 	}
 	w.flush()
 }
 
-// flush writes what waits, and how many lines were dropped since it last said so.
+// flush writes the queued lines, and the number of lines dropped since it was last reported.
 func (w *Writer) flush() {
 	w.mu.Lock()
 	batch := w.queue
 	w.queue = nil
 	w.mu.Unlock()
-	// A log that can't be written has no other place to say so.
+	// There is nowhere to report an error of the log output.
 	if len(batch) > 0 {
 		_, _ = w.out.Write(batch)
 	}
--- a/internal/boundedlog/writer_test.go
+++ b/internal/boundedlog/writer_test.go
@@ -26,8 +26,8 @@
 	return w.buffer.Write(p)
 }
 
-// TestNeverBlocks checks that lines behind a writer that does not write are
-// dropped and counted, and that whoever logs is not held up.
+// TestNeverBlocks checks that Write returns while the output is blocked, and that lines
+// beyond the limit are dropped and counted.
 func TestNeverBlocks(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{}), entered: make(chan struct{})}
 	w := New(out, 1000)
@@ -48,7 +48,7 @@
 	assert.Assert(t, strings.Contains(text, `msg="log lines dropped" lines=990`), text)
 }
 
-// TestClose checks that what waits is written at the end, and nothing after it.
+// TestClose checks that Close writes the queued lines, and that later lines are not written.
 func TestClose(t *testing.T) {
 	var out bytes.Buffer
 	w := New(&out, 1000)
--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -1,7 +1,7 @@
 // Package eventstream writes and reads responses of the media type text/event-stream, in the
-// form that chat completions use: each event is JSON, and the last line of a complete
-// response is "data: [DONE]". It owns the bytes that are encoded and not read yet; what
-// the events are, and when there are more, is its caller's business.
+// form that chat completions use: the data of each event is JSON, and a complete response
+// ends with the line "data: [DONE]". It owns the buffer of encoded bytes; the calling code
+// provides the events.
 package eventstream
 
 import (
@@ -12,20 +12,18 @@
 	"strings"
 )
 
-// doneData is the data of the end marker. A response without it was cut.
+// doneData is the data of the end marker. A response without it is incomplete.
 const doneData = "[DONE]"
 
-// An Event is one server-sent event. An empty ID or Name is left out.
+// An Event is one server-sent event. An empty ID or Name is omitted.
 type Event struct {
 	ID   string
 	Name string
-	Data any // is written as JSON
+	Data any // encoded as JSON
 }
 
 // A Buffer holds encoded events until the HTTP server reads them. The zero Buffer is
-// empty.
-//
-// A Buffer must not be used by two goroutines at once.
+// empty and ready to use. A Buffer is not safe for concurrent use.
 type Buffer struct {
 	bytes.Buffer
 }
@@ -59,8 +57,8 @@
 func (b *Buffer) WriteDone() { b.WriteString("data: " + doneData + "\n\n") }
 
 // ReadOrFill reads from b as an io.Reader does. While b is empty it calls fill, which
-// is to append to b or to return an error: io.EOF after the last event, any other error
-// to cut the response. That error is returned as it is.
+// appends to b or returns an error: io.EOF after the last event, or any other error to
+// abort the response. ReadOrFill returns that error unchanged.
 func (b *Buffer) ReadOrFill(p []byte, fill func() error) (int, error) {
 	for b.Len() == 0 {
 		if err := fill(); err != nil {
@@ -73,12 +71,11 @@
 // MaxLine is the longest line of a stream that a Reader reads, in bytes.
 const MaxLine = 1 << 20
 
-// A Reader reads the events of a response. Fields of an event other than its ID and
-// its data are skipped.
+// A Reader reads the events of a response. Fields other than ID and data are skipped.
 type Reader struct {
-	ID       string // of the event that was read last; empty if it has none
-	Data     string // of that event: its first line of data
-	Complete bool   // the end marker was read
+	ID       string // of the last event read; empty if it has none
+	Data     string // the first data line of that event
+	Complete bool   // whether the end marker was read
 
 	scanner *bufio.Scanner
 }
@@ -90,8 +87,8 @@
 	return &Reader{scanner: scanner}
 }
 
-// Next reads the next event, and reports whether there was one: there is none after
-// the end marker, the end of the body, or an error (see Err).
+// Next reads the next event. It returns false at the end marker, at the end of the body and
+// after an error (see Err).
 func (r *Reader) Next() bool {
 	r.ID = ""
 	for r.scanner.Scan() {
@@ -111,6 +108,6 @@
 	return false
 }
 
-// Err returns the error of the body, or bufio.ErrTooLong, that ended the reading. It is
-// nil if the body just ended.
+// Err returns the error that ended the reading: that of the body, or bufio.ErrTooLong. It is
+// nil at the end of the body.
 func (r *Reader) Err() error { return r.scanner.Err() }
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWriteEvent checks the lines of an event.
+// TestWriteEvent checks the encoding of an event.
 func TestWriteEvent(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -32,15 +32,15 @@
 	}
 }
 
-// TestWriteEventFails checks that an event that can't be encoded leaves no part of it.
+// TestWriteEventFails checks that an event that can't be encoded leaves nothing in the buffer.
 func TestWriteEventFails(t *testing.T) {
 	var b Buffer
 	assert.Assert(t, b.WriteEvent(Event{ID: "a/1", Data: math.NaN()}) != nil)
 	assert.Equal(t, b.Len(), 0)
 }
 
-// TestReadOrFill checks that a body is read event by event, to its end marker or to
-// the error that cuts it.
+// TestReadOrFill checks that a body is read to its end marker, or to the error that
+// aborts it.
 func TestReadOrFill(t *testing.T) {
 	cut := errors.New("cut")
 	for _, test := range []struct {
@@ -60,7 +60,7 @@
 				case 1:
 					return b.WriteEvent(Event{Data: 1})
 				case 2:
-					return nil // nothing yet: fill is called again
+					return nil // nothing appended: fill is called again
 				case 3:
 					b.WriteDone()
 					return nil
@@ -74,14 +74,14 @@
 	}
 }
 
-// A readerFunc is an io.Reader.
+// A readerFunc is a function that implements io.Reader.
 type readerFunc func(p []byte) (int, error)
 
 // Read implements io.Reader.
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// TestReader checks which events are read, and how the end of a stream is told: by its
-// end marker, by the body alone, or by an error.
+// TestReader checks which events are read, and how the end marker, the end of the body and
+// an error are reported.
 func TestReader(t *testing.T) {
 	tooLong := "data: " + strings.Repeat("x", MaxLine) + "\n"
 	for _, test := range []struct {
@@ -92,10 +92,10 @@
 		err      error
 	}{
 		{"with IDs", "id: 1\ndata: a\n\nid: 2\ndata: b\n\ndata: [DONE]\n\n", []string{"1 a", "2 b"}, true, nil},
-		{"an ID is of one event only", "id: 1\ndata: a\n\ndata: b\n\n", []string{"1 a", " b"}, false, nil},
+		{"an ID applies to one event only", "id: 1\ndata: a\n\ndata: b\n\n", []string{"1 a", " b"}, false, nil},
 		{"nothing is read after the end marker", "data: [DONE]\n\n", nil, true, nil},
 		{"other lines are skipped", ": ping\nevent: error\nretry: 5\ndata: a\n\n", []string{" a"}, false, nil},
-		{"the body just ends", "", nil, false, nil},
+		{"an empty body", "", nil, false, nil},
 		{"a line that is too long", tooLong, nil, false, bufio.ErrTooLong},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/freeport/fork_test.go
+++ b/internal/freeport/fork_test.go
@@ -10,11 +10,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// childVariable is set for the processes that TestNextBesideStarts starts, which end at
-// once.
+// childVariable is set in the environment of the child processes of TestNextDuringForks, which
+// exit at once.
 const childVariable = "RYEFORD_FREEPORT_CHILD"
 
-// TestMain ends a process that TestNextBesideStarts has started.
+// TestMain exits at once in a child process of TestNextDuringForks.
 func TestMain(m *testing.M) {
 	if os.Getenv(childVariable) != "" {
 		os.Exit(0)
@@ -22,11 +22,10 @@
 	os.Exit(m.Run())
 }
 
-// TestNextBesideStarts checks that a server can listen on a port as soon as it is picked,
-// while this process starts others: a new process holds a copy of all sockets that are
-// open when it is started, until it runs its own program. It fails with "address already
-// in use" if such a copy keeps a probe of the port open.
-func TestNextBesideStarts(t *testing.T) {
+// TestNextDuringForks checks that a server can listen on a picked port at once while this
+// process starts others. It fails with "address already in use" if a forked child inherits a
+// socket that was opened to probe the port.
+func TestNextDuringForks(t *testing.T) {
 	const starters, picks = 4, 400
 	stop := make(chan struct{})
 	var group sync.WaitGroup
@@ -37,7 +36,7 @@
 				case <-stop:
 					return
 				default:
-					startChild(t)
+					runChild(t)
 				}
 			}
 		})
@@ -55,8 +54,8 @@
 	}
 }
 
-// startChild starts a process that ends at once, and waits for its end.
-func startChild(t *testing.T) {
+// runChild runs a child process that exits at once.
+func runChild(t *testing.T) {
 	child := exec.Command(os.Args[0])
 	child.Env = append(os.Environ(), childVariable+"=1")
 	if err := child.Run(); err != nil {
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,9 +1,9 @@
-// Package freeport picks addresses of loopback for the servers that tests and
-// `ryeford dev` start.
+// Package freeport picks loopback addresses for the servers that tests and `ryeford dev`
+// start.
 //
-// A picked port is kept for its process by a second one, which the process holds for as
-// long as it lives: other processes that pick ports here pass it over, also while no
-// server listens on it yet or any more.
+// Each picked port is reserved by a second port, on which the process keeps a socket open
+// until it ends. Other processes that use this package then skip the picked port, even while
+// no server listens on it.
 package freeport
 
 import (
@@ -18,31 +18,30 @@
 	"sync/atomic"
 )
 
-// Ports are picked below those that the kernel gives to outgoing connections (32,768 and
-// above, as Linux is set), so that none is taken between the pick and its use.
+// Ports are picked below the kernel's ephemeral range (32768 and above by default on Linux),
+// so that none is taken by an outgoing connection between the pick and its use.
 const (
 	firstPort = 20_000
 	portCount = 6_000
-	// reservationOffset is how far above a picked port the port lies that reserves it
-	// among test processes that run side by side.
+	// reservationOffset is the distance from a picked port to the port that reserves it.
 	reservationOffset = portCount
-	// processStep lets processes that run side by side search from different ports. It is a
-	// prime, so that processes with close ids meet late.
+	// processStep separates the first ports that concurrent processes try. It is a prime, so
+	// that processes with close IDs rarely try the same ports.
 	processStep = 97
 )
 
-// picked counts the picks of this process.
-var picked atomic.Int64
+// tried counts the ports that this process has tried.
+var tried atomic.Int64
 
-// reservations holds the sockets that reserve this process's ports, so that none is
-// collected and closed.
+// reservations holds the sockets that reserve this process's ports, by port. It keeps them
+// from being garbage-collected and closed.
 var reservations sync.Map
 
 // Next returns an address that is free for TCP and UDP, and that no other process has
 // picked. It panics if no port is free.
 func Next() netip.AddrPort {
 	for range portCount {
-		port := uint16(firstPort + (int64(os.Getpid())*processStep+picked.Add(1))%portCount)
+		port := uint16(firstPort + (int64(os.Getpid())*processStep+tried.Add(1))%portCount)
 		if reserve(port) {
 			return loopback(port)
 		}
@@ -54,7 +53,7 @@
 func reserve(port uint16) bool {
 	reservation, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(loopback(port+reservationOffset)))
 	if err != nil {
-		return false // another process, or an earlier pick of this one, has it
+		return false // reserved by another process or by an earlier pick
 	}
 	if !isFree(loopback(port)) {
 		_ = reservation.Close()
@@ -68,12 +67,11 @@
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)
 }
 
-// isFree reports whether an address is free for TCP and UDP, as the kernel's tables of sockets say.
+// isFree reports whether a port is free for TCP and UDP, according to the kernel's socket tables.
 //
-// It opens no socket to find that out: a process that is being started holds a copy of all open ones
-// until it runs its own program, so that the address would stay in use after the socket is closed here.
-// The runtime's ForkLock doesn't keep that apart: the kernel lets the starting process go on before it
-// has closed the copies.
+// It opens no socket: a forked child holds copies of all open sockets until its exec, so that
+// the address would stay in use after the socket is closed here. The runtime's ForkLock doesn't
+// prevent this, since the parent continues before the child's copies are closed.
 func isFree(address netip.AddrPort) bool {
 	for _, table := range []string{"tcp", "tcp6", "udp", "udp6"} {
 		if inUse(table, address.Port()) {
@@ -83,12 +81,12 @@
 	return true
 }
 
-// inUse reports whether a socket of one of the kernel's tables has a local port. It panics if there is
-// no such table.
+// inUse reports whether a socket in one of the kernel's tables has the local port. It panics if the
+// table can't be read.
 func inUse(table string, port uint16) bool {
 	content, err := os.ReadFile("/proc/self/net/" + table)
 	if errors.Is(err, fs.ErrNotExist) && strings.HasSuffix(table, "6") {
-		return false // a kernel without IPv6
+		return false // the kernel lacks IPv6
 	}
 	if err != nil {
 		panic(err)
@@ -102,5 +100,5 @@
 	return false
 }
 
-// localAddress is the field of a socket's local address in a line of the kernel's tables.
+// localAddress is the index of the local address among the fields of a line of the kernel's tables.
 const localAddress = 1
--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNext checks that picks differ, and that a port that is taken is passed over.
+// TestNext checks that picks differ, and that a port in use is not free.
 func TestNext(t *testing.T) {
 	first, second := Next(), Next()
 	assert.Assert(t, first != second)
@@ -19,18 +19,16 @@
 	assert.Assert(t, !isFree(first))
 }
 
-// TestReserved checks that a port that another process has picked is passed over, though
-// nothing listens on it yet.
+// TestReserved checks that a picked port can't be reserved again while nothing listens on it.
 func TestReserved(t *testing.T) {
 	port := Next().Port()
 	assert.Assert(t, isFree(loopback(port)))
 	assert.Assert(t, !reserve(port))
 }
 
-// TestNextStaysClosed checks that nothing listens on a picked port that its process
-// leaves unused, however many servers ask for any port meanwhile: tests take it for an
-// address that refuses connections. It fails for ports that the kernel has given out and
-// got back: 17 of 200 of those were given out again to one of 500 servers.
+// TestNextStaysClosed checks that servers on ports chosen by the kernel don't get a picked
+// port: tests use an unused one as an address that refuses connections. It fails for ports of
+// the kernel's ephemeral range.
 func TestNextStaysClosed(t *testing.T) {
 	const picks, servers = 100, 2000
 	var picked []netip.AddrPort
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -1,6 +1,6 @@
-// Package httpserver runs an HTTP server for as long as a context lasts: the servers of
-// metrics, of the router and of the stand-ins, which have no requests to finish when their
-// process stops. The gateway's server drains instead (gateway/shutdown).
+// Package httpserver runs an HTTP server until a context ends, without draining it. It is for
+// the servers of metrics, the router and the stand-ins; the gateway's server drains its
+// requests instead (gateway/shutdown).
 package httpserver
 
 import (
@@ -9,13 +9,12 @@
 	"net/netip"
 )
 
-// A Server serves connections: an *http.Server or a *fasthttp.Server.
+// A Server is an *http.Server or a *fasthttp.Server.
 type Server interface {
 	Serve(listener net.Listener) error
 }
 
-// ListenAndServe serves the connections to a TCP address as Serve does. Its error is an
-// *Error.
+// ListenAndServe listens on a TCP address and calls Serve. Its error is an *Error.
 func ListenAndServe(ctx context.Context, address netip.AddrPort, server Server) error {
 	listener, err := net.Listen("tcp", address.String())
 	if err == nil {
@@ -27,7 +26,7 @@
 	return nil
 }
 
-// An Error says that a server could not run at its address.
+// An Error reports that a server failed to listen or serve at its address.
 type Error struct {
 	Address netip.AddrPort
 	Err     error
@@ -37,11 +36,11 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Serve serves a listener's connections until ctx ends, and closes the listener then. It
-// returns nil after the end of ctx, and the server's error before. Connections that are
-// open at the end stay open: they end with the process, or by the server's own Close.
+// Serve serves a listener's connections until ctx ends, and then closes the listener. It
+// returns nil if ctx has ended, and the server's error otherwise. Open connections are not
+// closed: they end with the process, or by the server's Close method.
 func Serve(ctx context.Context, listener net.Listener, server Server) error {
-	// Closing the listener fails only if it is closed already; Serve returns either way.
+	// Closing fails only if the listener is closed already; Serve returns in both cases.
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
 	err := server.Serve(listener)
--- a/internal/memtable/memtable.go
+++ b/internal/memtable/memtable.go
@@ -1,8 +1,7 @@
-// Package memtable is the platform's transactional table in memory: rows with
-// versions, and writes that are conditional on them. The stand-in of the platform
-// serves one over HTTP; tests of the packages that use a table take one in its
-// place, and decide which calls fail or lose their answer. It owns its rows and
-// does no I/O.
+// Package memtable implements the platform's transactional table in memory: rows with
+// versions, and writes that are conditional on the versions. The stand-in for the platform
+// serves one over HTTP; tests use one as a fake, and decide which calls fail or lose their
+// response. It does no I/O.
 package memtable
 
 import (
@@ -23,24 +22,24 @@
 	fate     func(write bool) Fate
 }
 
-// Contents are what a Table holds at one moment.
+// Contents is a snapshot of a Table.
 type Contents struct {
-	Rows    map[string]ryeford.Row `json:"rows"`    // by their keys
+	Rows    map[string]ryeford.Row `json:"rows"`    // by key
 	Version int64                  `json:"version"` // of the last write
 }
 
-// A Fate is what becomes of a call.
+// A Fate is the outcome of a call.
 type Fate int
 
-// The fates.
+// The outcomes of a call.
 const (
 	Succeeds Fate = iota
-	Fails         // nothing is done
-	Lost          // it is done, but the answer is lost
+	Fails         // the call is not applied
+	Lost          // the call is applied, but its response is lost
 )
 
-// New returns an empty Table. A fate decides what becomes of each call; nil is
-// always success.
+// New returns an empty Table. fate returns the outcome of each call; if it is nil, all
+// calls succeed.
 func New(fate func(write bool) Fate) *Table {
 	if fate == nil {
 		fate = func(bool) Fate { return Succeeds }
@@ -48,14 +47,14 @@
 	return &Table{contents: Contents{Rows: make(map[string]ryeford.Row)}, fate: fate}
 }
 
-// Contents returns a copy of what the table holds.
+// Contents returns a snapshot of the table.
 func (t *Table) Contents() Contents {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return Contents{Rows: maps.Clone(t.contents.Rows), Version: t.contents.Version}
 }
 
-// SetContents replaces what the table holds, with what an earlier Table held.
+// SetContents replaces the contents of the table with a snapshot, which it copies.
 func (t *Table) SetContents(contents Contents) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,7 +120,7 @@
 	return t.contents.Version, nil
 }
 
-// apply makes writes whose conditions hold.
+// apply applies writes whose conditions are satisfied.
 func (t *Table) apply(writes []ryeford.Write) {
 	t.contents.Version++
 	for _, w := range writes {
--- a/internal/memtable/memtable_test.go
+++ b/internal/memtable/memtable_test.go
@@ -9,9 +9,9 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestTransactAllOrNone checks that one failed condition stops all writes of a
-// transaction, and names the rows that failed theirs.
-func TestTransactAllOrNone(t *testing.T) {
+// TestTransactAtomic checks that one failed condition prevents all writes of a transaction,
+// and that the error names the rows whose conditions failed.
+func TestTransactAtomic(t *testing.T) {
 	table := New(nil)
 	version, err := table.Transact(t.Context(), ryeford.Write{Key: "a", Value: []byte("1")})
 	assert.NilError(t, err)
@@ -27,8 +27,8 @@
 	assert.DeepEqual(t, rows, []ryeford.Row{{Key: "a", Value: []byte("1"), Version: version}, {Key: "b"}, {Key: "c"}})
 }
 
-// TestFates checks that a failed call does nothing, and that a lost one does what it was
-// asked to but says that it may have.
+// TestFates checks that a failed call is not applied, and that a call whose response is lost
+// is applied and reports that it may have been.
 func TestFates(t *testing.T) {
 	fate := Succeeds
 	table := New(func(bool) Fate { return fate })
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestContents checks that a table with another one's contents goes on from its version,
-// and that the two share nothing.
+// TestContents checks that a table with another one's contents continues from its version,
+// and that the two share no state.
 func TestContents(t *testing.T) {
 	first, second := New(nil), New(nil)
 	version, err := first.Transact(t.Context(), ryeford.Write{Key: "a"})
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,9 +1,8 @@
-// Package telemetry holds the metrics of one process and serves them, in the text
-// format of Prometheus.
+// Package telemetry holds the metrics of one process and serves them in the Prometheus
+// text format.
 //
-// It owns the set of a process's metrics and their HTTP server; the names of the
-// metrics are those of the packages that count, and docs/OPERATIONS.md and
-// docs/operators.md list them. It relies on internal/httpserver alone.
+// It owns a process's set of metrics and their HTTP server. The packages that count
+// define the names of the metrics; docs/OPERATIONS.md and docs/operators.md list them.
 package telemetry
 
 import (
@@ -33,10 +32,10 @@
 	}
 }
 
-// Count adds one to a counter. A reason that isn't empty becomes its label.
+// Count adds one to a counter. A nonempty reason becomes its label "reason".
 func (s *Set) Count(name, reason string) { s.Add(name, reason, 1) }
 
-// Add adds n to a counter. A reason that isn't empty becomes its label.
+// Add adds n to a counter. A nonempty reason becomes its label "reason".
 func (s *Set) Add(name, reason string, n int) {
 	if reason != "" {
 		name = fmt.Sprintf("%s{reason=%q}", name, reason)
@@ -44,8 +43,8 @@
 	s.set.GetOrCreateCounter(name).Add(n)
 }
 
-// Gauge adds a gauge, whose value is read whenever the metrics are. It panics if
-// the name is taken.
+// Gauge registers a gauge whose value is read each time the metrics are written. It panics
+// if the name is already registered.
 func (s *Set) Gauge(name string, value func() float64) {
 	s.set.NewGauge(name, value)
 }
@@ -55,10 +54,10 @@
 	s.set.GetOrCreateHistogram(name).Update(seconds)
 }
 
-// ControlSent counts bytes of gossip that were sent.
+// ControlSent counts bytes of gossip sent.
 func (s *Set) ControlSent(bytes int) { s.controlSent.Add(bytes) }
 
-// Write returns the set's metrics and those of the process, in the text format.
+// Write returns the set's metrics and those of the process in the Prometheus text format.
 func (s *Set) Write() []byte {
 	var b bytes.Buffer
 	s.set.WritePrometheus(&b)
@@ -66,8 +65,8 @@
 	return b.Bytes()
 }
 
-// Serve serves /metrics and /healthz over HTTP until ctx ends, and returns an
-// *httpserver.Error if it can't.
+// Serve serves /metrics and /healthz over HTTP until ctx ends. Its error is an
+// *httpserver.Error.
 func Serve(ctx context.Context, address netip.AddrPort, set *Set) error {
 	return httpserver.ListenAndServe(ctx, address, &fasthttp.Server{
 		NoDefaultServerHeader: true,
