--- a/internal/cmd/callcmd.go
+++ b/internal/cmd/callcmd.go
@@ -55,7 +55,7 @@
 	return printAnswer(c, answer)
 }
 
-// send sends what the flags ask for.
+// send sends the request that the flags describe.
 func send(ctx context.Context, c *cli.Command, client *caller.Client, address netip.AddrPort) (*caller.Answer, error) {
 	t := &caller.Turn{
 		Key:           c.String("key"),
@@ -83,7 +83,8 @@
 	return client.Complete(ctx, address, t)
 }
 
-// printAnswer prints an answer, and turns a failure into an error.
+// printAnswer prints an answer. It returns an error if the answer is a failure or is
+// incomplete.
 func printAnswer(c *cli.Command, answer *caller.Answer) error {
 	if c.Bool("json") {
 		if err := json.NewEncoder(c.Root().Writer).Encode(answer); err != nil {
@@ -99,7 +100,7 @@
 	case answer.Failure != nil:
 		return answer.Failure
 	case !answer.Complete:
-		return &caller.Failure{Code: "incomplete", Message: "the answer broke off", Ran: caller.RunUnknown}
+		return &caller.Failure{Code: "incomplete", Message: "the answer ended before it was complete", Ran: caller.RunUnknown}
 	}
 	return nil
 }
--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -1,10 +1,11 @@
-// Package cmd is the command line: one file a command, named after it; processcmd.go
-// runs the router and the agent, operatorcmd.go is for operators.
+// Package cmd implements the command line. Each command has a file named after it, except
+// that processcmd.go has the router and the agent, and operatorcmd.go the small commands
+// for operators.
 //
-// It owns the names and texts of commands and flags, the exit codes (exit.go), and
-// how a process starts: settings, log (processcmd.go), signals. It relies on package
-// settings for the settings files, on the packages of each role for the process
-// itself, and on packages caller and operator for the calls of a router.
+// It defines the names and texts of commands and flags, the exit codes (exit.go), and how a
+// process starts: settings, log (processcmd.go), signals. It uses package settings for the
+// settings files, the packages of each role for the process itself, and packages caller and
+// operator for calls of a router.
 package cmd
 
 import (
@@ -19,15 +20,15 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Main runs the program and returns its exit code. SIGINT and SIGTERM end the
-// context of the command, whose process then drains.
+// Main runs the program and returns its exit code. SIGINT and SIGTERM cancel the command's
+// context, and a long-running process then drains.
 func Main(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := newRootCommand()
 	root.Writer = stdout
 	root.ErrWriter = stderr
-	root.ExitErrHandler = func(context.Context, *cli.Command, error) {} // exits below
+	root.ExitErrHandler = func(context.Context, *cli.Command, error) {} // don't exit; Main returns the code
 	err := root.Run(ctx, args)
 	if err == nil {
 		return exitOK
--- a/internal/cmd/devcmd.go
+++ b/internal/cmd/devcmd.go
@@ -22,18 +22,18 @@
 	"github.com/ryeford/ryeford/standin/emulator"
 )
 
-// The demo client account of a dev fleet, and what it may use.
+// The demo client account of a dev fleet, its key and its model.
 const (
 	devAccount = "demo"
 	devKey     = "demo-key-1"
 	devModel   = "lira"
 )
 
-// devPoll is how often a dev fleet is tried until it serves.
-const devPoll = 50 * time.Millisecond
+// devPollInterval is the interval at which a starting dev fleet is checked.
+const devPollInterval = 50 * time.Millisecond
 
-// newDevCommand returns the command that runs a small fleet in one process: the one
-// with agents (devfleet.go), or a gateway.
+// newDevCommand returns the command that runs a small fleet in one process: either the fleet
+// with agents (devfleet.go), or a gateway with an emulator.
 func newDevCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "dev",
@@ -72,18 +72,17 @@
 	return group.Wait()
 }
 
-// pollDev waits until a dev fleet serves, and reports whether it does. It gives up
-// when ctx ends.
-func pollDev(ctx context.Context, serves func() bool) bool {
-	for !serves() {
-		if !clock.Sleep(ctx, devPoll) {
+// awaitReady waits until ready returns true. It returns false if ctx ends first.
+func awaitReady(ctx context.Context, ready func() bool) bool {
+	for !ready() {
+		if !clock.Sleep(ctx, devPollInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// publishDemo publishes the demo account's template, once the platform answers.
+// publishDemo publishes the demo account's template. It retries until the platform answers.
 func publishDemo(ctx context.Context, table ryeford.Table) error {
 	t := ryeford.Template{
 		Account:   devAccount,
@@ -112,36 +111,35 @@
 	})
 }
 
-// runDevPlatform runs a gateway with an emulator of the users' platform until
-// ctx ends.
+// runDevPlatform runs a gateway with an emulator of the users' platform until ctx ends.
 func runDevPlatform(ctx context.Context, c *cli.Command, callers netip.AddrPort) error {
-	emulated := &settings.Emulator{Store: freeAddress(), Admin: freeAddress()}
+	emulatorSettings := &settings.Emulator{Store: freeAddress(), Admin: freeAddress()}
 	for _, server := range []settings.EmulatorServer{
 		{ID: "model-1", Service: emulator.DemoModel, FailureDomain: "domain-1", Events: 20, Step: 20 * time.Millisecond},
 		{ID: "model-2", Service: emulator.DemoModel, FailureDomain: "domain-2", Events: 20, Step: 20 * time.Millisecond},
 		{ID: "notes-1", Service: emulator.DemoNotes, FailureDomain: "domain-1", Step: 20 * time.Millisecond},
 	} {
 		server.Address = freeAddress()
-		emulated.Servers = append(emulated.Servers, server)
+		emulatorSettings.Servers = append(emulatorSettings.Servers, server)
 	}
 	s := settings.DefaultGateway()
 	s.VM, s.Region, s.FailureDomain = "router-1", "region-1", "domain-1"
-	s.Callers, s.Readiness, s.Store = settings.Address{AddrPort: callers}, freeAddress(), emulated.Store
+	s.Callers, s.Readiness, s.Store = settings.Address{AddrPort: callers}, freeAddress(), emulatorSettings.Store
 	logger := log.NewNopLogger()
 	if c.Bool("verbose") {
 		logger = newLogger(c.Root().ErrWriter, "gateway")
 	}
 	g := newGateway(s, logger, telemetry.NewSet())
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return emulator.New(emulated, emulator.DemoConfiguration(devKey)).Run(ctx) })
+	group.Go(func() error { return emulator.New(emulatorSettings, emulator.DemoConfiguration(devKey)).Run(ctx) })
 	group.Go(func() error { return g.Run(ctx) })
-	group.Go(func() error { return announcePlatform(ctx, c, s, emulated) })
+	group.Go(func() error { return announcePlatform(ctx, c, s, emulatorSettings) })
 	return group.Wait()
 }
 
-// announcePlatform waits until the gateway is ready, and prints how to use it.
-func announcePlatform(ctx context.Context, c *cli.Command, s *settings.Gateway, emulated *settings.Emulator) error {
-	ready := pollDev(ctx, func() bool {
+// announcePlatform waits until the gateway is ready, and then prints how to use it.
+func announcePlatform(ctx context.Context, c *cli.Command, s *settings.Gateway, emulatorSettings *settings.Emulator) error {
+	ready := awaitReady(ctx, func() bool {
 		response, err := http.Get("http://" + s.Readiness.String() + platform.PathReady)
 		if err != nil {
 			return false
@@ -184,6 +182,6 @@
 Let a body end each server that runs it, and send it until it is held (503):
   go run ./cmd/ryeford standin fault %[2]s '{"crash_body":"boom"}'
   for i in 1 2 3 4 5; do curl -s -o /dev/null -w '%%{http_code}\n' http://%[1]s/chat/1 -H 'Host: dev.example' -H "Ryeford-Request-Id: boom-$i" -H 'Authorization: Bearer %[4]s' -d boom; sleep 2; done
-`, s.Callers, emulated.Admin, emulator.DemoCommand(s.Callers.AddrPort, devKey), devKey)
+`, s.Callers, emulatorSettings.Admin, emulator.DemoCommand(s.Callers.AddrPort, devKey), devKey)
 	return err
 }
--- a/internal/cmd/devfleet.go
+++ b/internal/cmd/devfleet.go
@@ -20,15 +20,15 @@
 	"github.com/ryeford/ryeford/standin"
 )
 
-// What a dev fleet has beside the demo account.
+// The operator key, service, and numbers of agents and engines of a dev fleet.
 const (
 	devOperatorKey = "dev-operator-key"
 	devService     = "notes"
 	devAgents      = 3
-	devEngines     = 2 // of each agent
+	devEngines     = 2 // per agent
 )
 
-// A devFleet is the settings of a dev fleet, on free ports of loopback.
+// A devFleet is the settings of a dev fleet, on free loopback ports.
 type devFleet struct {
 	router  *settings.Router
 	agents  []*settings.Agent
@@ -57,7 +57,7 @@
 	return f
 }
 
-// addAgent adds an agent with its engines; the first has a service too.
+// addAgent adds an agent with its engines; the first one also has a service.
 func (f *devFleet) addAgent(number int) {
 	s := settings.DefaultAgent()
 	s.VM = ryeford.VMID(fmt.Sprintf("endpoint-%d", number))
@@ -84,7 +84,7 @@
 	f.agents = append(f.agents, s)
 }
 
-// run starts all roles and publishes the demo template.
+// run starts all processes of the fleet and publishes the demo template.
 func (f *devFleet) run(ctx context.Context, group *errgroup.Group) error {
 	authority, err := transport.NewAuthority()
 	if err != nil {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// issueTLS returns the TLS settings of a VM, with a new certificate.
+// issueTLS returns the TLS configuration of a VM with a new certificate.
 func issueTLS(authority *transport.Authority, vm ryeford.VMID) (*tls.Config, error) {
 	pair, err := authority.Issue(vm)
 	if err != nil {
@@ -127,9 +127,9 @@
 	return transport.TLSConfig(authority.Certificate(), pair)
 }
 
-// announce waits until a turn is answered, and prints how to send one.
+// announce waits until the fleet answers a turn, and then prints how to use it.
 func (f *devFleet) announce(ctx context.Context, c *cli.Command) error {
-	served := pollDev(ctx, func() bool {
+	served := awaitReady(ctx, func() bool {
 		answer, err := demoTurn(ctx, f.router.Callers.AddrPort)
 		return err == nil && answer.Complete
 	})
--- a/internal/cmd/exit.go
+++ b/internal/cmd/exit.go
@@ -17,19 +17,19 @@
 	exitFailure  = 1
 	exitUsage    = 2 // wrong arguments, settings or input
 	exitConflict = 3 // another operator changed the same template first
-	exitNotRun   = 4 // refused or unavailable; nothing was done
-	exitUnknown  = 5 // it may have been done
-	exitMissed   = 6 // a replay missed a stated outcome
+	exitNotRun   = 4 // refused or unavailable; nothing was carried out
+	exitUnknown  = 5 // the request may have been carried out
+	exitMissed   = 6 // a replay missed an expected outcome
 )
 
-// A UsageError says what is wrong with the arguments.
+// A UsageError reports invalid arguments.
 type UsageError struct {
 	Problem string
 }
 
 func (e *UsageError) Error() string { return e.Problem }
 
-// A MissedError says which stated outcomes a replay missed.
+// A MissedError lists the expected outcomes that a replay missed.
 type MissedError struct {
 	Missed []string
 }
@@ -49,7 +49,7 @@
 	case errors.As(err, &missed):
 		return exitMissed
 	case errors.As(err, &failure):
-		return exitCodeOfRun(failure.Ran)
+		return exitCodeFor(failure.Ran)
 	case !errors.As(err, &operatorErr):
 		return exitFailure
 	case operatorErr.Status == http.StatusConflict:
@@ -57,12 +57,11 @@
 	case operatorErr.Status == http.StatusBadRequest:
 		return exitUsage
 	}
-	return exitCodeOfRun(operatorErr.Ran)
+	return exitCodeFor(operatorErr.Ran)
 }
 
-// exitCodeOfRun returns the exit code of a failure whose answer says whether the
-// request has run.
-func exitCodeOfRun(ran string) int {
+// exitCodeFor returns the exit code of a failed request, given whether it has run.
+func exitCodeFor(ran string) int {
 	if ran == caller.RunNot {
 		return exitNotRun
 	}
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -44,11 +44,11 @@
 		return err
 	}
 	all := &router.Explanation{Request: ryeford.RequestID(id)}
-	var failed error
+	var lastErr error
 	for _, client := range clients {
 		e, err := client.Explain(ctx, all.Request)
 		if err != nil {
-			failed = err // others may know the request
+			lastErr = err // other routers may have the request
 			continue
 		}
 		all.Decisions = append(all.Decisions, e.Decisions...)
@@ -56,8 +56,8 @@
 	slices.Sort(all.Decisions)
 	all.Decisions = slices.Compact(all.Decisions)
 	if len(all.Decisions) == 0 {
-		if failed != nil {
-			return failed
+		if lastErr != nil {
+			return lastErr
 		}
 		return &ryeford.NotFoundError{Kind: "request", Name: id}
 	}
@@ -68,30 +68,29 @@
 	return err
 }
 
-// contextBefore is how long before a request's first line its router's changes of
-// state are printed too: about twice as long as a configuration may be relied on at
-// the sites' bounds.
+// contextBefore is how long before a request's first line state changes of its router are
+// also printed. It exceeds the time for which a configuration may be used at default bounds.
 const contextBefore = 10 * time.Second
 
-// maxLogLine is the longest line of a log that is read, in bytes.
+// maxLogLine is the length of the longest log line that can be read, in bytes.
 const maxLogLine = 1 << 20
 
-// stateChanges are the decisions and messages by which a router's state changes.
+// stateChanges are the logged decisions and messages that change the state of a router.
 var stateChanges = []string{
 	"configuration", "configuration_from_peer", "configuration_news", "endpoint_report", "endpoint_rested", "endpoints", "evacuation", "readiness", "store_restored", "suspended", "dependency lost", "dependency regained",
 	"started", "stopping", "stopped", "reload", "log lines dropped",
 }
 
 type logLine struct {
-	at      time.Time
+	time    time.Time
 	vm      string
 	request ryeford.RequestID
-	what    string // its decision, or its message
+	event   string // the decision, or the message
 	text    string
 }
 
-// explainLogs prints a request's own lines from logs, and the changes of state of
-// the routers that had it, shortly before and meanwhile, in the order of their times.
+// explainLogs prints the log lines of a request, and the state changes of the routers that
+// handled it from contextBefore its first line to its last one, ordered by time.
 func explainLogs(out io.Writer, request ryeford.RequestID, files []string) error {
 	var lines []logLine
 	for _, name := range files {
@@ -101,8 +100,8 @@
 		}
 		lines = append(lines, read...)
 	}
-	slices.SortStableFunc(lines, func(a, b logLine) int { return a.at.Compare(b.at) })
-	found := linesOn(request, lines)
+	slices.SortStableFunc(lines, func(a, b logLine) int { return a.time.Compare(b.time) })
+	found := linesFor(request, lines)
 	if len(found) == 0 {
 		return &ryeford.NotFoundError{Kind: "request", Name: string(request)}
 	}
@@ -110,29 +109,30 @@
 	return err
 }
 
-func linesOn(request ryeford.RequestID, lines []logLine) []string {
+// linesFor selects the lines that explainLogs prints.
+func linesFor(request ryeford.RequestID, lines []logLine) []string {
 	first, last := make(map[string]time.Time), make(map[string]time.Time)
 	for _, line := range lines {
 		if line.request != request {
 			continue
 		}
 		if _, ok := first[line.vm]; !ok {
-			first[line.vm] = line.at
+			first[line.vm] = line.time
 		}
-		last[line.vm] = line.at
+		last[line.vm] = line.time
 	}
 	var found []string
 	for _, line := range lines {
 		from, involved := first[line.vm]
-		within := involved && !line.at.Before(from.Add(-contextBefore)) && !line.at.After(last[line.vm])
-		if line.request == request || (within && slices.Contains(stateChanges, line.what)) {
+		within := involved && !line.time.Before(from.Add(-contextBefore)) && !line.time.After(last[line.vm])
+		if line.request == request || (within && slices.Contains(stateChanges, line.event)) {
 			found = append(found, line.text)
 		}
 	}
 	return found
 }
 
-// readLog reads a log; - is standard input.
+// readLog reads a log file; the name - stands for standard input.
 func readLog(name string) ([]logLine, error) {
 	input := io.Reader(os.Stdin)
 	if name != "-" {
@@ -154,8 +154,8 @@
 	return lines, scanner.Err()
 }
 
-// parseLogLine reads a line and reports whether it is one of ours. What a collector
-// of logs has put before ts= is skipped.
+// parseLogLine parses a line, and reports whether it has the format of newLogger. Text that
+// a log collector has inserted before ts= is skipped.
 func parseLogLine(text string) (logLine, bool) {
 	start := strings.Index(text, "ts=")
 	if start < 0 {
@@ -174,13 +174,13 @@
 			if err != nil {
 				return logLine{}, false
 			}
-			line.at = at
+			line.time = at
 		case "vm":
 			line.vm = value
 		case "request":
 			line.request = ryeford.RequestID(value)
 		case "decision", "msg":
-			line.what = value
+			line.event = value
 		}
 	}
 	return line, decoder.Err() == nil
--- a/internal/cmd/gatewaycmd.go
+++ b/internal/cmd/gatewaycmd.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// memoryShare is the part of the process's memory that the heap may take before
-	// it is collected more often: the rest is for stacks, sockets and the log.
-	memoryShare = 0.6
-	// collectAt is the growth of the heap, in percent, at which it is collected.
-	collectAt = 50
+	// heapShare is the part of the process's memory that is set as the memory limit of the
+	// Go runtime. The rest is a margin for memory outside the runtime, such as sockets.
+	heapShare = 0.6
+	// gcPercent is the growth of the heap, in percent, that starts a garbage collection.
+	gcPercent = 50
 	megabyte  = 1 << 20
-	// logQueue is how many bytes of log may wait to be written; lines beyond are
-	// dropped and counted.
-	logQueue = 256 << 10
+	// logQueueSize is the size of the log queue in bytes; lines beyond it are dropped and
+	// counted.
+	logQueueSize = 256 << 10
 )
 
 func newGatewayCommand() *cli.Command {
@@ -38,10 +38,10 @@
 	}
 }
 
-// runGateway runs a gateway until ctx ends. Its log goes to standard output, through a
-// queue that no request waits for.
+// runGateway runs a gateway until ctx ends. It logs to standard output through a queue, so
+// that requests never wait for the log.
 func runGateway(ctx context.Context, c *cli.Command) error {
-	// First of all: until SIGHUP is caught, it ends the process.
+	// This must come first: SIGHUP ends the process until it is handled.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -50,22 +50,22 @@
 	if err != nil {
 		return err
 	}
-	setMemory(s)
-	queue := boundedlog.New(c.Root().Writer, logQueue)
-	defer func() { _ = queue.Close() }() // it never fails
+	setMemoryLimit(s)
+	queue := boundedlog.New(c.Root().Writer, logQueueSize)
+	defer func() { _ = queue.Close() }() // never fails
 	logger := log.With(newLogger(queue, "gateway"), "vm", s.VM)
 	metrics := telemetry.NewSet()
 	metrics.Gauge("ryeford_log_lines_dropped", func() float64 { return float64(queue.Dropped()) })
 	g := newGateway(s, logger, metrics)
 	_ = logger.Log("msg", "starting", "file", file)
-	go reloadAt(ctx, hangups, file, logger)
+	go reloadOnHangup(ctx, hangups, file, logger)
 	return g.Run(ctx)
 }
 
-// reloadAt reads the settings again at each hangup until ctx ends, for the memory; the
-// others stay until the next start. Settings that are wrong are logged, and those in
-// use stay.
-func reloadAt(ctx context.Context, hangups <-chan os.Signal, file string, logger log.Logger) {
+// reloadOnHangup reads the settings again on each SIGHUP until ctx ends, and applies the
+// memory limit. Other settings take effect at the next start. If the file is invalid, it
+// logs the error and keeps the settings in use.
+func reloadOnHangup(ctx context.Context, hangups <-chan os.Signal, file string, logger log.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -73,14 +73,14 @@
 		case <-hangups:
 			s, err := settings.Load(file, settings.DefaultGateway())
 			if err == nil {
-				setMemory(s)
+				setMemoryLimit(s)
 			}
 			_ = logger.Log("msg", "reload", "file", file, "err", err)
 		}
 	}
 }
 
-// newGateway returns a gateway that uses the store of its settings.
+// newGateway returns a gateway that uses the store in its settings.
 func newGateway(s *settings.Gateway, logger log.Logger, metrics *telemetry.Set) *gateway.Gateway {
 	store := platform.NewStore(s.Store.AddrPort, s.Routing.StoreTimeout)
 	return gateway.New(s, gateway.Platform{
@@ -93,8 +93,8 @@
 	}, logger, metrics)
 }
 
-// setMemory limits the heap to its part of the memory of the settings.
-func setMemory(s *settings.Gateway) {
-	debug.SetGCPercent(collectAt)
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.Memory) * megabyte))
+// setMemoryLimit applies the memory of the settings to the Go runtime.
+func setMemoryLimit(s *settings.Gateway) {
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(heapShare * float64(s.Memory) * megabyte))
 }
--- a/internal/cmd/operatorcmd.go
+++ b/internal/cmd/operatorcmd.go
@@ -15,8 +15,8 @@
 	"github.com/ryeford/ryeford/operator"
 )
 
-// operatorFlags returns the flags that name routers and the operators' key, and
-// more.
+// operatorFlags returns the flags for the routers' addresses and the operators' key,
+// followed by more.
 func operatorFlags(more ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringSliceFlag{
@@ -45,8 +45,8 @@
 	return clients, nil
 }
 
-// firstOperator calls do with one router after the other until one answers.
-func firstOperator(c *cli.Command, do func(*operator.Client) error) error {
+// withFirstOperator calls do with the client of each router in turn until one answers.
+func withFirstOperator(c *cli.Command, do func(*operator.Client) error) error {
 	clients, err := operatorClients(c)
 	if err != nil {
 		return err
@@ -61,24 +61,24 @@
 	return err
 }
 
-// operatorAction returns the action of a command with one argument: a call of the first
-// router that answers, whose result is shown.
+// operatorAction returns the action of a command with one argument, which calls the first
+// router that answers and prints the result.
 func operatorAction[A ~string, T any](
 	argument string,
 	call func(*operator.Client, context.Context, A) (T, error),
-	show func(*cli.Command, T) error,
+	printResult func(*cli.Command, T) error,
 ) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		text, err := oneArg(c, argument)
 		if err != nil {
 			return err
 		}
-		return firstOperator(c, func(client *operator.Client) error {
+		return withFirstOperator(c, func(client *operator.Client) error {
 			result, err := call(client, ctx, A(text))
 			if err != nil {
 				return err
 			}
-			return show(c, result)
+			return printResult(c, result)
 		})
 	}
 }
@@ -99,12 +99,12 @@
 	return parseAddress(c.String(name), "--"+name+": ")
 }
 
-// parseAddress returns the address that an argument or a flag gives. where begins the
-// text of its error.
-func parseAddress(text, where string) (netip.AddrPort, error) {
+// parseAddress parses the address of an argument or a flag. Its error begins with
+// errPrefix.
+func parseAddress(text, errPrefix string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return netip.AddrPort{}, &UsageError{Problem: where + "want IP:PORT, not " + text}
+		return netip.AddrPort{}, &UsageError{Problem: errPrefix + "want IP:PORT, not " + text}
 	}
 	return address, nil
 }
--- a/internal/cmd/processcmd.go
+++ b/internal/cmd/processcmd.go
@@ -15,9 +15,9 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// newProcessCommand returns a command that runs one process until SIGINT or SIGTERM ends its
-// context, which Main sees to. Its settings file is read into defaults. run returns once the
-// process has drained, or with the error that ended it; its log goes to standard error.
+// newProcessCommand returns a command that runs one process until its context ends, on SIGINT
+// or SIGTERM (see Main). The settings file is read into defaults. run returns once the
+// process has drained, or with the error that ended it. The log goes to standard error.
 func newProcessCommand[S any](
 	name, usage string,
 	defaults *S,
@@ -37,8 +37,8 @@
 	}
 }
 
-// settingsFlag returns the flag that names the settings file, which an environment
-// variable may name as well.
+// settingsFlag returns the flag for the settings file, which can also be given in one of the
+// environment variables.
 func settingsFlag(variables ...string) cli.Flag {
 	return &cli.StringFlag{
 		Name:     "settings",
@@ -48,12 +48,12 @@
 	}
 }
 
-// newLogger returns the logger of a process: logfmt with the time, in UTC, and the
-// role. explain --log skips what stands before ts=, so that comes first.
+// newLogger returns the logger of a process: logfmt with the time, in UTC, and the role.
+// ts must be the first key, since explain --log skips any text before it.
 func newLogger(w io.Writer, role string) log.Logger {
 	logger := log.NewLogfmtLogger(log.NewSyncWriter(w))
-	now := log.TimestampFormat(func() time.Time { return time.Now().UTC() }, time.RFC3339Nano)
-	return log.With(logger, "ts", now, "role", role)
+	timestamp := log.TimestampFormat(func() time.Time { return time.Now().UTC() }, time.RFC3339Nano)
+	return log.With(logger, "ts", timestamp, "role", role)
 }
 
 func newRouterCommand() *cli.Command {
--- a/internal/cmd/replaycmd.go
+++ b/internal/cmd/replaycmd.go
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// parseOutcome returns the outcome that METRIC<=N or METRIC>=N states.
+// parseOutcome parses METRIC<=N or METRIC>=N.
 func parseOutcome(text string) (*trace.Entry, error) {
 	metric, bound, isMax := strings.Cut(text, "<=")
 	if !isMax {
@@ -120,9 +120,9 @@
 		return nil, err
 	}
 	if !c.Bool("quiet") {
-		began := time.Now()
+		start := time.Now()
 		o.Progress = func(done, total int) {
-			fmt.Fprintf(c.Root().ErrWriter, "%s: %d of %d turns\n", time.Since(began).Round(time.Second), done, total)
+			fmt.Fprintf(c.Root().ErrWriter, "%s: %d of %d turns\n", time.Since(start).Round(time.Second), done, total)
 		}
 	}
 	o.Key = accountKeys(c.StringSlice("account"))
@@ -133,11 +133,11 @@
 	return o, nil
 }
 
-// faultSetter returns a function that sets a fault of one of the stand-ins that
-// are named as NAME=IP:PORT.
-func faultSetter(named []string) func(ctx context.Context, target string, fault []byte) error {
+// faultSetter returns a function that sets a fault of a stand-in by its name. The stand-ins
+// are given as NAME=IP:PORT.
+func faultSetter(given []string) func(ctx context.Context, target string, fault []byte) error {
 	targets := make(map[string]string)
-	for _, text := range named {
+	for _, text := range given {
 		name, address, _ := strings.Cut(text, "=")
 		targets[name] = address
 	}
@@ -147,7 +147,7 @@
 	}
 }
 
-// engineRuns returns what each of the engine stand-ins ran.
+// engineRuns returns the runs of each engine stand-in.
 func engineRuns(ctx context.Context, engines []string) ([][]standin.RunRecord, error) {
 	var all [][]standin.RunRecord
 	for _, address := range engines {
@@ -164,23 +164,23 @@
 	return all, nil
 }
 
-// accountKeys returns a function that returns an account's key, from keys that are
-// given as ACCOUNT=KEY or PREFIX.
+// accountKeys returns a function that returns the key of an account. Keys are given as
+// ACCOUNT=KEY; the keys of other accounts are PREFIX followed by the account.
 func accountKeys(given []string) func(ryeford.AccountID) string {
-	named := make(map[ryeford.AccountID]string)
-	other := ""
+	keys := make(map[ryeford.AccountID]string)
+	prefix := ""
 	for _, text := range given {
 		account, key, ok := strings.Cut(text, "=")
 		if !ok {
-			other = text
+			prefix = text
 			continue
 		}
-		named[ryeford.AccountID(account)] = key
+		keys[ryeford.AccountID(account)] = key
 	}
 	return func(account ryeford.AccountID) string {
-		if key, ok := named[account]; ok {
+		if key, ok := keys[account]; ok {
 			return key
 		}
-		return other + string(account)
+		return prefix + string(account)
 	}
 }
--- a/internal/cmd/standincmd.go
+++ b/internal/cmd/standincmd.go
@@ -53,7 +53,7 @@
 	}
 	fault := []byte(c.Args().Get(1))
 	if !json.Valid(fault) {
-		return &UsageError{Problem: "the fault is not JSON"}
+		return &UsageError{Problem: "the fault is not valid JSON"}
 	}
 	_, err := callStandin(ctx, http.MethodPost, c.Args().First(), standin.PathFault, fault)
 	return err
@@ -94,7 +94,7 @@
 	return err
 }
 
-// callStandin makes one call of a stand-in and returns the answer's body.
+// callStandin sends one request to a stand-in and returns the response body.
 func callStandin(ctx context.Context, method, address, path string, body []byte) ([]byte, error) {
 	if _, err := parseAddress(address, ""); err != nil {
 		return nil, err
--- a/internal/cmd/templatecmd.go
+++ b/internal/cmd/templatecmd.go
@@ -56,7 +56,7 @@
 }
 
 func listTemplates(ctx context.Context, c *cli.Command) error {
-	return firstOperator(c, func(client *operator.Client) error {
+	return withFirstOperator(c, func(client *operator.Client) error {
 		templates, err := client.Templates(ctx)
 		if err != nil {
 			return err
@@ -82,7 +82,7 @@
 	return w.Flush()
 }
 
-// inForceInterval is how often template publish --wait reads the routers' status.
+// inForceInterval is the interval at which --wait reads the status of the routers.
 const inForceInterval = 100 * time.Millisecond
 
 func newTemplatePublishCommand() *cli.Command {
@@ -125,7 +125,7 @@
 	}
 	t := s.Publishable()
 	t.Change = cmp.Or(c.String("change"), uuid.NewString())
-	return firstOperator(c, func(client *operator.Client) error {
+	return withFirstOperator(c, func(client *operator.Client) error {
 		t.Sequence = c.Int64("based-on")
 		if t.Sequence < 0 {
 			if t.Sequence, err = currentSequence(ctx, client, t); err != nil {
@@ -136,7 +136,8 @@
 	})
 }
 
-// publish publishes a template, prints the outcome and waits if asked to.
+// publish publishes a template and prints the result. With --wait it waits until the
+// template is in force.
 func publish(ctx context.Context, c *cli.Command, client *operator.Client, t *ryeford.Template) error {
 	published, err := client.Publish(ctx, t)
 	if err != nil {
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// currentSequence returns the version of a template that is current.
+// currentSequence returns the current version of a template, or zero if there is none.
 func currentSequence(ctx context.Context, client *operator.Client, t *ryeford.Template) (int64, error) {
 	current, err := client.Template(ctx, string(t.Account)+"/"+t.Name)
 	var operatorErr *operator.Error
@@ -175,7 +176,7 @@
 		return err
 	}
 	to := c.Int64("to")
-	return firstOperator(c, func(client *operator.Client) error {
+	return withFirstOperator(c, func(client *operator.Client) error {
 		versions, err := client.History(ctx, name)
 		if err != nil {
 			return err
@@ -191,7 +192,7 @@
 	})
 }
 
-// An InForceError says that a revision is not in force everywhere in time.
+// An InForceError reports that a revision is not in force everywhere within the wait time.
 type InForceError struct {
 	Revision int64
 	Behind   int
@@ -201,25 +202,25 @@
 	return fmt.Sprintf("revision %d is accepted, but %d processes do not have it in force yet", e.Revision, e.Behind)
 }
 
-// awaitInForce waits until the routers of --operators and their agents have a
-// revision in force, and prints the progress.
+// awaitInForce waits until a revision is in force at the routers of --operators and their
+// agents. It prints the progress to standard error.
 func awaitInForce(ctx context.Context, c *cli.Command, revision int64, wait time.Duration) error {
 	clients, err := operatorClients(c)
 	if err != nil {
 		return err
 	}
-	began := time.Now()
-	shown := -1
+	start := time.Now()
+	printed := -1
 	for {
 		behind, total := countBehind(ctx, clients, revision)
-		if behind != shown {
-			shown = behind
+		if behind != printed {
+			printed = behind
 			fmt.Fprintf(c.Root().ErrWriter, "revision %d in force on %d of %d processes\n", revision, total-behind, total)
 		}
 		switch {
 		case behind == 0:
 			return nil
-		case time.Since(began) > wait:
+		case time.Since(start) > wait:
 			return &InForceError{Revision: revision, Behind: behind}
 		}
 		if !clock.Sleep(ctx, inForceInterval) {
@@ -228,7 +229,7 @@
 	}
 }
 
-// countBehind counts the processes that do not have a revision in force.
+// countBehind counts the processes at which a revision is not in force yet.
 func countBehind(ctx context.Context, clients []*operator.Client, revision int64) (behind, total int) {
 	agents := make(map[ryeford.VMID]int64)
 	for _, client := range clients {
@@ -244,9 +245,9 @@
 			agents[a.VM] = max(agents[a.VM], a.Revision)
 		}
 	}
-	for _, has := range agents {
+	for _, inForce := range agents {
 		total++
-		if has < revision {
+		if inForce < revision {
 			behind++
 		}
 	}
