--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -90,7 +90,7 @@
 }
 
 // explainLogs prints the log lines of a request, and the state changes of the routers that
-// handled it from contextBefore its first line to its last one, ordered by time.
+// handled it, from contextBefore ahead of its first line to its last line, ordered by time.
 func explainLogs(out io.Writer, request ryeford.RequestID, files []string) error {
 	var lines []logLine
 	for _, name := range files {
--- a/settings/agent.go
+++ b/settings/agent.go
@@ -19,7 +19,7 @@
 	Engines []Engine `yaml:"engines" validate:"dive"`
 	// Services are the plain services of the VM.
 	Services []Service `yaml:"services" validate:"dive"`
-	// Limits limit what the agent admits and keeps.
+	// Limits are the limits of the agent's requests, engines and memory.
 	Limits AgentLimits `yaml:"limits"`
 	// Polls are the intervals at which the agent reads from its engines and the platform.
 	Polls AgentPolls `yaml:"polls"`
@@ -48,7 +48,7 @@
 	Address Address `yaml:"address" validate:"required"`
 }
 
-// AgentLimits limit what an agent admits and keeps.
+// AgentLimits are the limits of an agent's requests, engines and memory.
 type AgentLimits struct {
 	// PoolFactor times the mean load of the model's engines is the highest load that
 	// an engine may have. A lower factor balances the load better and makes less use
--- a/settings/router.go
+++ b/settings/router.go
@@ -14,7 +14,7 @@
 	// only.
 	OperatorKey string `yaml:"operator_key" unit:"characters" validate:"required,min=8"`
 	Membership  `yaml:",inline"`
-	// Limits limit what the router does for a request.
+	// Limits are the limits of the router's requests.
 	Limits RouterLimits `yaml:"limits"`
 	// Polls are the intervals at which the router reads from the platform.
 	Polls RouterPolls `yaml:"polls"`
@@ -22,7 +22,7 @@
 	Planner Planner `yaml:"planner"`
 }
 
-// RouterLimits limit what a router does for a request.
+// RouterLimits are the limits of a router's requests.
 type RouterLimits struct {
 	// MaxBody is the size of the largest request body; a larger one is refused with
 	// 413.
