--- a/internal/transfer/transfer.go
+++ b/internal/transfer/transfer.go
@@ -147,7 +147,7 @@
 	Interval time.Duration
 }
 
-func (e *StallError) Error() string { return "transfer stalled for " + e.Interval.String() }
+func (e *StallError) Error() string { return "stalled for " + e.Interval.String() }
 
 // A BrokenError reports that a response could not be read to its end. The number of bytes
 // received distinguishes a server that does not answer from a link that is too slow.
@@ -158,7 +158,7 @@
 }
 
 func (e *BrokenError) Error() string {
-	return fmt.Sprintf("response interrupted after %d bytes and %s: %v", e.Received, e.After.Round(time.Millisecond), e.Err)
+	return fmt.Sprintf("broken off after %d bytes and %s: %v", e.Received, e.After.Round(time.Millisecond), e.Err)
 }
 
 func (e *BrokenError) Unwrap() error { return e.Err }
