--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -29,11 +29,11 @@
 	wake    chan struct{} // holds one entry if a peer has reported a newer version
 
 	// Only run uses what follows.
-	peerReader *peerReader
-	outage     *watch.Outage
-	state      ryeford.ConfigurationState // of the last answer that counts, at the source
-	size       int                        // of the configuration in that answer, in bytes
-	failed     int                        // reads in a row that brought no answer that counts
+	peerReader  *peerReader
+	outage      *watch.Outage
+	state       ryeford.ConfigurationState // of the last answer that counts, at the source
+	size        int                        // of the configuration in that answer, in bytes
+	failedReads int                        // reads in a row that brought no answer that counts
 }
 
 // configurationOptions are what a configuration relies on.
@@ -43,18 +43,18 @@
 	term time.Duration
 	// refresh is the age at which a router without peers reads it again.
 	refresh time.Duration
-	// bridges says that requests that need a key are served beyond the lease in an outage.
-	bridges bool
-	// bound is the time in which a change must be in force, and silence that after
+	// serveKeysInOutage says that requests that need a key are served beyond the lease in an outage.
+	serveKeysInOutage bool
+	// changeTimeout is the time in which a change must be in force, and unreachableAfter that after
 	// which a source that has answered nothing counts as out of reach.
-	bound, silence time.Duration
+	changeTimeout, unreachableAfter time.Duration
 	// peers says whose shift it is to read.
 	peers *peers.Table
 	start *start
 	// clock is the source's.
 	clock *freshness.SourceClock
 	// revision is the newest of the store, on any of its tables.
-	revision    *revision
+	revision    *storeRevision
 	evacuations *evacuations
 	// onUpdate is called after each answer while a configuration is in force.
 	onUpdate func()
@@ -92,12 +92,12 @@
 // superseded reports whether the configuration in force must not be used since a newer one
 // is known.
 func (c *configuration) superseded(now time.Time) bool {
-	if !c.newer.mayBeDue() {
+	if !c.newer.mayExist() {
 		return false
 	}
 	confirmed, _ := c.lease.Age(now)
-	answered, ever := c.revision.sinceAnswer(now)
-	return ever && freshness.Superseded(confirmed, answered, c.bound, c.silence)
+	answered, ever := c.revision.sinceContact(now)
+	return ever && freshness.Superseded(confirmed, answered, c.changeTimeout, c.unreachableAfter)
 }
 
 // reliable reports whether the configuration in force may be relied on.
@@ -106,7 +106,7 @@
 // servesKeys reports whether requests that need a key are served by the configuration in
 // force.
 func (c *configuration) servesKeys(now time.Time) bool {
-	return freshness.ServesKeys(c.bridges, c.reliable(now), c.newer.mayBeDue())
+	return freshness.ServesKeys(c.serveKeysInOutage, c.reliable(now), c.newer.mayExist())
 }
 
 // leaseLeft returns the time until the lease ends, as it is logged.
@@ -121,7 +121,7 @@
 // changes, so its silence would confirm nothing.
 func (c *configuration) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if wait := c.untilRead(clock.Now()); wait > 0 && !c.awaitNewer(ctx, wait) {
+		if wait := c.untilNextRead(clock.Now()); wait > 0 && !c.awaitNewer(ctx, wait) {
 			continue // a peer may have renewed the lease meanwhile
 		}
 		answered := c.read(ctx)
@@ -135,18 +135,18 @@
 
 // pause waits after a read. A long wait ends if a peer reports a newer configuration.
 func (c *configuration) pause(ctx context.Context, answered bool) {
-	wait, least := freshness.PauseAfterRead(answered, c.current() != nil), freshness.PauseAfterRead(true, true)
-	clock.Sleep(ctx, least)
-	if wait > least {
-		c.awaitNewer(ctx, replica.MaxPause(wait, c.peers.Alive(clock.Now()))-least)
+	wait, minPause := freshness.PauseAfterRead(answered, c.current() != nil), freshness.PauseAfterRead(true, true)
+	clock.Sleep(ctx, minPause)
+	if wait > minPause {
+		c.awaitNewer(ctx, replica.MaxPause(wait, c.peers.Alive(clock.Now()))-minPause)
 	}
 }
 
-// untilRead returns how long this router need not read the configuration.
-func (c *configuration) untilRead(now time.Time) time.Duration {
+// untilNextRead returns how long this router need not read the configuration.
+func (c *configuration) untilNextRead(now time.Time) time.Duration {
 	age, known := c.lease.Age(now)
 	if !known || c.current() == nil {
-		return c.start.left(now)
+		return c.start.untilStoreRead(now)
 	}
 	confirmed, _ := c.lease.Confirmed()
 	rank, alive := c.peers.Rank(now, freshness.Shift(confirmed))
@@ -158,8 +158,8 @@
 
 // awaitNewer waits, at most for wait, until a peer has a newer configuration, and
 // reports whether one does. What peers sent while it was read counts no more.
-func (c *configuration) awaitNewer(ctx context.Context, wait time.Duration) bool {
-	timer := time.NewTimer(wait)
+func (c *configuration) awaitNewer(ctx context.Context, maxWait time.Duration) bool {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
 	case <-c.wake:
@@ -174,8 +174,8 @@
 func (c *configuration) read(ctx context.Context) bool {
 	// A source that has an older version than the one in force was restored: what else it has lost
 	// isn't known, so that it confirms nothing.
-	known := freshness.Seen{Revision: c.revision.get(), Version: max(c.newer.heard(), c.version())}
-	if c.newer.heard() > c.version() && c.readFromPeer(ctx) {
+	known := freshness.Seen{Revision: c.revision.get(), Version: max(c.newer.reportedVersion(), c.version())}
+	if c.newer.reportedVersion() > c.version() && c.readFromPeer(ctx) {
 		return true
 	}
 	c.metrics.Count("ryeford_store_calls_total", causeConfiguration)
@@ -185,32 +185,32 @@
 		return false // the gateway stops: not an outage
 	}
 	if err != nil {
-		c.failed++
-		c.revision.fail()
+		c.failedReads++
+		c.revision.recordFailure()
 		c.outage.Failed(sent, err)
 		return false
 	}
 	c.outage.Answered()
 	if c.apply(&update, known, sent) {
-		c.failed = 0
+		c.failedReads = 0
 	} else {
-		c.failed++
+		c.failedReads++
 	}
 	return true
 }
 
 // fetch asks the source for the configuration, or for what has changed of it.
 func (c *configuration) fetch(ctx context.Context) (ryeford.ConfigurationUpdate, error) {
-	known := ryeford.KnownConfiguration{State: c.state, Size: c.size, OnChange: c.changed}
-	if freshness.Compares(freshness.Known{Size: c.size, Failed: c.failed, Outdated: c.newer.known()}) {
+	known := ryeford.KnownConfiguration{State: c.state, Size: c.size, OnChange: c.sourceChanged}
+	if freshness.Compares(freshness.Known{Size: c.size, Failed: c.failedReads, Outdated: c.newer.known()}) {
 		return c.source.ConfigurationIfChanged(ctx, known)
 	}
 	return c.source.Configuration(ctx, known)
 }
 
-// changed takes that the source has another configuration than the one that is known,
+// sourceChanged takes that the source has another configuration than the one that is known,
 // which is about to be transferred.
-func (c *configuration) changed() {
+func (c *configuration) sourceChanged() {
 	c.newer.setChanged()
 	_ = c.log.Log("decision", "configuration_news", "superseded", c.state)
 }
@@ -221,13 +221,13 @@
 func (c *configuration) apply(update *ryeford.ConfigurationUpdate, known freshness.Seen, sent time.Time) bool {
 	read := freshness.Seen{Revision: update.Revision, Version: c.versionIn(update)}
 	if !freshness.Confirms(read, known) {
-		c.newer.contradict(clock.Now())
+		c.newer.recordContradiction(clock.Now())
 		c.metrics.Count("ryeford_stale_answers_total", "")
 		_ = c.log.Log("decision", "configuration", "revision", read.Revision, "known", known.Revision, "version", read.Version, "heard", known.Version, "applied", false, "why", "stale answer")
 		return false
 	}
-	c.revision.raise(update.Revision)
-	c.evacuations.learn(update.Evacuations, "source")
+	c.revision.recordAnswer(update.Revision)
+	c.evacuations.merge(update.Evacuations, "source")
 	if !update.Unchanged {
 		c.state, c.size = update.State, update.Size
 	}
@@ -267,7 +267,7 @@
 // when the read was sent.
 func (c *configuration) putInForce(update *ryeford.ConfigurationUpdate, sent time.Time) {
 	applied, took := c.replace(update.Configuration, sent)
-	c.newer.putInForce(c.version(), took >= c.bound)
+	c.newer.setInForce(c.version(), took >= c.changeTimeout)
 	_ = c.log.Log("decision", "configuration", "version", update.Configuration.Version, "revision", update.Revision,
 		"routes", len(update.Configuration.Routes), "accounts", len(update.Configuration.Accounts), "took", roundTime(took), "applied", applied)
 	if !applied {
@@ -280,26 +280,26 @@
 
 // replace puts a configuration in force that was asked for at a time, unless a later one is.
 // It reports whether it did, and how long that took.
-func (c *configuration) replace(next *ryeford.Configuration, sent time.Time) (applied bool, took time.Duration) {
+func (c *configuration) replace(next *ryeford.Configuration, sent time.Time) (applied bool, elapsed time.Duration) {
 	applied = c.inForce.Put(catalog.New(next))
 	return applied, clock.Since(sent)
 }
 
-// confirmedByPeer takes the confirmation of a peer, whose address is from, that a version
+// mergePeerConfirmation takes the confirmation of a peer, whose address is from, that a version
 // was the newest when the source's steady clock showed at.
-func (c *configuration) confirmedByPeer(now time.Time, from netip.AddrPort, version int64, at time.Duration) {
+func (c *configuration) mergePeerConfirmation(now time.Time, from netip.AddrPort, version int64, at time.Duration) {
 	current := c.current()
 	switch freshness.AfterPeer(current != nil, versionOf(current), version) {
 	case freshness.PeerIsNewer:
-		c.newer.receive(now, from, version)
-		c.readSoon()
+		c.newer.recordReport(now, from, version)
+		c.triggerRead()
 	case freshness.PeerRenews:
 		c.lease.RenewFromPeer(now, at)
 	}
 }
 
-// readSoon makes run read the configuration at once.
-func (c *configuration) readSoon() {
+// triggerRead makes run read the configuration at once.
+func (c *configuration) triggerRead() {
 	select {
 	case c.wake <- struct{}{}:
 	default: // run is to read already
--- a/gateway/configuration_test.go
+++ b/gateway/configuration_test.go
@@ -17,25 +17,25 @@
 	"github.com/ryeford/ryeford/internal/telemetry"
 )
 
-// A configurationStandIn is a source of configurations whose steady clock is that of
+// A fakeConfigurationSource is a source of configurations whose steady clock is that of
 // the test.
-type configurationStandIn struct {
-	began    time.Time
-	version  int64 // zero: there is none yet
-	revision ryeford.Revision
-	err      error
-	reads    []time.Duration // when it was read, since began
-	size     int             // of the configuration, in bytes
-	compared int             // reads that found it unchanged
-	takes    time.Duration   // to transfer it
+type fakeConfigurationSource struct {
+	began        time.Time
+	version      int64 // zero: there is none yet
+	revision     ryeford.Revision
+	err          error
+	reads        []time.Duration // when it was read, since began
+	size         int             // of the configuration, in bytes
+	compared     int             // reads that found it unchanged
+	transferTime time.Duration   // to transfer it
 	// compareErr fails comparisons.
 	compareErr error
 }
 
 // Configuration implements ryeford.ConfigurationSource.
-func (s *configurationStandIn) Configuration(context.Context, ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
+func (s *fakeConfigurationSource) Configuration(context.Context, ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
 	s.reads = append(s.reads, time.Since(s.began))
-	defer time.Sleep(s.takes)
+	defer time.Sleep(s.transferTime)
 	update := ryeford.ConfigurationUpdate{Revision: s.revision, Clock: time.Since(s.began), Begun: time.Now()}
 	if s.version > 0 {
 		update.Configuration = &ryeford.Configuration{Version: s.version}
@@ -45,7 +45,7 @@
 }
 
 // ConfigurationIfChanged implements ryeford.ConfigurationSource.
-func (s *configurationStandIn) ConfigurationIfChanged(ctx context.Context, known ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
+func (s *fakeConfigurationSource) ConfigurationIfChanged(ctx context.Context, known ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
 	if s.compareErr != nil {
 		return ryeford.ConfigurationUpdate{}, s.compareErr
 	}
@@ -60,25 +60,25 @@
 // A configurationFixture is a configuration without a gateway.
 type configurationFixture struct {
 	*configuration
-	source  *configurationStandIn
+	source  *fakeConfigurationSource
 	updates int
 }
 
 // newConfigurationFixture returns a configuration with a lease of four seconds that
 // is read every second. Its source has version 1.
 func newConfigurationFixture() *configurationFixture {
-	f := &configurationFixture{source: &configurationStandIn{began: time.Now(), version: 1, revision: 5}}
+	f := &configurationFixture{source: &fakeConfigurationSource{began: time.Now(), version: 1, revision: 5}}
 	f.configuration = newConfiguration(configurationOptions{
-		source:   f.source,
-		term:     4 * time.Second,
-		refresh:  time.Second,
-		bound:    2 * time.Second,
-		silence:  3 * time.Second,
-		peers:    peers.New(netip.AddrPort{}, peers.DefaultLimits()),
-		revision: &revision{},
-		onUpdate: func() { f.updates++ },
-		log:      log.NewNopLogger(),
-		metrics:  telemetry.NewSet(),
+		source:           f.source,
+		term:             4 * time.Second,
+		refresh:          time.Second,
+		changeTimeout:    2 * time.Second,
+		unreachableAfter: 3 * time.Second,
+		peers:            peers.New(netip.AddrPort{}, peers.DefaultLimits()),
+		revision:         &storeRevision{},
+		onUpdate:         func() { f.updates++ },
+		log:              log.NewNopLogger(),
+		metrics:          telemetry.NewSet(),
 	})
 	return f
 }
@@ -117,19 +117,19 @@
 	})
 }
 
-// TestConfigurationBridged checks that keys are served in an outage, if the operators allow it,
+// TestConfigurationServesKeysInOutage checks that keys are served in an outage, if the operators allow it,
 // until a peer tells of a newer version; and again once that version is in force.
-func TestConfigurationBridged(t *testing.T) {
+func TestConfigurationServesKeysInOutage(t *testing.T) {
 	for _, bridges := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newConfigurationFixture()
-			f.bridges = bridges
+			f.serveKeysInOutage = bridges
 			f.runFor(t, 100*time.Millisecond)
 			f.source.err = errors.New("out")
 			f.runFor(t, time.Minute)
 			assert.Assert(t, !f.reliable(time.Now()))
 			assert.Equal(t, f.servesKeys(time.Now()), bridges)
-			f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, time.Minute)
+			f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, time.Minute)
 			assert.Assert(t, !f.servesKeys(time.Now()), "a key may be revoked in the newer version")
 			f.source.err, f.source.version = nil, 2
 			f.runFor(t, time.Second)
@@ -163,7 +163,7 @@
 func TestConfigurationStaleRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
-		f.revision.raise(6)
+		f.revision.recordAnswer(6)
 		f.runFor(t, 10*time.Millisecond)
 		assert.Assert(t, f.current() == nil)
 		assert.Assert(t, !f.reliable(time.Now()))
@@ -172,23 +172,23 @@
 	})
 }
 
-// TestConfigurationOfPeer checks what a peer's confirmation does: of the same version
+// TestConfigurationPeerConfirmation checks what a peer's confirmation does: of the same version
 // it renews the lease, of a newer one it makes the router read at once, of an older one
 // it does nothing.
-func TestConfigurationOfPeer(t *testing.T) {
+func TestConfigurationPeerConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.runFor(t, 10*time.Millisecond)
 		time.Sleep(2 * time.Second)
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 0, 2*time.Second)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 0, 2*time.Second)
 		assert.Equal(t, f.leaseLeft(), 1990*time.Millisecond, "an older version")
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 1, 2*time.Second)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 1, 2*time.Second)
 		assert.Equal(t, f.leaseLeft(), 3990*time.Millisecond, "the same version, confirmed 10 ms ago")
 		confirmed, _ := f.lease.Confirmed()
 		assert.Equal(t, confirmed, 2*time.Second, "it is passed on")
 		reads := len(f.source.reads)
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 2*time.Second)
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 2*time.Second)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 2*time.Second)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 2*time.Second)
 		assert.Equal(t, f.leaseLeft(), 3990*time.Millisecond, "a newer version confirms nothing here")
 		f.source.version = 2
 		f.runFor(t, 100*time.Millisecond)
@@ -202,7 +202,7 @@
 func TestConfigurationConfirmedAtSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
-		f.source.takes = 600 * time.Millisecond
+		f.source.transferTime = 600 * time.Millisecond
 		f.runFor(t, 700*time.Millisecond)
 		confirmed, ok := f.lease.Confirmed()
 		assert.Assert(t, ok)
@@ -237,13 +237,13 @@
 			f.source.err, f.source.compareErr = nil, nil
 		},
 		"two stale answers": func(t *testing.T, f *configurationFixture) {
-			f.revision.raise(9)
+			f.revision.recordAnswer(9)
 			f.runFor(t, time.Second)
 			f.source.revision = 9
 		},
 		"a peer has a newer one": func(_ *testing.T, f *configurationFixture) {
 			f.source.version = 2
-			f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 0)
+			f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 0)
 		},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -265,13 +265,13 @@
 func TestConfigurationLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
-		f.source.size, f.source.takes = 1<<20, 2500*time.Millisecond
+		f.source.size, f.source.transferTime = 1<<20, 2500*time.Millisecond
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			f.runFor(t, 3*time.Second)
 		}()
-		time.Sleep(f.source.takes + time.Millisecond)
+		time.Sleep(f.source.transferTime + time.Millisecond)
 		version, superseded := f.version(), f.superseded(time.Now())
 		time.Sleep(100 * time.Millisecond)
 		confirmed := !f.superseded(time.Now())
@@ -283,22 +283,22 @@
 	})
 }
 
-// TestConfigurationWrongNews checks that a peer's word of a version that the source does not
+// TestConfigurationContradictedReport checks that a peer's word of a version that the source does not
 // have is forgotten once the source has contradicted it, and is believed again if it comes
 // again, and that the answer which contradicts it does not renew the lease.
-func TestConfigurationWrongNews(t *testing.T) {
+func TestConfigurationContradictedReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.source.size = 1 << 20
 		f.runFor(t, 100*time.Millisecond)
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 99, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 99, 0)
 		f.runFor(t, 100*time.Millisecond)
 		assert.Equal(t, f.leaseLeft(), 3800*time.Millisecond)
 		f.runFor(t, 3500*time.Millisecond)
 		assert.Equal(t, f.source.compared, 3, "it is compared again after a second")
 		assert.Assert(t, f.reliable(time.Now()))
 		reads := len(f.source.reads)
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 99, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 99, 0)
 		f.runFor(t, 100*time.Millisecond)
 		assert.Equal(t, len(f.source.reads), reads+1)
 	})
@@ -311,9 +311,9 @@
 		f := newConfigurationFixture()
 		f.runFor(t, 100*time.Millisecond)
 		for range 30 {
-			f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 0)
+			f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 0)
 			f.runFor(t, 100*time.Millisecond)
-			f.revision.raise(5) // by the list of endpoints
+			f.revision.recordAnswer(5) // by the list of endpoints
 		}
 		assert.Assert(t, f.superseded(time.Now()))
 		assert.Equal(t, f.leaseLeft(), 900*time.Millisecond)
@@ -345,14 +345,14 @@
 func TestConfigurationRefusedComparison(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
-		f.source.size, f.source.takes = 1<<20, 1200*time.Millisecond
+		f.source.size, f.source.transferTime = 1<<20, 1200*time.Millisecond
 		f.source.compareErr = errors.New("too many writes")
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			f.runFor(t, 20*time.Second)
 		}()
-		time.Sleep(f.source.takes)
+		time.Sleep(f.source.transferTime)
 		for range 180 {
 			time.Sleep(100 * time.Millisecond)
 			assert.Assert(t, f.reliable(time.Now()))
@@ -360,15 +360,15 @@
 		<-done
 		assert.Equal(t, f.source.compared, 0)
 		f.source.version = 2
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 0)
 		f.runFor(t, 1300*time.Millisecond)
 		assert.Equal(t, f.version(), int64(2))
 	})
 }
 
-// TestConfigurationGone checks that an answer without a configuration, after there was one,
+// TestConfigurationRemoved checks that an answer without a configuration, after there was one,
 // does not renew the lease.
-func TestConfigurationGone(t *testing.T) {
+func TestConfigurationRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.runFor(t, 100*time.Millisecond)
@@ -378,14 +378,14 @@
 	})
 }
 
-// TestConfigurationHeardWhileRead checks that what peers send of a version while it is
+// TestConfigurationReportedWhileRead checks that what peers send of a version while it is
 // read causes no other read.
-func TestConfigurationHeardWhileRead(t *testing.T) {
+func TestConfigurationReportedWhileRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.runFor(t, 10*time.Millisecond)
 		f.source.version = 2
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 0)
 		f.runFor(t, 100*time.Millisecond)
 		reads := len(f.source.reads)
 		assert.Equal(t, f.version(), int64(2))
@@ -403,14 +403,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.runFor(t, 100*time.Millisecond)
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 1, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 1, 0)
 		assert.Assert(t, !f.superseded(time.Now().Add(time.Hour)), "the peer has the same version")
 		f.source.err = errors.New("broken off")
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 0)
 		f.runFor(t, 1899*time.Millisecond)
-		f.revision.raise(6) // by the list of endpoints
+		f.revision.recordAnswer(6) // by the list of endpoints
 		assert.Assert(t, !f.superseded(time.Now()))
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 3, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 3, 0)
 		f.runFor(t, time.Millisecond)
 		assert.Assert(t, f.superseded(time.Now()), "it counts from its own confirmation")
 		f.runFor(t, 2999*time.Millisecond)
@@ -429,20 +429,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.runFor(t, 100*time.Millisecond)
-		f.source.takes = 1500 * time.Millisecond
+		f.source.transferTime = 1500 * time.Millisecond
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			f.runFor(t, 4*time.Second)
 		}()
 		f.source.version = 2
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 0)
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
 		accepted := time.Now()
 		f.source.version = 3
-		f.confirmedByPeer(accepted, netip.AddrPort{}, 3, 0)
-		time.Sleep(time.Until(accepted.Add(f.bound)))
+		f.mergePeerConfirmation(accepted, netip.AddrPort{}, 3, 0)
+		time.Sleep(time.Until(accepted.Add(f.changeTimeout)))
 		used, superseded := f.version(), f.superseded(time.Now())
 		<-done
 		assert.Equal(t, used, int64(2))
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// crashChecks is how often it is tried at most whether an endpoint that has broken an attempt
+	// maxCrashChecks is how often it is tried at most whether an endpoint that has broken an attempt
 	// off accepts connections, and crashCheckPause the time between two tries: a process that ends
 	// closes its connections before its port.
-	crashChecks     = 3
+	maxCrashChecks  = 3
 	crashCheckPause = 50 * time.Millisecond
-	// crashMemory is for how long the outcome counts for further attempts that the endpoint breaks
+	// crashCheckTTL is for how long the outcome counts for further attempts that the endpoint breaks
 	// off: those of one moment.
-	crashMemory = 500 * time.Millisecond
+	crashCheckTTL = 500 * time.Millisecond
 )
 
-// A crashes finds out whether an endpoint that has broken off an attempt has ended, or just a
+// A crashDetector finds out whether an endpoint that has broken off an attempt has ended, or just a
 // connection to it. It is safe for concurrent use.
-type crashes struct {
+type crashDetector struct {
 	log     log.Logger
 	metrics *telemetry.Set
 
@@ -42,13 +42,13 @@
 	crashed bool
 }
 
-func newCrashes(logger log.Logger, metrics *telemetry.Set) *crashes {
-	return &crashes{log: logger, metrics: metrics, checks: make(map[ryeford.EndpointID]*crashCheck)}
+func newCrashDetector(logger log.Logger, metrics *telemetry.Set) *crashDetector {
+	return &crashDetector{log: logger, metrics: metrics, checks: make(map[ryeford.EndpointID]*crashCheck)}
 }
 
 // crashed reports whether an endpoint that has just broken off an attempt has ended. It waits
 // until that is known.
-func (c *crashes) crashed(to *roster.Entry) bool {
+func (c *crashDetector) crashed(to *roster.Entry) bool {
 	check, first := c.check(clock.Now(), to.ID)
 	if first {
 		check.run(to)
@@ -62,11 +62,11 @@
 }
 
 // check returns the check of an endpoint, and whether it is still to be run.
-func (c *crashes) check(now time.Time, id ryeford.EndpointID) (check *crashCheck, first bool) {
+func (c *crashDetector) check(now time.Time, id ryeford.EndpointID) (check *crashCheck, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for other, old := range c.checks {
-		if now.Sub(old.began) >= crashMemory {
+		if now.Sub(old.began) >= crashCheckTTL {
 			delete(c.checks, other)
 		}
 	}
@@ -82,7 +82,7 @@
 func (c *crashCheck) run(to *roster.Entry) {
 	defer close(c.done)
 	ctx := context.Background() // bounded by the time to open a connection
-	for i := range crashChecks {
+	for i := range maxCrashChecks {
 		if i > 0 {
 			clock.Sleep(ctx, crashCheckPause)
 		}
--- a/gateway/troubledstore_test.go
+++ b/gateway/disruptedstore_test.go
@@ -10,11 +10,11 @@
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
-// A trouble is what is wrong with a troubledStore.
-type trouble int
+// A disruption is what is wrong with a troubledStore.
+type disruption int
 
 const (
-	noTrouble trouble = iota
+	noDisruption disruption = iota
 	// silent loses calls: also those that it holds, and for good.
 	silent
 	// resetting ends each call at once, also those that it holds.
@@ -29,11 +29,11 @@
 	restored
 )
 
-// A troubledStore is a store whose calls fail as platform.Store's do: a call that gets
+// A disruptedStore is a store whose calls fail as platform.Store's do: a call that gets
 // no answer fails after timeout, beyond the time for which it may be held. It works in
 // the time of synctest, without connections. It is a ryeford.ConfigurationSource and a
 // ryeford.EndpointSource.
-type troubledStore struct {
+type disruptedStore struct {
 	timeout time.Duration
 	delay   time.Duration // of an answer while slow
 	// transfer is how long the configuration takes on the way. It is as large as one
@@ -41,12 +41,12 @@
 	transfer time.Duration
 	began    time.Time
 
-	mu      sync.Mutex
-	current tables
-	stale   tables // as of when the trouble began
-	trouble trouble
-	oldest  ryeford.Revision // changes up to this revision are forgotten
-	changed chan struct{}    // closed at the next change
+	mu         sync.Mutex
+	current    tables
+	stale      tables // as of when the trouble began
+	disruption disruption
+	oldest     ryeford.Revision // changes up to this revision are forgotten
+	changed    chan struct{}    // closed at the next change
 }
 
 // tables are the contents of a troubledStore as of a revision.
@@ -57,9 +57,9 @@
 	changes   []ryeford.EndpointUpdate // one endpoint each
 }
 
-// newTroubledStore returns a store with a configuration and some endpoints.
-func newTroubledStore(timeout time.Duration, ids ...ryeford.EndpointID) *troubledStore {
-	s := &troubledStore{timeout: timeout, began: time.Now(), changed: make(chan struct{})}
+// newDisruptedStore returns a store with a configuration and some endpoints.
+func newDisruptedStore(timeout time.Duration, ids ...ryeford.EndpointID) *disruptedStore {
+	s := &disruptedStore{timeout: timeout, began: time.Now(), changed: make(chan struct{})}
 	s.current.version = 1
 	for _, id := range ids {
 		s.put(id, ryeford.EndpointReady)
@@ -68,19 +68,19 @@
 }
 
 // put writes the entry of an endpoint.
-func (s *troubledStore) put(id ryeford.EndpointID, state ryeford.EndpointState) {
+func (s *disruptedStore) put(id ryeford.EndpointID, state ryeford.EndpointState) {
 	s.change(ryeford.EndpointUpdate{Present: []ryeford.Endpoint{{ID: id, Service: "s", State: state}}})
 }
 
 // remove removes the entries of endpoints, one after the other.
-func (s *troubledStore) remove(ids ...ryeford.EndpointID) {
+func (s *disruptedStore) remove(ids ...ryeford.EndpointID) {
 	for _, id := range ids {
 		s.change(ryeford.EndpointUpdate{Removed: []ryeford.EndpointID{id}})
 	}
 }
 
 // change makes a change of one endpoint.
-func (s *troubledStore) change(change ryeford.EndpointUpdate) {
+func (s *disruptedStore) change(change ryeford.EndpointUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := tables{
@@ -91,7 +91,7 @@
 	change.Revision = next.revision
 	next.changes = append(next.changes[:len(next.changes):len(next.changes)], change)
 	for _, endpoint := range s.current.endpoints {
-		if !names(&change, endpoint.ID) {
+		if !concerns(&change, endpoint.ID) {
 			next.endpoints = append(next.endpoints, endpoint)
 		}
 	}
@@ -100,8 +100,8 @@
 	s.wake()
 }
 
-// names reports whether a change is of an endpoint.
-func names(change *ryeford.EndpointUpdate, id ryeford.EndpointID) bool {
+// concerns reports whether a change is of an endpoint.
+func concerns(change *ryeford.EndpointUpdate, id ryeford.EndpointID) bool {
 	if len(change.Present) > 0 {
 		return change.Present[0].ID == id
 	}
@@ -109,7 +109,7 @@
 }
 
 // configure puts a version of the configuration.
-func (s *troubledStore) configure(version int64) {
+func (s *disruptedStore) configure(version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.current.revision++
@@ -117,28 +117,28 @@
 	s.wake()
 }
 
-// set sets what is wrong from now on. A compacted store has lost its history once it is
+// setDisruption sets what is wrong from now on. A compacted store has lost its history once it is
 // well again.
-func (s *troubledStore) set(t trouble) {
+func (s *disruptedStore) setDisruption(t disruption) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.trouble == compacted {
+	if s.disruption == compacted {
 		s.oldest = s.current.revision
 	}
-	s.trouble = t
+	s.disruption = t
 	s.stale = s.current
 	s.wake()
 }
 
-// copied returns what the store holds now.
-func (s *troubledStore) copied() tables {
+// backup returns what the store holds now.
+func (s *disruptedStore) backup() tables {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current
 }
 
 // restore makes the store go on from a copy, in the next era.
-func (s *troubledStore) restore(from tables) {
+func (s *disruptedStore) restore(from tables) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	revision, err := ryeford.NewRevision(s.current.revision.Era()+1, from.revision.Number())
@@ -151,26 +151,26 @@
 }
 
 // wake wakes the calls that are held. s.mu is held.
-func (s *troubledStore) wake() {
+func (s *disruptedStore) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // read returns what a read sees now, and what wakes a held one.
-func (s *troubledStore) read() (tables, trouble, ryeford.Revision, <-chan struct{}) {
+func (s *disruptedStore) read() (tables, disruption, ryeford.Revision, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch s.trouble {
+	switch s.disruption {
 	case stale:
-		return s.stale, s.trouble, s.oldest, nil
+		return s.stale, s.disruption, s.oldest, nil
 	case compacted:
-		return s.stale, s.trouble, s.oldest, s.changed
+		return s.stale, s.disruption, s.oldest, s.changed
 	}
-	return s.current, s.trouble, s.oldest, s.changed
+	return s.current, s.disruption, s.oldest, s.changed
 }
 
-// meet lets a call that may be held meet the trouble, and returns how it fails.
-func (s *troubledStore) meet(ctx context.Context, t trouble, limit time.Time) error {
+// applyDisruption lets a call that may be held applyDisruption the trouble, and returns how it fails.
+func (s *disruptedStore) applyDisruption(ctx context.Context, t disruption, limit time.Time) error {
 	failure := &ryeford.UnavailableError{Service: "store", Err: errors.New("trouble")}
 	switch t {
 	case silent:
@@ -189,15 +189,15 @@
 }
 
 // Configuration implements ryeford.ConfigurationSource.
-func (s *troubledStore) Configuration(ctx context.Context, _ ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
+func (s *disruptedStore) Configuration(ctx context.Context, _ ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
 	return s.ConfigurationIfChanged(ctx, ryeford.KnownConfiguration{})
 }
 
 // ConfigurationIfChanged implements ryeford.ConfigurationSource.
-func (s *troubledStore) ConfigurationIfChanged(ctx context.Context, known ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
+func (s *disruptedStore) ConfigurationIfChanged(ctx context.Context, known ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
 	const large = 1 << 20
 	now, trouble, _, _ := s.read()
-	if err := s.meet(ctx, trouble, time.Now().Add(s.timeout)); err != nil {
+	if err := s.applyDisruption(ctx, trouble, time.Now().Add(s.timeout)); err != nil {
 		return ryeford.ConfigurationUpdate{}, err
 	}
 	update := ryeford.ConfigurationUpdate{
@@ -220,21 +220,21 @@
 }
 
 // Endpoints implements ryeford.EndpointSource.
-func (s *troubledStore) Endpoints(ctx context.Context) (ryeford.EndpointUpdate, error) {
+func (s *disruptedStore) Endpoints(ctx context.Context) (ryeford.EndpointUpdate, error) {
 	now, trouble, _, _ := s.read()
-	if err := s.meet(ctx, trouble, time.Now().Add(s.timeout)); err != nil {
+	if err := s.applyDisruption(ctx, trouble, time.Now().Add(s.timeout)); err != nil {
 		return ryeford.EndpointUpdate{}, err
 	}
 	return ryeford.EndpointUpdate{Snapshot: true, Revision: now.revision, Present: now.endpoints, Clock: time.Since(s.began), Begun: time.Now()}, nil
 }
 
 // EndpointsSince implements ryeford.EndpointSource.
-func (s *troubledStore) EndpointsSince(ctx context.Context, revision ryeford.Revision, wait time.Duration) (ryeford.EndpointUpdate, error) {
+func (s *disruptedStore) EndpointsSince(ctx context.Context, revision ryeford.Revision, wait time.Duration) (ryeford.EndpointUpdate, error) {
 	over := time.After(wait)
 	limit := time.Now().Add(wait + s.timeout)
 	for {
 		now, trouble, oldest, changed := s.read()
-		if err := s.meet(ctx, trouble, limit); err != nil {
+		if err := s.applyDisruption(ctx, trouble, limit); err != nil {
 			return ryeford.EndpointUpdate{}, err
 		}
 		if revision < oldest {
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -30,14 +30,14 @@
 	// ending is done shortly before connections are closed: requests that are not
 	// answered by then are given up, so that their callers are told.
 	ending context.Context
-	end    context.CancelFunc
+	abort  context.CancelFunc
 }
 
 // newDrain returns the drain of a gateway that was not ordered to stop. grace is the
 // time from the order to the end of the process.
 func newDrain(grace time.Duration, logger log.Logger) *drain {
 	d := &drain{grace: grace, log: logger}
-	d.ending, d.end = context.WithCancel(context.Background())
+	d.ending, d.abort = context.WithCancel(context.Background())
 	return d
 }
 
@@ -50,15 +50,15 @@
 		callers.close()
 		return
 	}
-	ordered := clock.Now()
-	closeBy := shutdown.CloseBy(ordered, d.grace)
-	d.ordered.Store(&ordered)
+	requested := clock.Now()
+	closeBy := shutdown.CloseBy(requested, d.grace)
+	d.ordered.Store(&requested)
 	d.stopping.Store(true)
 	_ = d.log.Log("msg", "stopping", "in_flight", d.inFlight.Load())
-	timer := time.AfterFunc(clock.Until(closeBy)-shutdown.EndMargin, d.end)
+	timer := time.AfterFunc(clock.Until(closeBy)-shutdown.EndMargin, d.abort)
 	defer timer.Stop()
-	d.awaitNotice(ordered, closeBy)
-	d.awaitQuiet(closeBy)
+	d.awaitFailedProbes(requested, closeBy)
+	d.awaitNoNewConnections(closeBy)
 	limit, cancel := context.WithTimeout(context.WithoutCancel(work), clock.Until(closeBy))
 	defer cancel()
 	// polls are the readiness probes that failed: operators know the log by that name.
@@ -70,18 +70,18 @@
 	}
 }
 
-// awaitNotice waits until the balancer has noticed that the gateway stops, but no longer
+// awaitFailedProbes waits until the balancer has noticed that the gateway stops, but no longer
 // than until closeBy.
-func (d *drain) awaitNotice(ordered, closeBy time.Time) {
-	for !shutdown.Noticed(clock.Since(ordered), int(d.failedProbes.Load())) && clock.Now().Before(closeBy) {
+func (d *drain) awaitFailedProbes(requested, closeBy time.Time) {
+	for !shutdown.Noticed(clock.Since(requested), int(d.failedProbes.Load())) && clock.Now().Before(closeBy) {
 		time.Sleep(shutdown.CheckInterval)
 	}
 	time.Sleep(min(shutdown.NoticeMargin, clock.Until(closeBy)))
 }
 
-// awaitQuiet waits until no caller has connected for some time, but no longer than until
+// awaitNoNewConnections waits until no caller has connected for some time, but no longer than until
 // closeBy.
-func (d *drain) awaitQuiet(closeBy time.Time) {
+func (d *drain) awaitNoNewConnections(closeBy time.Time) {
 	for now := clock.Now(); now.Before(closeBy); now = clock.Now() {
 		var last time.Time
 		if p := d.lastConnection.Load(); p != nil {
@@ -112,10 +112,10 @@
 // leavesTimeFor reports whether a gateway that stops takes a request now. slowest is the
 // time of the slowest requests on its route.
 func (d *drain) leavesTimeFor(q *request, slowest time.Duration) bool {
-	now, ordered := clock.Now(), *d.ordered.Load()
+	now, requested := clock.Now(), *d.ordered.Load()
 	return shutdown.LeavesTimeFor(shutdown.Request{
-		SinceOrder: now.Sub(ordered),
-		Left:       shutdown.CloseBy(ordered, d.grace).Sub(now),
+		SinceOrder: now.Sub(requested),
+		Left:       shutdown.CloseBy(requested, d.grace).Sub(now),
 		Slowest:    slowest,
 		Longest:    q.deadline.Sub(now),
 		Stream:     q.rule.Kind == ryeford.RouteStream,
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -12,43 +12,43 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestAwaitNotice checks that a gateway that stops goes on 0.4 s after its second
+// TestAwaitFailedProbes checks that a gateway that stops goes on 0.4 s after its second
 // failed probe, and without probes after 3.4 s. Probes before the order don't count.
-func TestAwaitNotice(t *testing.T) {
+func TestAwaitFailedProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(8*time.Second, log.NewNopLogger())
 		d.countFailedProbe()
 		d.countFailedProbe()
 		d.stopping.Store(true)
 		ordered := time.Now()
-		d.awaitNotice(ordered, ordered.Add(time.Minute))
+		d.awaitFailedProbes(ordered, ordered.Add(time.Minute))
 		assert.Equal(t, time.Since(ordered), 3400*time.Millisecond)
 
 		ordered = time.Now()
-		d.awaitNotice(ordered, ordered.Add(2*time.Second))
+		d.awaitFailedProbes(ordered, ordered.Add(2*time.Second))
 		assert.Equal(t, time.Since(ordered), 2*time.Second, "the grace period is short")
 
 		d.countFailedProbe()
 		ordered = time.Now()
 		time.AfterFunc(time.Second, d.countFailedProbe)
-		d.awaitNotice(ordered, ordered.Add(time.Minute))
+		d.awaitFailedProbes(ordered, ordered.Add(time.Minute))
 		took := time.Since(ordered)
 		assert.Assert(t, took >= 1400*time.Millisecond && took <= 1450*time.Millisecond, "%s", took)
 	})
 }
 
-// TestAwaitQuiet checks that a gateway that stops listens until no caller has
+// TestAwaitNoNewConnections checks that a gateway that stops listens until no caller has
 // connected for half a second, but no longer than until it has to close.
-func TestAwaitQuiet(t *testing.T) {
+func TestAwaitNoNewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(8*time.Second, log.NewNopLogger())
 		began := time.Now()
-		d.awaitQuiet(began.Add(5 * time.Second))
+		d.awaitNoNewConnections(began.Add(5 * time.Second))
 		assert.Equal(t, time.Since(began), time.Duration(0), "no caller has ever connected")
 
 		d.recordConnection(nil, http.StateNew)
 		time.AfterFunc(400*time.Millisecond, func() { d.recordConnection(nil, http.StateActive) })
-		d.awaitQuiet(began.Add(5 * time.Second))
+		d.awaitNoNewConnections(began.Add(5 * time.Second))
 		assert.Equal(t, time.Since(began), 550*time.Millisecond, "a request on an open connection is no new connection")
 
 		began = time.Now()
@@ -64,7 +64,7 @@
 			}
 		}()
 		d.recordConnection(nil, http.StateNew)
-		d.awaitQuiet(began.Add(2 * time.Second))
+		d.awaitNoNewConnections(began.Add(2 * time.Second))
 		assert.Equal(t, time.Since(began), 2*time.Second, "callers connect all the time")
 		close(stop)
 	})
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -21,19 +21,19 @@
 )
 
 const (
-	// minFeedPause is the pause after a first failure of the list's source, before
+	// minRetryPause is the pause after a first failure of the list's source, before
 	// jitter; it doubles with each failure in a row up to maxFeedPause, or more in a large
 	// fleet.
-	minFeedPause = 60 * time.Millisecond
-	// maxFeedPause bounds the pause after a failure. At 0.5 s the return of a source was
+	minRetryPause = 60 * time.Millisecond
+	// maxRetryPause bounds the pause after a failure. At 0.5 s the return of a source was
 	// noticed late.
-	maxFeedPause = 400 * time.Millisecond
+	maxRetryPause = 400 * time.Millisecond
 	// sweepInterval is how often idle connections are looked through.
 	sweepInterval = 500 * time.Millisecond
 )
 
-// A forgetter keeps something of each endpoint, which ends with the endpoint.
-type forgetter interface {
+// A endpointRemover keeps something of each endpoint, which ends with the endpoint.
+type endpointRemover interface {
 	Forget(id ryeford.EndpointID)
 }
 
@@ -44,52 +44,52 @@
 	source ryeford.EndpointSource
 	limits replica.Limits
 	// settle is the pause after a change.
-	settle  time.Duration
-	contact time.Duration // until the router is held to its bounds after an outage
-	copy    *replica.Replica
-	lease   *freshness.Lease // how old the copy is
-	clock   *freshness.SourceClock
-	peers   *peers.Table
-	reader  *peerReader
-	start   *start
+	settle          time.Duration
+	recoveryTimeout time.Duration // until the router is held to its bounds after an outage
+	copy            *replica.Replica
+	lease           *freshness.Lease // how old the copy is
+	clock           *freshness.SourceClock
+	peers           *peers.Table
+	reader          *peerReader
+	start           *start
 
-	revision   *revision // the newest of the store, on any of its tables
-	roster     *roster.Roster
-	rests      *rest.Table
-	pool       *endpoint.Pool
-	forgetters []forgetter // forget an endpoint that is gone
-	outage     *watch.Outage
-	onUpdate   func() // called after each update
-	log        log.Logger
-	metrics    *telemetry.Set
+	revision *storeRevision // the newest of the store, on any of its tables
+	roster   *roster.Roster
+	backoffs *rest.Table
+	pool     *endpoint.Pool
+	removers []endpointRemover // forget an endpoint that is gone
+	outage   *watch.Outage
+	onUpdate func() // called after each update
+	log      log.Logger
+	metrics  *telemetry.Set
 
-	// dropped holds one entry if endpoints have left the list that sweep must forget.
-	dropped chan struct{}
-	// newer holds a peer, if one has a copy that holds changes which this router lacks.
-	newer chan peerCopy
+	// sweepDue holds one entry if endpoints have left the list that sweep must forget.
+	sweepDue chan struct{}
+	// newerCopy holds a peer, if one has a copy that holds changes which this router lacks.
+	newerCopy chan peerCopy
 
 	mu sync.Mutex // held while changes are applied
 	// suspectUntil is until when endpoints that the list drops may be alive (package
 	// roster).
 	suspectUntil time.Time
-	// failed is when the last read of the source that failed was sent.
-	failed    time.Time
-	malformed map[ryeford.EndpointID]bool // names of entries that can't be read, as they were logged
-	// whole is when the copy was read whole by this router, whose newest change then may be of any
+	// lastFailedRead is when the last read of the source that lastFailedRead was sent.
+	lastFailedRead time.Time
+	malformed      map[ryeford.EndpointID]bool // names of entries that can't be read, as they were logged
+	// wholeReadAt is when the copy was read wholeReadAt by this router, whose newest change then may be of any
 	// revision up to its own; zero if it is known, or has been read on for long enough.
-	whole time.Time
+	wholeReadAt time.Time
 }
 
 // run follows the list of endpoints until ctx ends.
 func (l *endpointList) run(ctx context.Context) error {
 	watch.Run(ctx, l.source, watch.Options{
-		Turn:     l.turn,
+		Turn:     l.timeSlot,
 		Known:    func() ryeford.Revision { return l.copy.Range().To },
 		Settle:   l.settle,
-		MinPause: minFeedPause,
-		MaxPause: func() time.Duration { return replica.MaxPause(maxFeedPause, l.peers.Alive(clock.Now())) },
+		MinPause: minRetryPause,
+		MaxPause: func() time.Duration { return replica.MaxPause(maxRetryPause, l.peers.Alive(clock.Now())) },
 		Sent:     func(whole bool) { l.metrics.Count("ryeford_store_calls_total", causeOf(whole)) },
-		Failed:   l.sourceFailed,
+		Failed:   l.recordSourceFailure,
 	}, l.applySource, l.outage)
 	return nil
 }
@@ -109,50 +109,50 @@
 	return causeEndpoints
 }
 
-// turn returns in how long this router is to read the source, and how long the source holds
+// timeSlot returns in how long this router is to read the source, and how long the source holds
 // the read.
-func (l *endpointList) turn(now time.Time) (in, hold time.Duration) {
+func (l *endpointList) timeSlot(now time.Time) (untilRead, hold time.Duration) {
 	age, known := l.lease.Age(now)
 	switch {
 	case !known:
-		return l.start.left(now), 0
+		return l.start.untilStoreRead(now), 0
 	case !l.copy.Range().Known():
-		return maxFeedPause - age, 0 // nothing was ever written to the source
+		return maxRetryPause - age, 0 // nothing was ever written to the source
 	}
 	confirmed, _ := l.lease.Confirmed()
 	rank, alive := l.peers.Rank(now, freshness.Shift(confirmed))
 	if l.start.joining(now) {
 		rank = max(rank, replica.Late)
 	}
-	turn := l.limits.Turn(rank, alive)
+	slot := l.limits.Turn(rank, alive)
 	if age >= l.limits.Hold {
-		return turn.Age - age, 0
+		return slot.Age - age, 0
 	}
-	return turn.Age - age, turn.Hold
+	return slot.Age - age, slot.Hold
 }
 
-// sourceFailed takes that a read of the source failed that was sent at a time.
-func (l *endpointList) sourceFailed(sent time.Time) {
-	l.revision.fail()
+// recordSourceFailure takes that a read of the source failed that was sent at a time.
+func (l *endpointList) recordSourceFailure(sent time.Time) {
+	l.revision.recordFailure()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.failed = sent
+	l.lastFailedRead = sent
 }
 
 // applySource takes an answer of the source to a read that was sent at a time, of what has changed
 // since a revision, and reports whether it holds any change.
 func (l *endpointList) applySource(update *ryeford.EndpointUpdate, since ryeford.Revision, sent time.Time) bool {
-	l.revision.raise(update.Revision)
+	l.revision.recordAnswer(update.Revision)
 	l.logMalformed(update)
 	changes := replica.FromSource(update, since)
 	l.mu.Lock()
 	switch {
 	case update.Snapshot:
-		l.whole = sent
-	case !changes.Empty() || sent.Sub(l.whole) > replica.JoinTime:
-		l.whole = time.Time{}
+		l.wholeReadAt = sent
+	case !changes.Empty() || sent.Sub(l.wholeReadAt) > replica.JoinTime:
+		l.wholeReadAt = time.Time{}
 	}
-	l.endOutage(clock.Now(), update.Revision.Era())
+	l.markOutageEnd(clock.Now(), update.Revision.Era())
 	l.mu.Unlock()
 	if !l.apply(&changes, "source") {
 		return false
@@ -162,31 +162,31 @@
 	return len(update.Present)+len(update.Removed) > 0
 }
 
-// endOutage is called before the lease is renewed, and before the changes that came with that are
+// markOutageEnd is called before the lease is renewed, and before the changes that came with that are
 // applied, which are of an era. If that ends an outage, endpoints that are missing from now on are
 // suspect for a time: nothing confirmed the list for long, and this router's own read failed in
 // between. Without that the source may have answered others all the time. They are suspect, too, if
 // the source is back from a copy. l.mu is held.
-func (l *endpointList) endOutage(now time.Time, era int64) {
+func (l *endpointList) markOutageEnd(now time.Time, era int64) {
 	age, known := l.lease.Age(now)
 	if !known {
 		return
 	}
-	downtime := ryeford.Downtime{Began: now.Add(-age), LastFailed: l.failed, Ended: now}
-	ownReadFailed := !l.failed.Before(downtime.Began)
+	downtime := ryeford.Downtime{Began: now.Add(-age), LastFailed: l.lastFailedRead, Ended: now}
+	localReadFailed := !l.lastFailedRead.Before(downtime.Began)
 	switch {
-	case l.restoredIn(era):
-		if !ownReadFailed {
+	case l.isLaterEra(era):
+		if !localReadFailed {
 			downtime.LastFailed = downtime.Began // the source was in the era before
 		}
-		l.suspectUntil = roster.RestoredUntil(&downtime, l.contact)
-	case l.limits.Outage(age) && ownReadFailed:
-		l.suspectUntil = roster.SuspectUntil(&downtime, l.contact)
+		l.suspectUntil = roster.RestoredUntil(&downtime, l.recoveryTimeout)
+	case l.limits.Outage(age) && localReadFailed:
+		l.suspectUntil = roster.SuspectUntil(&downtime, l.recoveryTimeout)
 	}
 }
 
-// restoredIn reports whether an era is later than that of the copy.
-func (l *endpointList) restoredIn(era int64) bool {
+// isLaterEra reports whether an era is later than that of the copy.
+func (l *endpointList) isLaterEra(era int64) bool {
 	at := l.copy.Range()
 	return at.Known() && era > at.To.Era()
 }
@@ -195,8 +195,8 @@
 // applied that are of an era.
 func (l *endpointList) renewFromPeer(confirmed time.Duration, era int64, apply func() bool) {
 	l.mu.Lock()
-	if own, known := l.lease.Confirmed(); !known || confirmed > own || l.restoredIn(era) {
-		l.endOutage(clock.Now(), era)
+	if local, known := l.lease.Confirmed(); !known || confirmed > local || l.isLaterEra(era) {
+		l.markOutageEnd(clock.Now(), era)
 	}
 	l.mu.Unlock()
 	if apply() {
@@ -229,28 +229,28 @@
 		_ = l.log.Log("decision", "endpoints", "from", from, "revision", changes.Range.To, "whole", changes.Snapshot, "troubled", now.Before(l.suspectUntil),
 			"added", join(change.Added), "draining", join(change.Drained), "dropped", join(change.Dropped), "doubted", join(change.Suspected), "departed", join(change.Departed), "restarted", join(change.Restarted), "withheld", join(change.Withheld), "known", l.roster.Len())
 		for _, id := range change.Dropped {
-			l.forget(id)
+			l.removeState(id)
 		}
 	}
 	if len(change.Suspected)+len(change.Departed)+len(change.Withheld) > 0 {
-		l.sweepSoon()
+		l.triggerSweep()
 	}
 	return true
 }
 
-// sweepSoon makes sweep look anew at which endpoint expires next.
-func (l *endpointList) sweepSoon() {
+// triggerSweep makes sweep look anew at which endpoint expires next.
+func (l *endpointList) triggerSweep() {
 	select {
-	case l.dropped <- struct{}{}:
+	case l.sweepDue <- struct{}{}:
 	default: // sweep is to look already
 	}
 }
 
-// forget drops all that is known of an endpoint.
-func (l *endpointList) forget(id ryeford.EndpointID) {
+// removeState drops all that is known of an endpoint.
+func (l *endpointList) removeState(id ryeford.EndpointID) {
 	l.pool.CloseIdle(id)
-	for _, f := range l.forgetters {
-		f.Forget(id)
+	for _, remover := range l.removers {
+		remover.Forget(id)
 	}
 }
 
@@ -263,16 +263,16 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-l.dropped:
+		case <-l.sweepDue:
 		case <-timer.C:
 		}
 		now := clock.Now()
 		l.pool.CloseExpired(now)
-		l.expireRests(now)
+		l.expireBackoffs(now)
 		expired, released := l.roster.Expire(now)
 		for _, id := range expired {
 			_ = l.log.Log("decision", "endpoints", "expired", id)
-			l.forget(id)
+			l.removeState(id)
 		}
 		if len(released) > 0 {
 			_ = l.log.Log("decision", "endpoints", "released", join(released))
--- a/gateway/endpointreport.go
+++ b/gateway/endpointreport.go
@@ -12,23 +12,23 @@
 func (x *exchange) recordReport(from *roster.Entry, report *ryeford.EndpointReport) {
 	f, q, now := x.forwarder, x.request, clock.Now()
 	// The list may have it late or never, above all while the store is away.
-	leaves := report.Leaving && f.roster.Leave(now, from.ID)
-	if leaves {
+	leaving := report.Leaving && f.roster.Leave(now, from.ID)
+	if leaving {
 		f.metrics.Count("ryeford_leaving_endpoints_total", "")
 	}
 	// An endpoint that refuses all looks idle, and would draw the more requests to refuse.
-	rests := report.Rest > 0 && f.rests.Ask(now, from.ID, report.Rest)
-	if rests {
+	backingOff := report.Rest > 0 && f.rests.Ask(now, from.ID, report.Rest)
+	if backingOff {
 		f.metrics.Count("ryeford_rests_total", "")
 	}
-	if leaves || rests {
-		_ = f.log.Log("decision", "endpoint_report", "request", q.meta.ID, "endpoint", from.ID, "leaves", leaves, "rest", roundTime(report.Rest))
+	if leaving || backingOff {
+		_ = f.log.Log("decision", "endpoint_report", "request", q.meta.ID, "endpoint", from.ID, "leaves", leaving, "rest", roundTime(report.Rest))
 	}
 }
 
-// expireRests forgets the rests that are over, and logs each.
-func (l *endpointList) expireRests(now time.Time) {
-	for _, r := range l.rests.Expire(now) {
-		_ = l.log.Log("decision", "endpoint_rested", "endpoint", r.Endpoint, "for", roundTime(r.Until.Sub(r.Began)), "refused", r.Refused)
+// expireBackoffs forgets the rests that are over, and logs each.
+func (l *endpointList) expireBackoffs(now time.Time) {
+	for _, backoff := range l.backoffs.Expire(now) {
+		_ = l.log.Log("decision", "endpoint_rested", "endpoint", backoff.Endpoint, "for", roundTime(backoff.Until.Sub(backoff.Began)), "refused", backoff.Refused)
 	}
 }
--- a/gateway/entries_test.go
+++ b/gateway/entries_test.go
@@ -30,9 +30,9 @@
 	f.await("a request at p1", func() bool { return f.call("POST", "/once/a").status == 200 && len(p1.Received()) > 0 })
 }
 
-// TestRestartedEndpoint checks that an endpoint that starts again under its name is another life,
+// TestEndpointIncarnations checks that an endpoint that starts again under its name is another life,
 // which is sent requests under that name.
-func TestRestartedEndpoint(t *testing.T) {
+func TestEndpointIncarnations(t *testing.T) {
 	f := startedFixture(t, nil)
 	f.store.Remove(wire.TableEndpoints, "p2")
 	f.awaitLog("departed=p2")
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -29,9 +29,9 @@
 	return &evacuations{roster: list, log: logger, metrics: metrics}
 }
 
-// learn takes evacuations that were read at their revision, and from whom they came. It must come
+// merge takes evacuations that were read at their revision, and from whom they came. It must come
 // before the lease of the configuration is renewed by the same word.
-func (e *evacuations) learn(read ryeford.Evacuations, from string) {
+func (e *evacuations) merge(read ryeford.Evacuations, from string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := clock.Now()
--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -73,11 +73,11 @@
 // the newest revision counted alone, and the copy's is the newest.
 func TestRestoredEvacuation(t *testing.T) {
 	f := startedFixture(t, nil)
-	made := f.store.Copy()
+	backup := f.store.Copy()
 	f.evacuate("a")
 	f.awaitLog("began=a")
 	before := f.received()
-	f.store.Restore(made)
+	f.store.Restore(backup)
 	f.awaitLog("decision=store_restored")
 	f.addEndpoint("plain", "p3", 0)
 	f.awaitLog("added=p3")
@@ -90,9 +90,9 @@
 	f.awaitLog("ended=a")
 }
 
-// TestPeersEvacuation checks that a router that can't reach the store learns of an evacuation, and
+// TestEvacuationFromPeers checks that a router that can't reach the store learns of an evacuation, and
 // of its end, from its peers; that one that starts meanwhile does; and that none serves on.
-func TestPeersEvacuation(t *testing.T) {
+func TestEvacuationFromPeers(t *testing.T) {
 	gateways := newPeers(t, 2, time.Hour, nil)
 	cut, connected := gateways[0], gateways[1]
 	cut.cutOffStore()
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -25,9 +25,9 @@
 	"github.com/ryeford/ryeford/standin/slowlink"
 )
 
-// conditionLimit ends a test whose condition never comes. It decides no verdict
+// conditionTimeout ends a test whose condition never comes. It decides no verdict
 // on speed.
-const conditionLimit = 20 * time.Second
+const conditionTimeout = 20 * time.Second
 
 // crashBody is the body that ends each endpoint which begins to run a request with it.
 const crashBody = "ends what runs it"
@@ -49,8 +49,8 @@
 	requests  int // so many were made
 	// storeCutOff makes the gateway's calls of the store fail; closeStoreConns ends
 	// those under way.
-	storeCutOff     atomic.Bool
-	closeStoreConns func()
+	storeCutOff           atomic.Bool
+	closeStoreConnections func()
 	// storeRate bounds the bytes a second that each of the store's responses comes with,
 	// unless it is zero; storeCalls and storeBytes count what has come.
 	storeRate, storeCalls, storeBytes atomic.Int64
@@ -86,7 +86,7 @@
 		}
 		link.ServeHTTP(&countingWriter{ResponseWriter: w, written: &f.storeBytes}, r)
 	}))
-	f.closeStoreConns = storeServer.CloseClientConnections
+	f.closeStoreConnections = storeServer.CloseClientConnections
 	t.Cleanup(storeServer.Close)
 	if config != nil {
 		f.putConfiguration(config)
@@ -164,7 +164,7 @@
 // cutOffStore cuts the gateway off from the store.
 func (f *fixture) cutOffStore() {
 	f.storeCutOff.Store(true)
-	f.closeStoreConns()
+	f.closeStoreConnections()
 }
 
 // putConfiguration writes the operators' configuration.
@@ -217,7 +217,7 @@
 // await waits for a condition. what says what is missing if it never comes true.
 func (f *fixture) await(what string, condition func() bool) {
 	f.t.Helper()
-	limit := time.Now().Add(conditionLimit)
+	limit := time.Now().Add(conditionTimeout)
 	for !condition() {
 		if time.Now().After(limit) {
 			f.t.Fatal(what + " never came")
--- a/gateway/fleetleaving_test.go
+++ b/gateway/fleetleaving_test.go
@@ -47,18 +47,18 @@
 // what the word of it costs.
 func TestFleetLeaving(t *testing.T) {
 	t.Parallel()
-	late := map[int]float64{4: 0.02, 27: 0.04, 103: 0.04, 390: 0.2} // bounds: of the requests, by routers
+	maxLate := map[int]float64{4: 0.02, 27: 0.04, 103: 0.04, 390: 0.2} // bounds: of the requests, by routers
 	for _, routers := range fleetSizes() {
 		f := newSimulatedFleet(routers, 0, 1)
 		l := f.leave()
-		length := simulatedWarmUp + 2500*time.Millisecond
-		f.run(length)
+		duration := simulatedWarmUp + 2500*time.Millisecond
+		f.run(duration)
 		sent := 0
 		for _, r := range f.routers {
 			sent += r.sent
 		}
 		t.Logf("%3d routers: %d of %d requests late at %d engines that leave, the last after %s, %.0f bytes a second and router",
-			routers, l.late, f.sent, len(l.ids), l.last, float64(sent)/length.Seconds()/float64(routers))
-		assert.Check(t, float64(l.late) < late[routers]*float64(f.sent))
+			routers, l.late, f.sent, len(l.ids), l.last, float64(sent)/duration.Seconds()/float64(routers))
+		assert.Check(t, float64(l.late) < maxLate[routers]*float64(f.sent))
 	}
 }
--- a/gateway/fleetlist_test.go
+++ b/gateway/fleetlist_test.go
@@ -21,7 +21,7 @@
 // how long it takes until each of the others has heard of it, and has read it from the peer that it
 // heard of it from.
 func TestFleetList(t *testing.T) {
-	playFleetList(t, &ryeford.EndpointUpdate{Present: []ryeford.Endpoint{{ID: "new"}}, Revision: 9, Changed: 9})
+	simulateListChange(t, &ryeford.EndpointUpdate{Present: []ryeford.Endpoint{{ID: "new"}}, Revision: 9, Changed: 9})
 }
 
 // TestFleetRestored plays the same for the whole list of a store that is back from a copy, with a lower
@@ -29,17 +29,17 @@
 func TestFleetRestored(t *testing.T) {
 	revision, err := ryeford.NewRevision(1, 2)
 	assert.NilError(t, err)
-	playFleetList(t, &ryeford.EndpointUpdate{Snapshot: true, Present: []ryeford.Endpoint{{ID: "new"}}, Revision: revision})
+	simulateListChange(t, &ryeford.EndpointUpdate{Snapshot: true, Present: []ryeford.Endpoint{{ID: "new"}}, Revision: revision})
 }
 
-func playFleetList(t *testing.T, update *ryeford.EndpointUpdate) {
+func simulateListChange(t *testing.T, update *ryeford.EndpointUpdate) {
 	t.Helper()
 	for _, test := range fleetLists {
 		f := newSimulatedFleet(test.routers, 0, 1)
-		f.events = keepGossip(f)
+		f.events = gossipEvents(f)
 		for _, r := range f.routers {
 			r.gossip.endpoints.applySource(&ryeford.EndpointUpdate{Snapshot: true, Revision: 5, Begun: time.Now()}, 0, time.Now())
-			r.gossip.endpoints.setWhole(time.Time{})
+			r.gossip.endpoints.setWholeReadAt(time.Time{})
 		}
 		var half, all time.Duration
 		changed := f.began.Add(simulatedWarmUp)
@@ -47,7 +47,7 @@
 			first, read := f.routers[0].gossip.endpoints, *update
 			read.Begun = time.Now()
 			first.applySource(&read, 5, time.Now())
-			f.followList(now, changed, update.Revision, &half, &all)
+			f.readNewerCopies(now, changed, update.Revision, &half, &all)
 		})
 		f.run(simulatedWarmUp + test.bound + 100*time.Millisecond)
 		t.Logf("%3d routers: half know after %s, all after %s", test.routers, half, all)
@@ -55,9 +55,9 @@
 	}
 }
 
-// keepGossip returns a fleet's events without its requests and observations, which are the last two
+// gossipEvents returns a fleet's events without its requests and observations, which are the last two
 // that a new fleet arranges for.
-func keepGossip(f *simulatedFleet) fleetEvents {
+func gossipEvents(f *simulatedFleet) fleetEvents {
 	var gossip fleetEvents
 	for _, event := range f.events {
 		if !event.at.Equal(f.began) && !event.at.Equal(f.began.Add(simulatedWarmUp)) {
@@ -68,29 +68,29 @@
 	return gossip
 }
 
-// followList lets each router read what it has heard that a peer has, until all have the list of a
+// readNewerCopies lets each router read what it has heard that a peer has, until all have the list of a
 // revision.
-func (f *simulatedFleet) followList(now, changed time.Time, revision ryeford.Revision, half, all *time.Duration) {
+func (f *simulatedFleet) readNewerCopies(now, changed time.Time, revision ryeford.Revision, half, all *time.Duration) {
 	const step = 5 * time.Millisecond // about what a read from a peer takes
-	know := 0
+	upToDate := 0
 	for _, r := range f.routers {
 		list := r.gossip.endpoints
 		select {
-		case c := <-list.newer:
+		case c := <-list.newerCopy:
 			changes := f.byAddress[c.peer].gossip.endpoints.copy.Since(list.copy.Range().To)
 			list.apply(&changes, c.peer.String())
 		default:
 		}
 		if list.copy.Range().From == revision {
-			know++
+			upToDate++
 		}
 	}
-	if *half == 0 && 2*know >= len(f.routers) {
+	if *half == 0 && 2*upToDate >= len(f.routers) {
 		*half = now.Sub(changed)
 	}
-	if know == len(f.routers) {
+	if upToDate == len(f.routers) {
 		*all = now.Sub(changed)
 		return
 	}
-	f.at(now.Add(step), func(now time.Time) { f.followList(now, changed, revision, half, all) })
+	f.at(now.Add(step), func(now time.Time) { f.readNewerCopies(now, changed, revision, half, all) })
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -65,7 +65,7 @@
 	// What several parts use:
 	*balancer  // what is known of the endpoints
 	pool       *endpoint.Pool
-	revision   *revision // the newest of the store
+	revision   *storeRevision // the newest of the store
 	quarantine *quarantineState
 }
 
@@ -78,11 +78,11 @@
 		metrics:     metrics,
 		balancer:    newBalancer(s),
 		pool:        endpoint.New(platform.Protocol),
-		revision:    &revision{},
+		revision:    &storeRevision{},
 		drain:       newDrain(s.Bounds.Grace, logger),
 		initialSync: newInitialSync(s.Routing.StartPatience),
 	}
-	g.revision.restored = g.storeRestored
+	g.revision.onRestore = g.handleRestore
 	g.addQuarantine()
 	g.addConfiguration()
 	g.addEndpoints()
@@ -98,54 +98,54 @@
 func (g *Gateway) addQuarantine() {
 	g.quarantine = newQuarantineState(g.balancer, g.log, g.metrics)
 	if !g.settings.Routing.Quarantine {
-		g.quarantine.off = true
+		g.quarantine.disabled = true
 		return
 	}
-	g.quarantine.keepAt(g.platform.HeldRequests, g.settings.Peers.IsValid())
+	g.quarantine.setStore(g.platform.HeldRequests, g.settings.Peers.IsValid())
 }
 
 func (g *Gateway) addConfiguration() {
 	g.configuration = newConfiguration(configurationOptions{
-		source:      g.platform.Configurations,
-		term:        freshness.Term(g.settings.Bounds.Revoke),
-		bridges:     !g.settings.Bounds.StrictRevoke,
-		refresh:     g.settings.RefreshConfiguration(),
-		bound:       g.settings.Bounds.Configuration,
-		silence:     g.settings.StoreSilence(),
-		peers:       g.peers,
-		clock:       g.clock,
-		start:       g.start,
-		revision:    g.revision,
-		evacuations: newEvacuations(g.roster, g.log, g.metrics),
-		onUpdate:    g.checkSynced,
-		log:         g.log,
-		metrics:     g.metrics,
+		source:            g.platform.Configurations,
+		term:              freshness.Term(g.settings.Bounds.Revoke),
+		serveKeysInOutage: !g.settings.Bounds.StrictRevoke,
+		refresh:           g.settings.RefreshConfiguration(),
+		changeTimeout:     g.settings.Bounds.Configuration,
+		unreachableAfter:  g.settings.StoreSilence(),
+		peers:             g.peers,
+		clock:             g.clock,
+		start:             g.start,
+		revision:          g.revision,
+		evacuations:       newEvacuations(g.roster, g.log, g.metrics),
+		onUpdate:          g.checkSynced,
+		log:               g.log,
+		metrics:           g.metrics,
 	})
 }
 
 func (g *Gateway) addEndpoints() {
 	g.endpoints = &endpointList{
-		source:     g.platform.Endpoints,
-		limits:     listLimits(g.settings),
-		settle:     g.settings.SettleEndpoints(),
-		contact:    g.settings.Bounds.Contact,
-		copy:       replica.New(),
-		lease:      freshness.NewLease(clock.Now(), time.Hour, g.clock),
-		clock:      g.clock,
-		peers:      g.peers,
-		reader:     newPeerReader(),
-		start:      g.start,
-		revision:   g.revision,
-		roster:     g.roster,
-		rests:      g.rests,
-		pool:       g.pool,
-		forgetters: []forgetter{g.detector, g.loads, g.prefixes, g.slowStart},
-		outage:     newOutage("endpoints", g.configuration.leaseLeft, g.log, g.metrics),
-		onUpdate:   g.checkSynced,
-		log:        g.log,
-		metrics:    g.metrics,
-		dropped:    make(chan struct{}, 1),
-		newer:      make(chan peerCopy, 1),
+		source:          g.platform.Endpoints,
+		limits:          listLimits(g.settings),
+		settle:          g.settings.SettleEndpoints(),
+		recoveryTimeout: g.settings.Bounds.Contact,
+		copy:            replica.New(),
+		lease:           freshness.NewLease(clock.Now(), time.Hour, g.clock),
+		clock:           g.clock,
+		peers:           g.peers,
+		reader:          newPeerReader(),
+		start:           g.start,
+		revision:        g.revision,
+		roster:          g.roster,
+		backoffs:        g.rests,
+		pool:            g.pool,
+		removers:        []endpointRemover{g.detector, g.loads, g.prefixes, g.slowStart},
+		outage:          newOutage("endpoints", g.configuration.leaseLeft, g.log, g.metrics),
+		onUpdate:        g.checkSynced,
+		log:             g.log,
+		metrics:         g.metrics,
+		sweepDue:        make(chan struct{}, 1),
+		newerCopy:       make(chan peerCopy, 1),
 	}
 }
 
@@ -160,7 +160,7 @@
 	g.gossip = &gossip{
 		self:          g.settings.Peers.AddrPort,
 		seeds:         seedAddresses(g.settings),
-		newcomers:     make(chan netip.AddrPort, maxNewcomers),
+		joiningPeers:  make(chan netip.AddrPort, maxJoiningPeers),
 		vm:            g.settings.VM,
 		routers:       g.platform.Routers,
 		started:       clock.Steady().Nanoseconds(),
@@ -176,8 +176,8 @@
 	}
 }
 
-// maxNewcomers is how many peers that have just started wait for a message at the most.
-const maxNewcomers = 128
+// maxJoiningPeers is how many peers that have just started wait for a message at the most.
+const maxJoiningPeers = 128
 
 // seedAddresses returns the addresses at which other gateways exchange gossip that the settings
 // name.
@@ -264,10 +264,10 @@
 	group, work := errgroup.WithContext(work)
 	group.Go(func() error { return g.configuration.run(work) })
 	group.Go(func() error { return g.endpoints.run(work) })
-	group.Go(func() error { return g.endpoints.follow(work) })
+	group.Go(func() error { return g.endpoints.readPeers(work) })
 	group.Go(func() error { return g.endpoints.sweep(work) })
 	group.Go(func() error { return g.gossip.run(work) })
-	group.Go(func() error { return g.quarantine.kept.run(work) })
+	group.Go(func() error { return g.quarantine.heldRequests.run(work) })
 	group.Go(func() error { return logSuspensions(work, g.log, g.metrics) })
 	group.Go(func() error {
 		handler := &peerHandler{configuration: g.configuration, endpoints: g.endpoints, log: g.log}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPath checks the answer to a request of each kind of route, with and without a
+// TestRoutes checks the answer to a request of each kind of route, with and without a
 // valid key, and that only an endpoint's answer is signed.
-func TestPath(t *testing.T) {
+func TestRoutes(t *testing.T) {
 	f := startedFixture(t, nil)
 	for _, test := range []struct {
 		method, path, key string
@@ -32,10 +32,10 @@
 	assert.Equal(t, f.call("POST", "/stream/b").body, events(5))
 }
 
-// TestExactForward checks that an endpoint gets what the caller sent, without headers
+// TestForwardedRequest checks that an endpoint gets what the caller sent, without headers
 // that only the system may set or that belong to one connection, and with what the
 // system sets.
-func TestExactForward(t *testing.T) {
+func TestForwardedRequest(t *testing.T) {
 	f := newFixture(t, baseConfiguration(), nil)
 	server := f.addEndpoint("plain", "p1", 0)
 	f.awaitReady(true)
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -45,10 +45,10 @@
 	// registered is when this router registered in the platform's list of routers, nil if it didn't.
 	// looked says that it has looked there.
 	registered atomic.Pointer[time.Time]
-	looked     atomic.Bool
+	lookedUp   atomic.Bool
 
-	// newcomers are peers whose process has just sent its first message.
-	newcomers chan netip.AddrPort
+	// joiningPeers are peers whose process has just sent its first message.
+	joiningPeers chan netip.AddrPort
 
 	mu      sync.Mutex
 	prompts []peers.Prompt // to be sent with the next message
@@ -65,7 +65,7 @@
 	droppedSend   = "send"   // the socket failed to send
 )
 
-func (g *gossip) drop(reason string) { g.metrics.Count("ryeford_gossip_dropped_total", reason) }
+func (g *gossip) countDropped(reason string) { g.metrics.Count("ryeford_gossip_dropped_total", reason) }
 
 // addPrompt adds a prompt that was sent to an endpoint to the next message, or as many of
 // its first parts as that has room for. expected says that peers would have sent it there, too:
@@ -115,12 +115,12 @@
 		if err != nil {
 			// The socket reports an earlier datagram that found no receiver, or the
 			// like. Gossip must not end by that, nor must the process.
-			g.drop(droppedRead)
+			g.countDropped(droppedRead)
 			continue
 		}
 		var message peers.Message
 		if err := cbor.Unmarshal(buffer[:n], &message); err != nil {
-			g.drop(droppedFormat)
+			g.countDropped(droppedFormat)
 			continue
 		}
 		g.merge(clock.Now(), &message)
@@ -134,14 +134,14 @@
 		return
 	}
 	if first {
-		g.welcome(message.Sender)
+		g.queueJoinReply(message.Sender)
 	}
-	g.endpoints.withhold(message)
-	g.endpoints.leave(now, message)
-	g.endpoints.hear(message.Sender, message.List)
-	g.configuration.evacuations.learn(message.Evacuations.Read(), message.Sender.String())
+	g.endpoints.mergeWithheld(message)
+	g.endpoints.mergeLeaving(now, message)
+	g.endpoints.mergeDigest(message.Sender, message.List)
+	g.configuration.evacuations.merge(message.Evacuations.Read(), message.Sender.String())
 	if message.Confirmed {
-		g.configuration.confirmedByPeer(now, message.Sender, message.Version, message.ConfirmedAt)
+		g.configuration.mergePeerConfirmation(now, message.Sender, message.Version, message.ConfirmedAt)
 	}
 	g.loads.Learn(now, message.Reports)
 	g.quarantine.merge(now, message)
@@ -157,10 +157,10 @@
 	}
 }
 
-// welcome makes send send a message to a peer that has just started: it may know nothing yet.
-func (g *gossip) welcome(peer netip.AddrPort) {
+// queueJoinReply makes send send a message to a peer that has just started: it may know nothing yet.
+func (g *gossip) queueJoinReply(peer netip.AddrPort) {
 	select {
-	case g.newcomers <- peer:
+	case g.joiningPeers <- peer:
 	default: // it learns of the fleet from another peer, or a little later
 	}
 }
@@ -169,15 +169,15 @@
 func (g *gossip) send(ctx context.Context, conn *net.UDPConn) error {
 	ticker := time.NewTicker(peers.Interval)
 	defer ticker.Stop()
-	known := 0
+	previous := 0
 	g.table.Add(clock.Now(), g.seeds)
 	schedule := peers.NewSchedule(clock.Now(), peers.BytesPerSecond)
 	for sequence := uint64(1); ctx.Err() == nil; sequence++ {
 		now := clock.Now()
 		alive := g.table.Alive(now)
-		if alive != known {
-			_ = g.log.Log("decision", "peers", "alive", alive, "before", known)
-			known = alive
+		if alive != previous {
+			_ = g.log.Log("decision", "peers", "alive", alive, "before", previous)
+			previous = alive
 		}
 		whole, brief := schedule.Next(now, alive)
 		targets := g.table.Targets(now, whole+brief)
@@ -187,21 +187,21 @@
 		if len(targets) > whole {
 			g.sendTo(conn, targets[whole:], g.briefMessage(now, sequence), schedule)
 		}
-		sequence = g.sendWelcomes(ctx, conn, ticker.C, sequence, schedule)
+		sequence = g.sendJoinReplies(ctx, conn, ticker.C, sequence, schedule)
 	}
 	return nil
 }
 
-// sendWelcomes sends a message to each newcomer until the next round, and returns the sequence
+// sendJoinReplies sends a message to each newcomer until the next round, and returns the sequence
 // number of the last message.
-func (g *gossip) sendWelcomes(ctx context.Context, conn *net.UDPConn, next <-chan time.Time, sequence uint64, schedule *peers.Schedule) uint64 {
+func (g *gossip) sendJoinReplies(ctx context.Context, conn *net.UDPConn, next <-chan time.Time, sequence uint64, schedule *peers.Schedule) uint64 {
 	for {
 		select {
 		case <-ctx.Done():
 			return sequence
 		case <-next:
 			return sequence
-		case peer := <-g.newcomers:
+		case peer := <-g.joiningPeers:
 			sequence++
 			now := clock.Now()
 			message := g.message(now, sequence, schedule.Complete(g.table.Alive(now)))
@@ -215,13 +215,13 @@
 func (g *gossip) sendTo(conn *net.UDPConn, targets []netip.AddrPort, message *peers.Message, schedule *peers.Schedule) {
 	content, err := cbor.Marshal(message)
 	if err != nil {
-		g.drop(droppedEncode)
+		g.countDropped(droppedEncode)
 		return
 	}
 	schedule.Sent(message, len(content), len(targets))
 	for _, target := range targets {
 		if _, err := conn.WriteToUDPAddrPort(content, target); err != nil {
-			g.drop(droppedSend)
+			g.countDropped(droppedSend)
 		}
 	}
 }
@@ -238,7 +238,7 @@
 		Version:     g.configuration.version(),
 		Evacuations: peers.EvacuationsOf(g.configuration.evacuations.known()),
 		Quarantined: g.quarantine.outgoing(now),
-		HeldRead:    g.quarantine.kept.read.Load(),
+		HeldRead:    g.quarantine.heldRequests.loaded.Load(),
 		Sender:      g.self,
 		Started:     g.started,
 		Sequence:    sequence,
--- a/gateway/gossiplookup.go
+++ b/gateway/gossiplookup.go
@@ -20,7 +20,7 @@
 	for {
 		if g.lookupDue(clock.Now(), began) {
 			g.metrics.Count("ryeford_store_calls_total", causeRouters)
-			addresses, err := g.routers.Register(ctx, g.vm, g.self, peers.EnoughEntries(g.looked.Swap(true)))
+			addresses, err := g.routers.Register(ctx, g.vm, g.self, peers.EnoughEntries(g.lookedUp.Swap(true)))
 			_ = g.log.Log("decision", "look_up_peers", "found", len(addresses), "err", err)
 			if err == nil {
 				now := clock.Now()
@@ -36,14 +36,14 @@
 	}
 }
 
-// registerAgain makes this router register anew, if it did lately, and reports whether it does. As at a
+// reregister makes this router register anew, if it did lately, and reports whether it does. As at a
 // start it leaves its entry out if enough others are there.
-func (g *gossip) registerAgain() bool {
+func (g *gossip) reregister() bool {
 	registered := g.registered.Load()
-	if registered == nil || clock.Since(*registered) > maxCopyAge {
+	if registered == nil || clock.Since(*registered) > maxBackupAge {
 		return false
 	}
-	g.looked.Store(false)
+	g.lookedUp.Store(false)
 	return g.registered.CompareAndSwap(registered, nil)
 }
 
--- a/gateway/heldrequests.go
+++ b/gateway/heldrequests.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// heldReadSpread is within what time a router that starts reads the held requests from the
+	// maxInitialReadDelay is within what time a router that starts reads the held requests from the
 	// platform, unless a peer has read them: few of a fleet that starts together do.
-	heldReadSpread = time.Second
+	maxInitialReadDelay = time.Second
 	// heldInterval is how often a router looks whether it has to read or write them.
 	heldInterval = 2 * time.Second
 	// maxHeldChanges bounds the changes that wait to be written.
@@ -33,14 +33,14 @@
 // processes: writes what this router has held or released, and reads what there is at the
 // start, and while the router has no peers. It is safe for concurrent use.
 type heldRequests struct {
-	source  ryeford.QuarantineStore // nil: nothing is kept
-	table   *quarantine.Table
-	peers   *peers.Table
-	gossips bool // there may be peers
-	log     log.Logger
-	metrics *telemetry.Set
-
-	read    atomic.Bool // by this router, or by a peer which passes them on
+	source   ryeford.QuarantineStore // nil: nothing is kept
+	table    *quarantine.Table
+	peers    *peers.Table
+	hasPeers bool // there may be peers
+	log      log.Logger
+	metrics  *telemetry.Set
+
+	loaded  atomic.Bool // by this router, or by a peer which passes them on
 	mu      sync.Mutex
 	changes map[quarantine.Fingerprint]*quarantine.Record // to be written; nil: to be removed
 	written map[quarantine.Fingerprint]writtenChange      // by this router, lately
@@ -61,13 +61,15 @@
 	}
 }
 
-// keep has a held request written.
-func (h *heldRequests) keep(record *quarantine.Record) { h.change(record.Fingerprint, record) }
+// enqueueWrite has a held request written.
+func (h *heldRequests) enqueueWrite(record *quarantine.Record) { h.enqueue(record.Fingerprint, record) }
 
-// release has a request that is held no more removed.
-func (h *heldRequests) release(fingerprint quarantine.Fingerprint) { h.change(fingerprint, nil) }
+// enqueueRemoval has a request that is held no more removed.
+func (h *heldRequests) enqueueRemoval(fingerprint quarantine.Fingerprint) {
+	h.enqueue(fingerprint, nil)
+}
 
-func (h *heldRequests) change(fingerprint quarantine.Fingerprint, record *quarantine.Record) {
+func (h *heldRequests) enqueue(fingerprint quarantine.Fingerprint, record *quarantine.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.source == nil || len(h.changes) >= maxHeldChanges {
@@ -81,11 +83,11 @@
 	if h.source == nil {
 		return nil
 	}
-	clock.Sleep(ctx, replica.StartDelay(heldReadSpread, rand.Float64()))
+	clock.Sleep(ctx, replica.StartDelay(maxInitialReadDelay, rand.Float64()))
 	ticker := time.NewTicker(heldInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		if !h.read.Load() || h.lonely(clock.Now()) {
+		if !h.loaded.Load() || h.isolated(clock.Now()) {
 			h.readAll(ctx)
 		}
 		h.writeAll(ctx)
@@ -97,8 +99,8 @@
 	return nil
 }
 
-// lonely reports whether no peer would tell of what it holds.
-func (h *heldRequests) lonely(now time.Time) bool { return h.gossips && h.peers.Alive(now) == 0 }
+// isolated reports whether no peer would tell of what it holds.
+func (h *heldRequests) isolated(now time.Time) bool { return h.hasPeers && h.peers.Alive(now) == 0 }
 
 // readAll reads the held requests.
 func (h *heldRequests) readAll(ctx context.Context) {
@@ -116,7 +118,7 @@
 	for _, record := range h.table.Merge(now, records) {
 		_ = h.log.Log("decision", "quarantine", "fingerprint", record.Fingerprint, "crashes", len(record.Crashes), "from", "store")
 	}
-	h.read.Store(true)
+	h.loaded.Store(true)
 }
 
 // writeAll writes the changes that wait. Those that fail wait on.
@@ -133,17 +135,17 @@
 			h.retry(fingerprint, record)
 			continue
 		}
-		h.noteWritten(fingerprint, record)
+		h.recordWritten(fingerprint, record)
 	}
 }
 
-// noteWritten remembers a change that was written, and forgets those that any copy of the store has.
-func (h *heldRequests) noteWritten(fingerprint quarantine.Fingerprint, record *quarantine.Record) {
+// recordWritten remembers a change that was written, and forgets those that any copy of the store has.
+func (h *heldRequests) recordWritten(fingerprint quarantine.Fingerprint, record *quarantine.Record) {
 	now := clock.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for f, change := range h.written {
-		if now.Sub(change.at) > maxCopyAge {
+		if now.Sub(change.at) > maxBackupAge {
 			delete(h.written, f)
 		}
 	}
@@ -152,21 +154,21 @@
 	}
 }
 
-// writeAgain has written again what this router wrote lately, unless a later change waits, and returns
+// rewriteRecent has written again what this router wrote lately, unless a later change waits, and returns
 // how many changes that is.
-func (h *heldRequests) writeAgain() int {
+func (h *heldRequests) rewriteRecent() int {
 	now := clock.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	again := 0
+	count := 0
 	for fingerprint, change := range h.written {
-		if _, newer := h.changes[fingerprint]; newer || now.Sub(change.at) > maxCopyAge {
+		if _, pending := h.changes[fingerprint]; pending || now.Sub(change.at) > maxBackupAge {
 			continue
 		}
 		h.changes[fingerprint] = change.record
-		again++
+		count++
 	}
-	return again
+	return count
 }
 
 // write writes one change.
@@ -180,10 +182,10 @@
 // retry has a change written again, unless there is a later one.
 func (h *heldRequests) retry(fingerprint quarantine.Fingerprint, record *quarantine.Record) {
 	h.mu.Lock()
-	_, newer := h.changes[fingerprint]
+	_, pending := h.changes[fingerprint]
 	h.mu.Unlock()
-	if !newer {
-		h.change(fingerprint, record)
+	if !pending {
+		h.enqueue(fingerprint, record)
 	}
 }
 
--- a/gateway/initialsync.go
+++ b/gateway/initialsync.go
@@ -12,7 +12,7 @@
 // list of endpoints have been read, for as long as admit.StartWait says.
 type initialSync struct {
 	started  time.Time
-	patience time.Duration
+	maxWait  time.Duration
 	done     <-chan struct{}
 	complete func() // lets all requests go on; it may be called again
 }
@@ -21,18 +21,18 @@
 // has passed from now.
 func newInitialSync(patience time.Duration) *initialSync {
 	done, complete := context.WithCancel(context.Background())
-	return &initialSync{started: clock.Now(), patience: patience, done: done.Done(), complete: complete}
+	return &initialSync{started: clock.Now(), maxWait: patience, done: done.Done(), complete: complete}
 }
 
 // await waits until the sync is complete, ctx ends or the wait is over. left is for how
 // long the caller still waits for a response.
-func (s *initialSync) await(ctx context.Context, left time.Duration) {
+func (s *initialSync) await(ctx context.Context, remaining time.Duration) {
 	select {
 	case <-s.done:
 		return
 	default:
 	}
-	wait := admit.StartWait(clock.Since(s.started), s.patience, left)
+	wait := admit.StartWait(clock.Since(s.started), s.maxWait, remaining)
 	if wait <= 0 {
 		return
 	}
--- a/gateway/large_bench_test.go
+++ b/gateway/large_bench_test.go
@@ -19,8 +19,8 @@
 const (
 	// largeHeap is the heap's limit in bytes: that of a gateway with memory_mb 184.
 	largeHeap = 110 << 20
-	// largeCollectAt is the growth of the heap at which a gateway collects it, in percent.
-	largeCollectAt = 50
+	// largeGCPercent is the growth of the heap at which a gateway collects it, in percent.
+	largeGCPercent = 50
 )
 
 // BenchmarkProbe adds routes to the configuration of a gateway on one scheduler thread,
@@ -31,7 +31,7 @@
 func BenchmarkProbe(b *testing.B) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(largeHeap))
-	defer debug.SetGCPercent(debug.SetGCPercent(largeCollectAt))
+	defer debug.SetGCPercent(debug.SetGCPercent(largeGCPercent))
 	for _, routes := range []int{100, 1000, 3000, 10000} {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) { benchProbe(b, routes) })
 	}
@@ -78,7 +78,7 @@
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
-		sent, used := time.Now(), processorTime()
+		sent, used := time.Now(), cpuTime()
 		response, err := p.fixture.client.Get(p.fixture.ready + platform.PathReady)
 		if err != nil {
 			p.err = err
@@ -86,7 +86,7 @@
 		}
 		_ = response.Body.Close()
 		p.longest = max(p.longest, time.Since(sent))
-		p.longestCPU = max(p.longestCPU, processorTime()-used)
+		p.longestCPU = max(p.longestCPU, cpuTime()-used)
 		if response.StatusCode != http.StatusOK {
 			p.err = fmt.Errorf("a probe got %s", response.Status)
 			return
@@ -94,8 +94,8 @@
 	}
 }
 
-// processorTime returns the processor time that this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the processor time that this process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err) // the call is given a valid pointer and nothing else
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -14,8 +14,8 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// A heldEndpoint is an endpoint that answers no request before it is released.
-type heldEndpoint struct {
+// A blockedEndpoint is an endpoint that answers no request before it is released.
+type blockedEndpoint struct {
 	server   appserver.Server
 	received atomic.Int64
 	broken   atomic.Int64 // requests whose connection ended first
@@ -23,7 +23,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (e *heldEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *blockedEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.received.Add(1)
 	select {
 	case <-e.release:
@@ -33,10 +33,10 @@
 	}
 }
 
-// addHeldEndpoint starts a heldEndpoint and writes its row. It returns its address too.
-func (f *fixture) addHeldEndpoint(service, id string) (*heldEndpoint, string) {
+// addBlockedEndpoint starts a heldEndpoint and writes its row. It returns its address too.
+func (f *fixture) addBlockedEndpoint(service, id string) (*blockedEndpoint, string) {
 	f.t.Helper()
-	e := &heldEndpoint{server: appserver.Server{ID: id}, release: make(chan struct{})}
+	e := &blockedEndpoint{server: appserver.Server{ID: id}, release: make(chan struct{})}
 	server := httptest.NewServer(e)
 	f.t.Cleanup(func() {
 		server.CloseClientConnections()
@@ -47,22 +47,22 @@
 	return e, address
 }
 
-// patience is a timeout that no test reaches.
-const patience = 2 * conditionLimit
+// longTimeout is a timeout that no test reaches.
+const longTimeout = 2 * conditionTimeout
 
-// patientConfiguration returns baseConfiguration with this timeout on each route.
-func patientConfiguration() *wire.Configuration {
+// longTimeoutConfiguration returns baseConfiguration with this timeout on each route.
+func longTimeoutConfiguration() *wire.Configuration {
 	config := baseConfiguration()
 	for i := range config.Routes {
-		config.Routes[i].TimeoutMs = float64(patience.Milliseconds())
+		config.Routes[i].TimeoutMs = float64(longTimeout.Milliseconds())
 	}
 	return config
 }
 
-// TestLeavingServesOn checks that a request that runs at an endpoint is not broken off
+// TestLeavingFinishesRequests checks that a request that runs at an endpoint is not broken off
 // when that one leaves, however long it serves on after it is forgotten, and that it
 // gets no other: whether it drains first, or only its entry goes.
-func TestLeavingServesOn(t *testing.T) {
+func TestLeavingFinishesRequests(t *testing.T) {
 	for name, leave := range map[string]func(f *fixture, address string){
 		"its entry goes": func(f *fixture, _ string) {
 			f.store.Remove(wire.TableEndpoints, "held")
@@ -81,13 +81,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, patientConfiguration(), nil)
-			held, address := f.addHeldEndpoint("plain", "held")
+			f := newFixture(t, longTimeoutConfiguration(), nil)
+			held, address := f.addBlockedEndpoint("plain", "held")
 			f.awaitReady(true)
 			f.awaitEndpoints(1)
 			answered := make(chan reply, 1)
 			request := f.request("POST", "/once/a", "key-1", "")
-			request.Header.Set(wire.HeaderTimeout, strconv.FormatInt(patience.Milliseconds(), 10))
+			request.Header.Set(wire.HeaderTimeout, strconv.FormatInt(longTimeout.Milliseconds(), 10))
 			go func() { answered <- f.do(request) }()
 			f.await("the request at the endpoint", func() bool { return held.received.Load() == 1 })
 			f.addEndpoint("plain", "p2", 0)
--- a/gateway/leavingreport_test.go
+++ b/gateway/leavingreport_test.go
@@ -24,9 +24,9 @@
 //	19.50 decision=send ... endpoint=i-a5e0fccb6e why=home load=0
 //	20.53 decision=endpoints ... troubled=true added= draining= dropped= doubted=i-a5e0fccb6e
 
-// TestLeavingByAnswer checks that a router sends nothing more to an endpoint once an answer has said
+// TestLeavingReported checks that a router sends nothing more to an endpoint once an answer has said
 // that it leaves, though the list has it as ready and the store is away.
-func TestLeavingByAnswer(t *testing.T) {
+func TestLeavingReported(t *testing.T) {
 	f := startedFixture(t, nil)
 	f.cutOffStore()
 	p1 := f.endpoints["p1"]
@@ -41,9 +41,9 @@
 	assert.Equal(t, len(p1.Received()), received)
 }
 
-// TestLeavingByAnyAnswer checks which answers count as an endpoint's word that it leaves: each that is its
+// TestLeavingReportedByResponse checks which answers count as an endpoint's word that it leaves: each that is its
 // own, whether callers get it or not.
-func TestLeavingByAnyAnswer(t *testing.T) {
+func TestLeavingReportedByResponse(t *testing.T) {
 	for _, test := range []struct {
 		fault  appserver.Fault
 		counts bool
@@ -93,9 +93,9 @@
 	assert.Equal(t, len(m3.Received()), 1)
 }
 
-// TestLeavingEnds checks that an endpoint that has said it leaves stays out while its entry says ready,
+// TestLeavingUntilRestart checks that an endpoint that has said it leaves stays out while its entry says ready,
 // written anew or not, and that another life of it is sent requests.
-func TestLeavingEnds(t *testing.T) {
+func TestLeavingUntilRestart(t *testing.T) {
 	f := startedFixture(t, nil)
 	p1 := f.endpoints["p1"]
 	p1.SetLeaving(true)
@@ -125,16 +125,16 @@
 // while the store is away.
 func TestPeersLeaving(t *testing.T) {
 	gateways := newPeers(t, 2, time.Hour, nil)
-	heard, told := gateways[0], gateways[1]
-	p3 := heard.addEndpoint("plain", "p3", 0)
-	heard.awaitLog("added=p3")
-	told.awaitLog("added=p3")
+	reporter, notified := gateways[0], gateways[1]
+	p3 := reporter.addEndpoint("plain", "p3", 0)
+	reporter.awaitLog("added=p3")
+	notified.awaitLog("added=p3")
 	for _, f := range gateways {
 		f.cutOffStore()
 	}
 	p3.SetLeaving(true)
-	heard.await("an answer that says so", func() bool { return heard.call("GET", "/open/a").header.Get("Server-Leaving") == "1" })
-	told.awaitLog("leaving=p3")
+	reporter.await("an answer that says so", func() bool { return reporter.call("GET", "/open/a").header.Get("Server-Leaving") == "1" })
+	notified.awaitLog("leaving=p3")
 	received := len(p3.Received())
 	for range 12 {
 		for _, f := range gateways {
--- a/gateway/newerversion.go
+++ b/gateway/newerversion.go
@@ -12,11 +12,11 @@
 // A newerVersion is what is known of a version of the configuration that is newer than the
 // one in force here. It is safe for concurrent use.
 type newerVersion struct {
-	mu      sync.Mutex
-	inForce int64          // here
-	newest  int64          // at a peer
-	told    time.Time      // when a peer last reported newest
-	peer    netip.AddrPort // that peer
+	mu         sync.Mutex
+	inForce    int64          // here
+	newest     int64          // at a peer
+	reportedAt time.Time      // when a peer last reported newest
+	peer       netip.AddrPort // that peer
 	// changed says that the source has another version, whose number has not come yet.
 	changed bool
 	// late says that the one in force came later after it was asked for than a change may
@@ -31,12 +31,12 @@
 	return n.changed || n.newest > n.inForce
 }
 
-// receive takes the version that a peer has.
-func (n *newerVersion) receive(now time.Time, peer netip.AddrPort, version int64) {
+// recordReport takes the version that a peer has.
+func (n *newerVersion) recordReport(now time.Time, peer netip.AddrPort, version int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if version >= n.newest {
-		n.newest, n.told, n.peer = version, now, peer
+		n.newest, n.reportedAt, n.peer = version, now, peer
 	}
 }
 
@@ -47,8 +47,8 @@
 	n.changed = true
 }
 
-// mayBeDue reports whether there is one, or may have been for too long.
-func (n *newerVersion) mayBeDue() bool {
+// mayExist reports whether there is one, or may have been for too long.
+func (n *newerVersion) mayExist() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.late || n.changed || n.newest > n.inForce
@@ -61,40 +61,40 @@
 	n.changed, n.late = false, false
 }
 
-// heard returns the newest version that a peer has reported, or zero.
-func (n *newerVersion) heard() int64 {
+// reportedVersion returns the newest version that a peer has reported, or zero.
+func (n *newerVersion) reportedVersion() int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.newest
 }
 
-// teller returns the newest version that a peer has reported, and the peer that did
+// reporter returns the newest version that a peer has reported, and the peer that did
 // last. It is invalid if there is none.
-func (n *newerVersion) teller() (int64, netip.AddrPort) {
+func (n *newerVersion) reporter() (int64, netip.AddrPort) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.newest, n.peer
 }
 
-// contradict takes that the source does not have the newest version that peers reported.
-func (n *newerVersion) contradict(now time.Time) {
+// recordContradiction takes that the source does not have the newest version that peers reported.
+func (n *newerVersion) recordContradiction(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if freshness.Forgets(now.Sub(n.told)) {
+	if freshness.Forgets(now.Sub(n.reportedAt)) {
 		n.newest = n.inForce
 	}
 }
 
-// putInForce takes the version that is in force here from now on, and whether it is late.
-func (n *newerVersion) putInForce(version int64, late bool) {
+// setInForce takes the version that is in force here from now on, and whether it is late.
+func (n *newerVersion) setInForce(version int64, late bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.inForce, n.changed, n.late = version, false, late
 }
 
-// putPeersInForce takes the same of a version that came from a peer. What the source has said
+// setInForceFromPeer takes the same of a version that came from a peer. What the source has said
 // of another version, or that one may be due, stays until the source confirms this one.
-func (n *newerVersion) putPeersInForce(version int64, late bool) {
+func (n *newerVersion) setInForceFromPeer(version int64, late bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.inForce, n.late = version, n.late || late
--- a/gateway/peerconfiguration.go
+++ b/gateway/peerconfiguration.go
@@ -12,8 +12,8 @@
 // only if that fails: over HTTP, at the address of the peer's gossip, in CBOR. What a peer says of
 // the version is believed as it is when it renews the lease.
 
-// A configurationAnswer is what a router answers a peer that reads its configuration.
-type configurationAnswer struct {
+// A configurationResponse is what a router answers a peer that reads its configuration.
+type configurationResponse struct {
 	Configuration *ryeford.Configuration
 	// ConfirmedAt is what the source's clock showed when the configuration was last known to
 	// be the newest, and Latest the most that it may show now.
@@ -26,7 +26,7 @@
 // readFromPeer puts the configuration of a peer in force that has reported a newer one, and
 // reports whether it has.
 func (c *configuration) readFromPeer(ctx context.Context) bool {
-	version, peer := c.newer.teller()
+	version, peer := c.newer.reporter()
 	if !peer.IsValid() || version <= c.version() {
 		return false
 	}
@@ -41,9 +41,9 @@
 		return false
 	}
 	c.clock.Observe(sent, read.Latest)
-	c.evacuations.learn(read.Evacuations, peer.String())
+	c.evacuations.merge(read.Evacuations, peer.String())
 	applied, took := c.replace(read.Configuration, sent)
-	c.newer.putPeersInForce(c.version(), took >= c.bound)
+	c.newer.setInForceFromPeer(c.version(), took >= c.changeTimeout)
 	if read.Configuration.Version == c.version() {
 		c.lease.RenewFromPeer(clock.Now(), read.ConfirmedAt)
 		c.onUpdate()
@@ -52,8 +52,8 @@
 	return c.version() >= version
 }
 
-// answer returns what a peer is handed out, or nil if there is no configuration or it may be stale.
-func (c *configuration) answer() *configurationAnswer {
+// peerResponse returns what a peer is handed out, or nil if there is no configuration or it may be stale.
+func (c *configuration) peerResponse() *configurationResponse {
 	now := clock.Now()
 	// The confirmation is read before the configuration and the evacuations, as in gossip.briefMessage.
 	confirmed, known := c.lease.Confirmed()
@@ -62,5 +62,5 @@
 	if !known || !bounded || current == nil || !c.reliable(now) {
 		return nil
 	}
-	return &configurationAnswer{Configuration: current.Configuration(), ConfirmedAt: confirmed, Latest: latest, Evacuations: c.evacuations.known()}
+	return &configurationResponse{Configuration: current.Configuration(), ConfirmedAt: confirmed, Latest: latest, Evacuations: c.evacuations.known()}
 }
--- a/gateway/peerconfiguration_test.go
+++ b/gateway/peerconfiguration_test.go
@@ -17,9 +17,9 @@
 	"github.com/ryeford/ryeford/gateway/catalog"
 )
 
-// TestPeerConfigurationKeepsAll checks that a configuration comes from a peer as it is: also
+// TestPeerConfigurationRoundTrip checks that a configuration comes from a peer as it is: also
 // that no accounts are not the same as none that are valid.
-func TestPeerConfigurationKeepsAll(t *testing.T) {
+func TestPeerConfigurationRoundTrip(t *testing.T) {
 	urgent := ryeford.PriorityHighest
 	for _, want := range []*ryeford.Configuration{
 		{Version: 3},
@@ -31,7 +31,7 @@
 			Limits:   ryeford.RequestLimits{MaxBody: 9, IdleTimeout: time.Minute},
 		},
 	} {
-		server := httptest.NewServer(handOut(t, want))
+		server := httptest.NewServer(newPeerHandler(t, want))
 		got, err := newPeerReader().configuration(t.Context(), netip.MustParseAddrPort(server.Listener.Addr().String()))
 		server.Close()
 		assert.NilError(t, err)
@@ -39,8 +39,8 @@
 	}
 }
 
-// handOut returns the handler of a router with a configuration that is confirmed.
-func handOut(t *testing.T, inForce *ryeford.Configuration) http.Handler {
+// newPeerHandler returns the handler of a router with a configuration that is confirmed.
+func newPeerHandler(t *testing.T, inForce *ryeford.Configuration) http.Handler {
 	t.Helper()
 	c := newConfiguration(configurationOptions{term: time.Minute})
 	c.inForce.Put(catalog.New(inForce))
@@ -51,7 +51,7 @@
 // TestPeerHandler checks what a router hands out: nothing that may be stale.
 func TestPeerHandler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		handler := handOut(t, &ryeford.Configuration{Version: 3})
+		handler := newPeerHandler(t, &ryeford.Configuration{Version: 3})
 		status := func(path string) int {
 			w := httptest.NewRecorder()
 			handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
@@ -73,7 +73,7 @@
 		"refuses": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 		"garbles": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) },
 		"breaks off": func(w http.ResponseWriter, _ *http.Request) {
-			whole, _ := cbor.Marshal(&configurationAnswer{Configuration: &ryeford.Configuration{Version: 3, Routes: make([]ryeford.RouteRule, 100)}})
+			whole, _ := cbor.Marshal(&configurationResponse{Configuration: &ryeford.Configuration{Version: 3, Routes: make([]ryeford.RouteRule, 100)}})
 			_, _ = w.Write(whole[:len(whole)/2])
 		},
 		"silent": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
--- a/gateway/peerhandler.go
+++ b/gateway/peerhandler.go
@@ -33,32 +33,32 @@
 func (h *peerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case peerConfigurationPath:
-		answer := h.configuration.answer()
-		if answer == nil {
+		response := h.configuration.peerResponse()
+		if response == nil {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		h.write(w, r, answer)
+		h.write(w, r, response)
 	case peerEndpointsPath:
 		since, err := strconv.ParseInt(r.URL.Query().Get(peerSince), 10, 64)
 		if err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		answer := h.endpoints.answer(ryeford.Revision(since))
-		if answer == nil {
+		response := h.endpoints.peerResponse(ryeford.Revision(since))
+		if response == nil {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		h.write(w, r, answer)
+		h.write(w, r, response)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
 // write writes an answer.
-func (h *peerHandler) write(w http.ResponseWriter, r *http.Request, answer any) {
-	if err := cbor.NewEncoder(w).Encode(answer); err != nil {
+func (h *peerHandler) write(w http.ResponseWriter, r *http.Request, response any) {
+	if err := cbor.NewEncoder(w).Encode(response); err != nil {
 		_ = h.log.Log("msg", "not handed out", "what", r.URL.Path, "peer", r.RemoteAddr, "err", err)
 	}
 }
--- a/gateway/peerlist.go
+++ b/gateway/peerlist.go
@@ -16,8 +16,8 @@
 
 // A peerCopy is a copy of the list that a peer has reported.
 type peerCopy struct {
-	peer netip.AddrPort
-	at   replica.Range
+	peer     netip.AddrPort
+	contents replica.Range
 }
 
 // digest returns what peers receive of the copy, or nil.
@@ -30,11 +30,11 @@
 	if !known || !at.Known() {
 		return nil
 	}
-	return peers.ListOf(at.From, at.To, !l.whole.IsZero(), confirmed)
+	return peers.ListOf(at.From, at.To, !l.wholeReadAt.IsZero(), confirmed)
 }
 
-// hear takes what a peer has reported of its copy.
-func (l *endpointList) hear(peer netip.AddrPort, list *peers.List) {
+// mergeDigest takes what a peer has reported of its copy.
+func (l *endpointList) mergeDigest(peer netip.AddrPort, list *peers.List) {
 	if list == nil {
 		return
 	}
@@ -42,69 +42,69 @@
 	if !ok {
 		return
 	}
-	theirs := replica.Range{From: from, To: to}
-	switch l.copy.Meet(theirs) {
+	peerRange := replica.Range{From: from, To: to}
+	switch l.copy.Meet(peerRange) {
 	case replica.Newer:
 		// A copy that was read whole may only seem to be newer, unless it is of a later era.
-		known := l.copy.Range()
-		if !list.Whole || !known.Known() || theirs.To.Era() > known.To.Era() {
-			l.readSoon(peerCopy{peer: peer, at: theirs})
+		localRange := l.copy.Range()
+		if !list.Whole || !localRange.Known() || peerRange.To.Era() > localRange.To.Era() {
+			l.triggerPeerRead(peerCopy{peer: peer, contents: peerRange})
 		}
 	case replica.Same:
 		if !list.Whole {
-			l.setWhole(time.Time{})
+			l.setWholeReadAt(time.Time{})
 		}
 		l.renewFromPeer(list.ConfirmedAt, to.Era(), func() bool { return true })
 	}
 }
 
-// withhold takes what a peer says of endpoints that leave though the list has them as ready.
-func (l *endpointList) withhold(message *peers.Message) {
+// mergeWithheld takes what a peer says of endpoints that leave though the list has them as ready.
+func (l *endpointList) mergeWithheld(message *peers.Message) {
 	endpoints, left := message.ReadWithheld()
-	learnt := l.roster.Withhold(clock.Now(), endpoints, left)
-	if len(learnt) == 0 {
+	added := l.roster.Withhold(clock.Now(), endpoints, left)
+	if len(added) == 0 {
 		return
 	}
-	_ = l.log.Log("decision", "endpoints", "from", message.Sender, "withheld", join(learnt))
-	l.sweepSoon()
+	_ = l.log.Log("decision", "endpoints", "from", message.Sender, "withheld", join(added))
+	l.triggerSweep()
 }
 
-// leave takes which endpoints have said to a peer, or to one of its peers, that they leave.
-func (l *endpointList) leave(now time.Time, message *peers.Message) {
-	var learnt []ryeford.EndpointID
+// mergeLeaving takes which endpoints have said to a peer, or to one of its peers, that they mergeLeaving.
+func (l *endpointList) mergeLeaving(now time.Time, message *peers.Message) {
+	var added []ryeford.EndpointID
 	for _, id := range message.Leaving[:min(len(message.Leaving), peers.MaxLeaving)] {
 		if l.roster.Leave(now, id) {
-			learnt = append(learnt, id)
+			added = append(added, id)
 		}
 	}
-	if len(learnt) > 0 {
-		_ = l.log.Log("decision", "endpoints", "from", message.Sender, "leaving", join(learnt))
+	if len(added) > 0 {
+		_ = l.log.Log("decision", "endpoints", "from", message.Sender, "leaving", join(added))
 	}
 }
 
-// setWhole sets when the copy was read whole, or that its newest change is known.
-func (l *endpointList) setWhole(at time.Time) {
+// setWholeReadAt sets when the copy was read whole, or that its newest change is known.
+func (l *endpointList) setWholeReadAt(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.whole = at
+	l.wholeReadAt = at
 }
 
-// readSoon makes follow read a peer's copy.
-func (l *endpointList) readSoon(c peerCopy) {
+// triggerPeerRead makes follow read a peer's copy.
+func (l *endpointList) triggerPeerRead(c peerCopy) {
 	select {
-	case l.newer <- c:
+	case l.newerCopy <- c:
 	default: // it is to read one already
 	}
 }
 
-// follow reads what this router lacks of peers' copies until ctx ends.
-func (l *endpointList) follow(ctx context.Context) error {
+// readPeers reads what this router lacks of peers' copies until ctx ends.
+func (l *endpointList) readPeers(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case c := <-l.newer:
-			if l.copy.Range().Compare(c.at) == replica.Newer {
+		case c := <-l.newerCopy:
+			if l.copy.Range().Compare(c.contents) == replica.Newer {
 				l.readPeer(ctx, c.peer)
 			}
 		}
@@ -114,28 +114,28 @@
 // readPeer reads what this router lacks of a peer's copy.
 func (l *endpointList) readPeer(ctx context.Context, peer netip.AddrPort) {
 	sent := clock.Now()
-	answer, err := l.reader.endpoints(ctx, peer, l.copy.Range().To)
+	response, err := l.reader.endpoints(ctx, peer, l.copy.Range().To)
 	if err != nil {
 		_ = l.log.Log("decision", "endpoints_from_peer", "peer", peer, "applied", false, "err", err)
 		return
 	}
-	l.revision.enter(answer.Changes.Range.To)
-	l.clock.Observe(sent, answer.Latest)
-	l.renewFromPeer(answer.ConfirmedAt, answer.Changes.Range.To.Era(), func() bool {
-		if !l.apply(&answer.Changes, peer.String()) {
+	l.revision.observe(response.Changes.Range.To)
+	l.clock.Observe(sent, response.Latest)
+	l.renewFromPeer(response.ConfirmedAt, response.Changes.Range.To.Era(), func() bool {
+		if !l.apply(&response.Changes, peer.String()) {
 			return false
 		}
-		whole := time.Time{}
-		if answer.Whole {
-			whole = sent
+		readAt := time.Time{}
+		if response.Whole {
+			readAt = sent
 		}
-		l.setWhole(whole)
+		l.setWholeReadAt(readAt)
 		return true
 	})
 }
 
-// A listAnswer is what a router answers a peer that reads its copy of the list.
-type listAnswer struct {
+// A listResponse is what a router answers a peer that reads its copy of the list.
+type listResponse struct {
 	Changes replica.Changes
 	// ConfirmedAt is what the source's clock showed when the copy was last known to be the
 	// newest, and Latest the most that it may show now.
@@ -145,9 +145,9 @@
 	Whole bool
 }
 
-// answer returns what a peer lacks that has the list up to a revision, or nil if there is nothing
+// peerResponse returns what a peer lacks that has the list up to a revision, or nil if there is nothing
 // to tell.
-func (l *endpointList) answer(since ryeford.Revision) *listAnswer {
+func (l *endpointList) peerResponse(since ryeford.Revision) *listResponse {
 	// The confirmation is read before the changes, which then are as new as it says or newer.
 	confirmed, known := l.lease.Confirmed()
 	latest, bounded := l.clock.Latest(clock.Now())
@@ -156,5 +156,5 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return &listAnswer{Whole: !l.whole.IsZero(), Changes: l.copy.Since(since), ConfirmedAt: confirmed, Latest: latest}
+	return &listResponse{Whole: !l.wholeReadAt.IsZero(), Changes: l.copy.Since(since), ConfirmedAt: confirmed, Latest: latest}
 }
--- a/gateway/peerlist_test.go
+++ b/gateway/peerlist_test.go
@@ -12,9 +12,9 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// TestPeersList checks that a router that is cut off from the store follows the list of endpoints by
+// TestEndpointListFromPeers checks that a router that is cut off from the store follows the list of endpoints by
 // its peers' word: it sends to one that joins, and nothing to one that has left, in time.
-func TestPeersList(t *testing.T) {
+func TestEndpointListFromPeers(t *testing.T) {
 	gateways := newPeers(t, 3, time.Hour, nil)
 	cut, connected := gateways[0], gateways[1]
 	cut.cutOffStore()
@@ -83,16 +83,16 @@
 		return sum
 	}
 	before := calls()
-	const length = 4 * time.Second
-	time.Sleep(length)
-	made := calls() - before
-	t.Logf("%d calls of %d routers in %s", made, len(gateways), length)
-	assert.Assert(t, made < 60, "each router by itself makes 40 reads of the configuration and list")
+	const duration = 4 * time.Second
+	time.Sleep(duration)
+	count := calls() - before
+	t.Logf("%d calls of %d routers in %s", count, len(gateways), duration)
+	assert.Assert(t, count < 60, "each router by itself makes 40 reads of the configuration and list")
 }
 
-// TestPeersBothWays checks that a router that neither peers nor the store tell anything, and then
+// TestEndpointListAfterIsolation checks that a router that neither peers nor the store tell anything, and then
 // both, has the list as it is in the end.
-func TestPeersBothWays(t *testing.T) {
+func TestEndpointListAfterIsolation(t *testing.T) {
 	gateways := newPeers(t, 2, time.Hour, nil)
 	cut, connected := gateways[0], gateways[1]
 	cut.cutOffStore()
--- a/gateway/peerreader.go
+++ b/gateway/peerreader.go
@@ -18,9 +18,9 @@
 	// peerReadTimeout is for how long nothing of a peer's answer may come: a round trip
 	// between failure domains takes some milliseconds.
 	peerReadTimeout = 500 * time.Millisecond
-	// maxPeerAnswer bounds the memory that a peer's answer takes, in bytes: as that of
+	// maxPeerResponse bounds the memory that a peer's answer takes, in bytes: as that of
 	// the store.
-	maxPeerAnswer = 32 << 20
+	maxPeerResponse = 32 << 20
 )
 
 // A peerReader reads from peers what they hand out.
@@ -36,17 +36,17 @@
 }
 
 // configuration returns the configuration in force at a peer. The error is an *UnavailableError.
-func (r *peerReader) configuration(ctx context.Context, peer netip.AddrPort) (*configurationAnswer, error) {
-	var answer configurationAnswer
-	return &answer, r.read(ctx, "http://"+peer.String()+peerConfigurationPath, &answer)
+func (r *peerReader) configuration(ctx context.Context, peer netip.AddrPort) (*configurationResponse, error) {
+	var response configurationResponse
+	return &response, r.read(ctx, "http://"+peer.String()+peerConfigurationPath, &response)
 }
 
 // endpoints returns what a peer's copy of the list of endpoints has that one lacks which has it up
 // to a revision. The error is an *UnavailableError.
-func (r *peerReader) endpoints(ctx context.Context, peer netip.AddrPort, since ryeford.Revision) (*listAnswer, error) {
+func (r *peerReader) endpoints(ctx context.Context, peer netip.AddrPort, since ryeford.Revision) (*listResponse, error) {
 	target := "http://" + peer.String() + peerEndpointsPath + "?" + peerSince + "=" + strconv.FormatInt(int64(since), 10)
-	var answer listAnswer
-	return &answer, r.read(ctx, target, &answer)
+	var response listResponse
+	return &response, r.read(ctx, target, &response)
 }
 
 // read reads what a peer hands out at a target. The error is an *UnavailableError.
@@ -60,15 +60,15 @@
 	if err != nil {
 		return unavailable(err)
 	}
-	got, err := r.http.Do(request)
+	response, err := r.http.Do(request)
 	if err != nil {
 		return unavailable(err)
 	}
-	defer func() { _ = got.Body.Close() }() // nothing is done with the connection after this
-	if got.StatusCode != http.StatusOK {
-		return unavailable(&ryeford.StatusError{Status: got.StatusCode})
+	defer func() { _ = response.Body.Close() }() // nothing is done with the connection after this
+	if response.StatusCode != http.StatusOK {
+		return unavailable(&ryeford.StatusError{Status: response.StatusCode})
 	}
-	body := http.MaxBytesReader(nil, got.Body, maxPeerAnswer)
+	body := http.MaxBytesReader(nil, response.Body, maxPeerResponse)
 	if err := cbor.NewDecoder(watch.Reader(body)).Decode(result); err != nil {
 		return unavailable(watch.Broken(err))
 	}
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestPeersTellOfNewer checks that a router whose own next read is far off reads
+// TestPeersReportNewer checks that a router whose own next read is far off reads
 // the configuration as soon as a peer has a newer one.
-func TestPeersTellOfNewer(t *testing.T) {
+func TestPeersReportNewer(t *testing.T) {
 	const never = time.Hour
 	gateways := newPeers(t, 2, 2*never, func(i int, s *settings.Gateway) {
 		if i == 1 {
@@ -114,7 +114,7 @@
 // read it, though the store answers its other calls, refuses requests on public routes,
 // too, and is unready, until it has read it.
 func TestPeersSupersede(t *testing.T) {
-	gateways := newPeers(t, 2, time.Hour, func(_ int, s *settings.Gateway) { occupy(t, s.Peers.AddrPort) })
+	gateways := newPeers(t, 2, time.Hour, func(_ int, s *settings.Gateway) { occupyPort(t, s.Peers.AddrPort) })
 	narrow, wide := gateways[0], gateways[1]
 	public := func(f *fixture) int { return f.do(f.request("GET", "/open/a", "", "")).status }
 	assert.Equal(t, public(narrow), 200)
@@ -128,9 +128,9 @@
 	narrow.awaitReady(true)
 }
 
-// occupy takes the TCP port of an address, so that a gateway can't hand out its configuration
+// occupyPort takes the TCP port of an address, so that a gateway can't hand out its configuration
 // there.
-func occupy(t *testing.T, address netip.AddrPort) {
+func occupyPort(t *testing.T, address netip.AddrPort) {
 	t.Helper()
 	listener, err := net.Listen("tcp", address.String())
 	assert.NilError(t, err)
@@ -141,7 +141,7 @@
 // configuration refuses a key that may be revoked.
 func TestPeersWithoutConfiguration(t *testing.T) {
 	const revoke = 1500 * time.Millisecond
-	gateways := newPeers(t, 2, revoke, func(_ int, s *settings.Gateway) { occupy(t, s.Peers.AddrPort) })
+	gateways := newPeers(t, 2, revoke, func(_ int, s *settings.Gateway) { occupyPort(t, s.Peers.AddrPort) })
 	cut, connected := gateways[0], gateways[1]
 	cut.cutOffStore()
 	cut.awaitLog("dependency lost")
--- a/gateway/crashingrequest_test.go
+++ b/gateway/poisonrequest_test.go
@@ -23,8 +23,8 @@
 //	38.79 try_failed ... outcome=failed sent=1 took=399.82ms err="... engine_lost: unexpected EOF"
 //	41.53 try_failed ... outcome=failed sent=1 took=546.99ms err="... engine_lost: unexpected EOF"
 
-// endedEndpoints returns how many endpoints have ended by a request with crashBody.
-func (f *fixture) endedEndpoints() int {
+// crashedEndpoints returns how many endpoints have ended by a request with crashBody.
+func (f *fixture) crashedEndpoints() int {
 	n := 0
 	for _, server := range f.endpoints {
 		for _, received := range server.Received() {
@@ -37,12 +37,12 @@
 	return n
 }
 
-// TestCrashingRequest checks that a request which ends what runs it reaches at most three endpoints
+// TestPoisonRequest checks that a request which ends what runs it reaches at most three endpoints
 // once it has ended three and the time of contact has passed, whichever of the routers it comes to;
 // and that the same body of another account, and another one of the same account, are served.
-func TestCrashingRequest(t *testing.T) {
-	const endpoints, contact = 20, 500 * time.Millisecond
-	gateways := newPeers(t, 3, time.Hour, func(_ int, s *settings.Gateway) { s.Bounds.Contact = contact })
+func TestPoisonRequest(t *testing.T) {
+	const endpoints, recoveryTimeout = 20, 500 * time.Millisecond
+	gateways := newPeers(t, 3, time.Hour, func(_ int, s *settings.Gateway) { s.Bounds.Contact = recoveryTimeout })
 	first := gateways[0]
 	for i := range endpoints {
 		first.addEndpoint("model", fmt.Sprintf("m%d", i), 5)
@@ -54,17 +54,17 @@
 		f := gateways[i%len(gateways)]
 		return f.do(f.request("POST", "/stream/a", "key-1", crashBody))
 	}
-	for i := 0; first.endedEndpoints() < 3; i++ {
+	for i := 0; first.crashedEndpoints() < 3; i++ {
 		assert.Assert(t, send(i).status != 200)
 	}
-	time.Sleep(contact)
+	time.Sleep(recoveryTimeout)
 	for i := range 8 * len(gateways) {
 		got := send(i)
 		assert.NilError(t, got.err)
 		assert.Assert(t, got.status == 502 || got.status == 503, "%d", got.status)
 	}
-	ended := first.endedEndpoints()
-	assert.Assert(t, ended <= 6, "%d endpoints ended", ended)
+	crashed := first.crashedEndpoints()
+	assert.Assert(t, crashed <= 6, "%d endpoints ended", crashed)
 
 	f := gateways[1]
 	assert.Equal(t, f.do(f.request("POST", "/stream/a", "key-1", "another body")).status, 200)
@@ -85,11 +85,11 @@
 	}
 	on.awaitEndpoints(12)
 	off.awaitEndpoints(12)
-	on.holdCrashing()
+	on.quarantineCrashBody()
 	assert.Equal(t, on.do(on.request("POST", "/stream/a", "key-1", crashBody)).status, 503)
 	off.await("an endpoint that ends by a request which the other router holds", func() bool {
 		off.do(off.request("POST", "/stream/a", "key-1", crashBody))
-		return on.endedEndpoints() > 3
+		return on.crashedEndpoints() > 3
 	})
 	assert.Assert(t, !strings.Contains(off.log.String(), "decision=quarantine"))
 }
@@ -101,19 +101,19 @@
 	}
 }
 
-// holdCrashing sends a request that ends what runs it until it is held, and checks that the platform
+// quarantineCrashBody sends a request that ends what runs it until it is held, and checks that the platform
 // keeps that.
-func (f *fixture) holdCrashing() {
+func (f *fixture) quarantineCrashBody() {
 	f.t.Helper()
-	for f.endedEndpoints() < 3 {
+	for f.crashedEndpoints() < 3 {
 		f.do(f.request("POST", "/stream/a", "key-1", crashBody))
 	}
 	f.awaitLog("decision=quarantine_written")
 }
 
-// TestHeldRequestOutlastsRouters checks that routers which start when none runs hold what was held
+// TestHeldRequestPersists checks that routers which start when none runs hold what was held
 // before, by what the platform keeps.
-func TestHeldRequestOutlastsRouters(t *testing.T) {
+func TestHeldRequestPersists(t *testing.T) {
 	store := rowstore.New()
 	before := newFixtureAt(t, store, baseConfiguration(), nil)
 	for i := range 8 {
@@ -121,7 +121,7 @@
 	}
 	before.awaitReady(true)
 	before.awaitEndpoints(8)
-	before.holdCrashing()
+	before.quarantineCrashBody()
 	before.stop()
 	before.awaitStopped()
 
@@ -131,26 +131,26 @@
 	after.awaitLog("from=store")
 	got := after.do(after.request("POST", "/stream/a", "key-1", crashBody))
 	assert.Equal(t, got.status, 503)
-	assert.Equal(t, before.endedEndpoints(), 3)
+	assert.Equal(t, before.crashedEndpoints(), 3)
 }
 
-// TestLonelyRouter checks that a router which loses all its peers learns from the platform what is
+// TestIsolatedRouter checks that a router which loses all its peers learns from the platform what is
 // held since.
-func TestLonelyRouter(t *testing.T) {
+func TestIsolatedRouter(t *testing.T) {
 	gateways := newPeers(t, 2, time.Hour, nil)
-	lonely, other := gateways[0], newFixtureAt(t, gateways[0].store, nil, nil) // without gossip
+	isolated, other := gateways[0], newFixtureAt(t, gateways[0].store, nil, nil) // without gossip
 	for i := range 8 {
 		other.addEndpoint("model", fmt.Sprintf("m%d", i), 5)
 	}
-	for _, f := range []*fixture{lonely, other} {
+	for _, f := range []*fixture{isolated, other} {
 		f.awaitReady(true)
 		f.awaitEndpoints(10)
 	}
 	gateways[1].stop()
 	gateways[1].awaitStopped()
-	other.holdCrashing()
-	lonely.awaitLog("from=store")
-	got := lonely.do(lonely.request("POST", "/stream/a", "key-1", crashBody))
+	other.quarantineCrashBody()
+	isolated.awaitLog("from=store")
+	got := isolated.do(isolated.request("POST", "/stream/a", "key-1", crashBody))
 	assert.Equal(t, got.status, 503)
-	assert.Equal(t, other.endedEndpoints(), 3)
+	assert.Equal(t, other.crashedEndpoints(), 3)
 }
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -20,8 +20,8 @@
 	drain         *drain
 	log           log.Logger
 
-	wasReady   atomic.Bool // at the last probe
-	wasBridged atomic.Bool // at the last probe: keys were served beyond the lease
+	wasReady      atomic.Bool // at the last probe
+	servedExpired atomic.Bool // at the last probe: keys were served beyond the lease
 }
 
 // ServeHTTP implements http.Handler. It answers 200 if the router is ready, and else
@@ -33,7 +33,7 @@
 	}
 	now := clock.Now()
 	state := h.state(now)
-	h.logBridged(state.Keyed && state.ServesKeys && !h.configuration.reliable(now))
+	h.logServesExpired(state.Keyed && state.ServesKeys && !h.configuration.reliable(now))
 	reason := readiness.Check(state)
 	ready := reason == readiness.Ready
 	if h.wasReady.Swap(ready) != ready {
@@ -60,9 +60,9 @@
 	}
 }
 
-// logBridged logs when a router begins to serve keys beyond the lease, and when it ends.
-func (h *probeHandler) logBridged(bridged bool) {
-	if h.wasBridged.Swap(bridged) != bridged {
-		_ = h.log.Log("decision", "bridge_outage", "serves", bridged, "version", h.configuration.version(), "lease", h.configuration.leaseLeft())
+// logServesExpired logs when a router begins to serve keys beyond the lease, and when it ends.
+func (h *probeHandler) logServesExpired(servesExpired bool) {
+	if h.servedExpired.Swap(servesExpired) != servesExpired {
+		_ = h.log.Log("decision", "bridge_outage", "serves", servesExpired, "version", h.configuration.version(), "lease", h.configuration.leaseLeft())
 	}
 }
--- a/gateway/probe_test.go
+++ b/gateway/probe_test.go
@@ -43,13 +43,13 @@
 	assert.Equal(t, h.drain.failedProbes.Load(), int32(1))
 }
 
-// TestBridgedLog checks that a router says when it begins to serve keys beyond its lease, and
+// TestServesKeysInOutageLog checks that a router says when it begins to serve keys beyond its lease, and
 // nothing of that as long as it knows no keys.
-func TestBridgedLog(t *testing.T) {
+func TestServesKeysInOutageLog(t *testing.T) {
 	var lines strings.Builder
 	h := &probeHandler{
 		path:          "/ready",
-		configuration: newConfiguration(configurationOptions{bridges: true}),
+		configuration: newConfiguration(configurationOptions{serveKeysInOutage: true}),
 		roster:        roster.New(),
 		drain:         newDrain(8*time.Second, log.NewNopLogger()),
 		log:           log.NewLogfmtLogger(&lines),
--- a/gateway/probewhilereading_test.go
+++ b/gateway/probewhilereading_test.go
@@ -15,45 +15,45 @@
 	"github.com/ryeford/ryeford/gateway/roster"
 )
 
-// heldLimit ends a test whose probe is never answered. It decides no verdict on speed.
-const heldLimit = 20 * time.Second
+// probeTimeout ends a test whose probe is never answered. It decides no verdict on speed.
+const probeTimeout = 20 * time.Second
 
-// A hold holds up what passes it, once it is armed.
-type hold struct {
+// A gate holds up what passes it, once it is armed.
+type gate struct {
 	armed   bool
 	reached chan struct{} // closed once something is held up
 	release chan struct{} // closed to let it go on
 }
 
 // pass returns at once, or, if the hold is armed, once it is released.
-func (h *hold) pass() {
+func (h *gate) pass() {
 	if h.armed {
 		close(h.reached)
 		<-h.release
 	}
 }
 
-// A heldSource is a source of configurations that a hold stops before it returns one, as
+// A gatedSource is a source of configurations that a hold stops before it returns one, as
 // one that is slow to come or to decode does.
-type heldSource struct {
-	configurationStandIn
-	hold *hold
+type gatedSource struct {
+	fakeConfigurationSource
+	hold *gate
 }
 
 // Configuration implements ryeford.ConfigurationSource.
-func (s *heldSource) Configuration(ctx context.Context, known ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
-	update, err := s.configurationStandIn.Configuration(ctx, known)
+func (s *gatedSource) Configuration(ctx context.Context, known ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
+	update, err := s.fakeConfigurationSource.Configuration(ctx, known)
 	s.hold.pass()
 	return update, err
 }
 
-// A heldLog is a log that a hold stops at each line.
-type heldLog struct {
-	hold *hold
+// A gatedLogger is a log that a hold stops at each line.
+type gatedLogger struct {
+	hold *gate
 }
 
 // Log implements log.Logger.
-func (l *heldLog) Log(...any) error {
+func (l *gatedLogger) Log(...any) error {
 	l.hold.pass()
 	return nil
 }
@@ -65,16 +65,16 @@
 func TestProbeWhileReading(t *testing.T) {
 	for _, where := range []string{"read", "put in force", "what follows"} {
 		t.Run(where, func(t *testing.T) {
-			read, log, update := &hold{}, &hold{}, &hold{}
+			read, log, update := &gate{}, &gate{}, &gate{}
 			f := newConfigurationFixture()
-			source := &heldSource{configurationStandIn: configurationStandIn{began: time.Now(), version: 1, revision: 5}, hold: read}
+			source := &gatedSource{fakeConfigurationSource: fakeConfigurationSource{began: time.Now(), version: 1, revision: 5}, hold: read}
 			f.configuration.source = source
-			f.configuration.log = &heldLog{hold: log}
+			f.configuration.log = &gatedLogger{hold: log}
 			f.configuration.onUpdate = update.pass
 			assert.Assert(t, f.read(t.Context()))
 			source.version, source.revision = 2, 6
 
-			at := map[string]*hold{"read": read, "put in force": log, "what follows": update}[where]
+			at := map[string]*gate{"read": read, "put in force": log, "what follows": update}[where]
 			at.armed, at.reached, at.release = true, make(chan struct{}), make(chan struct{})
 			ended := make(chan bool)
 			go func() { ended <- f.read(t.Context()) }()
@@ -84,7 +84,7 @@
 			select {
 			case status := <-answered:
 				assert.Equal(t, status, http.StatusOK)
-			case <-time.After(heldLimit):
+			case <-time.After(probeTimeout):
 				t.Fatal("the probe waits for the configuration that is read")
 			}
 			at.armed = false
@@ -102,7 +102,7 @@
 	list.Apply(time.Now(), &ryeford.EndpointUpdate{Snapshot: true, Revision: 1}, time.Time{})
 	probes := &probeHandler{path: "/ready", configuration: c, roster: list, drain: newDrain(time.Second, log.NewNopLogger()), log: log.NewNopLogger()}
 	c.current().Route("host.example", "/path/")
-	c.confirmedByPeer(time.Now(), netip.AddrPort{}, c.version(), 0)
+	c.mergePeerConfirmation(time.Now(), netip.AddrPort{}, c.version(), 0)
 	recorder := httptest.NewRecorder()
 	probes.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/ready", nil))
 	return recorder.Code
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -15,43 +15,43 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// trialShift is how long one router is the one that may try held requests again.
-const trialShift = 10 * time.Second
+// trialSlot is how long one router is the one that may try held requests again.
+const trialSlot = 10 * time.Second
 
 // A quarantineState holds requests that end what runs them, by package quarantine, with what this
 // router and its peers have seen. It is safe for concurrent use.
 type quarantineState struct {
-	// off says that nothing is held: the operators' setting.
-	off      bool
-	table    *quarantine.Table
-	kept     *heldRequests
-	crashes  *crashes
-	balancer *balancer // for this router's place among its peers
-	log      log.Logger
-	metrics  *telemetry.Set
+	// disabled says that nothing is held: the operators' setting.
+	disabled     bool
+	table        *quarantine.Table
+	heldRequests *heldRequests
+	crashes      *crashDetector
+	balancer     *balancer // for this router's place among its peers
+	log          log.Logger
+	metrics      *telemetry.Set
 }
 
 // newQuarantineState returns a quarantineState that knows nothing yet and keeps nothing on the platform.
 func newQuarantineState(b *balancer, logger log.Logger, metrics *telemetry.Set) *quarantineState {
 	table := quarantine.New()
 	return &quarantineState{
-		table:    table,
-		kept:     newHeldRequests(table, logger, metrics),
-		crashes:  newCrashes(logger, metrics),
-		balancer: b,
-		log:      logger,
-		metrics:  metrics,
+		table:        table,
+		heldRequests: newHeldRequests(table, logger, metrics),
+		crashes:      newCrashDetector(logger, metrics),
+		balancer:     b,
+		log:          logger,
+		metrics:      metrics,
 	}
 }
 
-// keepAt has what is held kept on the platform, by a router that may have peers.
-func (h *quarantineState) keepAt(source ryeford.QuarantineStore, gossips bool) {
-	h.kept.source, h.kept.peers, h.kept.gossips = source, h.balancer.peers, gossips
+// setStore has what is held kept on the platform, by a router that may have peers.
+func (h *quarantineState) setStore(store ryeford.QuarantineStore, hasPeers bool) {
+	h.heldRequests.source, h.heldRequests.peers, h.heldRequests.hasPeers = store, h.balancer.peers, hasPeers
 }
 
 // outgoing returns the records that go out with the next message to peers.
 func (h *quarantineState) outgoing(now time.Time) []peers.Quarantined {
-	if h.off {
+	if h.disabled {
 		return nil
 	}
 	return peers.QuarantinedOf(now, h.table.Outgoing(now, peers.MaxQuarantined))
@@ -59,11 +59,11 @@
 
 // merge adds what a peer's message says.
 func (h *quarantineState) merge(now time.Time, message *peers.Message) {
-	if h.off {
+	if h.disabled {
 		return
 	}
 	if message.HeldRead {
-		h.kept.read.Store(true)
+		h.heldRequests.loaded.Store(true)
 	}
 	for _, record := range h.table.Merge(now, peers.Records(now, message.Quarantined)) {
 		h.logHeld(&record, message.Sender.String())
@@ -79,11 +79,11 @@
 // mayTry reports whether this router is the one that may try held requests again now: by turns,
 // each for trialShift of the store's clock.
 func (h *quarantineState) mayTry(now time.Time) bool {
-	clock, known := h.balancer.clock.Latest(now)
+	storeTime, known := h.balancer.clock.Latest(now)
 	if !known || h.balancer.start.joining(now) {
 		return false
 	}
-	rank, _ := h.balancer.peers.Rank(now, uint64(clock/trialShift))
+	rank, _ := h.balancer.peers.Rank(now, uint64(storeTime/trialSlot))
 	return rank == 0
 }
 
@@ -93,25 +93,25 @@
 	fingerprint quarantine.Fingerprint
 	account     ryeford.AccountID
 	began       time.Time
-	lost        time.Time
+	ended       time.Time
 }
 
-// note notes an attempt that an endpoint has broken off, if the endpoint has ended.
-func (h *quarantineState) note(to *roster.Entry, lost *lostAttempt) {
-	if h.off || !h.crashes.crashed(to) {
+// recordCrash notes an attempt that an endpoint has broken off, if the endpoint has ended.
+func (h *quarantineState) recordCrash(to *roster.Entry, lost *lostAttempt) {
+	if h.disabled || !h.crashes.crashed(to) {
 		return
 	}
 	now := clock.Now()
-	crash := quarantine.Crash{Endpoint: uint32(route.NameHash(string(to.ID))), Began: lost.began, Ended: lost.lost}
-	before := h.table.Check(now, lost.fingerprint, false).Held
+	crash := quarantine.Crash{Endpoint: uint32(route.NameHash(string(to.ID))), Began: lost.began, Ended: lost.ended}
+	wasHeld := h.table.Check(now, lost.fingerprint, false).Held
 	record := h.table.Crashed(now, lost.fingerprint, uint32(route.NameHash(string(lost.account))), crash)
 	_ = h.log.Log("decision", "request_crashed", "request", lost.request, "fingerprint", lost.fingerprint, "account", lost.account,
 		"endpoint", to.ID, "crashes", len(record.Crashes), "held", !record.Held.IsZero())
 	if record.Held.IsZero() {
 		return
 	}
-	h.kept.keep(&record)
-	if !before {
+	h.heldRequests.enqueueWrite(&record)
+	if !wasHeld {
 		h.logHeld(&record, "self")
 	}
 }
@@ -127,7 +127,7 @@
 
 // suspected reports whether requests like this one may have ended endpoints.
 func (x *exchange) suspected() bool {
-	if x.forwarder.quarantine.off {
+	if x.forwarder.quarantine.disabled {
 		return false
 	}
 	filter := quarantine.FilterOf(x.request.accountID(), x.incoming.RequestURI, len(x.request.body))
@@ -142,7 +142,7 @@
 	h := x.forwarder.quarantine
 	verdict := h.table.Check(now, x.fingerprint(), h.mayTry(now))
 	if verdict.Trial {
-		h.kept.keep(&verdict.Record)
+		h.heldRequests.enqueueWrite(&verdict.Record)
 		_ = h.log.Log("decision", "quarantine_trial", "request", x.request.meta.ID, "fingerprint", x.fingerprint())
 	}
 	return verdict
@@ -155,7 +155,7 @@
 	}
 	h := x.forwarder.quarantine
 	if h.table.Answered(clock.Now(), x.fingerprint()) {
-		h.kept.release(x.fingerprint())
+		h.heldRequests.enqueueRemoval(x.fingerprint())
 		_ = h.log.Log("decision", "quarantine_ended", "request", x.request.meta.ID, "fingerprint", x.fingerprint(), "why", "answered")
 	}
 }
@@ -168,7 +168,7 @@
 	}
 	lost := &lostAttempt{
 		request: x.request.meta.ID, fingerprint: x.fingerprint(), account: x.request.accountID(),
-		began: x.began, lost: clock.Now(),
+		began: x.began, ended: clock.Now(),
 	}
-	go x.forwarder.quarantine.note(to, lost)
+	go x.forwarder.quarantine.recordCrash(to, lost)
 }
--- a/gateway/contact_test.go
+++ b/gateway/recovery_test.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// contactStep is the time between two looks at what a contactFixture knows.
-	contactStep = 10 * time.Millisecond
-	// contactReserve is left of bounds.contact, beside a router's own waits, for the
+	// recoveryCheckInterval is the time between two looks at what a contactFixture knows.
+	recoveryCheckInterval = 10 * time.Millisecond
+	// recoveryMargin is left of bounds.contact, beside a router's own waits, for the
 	// answer of the store itself.
-	contactReserve = 200 * time.Millisecond
+	recoveryMargin = 200 * time.Millisecond
 	// largeTransfer is how long the configuration of incident inc1 takes at the least on
 	// a narrow link.
 	largeTransfer = 840 * time.Millisecond
@@ -30,36 +30,36 @@
 	largerTransfer = time.Second
 )
 
-// A contactFixture is what a router knows of the store, without a gateway and without
+// A recoveryFixture is what a router knows of the store, without a gateway and without
 // peers: the configuration and the list of endpoints a, b and c.
-type contactFixture struct {
+type recoveryFixture struct {
 	t             *testing.T
 	settings      *settings.Gateway
-	store         *troubledStore
+	store         *disruptedStore
 	configuration *configuration
 	endpoints     *endpointList
 }
 
-// newContactFixture starts one by the default settings, which ends with the test. delay
+// newRecoveryFixture starts one by the default settings, which ends with the test. delay
 // and transfer are those of its store. It must be called in a bubble of synctest.
-func newContactFixture(t *testing.T, delay, transfer time.Duration) *contactFixture {
+func newRecoveryFixture(t *testing.T, delay, transfer time.Duration) *recoveryFixture {
 	s := settings.DefaultGateway()
-	f := &contactFixture{t: t, settings: s, store: newTroubledStore(s.Routing.StoreTimeout, "a", "b", "c")}
+	f := &recoveryFixture{t: t, settings: s, store: newDisruptedStore(s.Routing.StoreTimeout, "a", "b", "c")}
 	f.store.delay, f.store.transfer = delay, transfer
 	f.store.configure(1)
 	f.endpoints = newEndpointList(s, f.store)
 	f.configuration = newConfiguration(configurationOptions{
-		source:   f.store,
-		term:     freshness.Term(s.Bounds.Revoke),
-		refresh:  s.RefreshConfiguration(),
-		bound:    s.Bounds.Configuration,
-		silence:  s.StoreSilence(),
-		peers:    peers.New(netip.AddrPort{}, peers.DefaultLimits()),
-		clock:    f.endpoints.clock,
-		revision: f.endpoints.revision,
-		onUpdate: func() {},
-		log:      log.NewNopLogger(),
-		metrics:  telemetry.NewSet(),
+		source:           f.store,
+		term:             freshness.Term(s.Bounds.Revoke),
+		refresh:          s.RefreshConfiguration(),
+		changeTimeout:    s.Bounds.Configuration,
+		unreachableAfter: s.StoreSilence(),
+		peers:            peers.New(netip.AddrPort{}, peers.DefaultLimits()),
+		clock:            f.endpoints.clock,
+		revision:         f.endpoints.revision,
+		onUpdate:         func() {},
+		log:              log.NewNopLogger(),
+		metrics:          telemetry.NewSet(),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { _ = f.endpoints.run(ctx) }()
@@ -72,31 +72,31 @@
 	return f
 }
 
-// play plays a trouble that begins after a time and has a length. In its middle all
+// injectDisruption plays a trouble that begins after a time and has a length. In its middle all
 // changes: the configuration, and endpoints that join, drain and leave. If busy is set,
 // the configuration changes right before, too, and an endpoint writes its entry again, so
 // that the router is reading or pauses.
-func (f *contactFixture) play(trouble trouble, begins, length time.Duration, busy bool) {
-	time.Sleep(begins)
+func (f *recoveryFixture) injectDisruption(trouble disruption, delay, duration time.Duration, busy bool) {
+	time.Sleep(delay)
 	if busy {
 		f.store.configure(2)
 		f.store.put("a", ryeford.EndpointReady)
 		synctest.Wait()
 	}
-	made := f.store.copied()
-	f.store.set(trouble)
-	time.Sleep(length / 2)
+	backup := f.store.backup()
+	f.store.setDisruption(trouble)
+	time.Sleep(duration / 2)
 	f.change()
-	time.Sleep(length / 2)
+	time.Sleep(duration / 2)
 	if trouble == restored {
-		f.store.restore(made)
+		f.store.restore(backup)
 		f.change() // what the restore has lost is written again at once
 	}
-	f.store.set(noTrouble)
+	f.store.setDisruption(noDisruption)
 }
 
 // change changes all.
-func (f *contactFixture) change() {
+func (f *recoveryFixture) change() {
 	f.store.configure(3)
 	f.store.put("d", ryeford.EndpointReady)
 	f.store.put("b", ryeford.EndpointDraining)
@@ -104,21 +104,21 @@
 }
 
 // configured reports whether the new configuration is in force and may be relied on.
-func (f *contactFixture) configured() bool {
+func (f *recoveryFixture) configured() bool {
 	return f.configuration.version() == 3 && f.configuration.reliable(time.Now())
 }
 
 // listed reports whether the new list is in force, but for the endpoint that left: it
 // may still be suspect.
-func (f *contactFixture) listed() bool {
+func (f *recoveryFixture) listed() bool {
 	r := f.endpoints.roster
 	return r.Entry("a").Accepts() && !r.Entry("b").Accepts() && r.Entry("d").Accepts()
 }
 
-// follow looks at the router until it is held to its bounds again, and returns how long
+// measureRecovery looks at the router until it is held to its bounds again, and returns how long
 // after now the configuration and the list were last not in force.
-func (f *contactFixture) follow() (configuration, list time.Duration) {
-	for began := time.Now(); time.Since(began) < f.settings.Bounds.Contact; time.Sleep(contactStep) {
+func (f *recoveryFixture) measureRecovery() (configuration, list time.Duration) {
+	for began := time.Now(); time.Since(began) < f.settings.Bounds.Contact; time.Sleep(recoveryCheckInterval) {
 		synctest.Wait()
 		if !f.configured() {
 			configuration = time.Since(began)
@@ -131,16 +131,16 @@
 	return configuration, list
 }
 
-// contactWaits are the bounds of a router's own waits after the end of a trouble, from
+// recoveryWaits are the bounds of a router's own waits after the end of a trouble, from
 // the default settings (docs/platform.md has the sums).
-type contactWaits struct {
+type recoveryWaits struct {
 	lostRead, lostPoll, pollWait, settle, readPause, nextRead, refresh time.Duration
 }
 
-// newContactWaits returns the bounds.
-func newContactWaits() contactWaits {
+// newRecoveryWaits returns the bounds.
+func newRecoveryWaits() recoveryWaits {
 	s := settings.DefaultGateway()
-	return contactWaits{
+	return recoveryWaits{
 		lostRead:  s.Routing.StoreTimeout,
 		lostPoll:  listLimits(s).Hold + s.Routing.StoreTimeout,
 		pollWait:  listLimits(s).Hold,
@@ -151,48 +151,48 @@
 	}
 }
 
-// TestInForceAfterTrouble checks that what changed in a trouble of the store is in force
+// TestRecoveryAfterDisruption checks that what changed in a trouble of the store is in force
 // at a router, by its own waits, within the bounds that docs/platform.md states, and that
 // these are well within the time after which the router is held to all bounds. The
 // trouble begins at each moment of the router's rounds of reads.
-func TestInForceAfterTrouble(t *testing.T) {
+func TestRecoveryAfterDisruption(t *testing.T) {
 	contact := settings.DefaultGateway().Bounds.Contact
-	waits := newContactWaits()
+	waits := newRecoveryWaits()
 	for _, test := range []struct {
 		name                string
-		trouble             trouble
+		trouble             disruption
 		delay, transfer     time.Duration // of slow, and of a large configuration
 		configuration, list time.Duration // bounds
 	}{
-		{"silent", silent, 0, 0, waits.lostRead + waits.readPause, waits.lostPoll + minFeedPause},
-		{"resetting", resetting, 0, 0, waits.refresh, max(waits.settle, maxFeedPause)},
+		{"silent", silent, 0, 0, waits.lostRead + waits.readPause, waits.lostPoll + minRetryPause},
+		{"resetting", resetting, 0, 0, waits.refresh, max(waits.settle, maxRetryPause)},
 		{"slow, but answering", slow, 600 * time.Millisecond, 0, waits.refresh, waits.pollWait},
-		{"too slow", slow, 5 * time.Second, 0, waits.lostRead + waits.readPause, waits.lostPoll + minFeedPause},
-		{"stale", stale, 0, 0, waits.refresh, waits.pollWait + minFeedPause},
-		{"restored", restored, 0, 0, waits.refresh, max(waits.settle, maxFeedPause)},
-		{"restored, a large configuration", restored, 0, largeTransfer, waits.refresh + largeTransfer, max(waits.settle, maxFeedPause)},
+		{"too slow", slow, 5 * time.Second, 0, waits.lostRead + waits.readPause, waits.lostPoll + minRetryPause},
+		{"stale", stale, 0, 0, waits.refresh, waits.pollWait + minRetryPause},
+		{"restored", restored, 0, 0, waits.refresh, max(waits.settle, maxRetryPause)},
+		{"restored, a large configuration", restored, 0, largeTransfer, waits.refresh + largeTransfer, max(waits.settle, maxRetryPause)},
 		{"compacted", compacted, 0, 0, waits.refresh, waits.settle},
-		{"silent, a large configuration", silent, 0, largeTransfer, waits.lostRead + waits.readPause + largeTransfer, waits.lostPoll + minFeedPause},
-		{"stale, a large configuration", stale, 0, largeTransfer, max(waits.refresh, largeTransfer+waits.nextRead) + largeTransfer, waits.pollWait + minFeedPause},
-		{"stale, a larger configuration", stale, 0, largerTransfer, max(waits.refresh, largerTransfer+waits.nextRead) + largerTransfer, waits.pollWait + minFeedPause},
+		{"silent, a large configuration", silent, 0, largeTransfer, waits.lostRead + waits.readPause + largeTransfer, waits.lostPoll + minRetryPause},
+		{"stale, a large configuration", stale, 0, largeTransfer, max(waits.refresh, largeTransfer+waits.nextRead) + largeTransfer, waits.pollWait + minRetryPause},
+		{"stale, a larger configuration", stale, 0, largerTransfer, max(waits.refresh, largerTransfer+waits.nextRead) + largerTransfer, waits.pollWait + minRetryPause},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var configuration, list time.Duration // the longest
-			for _, length := range []time.Duration{20 * time.Millisecond, time.Second, 3 * time.Second, 7 * time.Second} {
+			for _, duration := range []time.Duration{20 * time.Millisecond, time.Second, 3 * time.Second, 7 * time.Second} {
 				for phase := time.Duration(0); phase < waits.lostPoll; phase += 50 * time.Millisecond {
 					synctest.Test(t, func(t *testing.T) {
-						f := newContactFixture(t, test.delay, test.transfer)
-						f.play(test.trouble, 10*time.Second+phase, length, phase%(100*time.Millisecond) == 0)
-						c, l := f.follow()
+						f := newRecoveryFixture(t, test.delay, test.transfer)
+						f.injectDisruption(test.trouble, 10*time.Second+phase, duration, phase%(100*time.Millisecond) == 0)
+						c, l := f.measureRecovery()
 						configuration, list = max(configuration, c), max(list, l)
-						assert.Assert(t, !f.endpoints.roster.Entry("c").Accepts(), "%s in, for %s", phase, length)
+						assert.Assert(t, !f.endpoints.roster.Entry("c").Accepts(), "%s in, for %s", phase, duration)
 					})
 				}
 			}
 			t.Logf("configuration after %s, list after %s", configuration, list)
 			assert.Check(t, configuration <= test.configuration, "%s", configuration)
 			assert.Check(t, list <= test.list, "%s", list)
-			assert.Check(t, max(test.configuration, test.list) <= contact-contactReserve)
+			assert.Check(t, max(test.configuration, test.list) <= contact-recoveryMargin)
 		})
 	}
 }
--- a/gateway/restoredstore_test.go
+++ b/gateway/restoredstore_test.go
@@ -38,9 +38,9 @@
 			f := startedFixture(t, nil)
 			f.restoreStore(test.lost, func() {
 				f.drainEndpoint("plain", "p1")
-				f.writeElsewhere(test.written)
+				f.writeUnrelated(test.written)
 			})
-			f.awaitNothingSent("/open/a", "p1")
+			f.awaitNoRequests("/open/a", "p1")
 			f.awaitStatus(200, "GET", "/safe/a")
 		})
 	}
@@ -71,10 +71,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := startedFixture(t, nil)
-			made := f.store.Copy()
+			backup := f.store.Copy()
 			leave(f)
-			f.awaitNothingSent("/open/a", "p1")
-			f.store.Restore(made)
+			f.awaitNoRequests("/open/a", "p1")
+			f.store.Restore(backup)
 			f.addEndpoint("plain", "p3", 0)
 			f.awaitLog("added=p3")
 			before := len(f.endpoints["p1"].Received())
@@ -96,10 +96,10 @@
 func TestRestoredLeavingAtStart(t *testing.T) {
 	gateways := newPeers(t, 2, time.Hour, nil)
 	seed := gateways[0]
-	made := seed.store.Copy()
+	backup := seed.store.Copy()
 	seed.drainEndpoint("plain", "p1")
 	seed.awaitLog("draining=p1")
-	seed.store.Restore(made)
+	seed.store.Restore(backup)
 	started := newFixtureAt(t, seed.store, nil, func(s *settings.Gateway) {
 		s.VM = "router-new"
 		s.Peers.AddrPort = freeport.Next()
@@ -113,19 +113,19 @@
 	assert.Equal(t, len(seed.endpoints["p1"].Received()), before)
 }
 
-// TestRestoredCalls checks that a fleet whose store is restored reads the whole list a few times, not once
+// TestRestoredListReads checks that a fleet whose store is restored reads the whole list a few times, not once
 // for each router: the others read it from a peer.
-func TestRestoredCalls(t *testing.T) {
+func TestRestoredListReads(t *testing.T) {
 	gateways := newPeers(t, 8, time.Hour, func(_ int, s *settings.Gateway) {
 		s.Routing.EndpointsWait, s.Routing.EndpointsSettle, s.Routing.LeaseRefresh = 0, 0, 0
 	})
 	store := gateways[0].store
-	made := store.Copy()
+	backup := store.Copy()
 	gateways[0].addEndpoint("plain", "p3", 0)
 	for _, f := range gateways {
 		f.awaitLog("added=p3")
 	}
-	store.Restore(made)
+	store.Restore(backup)
 	gateways[0].drainEndpoint("plain", "p1")
 	reads := 0
 	for _, f := range gateways {
@@ -136,24 +136,24 @@
 	assert.Assert(t, reads > 0 && reads <= len(gateways)/2)
 }
 
-// TestRestoredOwnRows: what a router has written to the store, its own entry and the requests that it holds,
+// TestRestoredRouterRows: what a router has written to the store, its own entry and the requests that it holds,
 // is gone with a restore, so that routers that start when none runs know neither. Each change was written
 // once, and what the store had acknowledged was never looked at again. The router that wrote it writes it
 // again.
-func TestRestoredOwnRows(t *testing.T) {
+func TestRestoredRouterRows(t *testing.T) {
 	store := rowstore.New()
 	_, err := store.PutJSON(wire.TableOperators, wire.KeyConfig, baseConfiguration())
 	assert.NilError(t, err)
-	made := store.Copy()
+	backup := store.Copy()
 	f := newFixtureAt(t, store, nil, func(s *settings.Gateway) { s.Peers.AddrPort = freeport.Next() })
 	for i := range 8 {
 		f.addEndpoint("model", fmt.Sprintf("m%d", i), 5)
 	}
 	f.awaitReady(true)
 	f.awaitEndpoints(8)
-	f.holdCrashing()
+	f.quarantineCrashBody()
 	f.awaitRows("its entry", tableRouters, 1)
-	f.store.Restore(made)
+	f.store.Restore(backup)
 	f.awaitRows("the held request", tableQuarantine, 1)
 	f.awaitRows("its entry", tableRouters, 1)
 }
@@ -175,10 +175,10 @@
 // out before: a key that was revoked stays so.
 func TestRestoredOlderConfiguration(t *testing.T) {
 	f := startedFixture(t, nil)
-	made := f.store.Copy()
+	backup := f.store.Copy()
 	f.putConfiguration(keyRevoked())
 	f.awaitStatus(401, "GET", "/safe/a")
-	f.store.Restore(made)
+	f.store.Restore(backup)
 	f.awaitLog("decision=store_restored")
 	f.await("reads of the copy", func() bool { return strings.Count(f.log.String(), "stale answer") > 16 })
 	assert.Equal(t, f.call("GET", "/safe/a").status, 401)
@@ -193,8 +193,8 @@
 // copy without them. meanwhile runs before the store answers again.
 func (f *fixture) restoreStore(lost int, meanwhile func()) {
 	f.t.Helper()
-	made := f.store.Copy()
-	f.writeElsewhere(lost - 1)
+	backup := f.store.Copy()
+	f.writeUnrelated(lost - 1)
 	newest, err := f.store.PutJSON(wire.TableEndpoints, "elsewhere", wire.Endpoint{
 		Service: "elsewhere", Address: "127.0.0.1:1", FailureDomain: "a", Slots: 1, State: wire.StateReady,
 	})
@@ -202,13 +202,13 @@
 	f.awaitLog(fmt.Sprintf("from=source revision=1.%d ", newest))
 	f.store.SetFault(rowstore.Fault{Reset: true})
 	f.awaitLog("dependency=endpoints")
-	f.store.Restore(made)
+	f.store.Restore(backup)
 	meanwhile()
 	f.store.SetFault(rowstore.Fault{})
 }
 
-// writeElsewhere makes changes of a table that the gateway doesn't read.
-func (f *fixture) writeElsewhere(changes int) {
+// writeUnrelated makes changes of a table that the gateway doesn't read.
+func (f *fixture) writeUnrelated(changes int) {
 	for range changes {
 		f.store.Put("elsewhere", "row", nil)
 	}
@@ -220,8 +220,8 @@
 	f.putEndpoint(service, id, f.addresses[id], wire.StateDraining)
 }
 
-// awaitNothingSent waits until none of a number of requests reaches an endpoint.
-func (f *fixture) awaitNothingSent(path, id string) {
+// awaitNoRequests waits until none of a number of requests reaches an endpoint.
+func (f *fixture) awaitNoRequests(path, id string) {
 	f.t.Helper()
 	const requests = 16
 	f.await("requests that don't reach "+id, func() bool {
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -33,14 +33,14 @@
 	got := f.call("POST", "/once/a")
 	assert.Equal(t, got.status, 200)
 	assert.Assert(t, got.close)
-	rest, err := io.ReadAll(reader)
+	remainder, err := io.ReadAll(reader)
 	assert.NilError(t, err)
-	assert.Equal(t, first+string(rest), events(5))
+	assert.Equal(t, first+string(remainder), events(5))
 }
 
-// TestStopWhileNeeded checks that a gateway that is ordered to stop goes on taking
+// TestStopWhileConnecting checks that a gateway that is ordered to stop goes on taking
 // new connections for as long as they come, and refuses what it could not finish.
-func TestStopWhileNeeded(t *testing.T) {
+func TestStopWhileConnecting(t *testing.T) {
 	f := startedFixture(t, func(s *settings.Gateway) { s.Bounds.Grace = 4 * time.Second })
 	f.client.Transport.(*http.Transport).DisableKeepAlives = true
 	f.stop()
@@ -66,11 +66,11 @@
 	assert.Assert(t, refused)
 }
 
-// TestLateStream checks that a gateway takes no stream late in its stop that it would
+// TestStreamDuringStop checks that a gateway takes no stream late in its stop that it would
 // have to break off: one that is taken 3 s after the order comes whole, however short
 // the streams before it were (incident inc1).
-func TestLateStream(t *testing.T) {
-	f := newFixture(t, patientStreams(), func(s *settings.Gateway) { s.Bounds.Grace = 8 * time.Second })
+func TestStreamDuringStop(t *testing.T) {
+	f := newFixture(t, longStreamConfiguration(), func(s *settings.Gateway) { s.Bounds.Grace = 8 * time.Second })
 	server := f.addEndpoint("model", "m1", 5)
 	f.addEndpoint("plain", "p1", 0)
 	f.awaitReady(true)
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestEndOfStop checks that a request which is not answered when a gateway has to close
+// TestUnansweredAtStop checks that a request which is not answered when a gateway has to close
 // its connections is answered with a failure that does not promise that it did not run.
-func TestEndOfStop(t *testing.T) {
+func TestUnansweredAtStop(t *testing.T) {
 	f := startedFixture(t, func(s *settings.Gateway) { s.Bounds.Grace = 2 * time.Second })
 	f.setFaults(appserver.FaultHang, -1)
 	got := make(chan reply, 1)
@@ -111,8 +111,8 @@
 	assert.Equal(t, answer.status, http.StatusBadGateway)
 }
 
-// patientStreams returns baseConfiguration with streams that may take 15 s.
-func patientStreams() *wire.Configuration {
+// longStreamConfiguration returns baseConfiguration with streams that may take 15 s.
+func longStreamConfiguration() *wire.Configuration {
 	config := baseConfiguration()
 	for i := range config.Routes {
 		if config.Routes[i].Kind == wire.KindStream {
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -23,12 +23,12 @@
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 }
 
-// TestFirstMoments checks that a request that comes before the gateway has read the
+// TestRequestBeforeInitialSync checks that a request that comes before the gateway has read the
 // configuration is served once it has.
-func TestFirstMoments(t *testing.T) {
+func TestRequestBeforeInitialSync(t *testing.T) {
 	store := rowstore.New()
 	store.SetFault(rowstore.Fault{Silent: true})
-	f := newFixtureAt(t, store, baseConfiguration(), func(s *settings.Gateway) { s.Routing.StartPatience = conditionLimit })
+	f := newFixtureAt(t, store, baseConfiguration(), func(s *settings.Gateway) { s.Routing.StartPatience = conditionTimeout })
 	f.addEndpoint("plain", "p1", 0)
 	f.awaitLog("dependency lost")
 	time.AfterFunc(50*time.Millisecond, func() { store.SetFault(rowstore.Fault{}) })
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestDeafFeed checks that a gateway whose feed is silent while changes are made, and
+// TestSilentFeed checks that a gateway whose feed is silent while changes are made, and
 // whose store then drops its history, ends with the newest configuration.
-func TestDeafFeed(t *testing.T) {
+func TestSilentFeed(t *testing.T) {
 	f := startedFixture(t, nil)
 	f.store.SetFault(rowstore.Fault{DeafFeed: true})
 	f.putConfiguration(keyRevoked())
@@ -99,9 +99,9 @@
 	f.awaitStatus(401, "GET", "/safe/a")
 }
 
-// TestLeavingServer checks that an endpoint that drains, or that is gone, gets no new
+// TestDrainingAndRemovedEndpoint checks that an endpoint that drains, or that is gone, gets no new
 // requests.
-func TestLeavingServer(t *testing.T) {
+func TestDrainingAndRemovedEndpoint(t *testing.T) {
 	f := startedFixture(t, nil)
 	f.putEndpoint("plain", "p1", "127.0.0.1:1", wire.StateDraining)
 	f.awaitLog("draining=p1")
@@ -114,9 +114,9 @@
 	f.awaitStatus(503, "POST", "/once/a")
 }
 
-// TestListAfterTrouble checks that what the list of endpoints lost, added and changed
+// TestListAfterDisruption checks that what the list of endpoints lost, added and changed
 // while the store failed is in force after that, however it failed.
-func TestListAfterTrouble(t *testing.T) {
+func TestListAfterDisruption(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault  rowstore.Fault
 		forget bool // the store has lost its history after it
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestEntriesLapsed checks that endpoints whose entries lapsed in an outage of the store
+// TestEntriesExpiredInOutage checks that endpoints whose entries lapsed in an outage of the store
 // are suspect after it, not gone, and serve on once their entries are back.
-func TestEntriesLapsed(t *testing.T) {
+func TestEntriesExpiredInOutage(t *testing.T) {
 	f := startedFixture(t, nil)
 	f.store.SetFault(rowstore.Fault{Reset: true})
 	f.awaitLog("dependency=endpoints")
--- a/gateway/suspended.go
+++ b/gateway/suspended.go
@@ -18,7 +18,7 @@
 func logSuspensions(ctx context.Context, logger log.Logger, metrics *telemetry.Set) error {
 	ticker := time.NewTicker(suspensionInterval)
 	defer ticker.Stop()
-	known := clock.Suspended()
+	previous := clock.Suspended()
 	for {
 		select {
 		case <-ctx.Done():
@@ -27,13 +27,13 @@
 		}
 		clock.Now() // looks for a suspension
 		total := clock.Suspended()
-		if total == known {
+		if total == previous {
 			continue
 		}
-		span := total - known
-		known = total
+		duration := total - previous
+		previous = total
 		metrics.Count("ryeford_suspensions_total", "")
-		metrics.Add("ryeford_suspended_ms_total", "", int(span.Milliseconds()))
-		_ = logger.Log("decision", "suspended", "span", roundTime(span), "woke", roundTime(clock.Since(clock.Woke())))
+		metrics.Add("ryeford_suspended_ms_total", "", int(duration.Milliseconds()))
+		_ = logger.Log("decision", "suspended", "span", roundTime(duration), "woke", roundTime(clock.Since(clock.Woke())))
 	}
 }
