--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -10,12 +10,11 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// A machine that is suspended stands still without its steady clock noticing: when it wakes, all ages
-// that go by that clock are too small by the whole span. These tests inject a suspension, and ask
-// what the first request after it is decided by.
+// The steady clock does not advance while a machine is suspended, so that ages measured by it are too
+// small afterwards. These tests inject a suspension and check the first request after it.
 
-// TestSuspendedLease checks that a router which was suspended for longer than its lease serves no key
-// until it has read the configuration again, from the first request on, and then does.
+// TestSuspendedLease checks that a router that was suspended for longer than its lease serves no key,
+// from the first request on, until it has read the configuration again.
 func TestSuspendedLease(t *testing.T) {
 	f := startedFixture(t, func(s *settings.Gateway) { s.Bounds.Revoke = 3 * time.Second })
 	assert.Equal(t, f.call("GET", "/safe/a").status, 200)
@@ -33,8 +32,8 @@
 	f.awaitReady(true)
 }
 
-// TestSuspendedRevocation checks that a key which is revoked while the router is suspended does not work
-// after it, though the store is silent when it wakes.
+// TestSuspendedRevocation checks that a key that is revoked while the router is suspended does not
+// work afterwards, even if the store does not answer.
 func TestSuspendedRevocation(t *testing.T) {
 	f := startedFixture(t, func(s *settings.Gateway) { s.Bounds.Revoke = 3 * time.Second })
 	f.cutOffStore()
@@ -48,8 +47,8 @@
 	f.awaitStatus(401, "GET", "/safe/a")
 }
 
-// TestSuspendedConnections checks that no connection is used again that was open before a suspension: it may
-// have gone silent meanwhile.
+// TestSuspendedConnections checks that connections that were open before a suspension are not reused:
+// they may be broken.
 func TestSuspendedConnections(t *testing.T) {
 	f := startedFixture(t, nil)
 	opened := func() int {
@@ -71,11 +70,11 @@
 	assert.Equal(t, opened(), before+2)
 }
 
-// TestSuspendedPeers checks that a router which was suspended takes no peer for alive until it
-// has heard of it again, and does so then.
+// TestSuspendedPeers checks that a router that was suspended considers a peer alive only after it has
+// received another message from it.
 func TestSuspendedPeers(t *testing.T) {
 	gateways := newPeers(t, 2, time.Hour, nil)
-	clock.Suspend(10 * time.Second) // of both: they run in one process
+	clock.Suspend(10 * time.Second) // affects both: they run in one process
 	for _, f := range gateways {
 		f.awaitLog("alive=0 before=1")
 		f.awaitLog("alive=1 before=0")
