--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -240,7 +240,7 @@
 		return true
 	}
 	if !update.Unchanged && update.Configuration == nil {
-		_ = c.log.Log("decision", "configuration", "revision", update.Revision, "applied", false, "why", "the source has none any more")
+		_ = c.log.Log("decision", "configuration", "revision", update.Revision, "applied", false, "why", "the source no longer has a configuration")
 		return false
 	}
 	c.lease.RenewRead(sent, update.Begun, update.Clock)
--- a/gateway/configuration_test.go
+++ b/gateway/configuration_test.go
@@ -105,7 +105,7 @@
 		assert.Assert(t, f.current() == nil)
 		assert.Equal(t, f.version(), int64(0))
 		assert.Equal(t, f.updates, 0)
-		assert.Assert(t, !f.reliable(time.Now()), "there is no configuration")
+		assert.Assert(t, !f.reliable(time.Now()), "no configuration yet")
 
 		f.source.version, f.source.reads = 1, nil
 		f.runFor(t, 2500*time.Millisecond)
@@ -124,7 +124,7 @@
 			f := newConfigurationFixture()
 			f.serveKeysInOutage = served
 			f.runFor(t, 100*time.Millisecond)
-			f.source.err = errors.New("out")
+			f.source.err = errors.New("unavailable")
 			f.runFor(t, time.Minute)
 			assert.Assert(t, !f.reliable(time.Now()))
 			assert.Equal(t, f.servesKeys(time.Now()), served)
@@ -143,13 +143,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.runFor(t, 100*time.Millisecond)
-		f.source.err = errors.New("out")
+		f.source.err = errors.New("unavailable")
 		f.runFor(t, 3800*time.Millisecond)
 		assert.Assert(t, f.reliable(time.Now()))
 		assert.Equal(t, f.leaseLeft(), 100*time.Millisecond)
 		f.runFor(t, 100*time.Millisecond)
 		assert.Assert(t, !f.reliable(time.Now()))
-		assert.Equal(t, f.version(), int64(1), "it stays in force, though unreliable")
+		assert.Equal(t, f.version(), int64(1), "it stays in force without a valid lease")
 		assert.Assert(t, f.hasMetric(`ryeford_dependency_lost_total{reason="configuration"} 1`))
 		f.source.err = nil
 		f.runFor(t, 500*time.Millisecond)
@@ -183,14 +183,14 @@
 		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 1, 2*time.Second)
 		assert.Equal(t, f.leaseLeft(), 3990*time.Millisecond, "the same version, confirmed 10 ms ago")
 		confirmed, _ := f.lease.Confirmed()
-		assert.Equal(t, confirmed, 2*time.Second, "it is passed on")
+		assert.Equal(t, confirmed, 2*time.Second, "the confirmation is passed on to peers")
 		reads := len(f.source.reads)
 		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 2*time.Second)
 		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 2*time.Second)
-		assert.Equal(t, f.leaseLeft(), 3990*time.Millisecond, "a newer version confirms nothing here")
+		assert.Equal(t, f.leaseLeft(), 3990*time.Millisecond, "a newer version does not confirm the one in force")
 		f.source.version = 2
 		f.runFor(t, 100*time.Millisecond)
-		assert.Equal(t, len(f.source.reads), reads+1, "it is read at once, and once")
+		assert.Equal(t, len(f.source.reads), reads+1, "it is read immediately, and only once")
 		assert.Equal(t, f.version(), int64(2))
 	})
 }
@@ -230,7 +230,7 @@
 func TestConfigurationNotCompared(t *testing.T) {
 	for name, change := range map[string]func(*testing.T, *configurationFixture){
 		"two failures": func(t *testing.T, f *configurationFixture) {
-			f.source.err, f.source.compareErr = errors.New("out"), errors.New("out")
+			f.source.err, f.source.compareErr = errors.New("unavailable"), errors.New("unavailable")
 			f.runFor(t, 1400*time.Millisecond)
 			f.source.err, f.source.compareErr = nil, nil
 		},
@@ -293,7 +293,7 @@
 		f.runFor(t, 100*time.Millisecond)
 		assert.Equal(t, f.leaseLeft(), 3800*time.Millisecond)
 		f.runFor(t, 3500*time.Millisecond)
-		assert.Equal(t, f.source.compared, 3, "it is compared again after a second")
+		assert.Equal(t, f.source.compared, 3, "conditional reads resume after a second")
 		assert.Assert(t, f.reliable(time.Now()))
 		reads := len(f.source.reads)
 		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 99, 0)
@@ -326,7 +326,7 @@
 			f := newConfigurationFixture()
 			f.source.size = 1 << 20
 			f.runFor(t, 100*time.Millisecond)
-			f.source.err, f.source.compareErr = errors.New("out"), errors.New("out")
+			f.source.err, f.source.compareErr = errors.New("unavailable"), errors.New("unavailable")
 			f.runFor(t, outage)
 			f.source.err, f.source.compareErr = nil, nil
 			compared, reads := f.source.compared, len(f.source.reads)
@@ -402,16 +402,16 @@
 		f.runFor(t, 100*time.Millisecond)
 		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 1, 0)
 		assert.Assert(t, !f.superseded(time.Now().Add(time.Hour)), "the peer has the same version")
-		f.source.err = errors.New("broken off")
+		f.source.err = errors.New("connection closed")
 		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 0)
 		f.runFor(t, 1899*time.Millisecond)
 		f.revision.recordAnswer(6) // by the list of endpoints
 		assert.Assert(t, !f.superseded(time.Now()))
 		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 3, 0)
 		f.runFor(t, time.Millisecond)
-		assert.Assert(t, f.superseded(time.Now()), "it counts from its own confirmation")
+		assert.Assert(t, f.superseded(time.Now()), "the time counts from its last confirmation")
 		f.runFor(t, 2999*time.Millisecond)
-		assert.Assert(t, !f.superseded(time.Now()), "the source is out of reach")
+		assert.Assert(t, !f.superseded(time.Now()), "the source is unreachable")
 		f.source.err, f.source.version, f.source.revision = nil, 3, 7
 		f.runFor(t, time.Second)
 		assert.Equal(t, f.version(), int64(3))
--- a/gateway/disruptedstore_test.go
+++ b/gateway/disruptedstore_test.go
@@ -172,7 +172,7 @@
 // applyDisruption applies the disruption to a call that may be held until limit, and returns its
 // error.
 func (s *disruptedStore) applyDisruption(ctx context.Context, t disruption, limit time.Time) error {
-	failure := &ryeford.UnavailableError{Service: "store", Err: errors.New("trouble")}
+	failure := &ryeford.UnavailableError{Service: "store", Err: errors.New("disruption")}
 	switch t {
 	case silent:
 		clock.Sleep(ctx, time.Until(limit))
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -65,7 +65,7 @@
 	_ = d.log.Log("msg", "closing idle connections", "in_flight", d.inFlight.Load(), "polls", d.failedProbes.Load())
 	// Shutdown closes the listener and idle connections, and waits for active ones.
 	if err := callers.http.Shutdown(limit); err != nil {
-		_ = d.log.Log("msg", "closing busy connections", "in_flight", d.inFlight.Load(), "err", err)
+		_ = d.log.Log("msg", "requests did not finish in time; closing active connections", "in_flight", d.inFlight.Load(), "err", err)
 		callers.close()
 	}
 }
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -49,7 +49,7 @@
 		d.recordConnection(nil, http.StateNew)
 		time.AfterFunc(400*time.Millisecond, func() { d.recordConnection(nil, http.StateActive) })
 		d.awaitNoNewConnections(began.Add(5 * time.Second))
-		assert.Equal(t, time.Since(began), 550*time.Millisecond, "a request on an open connection is no new connection")
+		assert.Equal(t, time.Since(began), 550*time.Millisecond, "a request on an open connection is not a new connection")
 
 		began = time.Now()
 		stop := make(chan struct{})
@@ -65,7 +65,7 @@
 		}()
 		d.recordConnection(nil, http.StateNew)
 		d.awaitNoNewConnections(began.Add(2 * time.Second))
-		assert.Equal(t, time.Since(began), 2*time.Second, "callers connect all the time")
+		assert.Equal(t, time.Since(began), 2*time.Second, "callers keep connecting")
 		close(stop)
 	})
 }
@@ -82,8 +82,8 @@
 		q.deadline = ordered.Add(7 * time.Second)
 		assert.Assert(t, d.leavesTimeFor(q, 0))
 		q.deadline = ordered.Add(7*time.Second + 1)
-		assert.Assert(t, !d.leavesTimeFor(q, 0), "it may be broken off")
+		assert.Assert(t, !d.leavesTimeFor(q, 0), "the stream could be aborted")
 		q.rule = &ryeford.RouteRule{Kind: ryeford.RouteAtMostOnce}
-		assert.Assert(t, d.leavesTimeFor(q, 2*time.Second), "it is expected to end")
+		assert.Assert(t, d.leavesTimeFor(q, 2*time.Second), "the request is expected to complete")
 	})
 }
--- a/gateway/endpointlist_test.go
+++ b/gateway/endpointlist_test.go
@@ -161,7 +161,7 @@
 		name string
 		play func(f *endpointListFixture)
 	}{
-		{"an entry that lapsed and is not written again", func(f *endpointListFixture) {
+		{"an expired entry that is not rewritten", func(f *endpointListFixture) {
 			f.simulateOutage("c")
 			f.sleepUntil(f.recovery(0) + suspectTime)
 			assert.Equal(f.t, f.accepting(), "abc")
@@ -169,7 +169,7 @@
 			assert.Equal(f.t, f.accepting(), "ab")
 			assert.DeepEqual(f.t, f.remover.removed, []ryeford.EndpointID{"c"})
 		}},
-		{"all entries lapsed; a living endpoint writes its again", func(f *endpointListFixture) {
+		{"all entries expired; a live endpoint rewrites its entry", func(f *endpointListFixture) {
 			f.simulateOutage("a", "b", "c")
 			assert.Equal(f.t, f.accepting(), "abc")
 			f.sleepUntil(outageEnd + rewriteTime)
@@ -179,7 +179,7 @@
 			f.sleepUntil(f.recovery(0) + 10*time.Second)
 			assert.Equal(f.t, f.accepting(), "b")
 		}},
-		{"entries that the store drops some answers after its return", func(f *endpointListFixture) {
+		{"entries that expire some answers after the outage", func(f *endpointListFixture) {
 			f.simulateOutage()
 			f.store.remove("b")
 			f.sleepUntil(f.recovery(0) + 1500*time.Millisecond)
@@ -194,7 +194,7 @@
 			f.sleepUntil(f.recovery(0) + 4*time.Second)
 			assert.Equal(f.t, f.accepting(), "ac")
 		}},
-		{"a return in steps does not make it longer", func(f *endpointListFixture) {
+		{"an interrupted recovery does not extend the time", func(f *endpointListFixture) {
 			f.simulateOutage("c")
 			f.sleepUntil(f.recovery(0) + 1100*time.Millisecond)
 			f.store.setDisruption(resetting)
@@ -206,7 +206,7 @@
 			f.sleepUntil(f.recovery(0) + suspectTime + time.Millisecond)
 			assert.Equal(f.t, f.accepting(), "ab")
 		}},
-		{"the store fails again before an endpoint can be back", func(f *endpointListFixture) {
+		{"the store fails again before an endpoint can rewrite its entry", func(f *endpointListFixture) {
 			f.simulateOutage("c")
 			f.sleepUntil(f.recovery(0) + 1100*time.Millisecond)
 			f.store.setDisruption(resetting)
@@ -223,7 +223,7 @@
 			f.sleepUntil(f.recovery(1) + suspectTime + time.Millisecond)
 			assert.Equal(f.t, f.accepting(), "a")
 		}},
-		{"one call is rejected: what is missing then has left", func(f *endpointListFixture) {
+		{"after one rejected call, a missing endpoint has left", func(f *endpointListFixture) {
 			f.sleepUntil(outageStart)
 			f.store.setDisruption(resetting)
 			f.store.remove("c")
@@ -233,7 +233,7 @@
 			assert.Equal(f.t, f.recoveryCount(), 1)
 			assert.Equal(f.t, f.accepting(), "ab")
 		}},
-		{"calls are silent, and only some routers: nothing is believed beyond contact", func(f *endpointListFixture) {
+		{"silent calls: no endpoint is suspect beyond bounds.contact", func(f *endpointListFixture) {
 			f.sleepUntil(outageStart)
 			f.store.setDisruption(silent)
 			f.store.remove("c")
@@ -243,14 +243,14 @@
 			assert.Equal(f.t, f.recoveryCount(), 1)
 			assert.Equal(f.t, f.accepting(), "ab")
 		}},
-		{"one that said that it drains is not believed in", func(f *endpointListFixture) {
+		{"a draining endpoint does not become suspect", func(f *endpointListFixture) {
 			f.sleepUntil(time.Second)
 			f.store.put("c", ryeford.EndpointDraining)
 			f.simulateOutage("c")
 			assert.Equal(f.t, f.accepting(), "ab")
 			assert.Assert(f.t, !f.roster.Knows("c"))
 		}},
-		{"one that left before the outage is not believed in", func(f *endpointListFixture) {
+		{"an endpoint that left before the outage does not become suspect", func(f *endpointListFixture) {
 			f.sleepUntil(time.Second)
 			f.store.remove("c")
 			f.sleepUntil(time.Second + 1)
@@ -279,7 +279,7 @@
 			assert.Equal(t, f.accepting(), "abcd")
 			f.store.restore(backup)
 			f.sleepUntil(outageEnd + rewriteTime)
-			assert.Equal(t, f.accepting(), "abcd", "the copy lacks it, and it may live")
+			assert.Equal(t, f.accepting(), "abcd", "the backup lacks it, and it may be alive")
 			if rewrites {
 				f.store.put("d", ryeford.EndpointReady)
 			}
@@ -308,7 +308,7 @@
 		time.Sleep(2 * time.Second)
 		now = time.Now()
 		l.applySource(&ryeford.EndpointUpdate{Revision: 12, Removed: []ryeford.EndpointID{"a"}, Clock: 4 * time.Second, Begun: now}, 9, now)
-		assert.Assert(t, l.roster.Entry("a").Accepts(), "its own read failed: it may have lapsed")
+		assert.Assert(t, l.roster.Entry("a").Accepts(), "the router's own read failed: the entry may have expired")
 	})
 }
 
@@ -322,7 +322,7 @@
 		seen := false
 		l.onUpdate = func() {
 			confirmed, _ := l.lease.Confirmed()
-			assert.Equal(t, confirmed, time.Duration(0), "the change is being applied, and not confirmed yet")
+			assert.Equal(t, confirmed, time.Duration(0), "the change is still being applied")
 			seen = true
 		}
 		l.applySource(&ryeford.EndpointUpdate{Revision: 9, Removed: []ryeford.EndpointID{"a"}, Clock: time.Second, Begun: now}, 5, now)
--- a/gateway/entries_test.go
+++ b/gateway/entries_test.go
@@ -41,7 +41,7 @@
 			Service: "plain", Address: f.addresses["p1"], FailureDomain: "a", Slots: 64, State: wire.StateReady, Born: born,
 		})
 		assert.NilError(t, err)
-		f.await("another life", func() bool { return strings.Count(f.log.String(), "restarted=p1#") == i+1 })
+		f.await("another incarnation", func() bool { return strings.Count(f.log.String(), "restarted=p1#") == i+1 })
 		assert.Equal(t, f.call("POST", "/once/a").status, 200)
 	}
 }
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -29,7 +29,7 @@
 const conditionTimeout = 20 * time.Second
 
 // crashBody is a request body that crashes every endpoint that runs it.
-const crashBody = "ends what runs it"
+const crashBody = "crashes its endpoint"
 
 // A fixture is a gateway with fake endpoints and a fake store, on loopback. It takes the platform's
 // names from platform/wire; tests that verify a name spell it out.
@@ -218,7 +218,7 @@
 	limit := time.Now().Add(conditionTimeout)
 	for !condition() {
 		if time.Now().After(limit) {
-			f.t.Fatal(what + " never came")
+			f.t.Fatal(what + " did not occur in time")
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/gateway/fleetleaving_test.go
+++ b/gateway/fleetleaving_test.go
@@ -57,7 +57,7 @@
 		for _, r := range f.routers {
 			sent += r.sent
 		}
-		t.Logf("%3d routers: %d of %d requests late at %d engines that leave, the last after %s, %.0f bytes a second and router",
+		t.Logf("%3d routers: %d of %d requests late at %d leaving engines, the last after %s, %.0f bytes per second and router",
 			routers, l.late, f.sent, len(l.ids), l.last, float64(sent)/duration.Seconds()/float64(routers))
 		assert.Check(t, float64(l.late) < maxLate[routers]*float64(f.sent))
 	}
--- a/gateway/fleetlist_test.go
+++ b/gateway/fleetlist_test.go
@@ -50,7 +50,7 @@
 			f.readNewerCopies(now, changed, update.Revision, &half, &all)
 		})
 		f.run(simulatedWarmUp + test.bound + 100*time.Millisecond)
-		t.Logf("%3d routers: half know after %s, all after %s", test.routers, half, all)
+		t.Logf("%3d routers: half have the list after %s, all after %s", test.routers, half, all)
 		assert.Check(t, all > 0 && all <= test.bound, "%d routers: %s", test.routers, all)
 	}
 }
--- a/gateway/gossip_test.go
+++ b/gateway/gossip_test.go
@@ -57,13 +57,13 @@
 	assert.Equal(t, b.table.Requests(now, "e"), 1)
 	assert.Equal(t, b.table.Sample(now, "s"), peers.Sample{Alive: 1, Counted: 1, Complete: 1, Requests: 1})
 	assert.Equal(t, len(b.prefixes.HeldTokens(now, parts)), 1)
-	assert.Equal(t, len(a.message(now, 2, true).Prompts), 0, "prompts are sent once")
+	assert.Equal(t, len(a.message(now, 2, true).Prompts), 0, "prompts are sent only once")
 	suspect := quarantine.FingerprintOf("bank", "/stream/a", nil)
 	a.quarantine.table.Crashed(now, suspect, 0, quarantine.Crash{Began: now.Add(-time.Second), Ended: now})
 	b.merge(now, a.briefMessage(now, 3))
 	assert.Assert(t, b.quarantine.table.Suspects(suspect.Filter()))
 	b.merge(now, a.message(now, 1, true))
-	assert.Equal(t, b.table.Alive(now), 1, "an old message changes nothing")
+	assert.Equal(t, b.table.Alive(now), 1, "an old message has no effect")
 }
 
 // TestGossipPrompts checks that the number of prompts in a message is bounded.
--- a/gateway/initialsync_test.go
+++ b/gateway/initialsync_test.go
@@ -33,11 +33,11 @@
 		never.await(t.Context(), giveup.NoLimit)
 		assert.Equal(t, time.Since(began), maxWait)
 		never.await(t.Context(), giveup.NoLimit)
-		assert.Equal(t, time.Since(began), maxWait, "the patience is over")
+		assert.Equal(t, time.Since(began), maxWait, "the maximum wait has passed")
 
 		began = time.Now()
 		newInitialSync(maxWait).await(t.Context(), maxWait)
-		assert.Equal(t, time.Since(began), maxWait/2, "the rest of the caller's time is for a return")
+		assert.Equal(t, time.Since(began), maxWait/2, "half of the caller's time is left for a retry")
 
 		gone, cancel := context.WithCancel(t.Context())
 		cancel()
--- a/gateway/large_bench_test.go
+++ b/gateway/large_bench_test.go
@@ -87,7 +87,7 @@
 		p.longest = max(p.longest, time.Since(sent))
 		p.longestCPU = max(p.longestCPU, cpuTime()-used)
 		if response.StatusCode != http.StatusOK {
-			p.err = fmt.Errorf("a probe got %s", response.Status)
+			p.err = fmt.Errorf("a probe was answered with %s", response.Status)
 			return
 		}
 	}
--- a/gateway/largeconfiguration_test.go
+++ b/gateway/largeconfiguration_test.go
@@ -74,7 +74,7 @@
 	f.await("ten more calls of the store", func() bool { return f.storeCalls.Load() >= calls+10 })
 	f.awaitReady(true)
 	size := int64(manyRoutes * 100)
-	assert.Assert(t, f.storeBytes.Load()-bytes < size, "%d bytes transferred, though nothing has changed", f.storeBytes.Load()-bytes)
+	assert.Assert(t, f.storeBytes.Load()-bytes < size, "%d bytes transferred without a change", f.storeBytes.Load()-bytes)
 }
 
 // TestLongTransfer checks that a gateway that reads a change from the store itself serves no request
@@ -88,8 +88,8 @@
 		change func(*settings.Gateway)
 	}{
 		{"from a large configuration", largeConfiguration(1), func(*settings.Gateway) {}},
-		{"from a small one", withAddedRoute(baseConfiguration()), func(*settings.Gateway) {}},
-		{"beside a list of endpoints that is asked seldom", largeConfiguration(1), func(s *settings.Gateway) {
+		{"from a small configuration", withAddedRoute(baseConfiguration()), func(*settings.Gateway) {}},
+		{"with a list of endpoints that is rarely read", largeConfiguration(1), func(s *settings.Gateway) {
 			s.Routing.EndpointsWait, s.Routing.EndpointsSettle = 1500*time.Millisecond, time.Second
 			s.Bounds.Contact = time.Second
 		}},
@@ -114,7 +114,7 @@
 			f.awaitEndpoints(2)
 			f.putConfiguration(removed)
 			accepted := time.Now()
-			f.await("the end of the removed route", func() bool {
+			f.await("a 404 for the removed route", func() bool {
 				sent := time.Now()
 				status := get()
 				assert.Assert(t, status != http.StatusOK || sent.Sub(accepted) < bound, "served %s after the route was removed", sent.Sub(accepted))
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -64,7 +64,7 @@
 // whether it drains first or only its entry is removed.
 func TestLeavingFinishesRequests(t *testing.T) {
 	for name, leave := range map[string]func(f *fixture, address string){
-		"its entry goes": func(f *fixture, _ string) {
+		"its entry is removed": func(f *fixture, _ string) {
 			f.store.Remove(wire.TableEndpoints, "held")
 			f.awaitLog("departed=held")
 		},
@@ -72,7 +72,7 @@
 			f.putEndpoint("plain", "held", address, wire.StateDraining)
 			f.awaitLog("draining=held")
 		},
-		"it drains, and its entry goes": func(f *fixture, address string) {
+		"it drains, and its entry is removed": func(f *fixture, address string) {
 			f.putEndpoint("plain", "held", address, wire.StateDraining)
 			f.awaitLog("draining=held")
 			f.store.Remove(wire.TableEndpoints, "held")
@@ -97,7 +97,7 @@
 			for range 8 {
 				assert.Equal(t, f.call("POST", "/once/b").status, 200)
 			}
-			if name == "its entry goes" {
+			if name == "its entry is removed" {
 				f.awaitLog("expired=held")
 			}
 			assert.Equal(t, held.received.Load(), int64(1))
--- a/gateway/leavingreport_test.go
+++ b/gateway/leavingreport_test.go
@@ -23,7 +23,7 @@
 	f.cutOffStore()
 	p1 := f.endpoints["p1"]
 	p1.SetLeaving(true)
-	f.await("an answer that says so", func() bool {
+	f.await("a response that reports leaving", func() bool {
 		return f.call("GET", "/open/a").header.Get("Server-Leaving") == "1"
 	})
 	received := len(p1.Received())
@@ -93,7 +93,7 @@
 	p1 := f.endpoints["p1"]
 	p1.SetLeaving(true)
 	f.awaitLog("known=5")
-	f.await("an answer that says so", func() bool { return f.call("GET", "/open/a").header.Get("Server-Leaving") == "1" })
+	f.await("a response that reports leaving", func() bool { return f.call("GET", "/open/a").header.Get("Server-Leaving") == "1" })
 	received := len(p1.Received())
 	f.putEndpoint("plain", "p1", f.addresses["p1"], wire.StateReady)
 	f.addEndpoint("plain", "p3", 0)
@@ -108,7 +108,7 @@
 		Service: "plain", Address: f.addresses["p1"], FailureDomain: "a", Slots: 64, State: wire.StateReady, Born: 1,
 	})
 	assert.NilError(t, err)
-	f.await("a request at the next life", func() bool {
+	f.await("a request at the next incarnation", func() bool {
 		f.call("GET", "/open/a")
 		return len(p1.Received()) > received
 	})
@@ -126,7 +126,7 @@
 		f.cutOffStore()
 	}
 	p3.SetLeaving(true)
-	reporter.await("an answer that says so", func() bool { return reporter.call("GET", "/open/a").header.Get("Server-Leaving") == "1" })
+	reporter.await("a response that reports leaving", func() bool { return reporter.call("GET", "/open/a").header.Get("Server-Leaving") == "1" })
 	notified.awaitLog("leaving=p3")
 	received := len(p3.Received())
 	for range 12 {
@@ -145,7 +145,7 @@
 	p3 := seed.addEndpoint("plain", "p3", 0)
 	seed.awaitLog("added=p3")
 	p3.SetLeaving(true)
-	seed.await("an answer that says so", func() bool { return seed.call("GET", "/open/a").header.Get("Server-Leaving") == "1" })
+	seed.await("a response that reports leaving", func() bool { return seed.call("GET", "/open/a").header.Get("Server-Leaving") == "1" })
 	gateways[1].awaitLog("leaving=p3")
 	time.Sleep(4 * time.Second) // longer than routers repeat such reports
 	started := newFixtureAt(t, seed.store, nil, func(s *settings.Gateway) {
--- a/gateway/peerconfiguration.go
+++ b/gateway/peerconfiguration.go
@@ -37,7 +37,7 @@
 		return false
 	}
 	if read.Configuration == nil {
-		_ = c.log.Log("decision", "configuration_from_peer", "peer", peer, "version", version, "applied", false, "why", "empty answer")
+		_ = c.log.Log("decision", "configuration_from_peer", "peer", peer, "version", version, "applied", false, "why", "response without a configuration")
 		return false
 	}
 	c.clock.Observe(sent, read.Latest)
--- a/gateway/peerconfiguration_test.go
+++ b/gateway/peerconfiguration_test.go
@@ -60,9 +60,9 @@
 		assert.Equal(t, status(peerConfigurationPath), 200)
 		assert.Equal(t, status("/"), 404)
 		time.Sleep(time.Minute)
-		assert.Equal(t, status(peerConfigurationPath), 503, "its lease has ended")
+		assert.Equal(t, status(peerConfigurationPath), 503, "the lease has ended")
 		handler = &peerHandler{configuration: newConfiguration(configurationOptions{}), log: log.NewNopLogger()}
-		assert.Equal(t, status(peerConfigurationPath), 503, "it has none")
+		assert.Equal(t, status(peerConfigurationPath), 503, "no configuration")
 	})
 }
 
@@ -72,7 +72,7 @@
 	for name, answer := range map[string]http.HandlerFunc{
 		"refuses": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 		"garbles": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) },
-		"breaks off": func(w http.ResponseWriter, _ *http.Request) {
+		"closes the connection": func(w http.ResponseWriter, _ *http.Request) {
 			whole, _ := cbor.Marshal(&configurationResponse{Configuration: &ryeford.Configuration{Version: 3, Routes: make([]ryeford.RouteRule, 100)}})
 			_, _ = w.Write(whole[:len(whole)/2])
 		},
--- a/gateway/peerhandler.go
+++ b/gateway/peerhandler.go
@@ -58,7 +58,7 @@
 
 func (h *peerHandler) write(w http.ResponseWriter, r *http.Request, response any) {
 	if err := cbor.NewEncoder(w).Encode(response); err != nil {
-		_ = h.log.Log("msg", "not handed out", "what", r.URL.Path, "peer", r.RemoteAddr, "err", err)
+		_ = h.log.Log("msg", "response to peer failed; the peer reads from the source instead", "what", r.URL.Path, "peer", r.RemoteAddr, "err", err)
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: peerReadTimeout, IdleTimeout: peerReadTimeout}
 	if err := httpserver.ListenAndServe(ctx, address, server); err != nil {
-		_ = h.log.Log("msg", "nothing handed out to peers", "err", err)
+		_ = h.log.Log("msg", "cannot serve peers; they read from the source instead", "err", err)
 	}
 	return nil
 }
--- a/gateway/peerlist_test.go
+++ b/gateway/peerlist_test.go
@@ -30,7 +30,7 @@
 		before := len(connected.endpoints["p3"].Received())
 		assert.Equal(t, cut.call("GET", "/safe/a").status, 200)
 		if len(connected.endpoints["p3"].Received()) == before {
-			assert.Assert(t, sent.Sub(removed) < settings.DefaultGateway().Bounds.Drain, "it still sends to one that has left")
+			assert.Assert(t, sent.Sub(removed) < settings.DefaultGateway().Bounds.Drain, "a request was sent to an endpoint that has left")
 			continue
 		}
 		if time.Since(removed) > time.Second {
@@ -87,7 +87,7 @@
 	time.Sleep(duration)
 	count := calls() - before
 	t.Logf("%d calls of %d routers in %s", count, len(gateways), duration)
-	assert.Assert(t, count < 60, "each router by itself makes 40 reads of the configuration and list")
+	assert.Assert(t, count < 60, "without sharing, each router makes 40 reads of the configuration and the list")
 }
 
 // TestEndpointListAfterIsolation checks that a router that has lost its peers' updates and the store
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -120,7 +120,7 @@
 	assert.Equal(t, public(narrow), 200)
 	narrow.storeRate.Store(10 << 10) // too slow to complete a read of the configuration
 	wide.putConfiguration(largeConfiguration(2))
-	narrow.await("a refusal on a public route", func() bool { return public(narrow) == 503 })
+	narrow.await("a rejection on a public route", func() bool { return public(narrow) == 503 })
 	narrow.awaitReady(false)
 	assert.Equal(t, public(wide), 200)
 	narrow.storeRate.Store(0)
--- a/gateway/poisonrequest_test.go
+++ b/gateway/poisonrequest_test.go
@@ -56,7 +56,7 @@
 		assert.Assert(t, got.status == 502 || got.status == 503, "%d", got.status)
 	}
 	crashed := first.crashedEndpoints()
-	assert.Assert(t, crashed <= 6, "%d endpoints ended", crashed)
+	assert.Assert(t, crashed <= 6, "%d endpoints crashed", crashed)
 
 	f := gateways[1]
 	assert.Equal(t, f.do(f.request("POST", "/stream/a", "key-1", "another body")).status, 200)
@@ -78,7 +78,7 @@
 	off.awaitEndpoints(12)
 	on.quarantineCrashBody()
 	assert.Equal(t, on.do(on.request("POST", "/stream/a", "key-1", crashBody)).status, 503)
-	off.await("an endpoint that ends by a request which the other router holds", func() bool {
+	off.await("a crash by a request that the other router holds", func() bool {
 		off.do(off.request("POST", "/stream/a", "key-1", crashBody))
 		return on.crashedEndpoints() > 3
 	})
--- a/gateway/probe_test.go
+++ b/gateway/probe_test.go
@@ -55,7 +55,7 @@
 	}
 	probe := func() { h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/ready", nil)) }
 	probe()
-	assert.Assert(t, !strings.Contains(lines.String(), "bridge_outage"), "it knows nothing yet")
+	assert.Assert(t, !strings.Contains(lines.String(), "bridge_outage"), "no configuration yet")
 	h.configuration.inForce.Put(catalog.New(&ryeford.Configuration{Version: 1, Accounts: []ryeford.AccountRule{}}))
 	probe()
 	probe()
--- a/gateway/probewhilereading_test.go
+++ b/gateway/probewhilereading_test.go
@@ -62,7 +62,7 @@
 // blocked while the next configuration is read and decoded, put in force, or followed by the update
 // callback.
 func TestProbeWhileReading(t *testing.T) {
-	for _, where := range []string{"read", "put in force", "what follows"} {
+	for _, where := range []string{"read", "put in force", "update callback"} {
 		t.Run(where, func(t *testing.T) {
 			read, log, update := &gate{}, &gate{}, &gate{}
 			f := newConfigurationFixture()
@@ -73,7 +73,7 @@
 			assert.Assert(t, f.read(t.Context()))
 			source.version, source.revision = 2, 6
 
-			at := map[string]*gate{"read": read, "put in force": log, "what follows": update}[where]
+			at := map[string]*gate{"read": read, "put in force": log, "update callback": update}[where]
 			at.armed, at.reached, at.release = true, make(chan struct{}), make(chan struct{})
 			ended := make(chan bool)
 			go func() { ended <- f.read(t.Context()) }()
@@ -84,7 +84,7 @@
 			case status := <-answered:
 				assert.Equal(t, status, http.StatusOK)
 			case <-time.After(probeTimeout):
-				t.Fatal("the probe waits for the configuration that is read")
+				t.Fatal("the probe was blocked by the read of the configuration")
 			}
 			at.armed = false
 			close(at.release)
--- a/gateway/recovery_test.go
+++ b/gateway/recovery_test.go
@@ -161,8 +161,8 @@
 	}{
 		{"silent", silent, 0, 0, waits.lostRead + waits.readPause, waits.lostPoll + minRetryPause},
 		{"resetting", resetting, 0, 0, waits.refresh, max(waits.settle, maxRetryPause)},
-		{"slow, but answering", slow, 600 * time.Millisecond, 0, waits.refresh, waits.pollWait},
-		{"too slow", slow, 5 * time.Second, 0, waits.lostRead + waits.readPause, waits.lostPoll + minRetryPause},
+		{"slow, within the timeout", slow, 600 * time.Millisecond, 0, waits.refresh, waits.pollWait},
+		{"slow, beyond the timeout", slow, 5 * time.Second, 0, waits.lostRead + waits.readPause, waits.lostPoll + minRetryPause},
 		{"stale", stale, 0, 0, waits.refresh, waits.pollWait + minRetryPause},
 		{"restored", restored, 0, 0, waits.refresh, max(waits.settle, maxRetryPause)},
 		{"restored, a large configuration", restored, 0, largeTransfer, waits.refresh + largeTransfer, max(waits.settle, maxRetryPause)},
@@ -180,7 +180,7 @@
 						f.injectDisruption(test.trouble, 10*time.Second+phase, duration, phase%(100*time.Millisecond) == 0)
 						c, l := f.measureRecovery()
 						configuration, list = max(configuration, c), max(list, l)
-						assert.Assert(t, !f.endpoints.roster.Entry("c").Accepts(), "%s in, for %s", phase, duration)
+						assert.Assert(t, !f.endpoints.roster.Entry("c").Accepts(), "phase %s, duration %s", phase, duration)
 					})
 				}
 			}
--- a/gateway/restoredstore_test.go
+++ b/gateway/restoredstore_test.go
@@ -22,8 +22,8 @@
 		lost    int // revisions that the store loses
 		written int // revisions that it has assigned again before its first answer
 	}{
-		"behind what was known": {lost: 40, written: 0},
-		"ahead of it":           {lost: 2, written: 4},
+		"lower revision than before":  {lost: 40, written: 0},
+		"higher revision than before": {lost: 2, written: 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := startedFixture(t, nil)
@@ -50,11 +50,11 @@
 // restored from a backup in which the endpoint is still ready.
 func TestRestoredLeaving(t *testing.T) {
 	for name, leave := range map[string]func(f *fixture){
-		"it had announced it": func(f *fixture) {
+		"it was draining": func(f *fixture) {
 			f.drainEndpoint("plain", "p1")
 			f.awaitLog("draining=p1")
 		},
-		"its entry had gone": func(f *fixture) {
+		"its entry was removed": func(f *fixture) {
 			f.store.Remove(wire.TableEndpoints, "p1")
 			f.awaitLog("departed=p1")
 		},
@@ -122,7 +122,7 @@
 		f.awaitLog("draining=p1")
 		reads += strings.Count(f.log.String(), "from=source revision=2.")
 	}
-	t.Logf("%d of %d routers have read the list of the new era from the store", reads, len(gateways))
+	t.Logf("%d of %d routers read the list of the new era from the store", reads, len(gateways))
 	assert.Assert(t, reads > 0 && reads <= len(gateways)/2)
 }
 
@@ -140,10 +140,10 @@
 	f.awaitReady(true)
 	f.awaitEndpoints(8)
 	f.quarantineCrashBody()
-	f.awaitRows("its entry", tableRouters, 1)
+	f.awaitRows("the router's entry", tableRouters, 1)
 	f.store.Restore(backup)
 	f.awaitRows("the held request", tableQuarantine, 1)
-	f.awaitRows("its entry", tableRouters, 1)
+	f.awaitRows("the router's entry", tableRouters, 1)
 }
 
 // Names of the project's own tables.
@@ -167,7 +167,7 @@
 	f.awaitStatus(401, "GET", "/safe/a")
 	f.store.Restore(backup)
 	f.awaitLog("decision=store_restored")
-	f.await("reads of the copy", func() bool { return strings.Count(f.log.String(), "stale answer") > 16 })
+	f.await("reads of the backup", func() bool { return strings.Count(f.log.String(), "stale answer") > 16 })
 	assert.Equal(t, f.call("GET", "/safe/a").status, 401)
 	next := keyRevoked()
 	next.Version = 3
@@ -211,7 +211,7 @@
 func (f *fixture) awaitNoRequests(path, id string) {
 	f.t.Helper()
 	const requests = 16
-	f.await("requests that don't reach "+id, func() bool {
+	f.await("a series of requests without any at "+id, func() bool {
 		before := len(f.endpoints[id].Received())
 		for range requests {
 			assert.Equal(f.t, f.do(f.request("GET", path, "", "")).status, 200)
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -52,13 +52,13 @@
 	for time.Since(since) < 1500*time.Millisecond {
 		last = time.Since(since)
 		got := f.call("GET", "/safe/a")
-		assert.NilError(t, got.err, "a call begun after %s", last)
-		assert.Equal(t, got.status, 200, "a call begun after %s", last)
+		assert.NilError(t, got.err, "a request sent after %s", last)
+		assert.Equal(t, got.status, 200, "a request sent after %s", last)
 		time.Sleep(20 * time.Millisecond)
 	}
-	assert.Assert(t, last > time.Second, "no call was begun after the first second")
+	assert.Assert(t, last > time.Second, "no request was sent after the first second")
 	refused := false
-	f.await("a refusal", func() bool {
+	f.await("a rejection", func() bool {
 		got := f.call("POST", "/stream/a")
 		refused = refused || (got.err == nil && got.status == 503 && got.header.Get("Retry-After") != "")
 		return refused || got.err != nil
@@ -81,17 +81,17 @@
 	server.Step = time.Second
 	f.stop()
 	time.Sleep(3 * time.Second)
-	assert.Equal(t, f.call("POST", "/once/a").status, http.StatusOK, "what is expected to end is served")
+	assert.Equal(t, f.call("POST", "/once/a").status, http.StatusOK, "a request that is expected to complete is served")
 	got := f.call("POST", "/stream/a")
 	switch got.status {
 	case http.StatusOK:
-		assert.NilError(t, got.err, "taken and broken off")
+		assert.NilError(t, got.err, "accepted and aborted")
 		assert.Equal(t, got.body, events(5))
 	case http.StatusServiceUnavailable:
 		assert.Assert(t, got.header.Get("Retry-After") != "")
 	default:
 		// The gateway closed the connection before it had read the request.
-		assert.Equal(t, len(server.Received()), 10, "taken and not answered: %v", got.err)
+		assert.Equal(t, len(server.Received()), 10, "accepted and not answered: %v", got.err)
 	}
 }
 
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -141,7 +141,7 @@
 			f.await("a request at the new endpoint", func() bool {
 				return f.call("POST", "/once/a").status == 200 && len(p3.Received()) > 0
 			})
-			f.await("the end of p2", func() bool { // delayed if the disruption was long
+			f.await("the removal of p2", func() bool { // delayed if the disruption was long
 				log := f.log.String()
 				return strings.Contains(log, "departed=p2") || strings.Contains(log, "expired=p2")
 			})
