--- a/gateway/disruptedstore_test.go
+++ b/gateway/disruptedstore_test.go
@@ -119,13 +119,13 @@
 
 // setDisruption sets the disruption from now on. A compacted store has lost its history once the
 // disruption ends.
-func (s *disruptedStore) setDisruption(t disruption) {
+func (s *disruptedStore) setDisruption(kind disruption) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.disruption == compacted {
 		s.oldest = s.current.revision
 	}
-	s.disruption = t
+	s.disruption = kind
 	s.stale = s.current
 	s.wake()
 }
@@ -171,9 +171,9 @@
 
 // applyDisruption applies the disruption to a call that may be held until limit, and returns its
 // error.
-func (s *disruptedStore) applyDisruption(ctx context.Context, t disruption, limit time.Time) error {
+func (s *disruptedStore) applyDisruption(ctx context.Context, kind disruption, limit time.Time) error {
 	failure := &ryeford.UnavailableError{Service: "store", Err: errors.New("disruption")}
-	switch t {
+	switch kind {
 	case silent:
 		clock.Sleep(ctx, time.Until(limit))
 		return failure
@@ -197,8 +197,8 @@
 // ConfigurationIfChanged implements ryeford.ConfigurationSource.
 func (s *disruptedStore) ConfigurationIfChanged(ctx context.Context, known ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
 	const large = 1 << 20
-	now, trouble, _, _ := s.read()
-	if err := s.applyDisruption(ctx, trouble, time.Now().Add(s.timeout)); err != nil {
+	now, kind, _, _ := s.read()
+	if err := s.applyDisruption(ctx, kind, time.Now().Add(s.timeout)); err != nil {
 		return ryeford.ConfigurationUpdate{}, err
 	}
 	update := ryeford.ConfigurationUpdate{
@@ -222,8 +222,8 @@
 
 // Endpoints implements ryeford.EndpointSource.
 func (s *disruptedStore) Endpoints(ctx context.Context) (ryeford.EndpointUpdate, error) {
-	now, trouble, _, _ := s.read()
-	if err := s.applyDisruption(ctx, trouble, time.Now().Add(s.timeout)); err != nil {
+	now, kind, _, _ := s.read()
+	if err := s.applyDisruption(ctx, kind, time.Now().Add(s.timeout)); err != nil {
 		return ryeford.EndpointUpdate{}, err
 	}
 	return ryeford.EndpointUpdate{Snapshot: true, Revision: now.revision, Present: now.endpoints, Clock: time.Since(s.began), Begun: time.Now()}, nil
@@ -234,8 +234,8 @@
 	over := time.After(wait)
 	limit := time.Now().Add(wait + s.timeout)
 	for {
-		now, trouble, oldest, changed := s.read()
-		if err := s.applyDisruption(ctx, trouble, limit); err != nil {
+		now, kind, oldest, changed := s.read()
+		if err := s.applyDisruption(ctx, kind, limit); err != nil {
 			return ryeford.EndpointUpdate{}, err
 		}
 		if revision < oldest {
--- a/gateway/gossip_test.go
+++ b/gateway/gossip_test.go
@@ -22,7 +22,7 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// newGossip returns the gossip of a router that knows one endpoint, "e".
+// newGossip returns the gossip of a router with one endpoint, "e".
 func newGossip(port uint16) *gossip {
 	self := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
 	r := roster.New()
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -18,7 +18,7 @@
 type blockedEndpoint struct {
 	server   appserver.Server
 	received atomic.Int64
-	broken   atomic.Int64 // requests whose connection was closed first
+	aborted  atomic.Int64 // requests whose connection was closed first
 	release  chan struct{}
 }
 
@@ -29,7 +29,7 @@
 	case <-e.release:
 		e.server.ServeHTTP(w, r)
 	case <-r.Context().Done():
-		e.broken.Add(1)
+		e.aborted.Add(1)
 	}
 }
 
@@ -82,14 +82,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFixture(t, longTimeoutConfiguration(), nil)
-			held, address := f.addBlockedEndpoint("plain", "held")
+			blocked, address := f.addBlockedEndpoint("plain", "held")
 			f.awaitReady(true)
 			f.awaitEndpoints(1)
 			answered := make(chan reply, 1)
 			request := f.request("POST", "/once/a", "key-1", "")
 			request.Header.Set(wire.HeaderTimeout, strconv.FormatInt(longTimeout.Milliseconds(), 10))
 			go func() { answered <- f.do(request) }()
-			f.await("the request at the endpoint", func() bool { return held.received.Load() == 1 })
+			f.await("the request at the endpoint", func() bool { return blocked.received.Load() == 1 })
 			f.addEndpoint("plain", "p2", 0)
 			f.awaitEndpoints(2)
 
@@ -100,9 +100,9 @@
 			if name == "its entry is removed" {
 				f.awaitLog("expired=held")
 			}
-			assert.Equal(t, held.received.Load(), int64(1))
-			assert.Equal(t, held.broken.Load(), int64(0))
-			close(held.release)
+			assert.Equal(t, blocked.received.Load(), int64(1))
+			assert.Equal(t, blocked.aborted.Load(), int64(0))
+			close(blocked.release)
 			assert.Equal(t, (<-answered).status, 200)
 		})
 	}
--- a/gateway/recovery_test.go
+++ b/gateway/recovery_test.go
@@ -73,7 +73,7 @@
 // injectDisruption injects a disruption that begins after a delay and lasts for a duration. In the
 // middle of it, the configuration and the list change. If busy is set, both also change right before
 // it, so that the router is reading or pausing when it begins.
-func (f *recoveryFixture) injectDisruption(trouble disruption, delay, duration time.Duration, busy bool) {
+func (f *recoveryFixture) injectDisruption(kind disruption, delay, duration time.Duration, busy bool) {
 	time.Sleep(delay)
 	if busy {
 		f.store.configure(2)
@@ -81,11 +81,11 @@
 		synctest.Wait()
 	}
 	backup := f.store.backup()
-	f.store.setDisruption(trouble)
+	f.store.setDisruption(kind)
 	time.Sleep(duration / 2)
 	f.change()
 	time.Sleep(duration / 2)
-	if trouble == restored {
+	if kind == restored {
 		f.store.restore(backup)
 		f.change() // changes lost by the restore are written again at once
 	}
@@ -155,7 +155,7 @@
 	waits := newRecoveryWaits()
 	for _, test := range []struct {
 		name                string
-		trouble             disruption
+		disruption          disruption
 		delay, transfer     time.Duration // of slow, and of a large configuration
 		configuration, list time.Duration // limits
 	}{
@@ -177,7 +177,7 @@
 				for phase := time.Duration(0); phase < waits.lostPoll; phase += 50 * time.Millisecond {
 					synctest.Test(t, func(t *testing.T) {
 						f := newRecoveryFixture(t, test.delay, test.transfer)
-						f.injectDisruption(test.trouble, 10*time.Second+phase, duration, phase%(100*time.Millisecond) == 0)
+						f.injectDisruption(test.disruption, 10*time.Second+phase, duration, phase%(100*time.Millisecond) == 0)
 						c, l := f.measureRecovery()
 						configuration, list = max(configuration, c), max(list, l)
 						assert.Assert(t, !f.endpoints.roster.Entry("c").Accepts(), "phase %s, duration %s", phase, duration)
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -117,15 +117,15 @@
 // store are in force after it, regardless of the fault.
 func TestListAfterDisruption(t *testing.T) {
 	for name, test := range map[string]struct {
-		fault  rowstore.Fault
-		forget bool // the store loses its history during the fault
+		fault       rowstore.Fault
+		dropHistory bool // the store loses its history during the fault
 	}{
 		"silent":    {fault: rowstore.Fault{Silent: true}},
 		"reset":     {fault: rowstore.Fault{Reset: true}},
 		"busy":      {fault: rowstore.Fault{Status: 503}},
 		"slow":      {fault: rowstore.Fault{Slow: time.Second}},
 		"stale":     {fault: rowstore.Fault{StaleReads: true, DeafFeed: true}},
-		"compacted": {fault: rowstore.Fault{DeafFeed: true}, forget: true},
+		"compacted": {fault: rowstore.Fault{DeafFeed: true}, dropHistory: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -134,7 +134,7 @@
 			f.putEndpoint("plain", "p1", "127.0.0.1:1", wire.StateDraining)
 			f.store.Remove(wire.TableEndpoints, "p2")
 			p3 := f.addEndpoint("plain", "p3", 0)
-			if test.forget {
+			if test.dropHistory {
 				f.store.ForgetHistory()
 			}
 			f.store.SetFault(rowstore.Fault{})
