--- a/gateway/configuration_test.go
+++ b/gateway/configuration_test.go
@@ -17,25 +17,24 @@
 	"github.com/ryeford/ryeford/internal/telemetry"
 )
 
-// A configurationStandIn is a source of configurations whose steady clock is that of
-// the test.
-type configurationStandIn struct {
-	began    time.Time
-	version  int64 // zero: there is none yet
-	revision ryeford.Revision
-	err      error
-	reads    []time.Duration // when it was read, since began
-	size     int             // of the configuration, in bytes
-	compared int             // reads that found it unchanged
-	takes    time.Duration   // to transfer it
-	// compareErr fails comparisons.
+// A fakeConfigurationSource is a source of configurations whose steady clock is that of the test.
+type fakeConfigurationSource struct {
+	began        time.Time
+	version      int64 // zero: no configuration yet
+	revision     ryeford.Revision
+	err          error
+	reads        []time.Duration // times of the reads, since began
+	size         int             // of the configuration, in bytes
+	compared     int             // number of reads that found it unchanged
+	transferTime time.Duration   // time to transfer the configuration
+	// compareErr is the error of conditional reads.
 	compareErr error
 }
 
 // Configuration implements ryeford.ConfigurationSource.
-func (s *configurationStandIn) Configuration(context.Context, ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
+func (s *fakeConfigurationSource) Configuration(context.Context, ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
 	s.reads = append(s.reads, time.Since(s.began))
-	defer time.Sleep(s.takes)
+	defer time.Sleep(s.transferTime)
 	update := ryeford.ConfigurationUpdate{Revision: s.revision, Clock: time.Since(s.began), Begun: time.Now()}
 	if s.version > 0 {
 		update.Configuration = &ryeford.Configuration{Version: s.version}
@@ -45,7 +44,7 @@
 }
 
 // ConfigurationIfChanged implements ryeford.ConfigurationSource.
-func (s *configurationStandIn) ConfigurationIfChanged(ctx context.Context, known ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
+func (s *fakeConfigurationSource) ConfigurationIfChanged(ctx context.Context, known ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
 	if s.compareErr != nil {
 		return ryeford.ConfigurationUpdate{}, s.compareErr
 	}
@@ -60,43 +59,43 @@
 // A configurationFixture is a configuration without a gateway.
 type configurationFixture struct {
 	*configuration
-	source  *configurationStandIn
+	source  *fakeConfigurationSource
 	updates int
 }
 
-// newConfigurationFixture returns a configuration with a lease of four seconds that
-// is read every second. Its source has version 1.
+// newConfigurationFixture returns a configuration with a lease of four seconds that is read every
+// second. Its source has version 1.
 func newConfigurationFixture() *configurationFixture {
-	f := &configurationFixture{source: &configurationStandIn{began: time.Now(), version: 1, revision: 5}}
+	f := &configurationFixture{source: &fakeConfigurationSource{began: time.Now(), version: 1, revision: 5}}
 	f.configuration = newConfiguration(configurationOptions{
-		source:   f.source,
-		term:     4 * time.Second,
-		refresh:  time.Second,
-		bound:    2 * time.Second,
-		silence:  3 * time.Second,
-		peers:    peers.New(netip.AddrPort{}, peers.DefaultLimits()),
-		revision: &revision{},
-		onUpdate: func() { f.updates++ },
-		log:      log.NewNopLogger(),
-		metrics:  telemetry.NewSet(),
+		source:           f.source,
+		term:             4 * time.Second,
+		refresh:          time.Second,
+		changeTimeout:    2 * time.Second,
+		unreachableAfter: 3 * time.Second,
+		peers:            peers.New(netip.AddrPort{}, peers.DefaultLimits()),
+		revision:         &storeRevision{},
+		onUpdate:         func() { f.updates++ },
+		log:              log.NewNopLogger(),
+		metrics:          telemetry.NewSet(),
 	})
 	return f
 }
 
-// hasMetric reports whether the metrics have a line.
+// hasMetric reports whether the metrics contain a line.
 func (f *configurationFixture) hasMetric(line string) bool {
 	return strings.Contains(string(f.metrics.Write()), line+"\n")
 }
 
-// runFor runs the configuration for a time.
+// runFor runs the configuration for a duration.
 func (f *configurationFixture) runFor(t *testing.T, d time.Duration) {
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
 	assert.NilError(t, f.run(ctx))
 }
 
-// TestConfigurationReads checks how often a router without peers reads, before and
-// after there is a configuration.
+// TestConfigurationReads checks how often a router without peers reads, with and without a
+// configuration in force.
 func TestConfigurationReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
@@ -106,7 +105,7 @@
 		assert.Assert(t, f.current() == nil)
 		assert.Equal(t, f.version(), int64(0))
 		assert.Equal(t, f.updates, 0)
-		assert.Assert(t, !f.reliable(time.Now()), "there is no configuration")
+		assert.Assert(t, !f.reliable(time.Now()), "no configuration yet")
 
 		f.source.version, f.source.reads = 1, nil
 		f.runFor(t, 2500*time.Millisecond)
@@ -117,19 +116,19 @@
 	})
 }
 
-// TestConfigurationBridged checks that keys are served in an outage, if the operators allow it,
-// until a peer tells of a newer version; and again once that version is in force.
-func TestConfigurationBridged(t *testing.T) {
-	for _, bridges := range []bool{false, true} {
+// TestConfigurationServesKeysInOutage checks that keys are served in an outage if the settings allow
+// it, except while a peer reports a newer version that is not in force yet.
+func TestConfigurationServesKeysInOutage(t *testing.T) {
+	for _, served := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newConfigurationFixture()
-			f.bridges = bridges
+			f.serveKeysInOutage = served
 			f.runFor(t, 100*time.Millisecond)
-			f.source.err = errors.New("out")
+			f.source.err = errors.New("unavailable")
 			f.runFor(t, time.Minute)
 			assert.Assert(t, !f.reliable(time.Now()))
-			assert.Equal(t, f.servesKeys(time.Now()), bridges)
-			f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, time.Minute)
+			assert.Equal(t, f.servesKeys(time.Now()), served)
+			f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, time.Minute)
 			assert.Assert(t, !f.servesKeys(time.Now()), "a key may be revoked in the newer version")
 			f.source.err, f.source.version = nil, 2
 			f.runFor(t, time.Second)
@@ -138,19 +137,19 @@
 	}
 }
 
-// TestConfigurationOutage checks that a configuration may be relied on until four
-// seconds after its last confirmed read was sent, and that an outage counts once.
+// TestConfigurationOutage checks that the lease ends four seconds after the last confirmed read was
+// sent, and that an outage is counted once.
 func TestConfigurationOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.runFor(t, 100*time.Millisecond)
-		f.source.err = errors.New("out")
+		f.source.err = errors.New("unavailable")
 		f.runFor(t, 3800*time.Millisecond)
 		assert.Assert(t, f.reliable(time.Now()))
 		assert.Equal(t, f.leaseLeft(), 100*time.Millisecond)
 		f.runFor(t, 100*time.Millisecond)
 		assert.Assert(t, !f.reliable(time.Now()))
-		assert.Equal(t, f.version(), int64(1), "it stays in force, though unreliable")
+		assert.Equal(t, f.version(), int64(1), "it stays in force without a valid lease")
 		assert.Assert(t, f.hasMetric(`ryeford_dependency_lost_total{reason="configuration"} 1`))
 		f.source.err = nil
 		f.runFor(t, 500*time.Millisecond)
@@ -158,12 +157,12 @@
 	})
 }
 
-// TestConfigurationStaleRead checks that a read that is older than what is known of
-// any table neither renews the lease nor brings anything in force.
+// TestConfigurationStaleRead checks that a read older than the newest revision of any table neither
+// renews the lease nor is put in force.
 func TestConfigurationStaleRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
-		f.revision.raise(6)
+		f.revision.recordAnswer(6)
 		f.runFor(t, 10*time.Millisecond)
 		assert.Assert(t, f.current() == nil)
 		assert.Assert(t, !f.reliable(time.Now()))
@@ -172,37 +171,36 @@
 	})
 }
 
-// TestConfigurationOfPeer checks what a peer's confirmation does: of the same version
-// it renews the lease, of a newer one it makes the router read at once, of an older one
-// it does nothing.
-func TestConfigurationOfPeer(t *testing.T) {
+// TestConfigurationPeerConfirmation checks that a peer's confirmation of the same version renews the
+// lease, that one of a newer version triggers a read, and that one of an older version has no effect.
+func TestConfigurationPeerConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.runFor(t, 10*time.Millisecond)
 		time.Sleep(2 * time.Second)
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 0, 2*time.Second)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 0, 2*time.Second)
 		assert.Equal(t, f.leaseLeft(), 1990*time.Millisecond, "an older version")
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 1, 2*time.Second)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 1, 2*time.Second)
 		assert.Equal(t, f.leaseLeft(), 3990*time.Millisecond, "the same version, confirmed 10 ms ago")
 		confirmed, _ := f.lease.Confirmed()
-		assert.Equal(t, confirmed, 2*time.Second, "it is passed on")
+		assert.Equal(t, confirmed, 2*time.Second, "the confirmation is passed on to peers")
 		reads := len(f.source.reads)
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 2*time.Second)
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 2*time.Second)
-		assert.Equal(t, f.leaseLeft(), 3990*time.Millisecond, "a newer version confirms nothing here")
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 2*time.Second)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 2*time.Second)
+		assert.Equal(t, f.leaseLeft(), 3990*time.Millisecond, "a newer version does not confirm the one in force")
 		f.source.version = 2
 		f.runFor(t, 100*time.Millisecond)
-		assert.Equal(t, len(f.source.reads), reads+1, "it is read at once, and once")
+		assert.Equal(t, len(f.source.reads), reads+1, "it is read immediately, and only once")
 		assert.Equal(t, f.version(), int64(2))
 	})
 }
 
-// TestConfigurationConfirmedAtSending checks that what is passed on to peers as the time of
-// a confirmation does not depend on how long the transfer took.
+// TestConfigurationConfirmedAtSending checks that the time of a confirmation, as sent to peers, does
+// not depend on the duration of the transfer.
 func TestConfigurationConfirmedAtSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
-		f.source.takes = 600 * time.Millisecond
+		f.source.transferTime = 600 * time.Millisecond
 		f.runFor(t, 700*time.Millisecond)
 		confirmed, ok := f.lease.Confirmed()
 		assert.Assert(t, ok)
@@ -210,8 +208,8 @@
 	})
 }
 
-// TestConfigurationCompared checks that a large configuration is compared, that a
-// comparison that finds it unchanged renews the lease, and that a change takes effect.
+// TestConfigurationCompared checks that a large configuration is read conditionally, that an unchanged
+// one renews the lease, and that a change takes effect.
 func TestConfigurationCompared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
@@ -227,23 +225,23 @@
 	})
 }
 
-// TestConfigurationNotCompared checks that a large configuration is read whole after two
-// failures, after two stale answers and if a peer has a newer one.
+// TestConfigurationNotCompared checks that a large configuration is read unconditionally after two
+// failures, after two stale answers, and if a peer has a newer one.
 func TestConfigurationNotCompared(t *testing.T) {
 	for name, change := range map[string]func(*testing.T, *configurationFixture){
 		"two failures": func(t *testing.T, f *configurationFixture) {
-			f.source.err, f.source.compareErr = errors.New("out"), errors.New("out")
+			f.source.err, f.source.compareErr = errors.New("unavailable"), errors.New("unavailable")
 			f.runFor(t, 1400*time.Millisecond)
 			f.source.err, f.source.compareErr = nil, nil
 		},
 		"two stale answers": func(t *testing.T, f *configurationFixture) {
-			f.revision.raise(9)
+			f.revision.recordAnswer(9)
 			f.runFor(t, time.Second)
 			f.source.revision = 9
 		},
 		"a peer has a newer one": func(_ *testing.T, f *configurationFixture) {
 			f.source.version = 2
-			f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 0)
+			f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 0)
 		},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -260,18 +258,18 @@
 	}
 }
 
-// TestConfigurationLate checks that a configuration which came later than the bound after it
-// was asked for is not used before it is confirmed: a newer one may be due since.
+// TestConfigurationLate checks that a configuration that arrived later than a change may take is not
+// used before it is confirmed: a newer one may exist.
 func TestConfigurationLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
-		f.source.size, f.source.takes = 1<<20, 2500*time.Millisecond
+		f.source.size, f.source.transferTime = 1<<20, 2500*time.Millisecond
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			f.runFor(t, 3*time.Second)
 		}()
-		time.Sleep(f.source.takes + time.Millisecond)
+		time.Sleep(f.source.transferTime + time.Millisecond)
 		version, superseded := f.version(), f.superseded(time.Now())
 		time.Sleep(100 * time.Millisecond)
 		confirmed := !f.superseded(time.Now())
@@ -283,52 +281,52 @@
 	})
 }
 
-// TestConfigurationWrongNews checks that a peer's word of a version that the source does not
-// have is forgotten once the source has contradicted it, and is believed again if it comes
-// again, and that the answer which contradicts it does not renew the lease.
-func TestConfigurationWrongNews(t *testing.T) {
+// TestConfigurationContradictedReport checks that a peer's report of a version that the source does
+// not have is dropped, that it counts again if repeated, and that the contradicting answer does not
+// renew the lease.
+func TestConfigurationContradictedReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.source.size = 1 << 20
 		f.runFor(t, 100*time.Millisecond)
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 99, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 99, 0)
 		f.runFor(t, 100*time.Millisecond)
 		assert.Equal(t, f.leaseLeft(), 3800*time.Millisecond)
 		f.runFor(t, 3500*time.Millisecond)
-		assert.Equal(t, f.source.compared, 3, "it is compared again after a second")
+		assert.Equal(t, f.source.compared, 3, "conditional reads resume after a second")
 		assert.Assert(t, f.reliable(time.Now()))
 		reads := len(f.source.reads)
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 99, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 99, 0)
 		f.runFor(t, 100*time.Millisecond)
 		assert.Equal(t, len(f.source.reads), reads+1)
 	})
 }
 
-// TestConfigurationBehindPeers checks that a source which lags behind what peers tell again
-// and again does not confirm the configuration, which is not used beyond the bound.
+// TestConfigurationBehindPeers checks that a source that lags behind the version that peers keep
+// reporting does not renew the lease, so that the old version is not used for too long.
 func TestConfigurationBehindPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.runFor(t, 100*time.Millisecond)
 		for range 30 {
-			f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 0)
+			f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 0)
 			f.runFor(t, 100*time.Millisecond)
-			f.revision.raise(5) // by the list of endpoints
+			f.revision.recordAnswer(5) // by the list of endpoints
 		}
 		assert.Assert(t, f.superseded(time.Now()))
 		assert.Equal(t, f.leaseLeft(), 900*time.Millisecond)
 	})
 }
 
-// TestConfigurationAfterOutage checks that a large configuration that has not changed is not
-// transferred again because one read of it failed, nor after an outage.
+// TestConfigurationAfterOutage checks that an unchanged large configuration is not transferred again
+// after a failed read or an outage.
 func TestConfigurationAfterOutage(t *testing.T) {
 	for _, outage := range []time.Duration{time.Second, 2200 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newConfigurationFixture()
 			f.source.size = 1 << 20
 			f.runFor(t, 100*time.Millisecond)
-			f.source.err, f.source.compareErr = errors.New("out"), errors.New("out")
+			f.source.err, f.source.compareErr = errors.New("unavailable"), errors.New("unavailable")
 			f.runFor(t, outage)
 			f.source.err, f.source.compareErr = nil, nil
 			compared, reads := f.source.compared, len(f.source.reads)
@@ -340,19 +338,19 @@
 	}
 }
 
-// TestConfigurationRefusedComparison checks that a source that refuses to compare is asked
-// for the whole, so that the lease does not end.
+// TestConfigurationRefusedComparison checks that the lease does not end if the source rejects
+// conditional reads: the configuration is read unconditionally.
 func TestConfigurationRefusedComparison(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
-		f.source.size, f.source.takes = 1<<20, 1200*time.Millisecond
+		f.source.size, f.source.transferTime = 1<<20, 1200*time.Millisecond
 		f.source.compareErr = errors.New("too many writes")
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			f.runFor(t, 20*time.Second)
 		}()
-		time.Sleep(f.source.takes)
+		time.Sleep(f.source.transferTime)
 		for range 180 {
 			time.Sleep(100 * time.Millisecond)
 			assert.Assert(t, f.reliable(time.Now()))
@@ -360,15 +358,15 @@
 		<-done
 		assert.Equal(t, f.source.compared, 0)
 		f.source.version = 2
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 0)
 		f.runFor(t, 1300*time.Millisecond)
 		assert.Equal(t, f.version(), int64(2))
 	})
 }
 
-// TestConfigurationGone checks that an answer without a configuration, after there was one,
-// does not renew the lease.
-func TestConfigurationGone(t *testing.T) {
+// TestConfigurationRemoved checks that an answer without a configuration, after there was one, does
+// not renew the lease.
+func TestConfigurationRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.runFor(t, 100*time.Millisecond)
@@ -378,14 +376,14 @@
 	})
 }
 
-// TestConfigurationHeardWhileRead checks that what peers send of a version while it is
-// read causes no other read.
-func TestConfigurationHeardWhileRead(t *testing.T) {
+// TestConfigurationReportedWhileRead checks that a version that peers report while it is being read
+// does not cause another read.
+func TestConfigurationReportedWhileRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.runFor(t, 10*time.Millisecond)
 		f.source.version = 2
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 0)
 		f.runFor(t, 100*time.Millisecond)
 		reads := len(f.source.reads)
 		assert.Equal(t, f.version(), int64(2))
@@ -395,26 +393,25 @@
 	})
 }
 
-// TestConfigurationSuperseded checks that a configuration is not used any more two seconds
-// after it was last confirmed, if a peer has told of a newer one, the source answers and
-// that can't be read; and that it is used again once the source is out of reach, or the
-// newer one is in force.
+// TestConfigurationSuperseded checks that a configuration is not used longer than two seconds after
+// its last confirmation if a peer has reported a newer one that can't be read from a source that
+// answers; and that it is used again once the source is unreachable, or the newer one is in force.
 func TestConfigurationSuperseded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.runFor(t, 100*time.Millisecond)
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 1, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 1, 0)
 		assert.Assert(t, !f.superseded(time.Now().Add(time.Hour)), "the peer has the same version")
-		f.source.err = errors.New("broken off")
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 0)
+		f.source.err = errors.New("connection closed")
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 0)
 		f.runFor(t, 1899*time.Millisecond)
-		f.revision.raise(6) // by the list of endpoints
+		f.revision.recordAnswer(6) // by the list of endpoints
 		assert.Assert(t, !f.superseded(time.Now()))
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 3, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 3, 0)
 		f.runFor(t, time.Millisecond)
-		assert.Assert(t, f.superseded(time.Now()), "it counts from its own confirmation")
+		assert.Assert(t, f.superseded(time.Now()), "the time counts from its last confirmation")
 		f.runFor(t, 2999*time.Millisecond)
-		assert.Assert(t, !f.superseded(time.Now()), "the source is out of reach")
+		assert.Assert(t, !f.superseded(time.Now()), "the source is unreachable")
 		f.source.err, f.source.version, f.source.revision = nil, 3, 7
 		f.runFor(t, time.Second)
 		assert.Equal(t, f.version(), int64(3))
@@ -422,27 +419,26 @@
 	})
 }
 
-// TestConfigurationSupersededAgain checks that a configuration that was superseded while
-// it was being transferred is used no longer than any other: not for bounds.configuration
-// after the newer one was accepted.
+// TestConfigurationSupersededAgain checks that a configuration that was superseded during its transfer
+// is not used longer than bounds.configuration after the newer one was accepted.
 func TestConfigurationSupersededAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newConfigurationFixture()
 		f.runFor(t, 100*time.Millisecond)
-		f.source.takes = 1500 * time.Millisecond
+		f.source.transferTime = 1500 * time.Millisecond
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			f.runFor(t, 4*time.Second)
 		}()
 		f.source.version = 2
-		f.confirmedByPeer(time.Now(), netip.AddrPort{}, 2, 0)
+		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 0)
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
 		accepted := time.Now()
 		f.source.version = 3
-		f.confirmedByPeer(accepted, netip.AddrPort{}, 3, 0)
-		time.Sleep(time.Until(accepted.Add(f.bound)))
+		f.mergePeerConfirmation(accepted, netip.AddrPort{}, 3, 0)
+		time.Sleep(time.Until(accepted.Add(f.changeTimeout)))
 		used, superseded := f.version(), f.superseded(time.Now())
 		<-done
 		assert.Equal(t, used, int64(2))
--- a/gateway/troubledstore_test.go
+++ b/gateway/disruptedstore_test.go
@@ -10,46 +10,46 @@
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
-// A trouble is what is wrong with a troubledStore.
-type trouble int
+// A disruption is a fault of a disruptedStore.
+type disruption int
 
 const (
-	noTrouble trouble = iota
-	// silent loses calls: also those that it holds, and for good.
+	noDisruption disruption = iota
+	// silent never answers calls, including those that are held.
 	silent
-	// resetting ends each call at once, also those that it holds.
+	// resetting fails each call immediately, including those that are held.
 	resetting
-	// slow takes troubledStore.delay for each answer.
+	// slow delays each answer by disruptedStore.delay.
 	slow
-	// stale answers as of when the trouble began, also the calls that it holds then.
+	// stale answers with the state at the start of the disruption, including calls that are held then.
 	stale
-	// compacted withholds changes and then has lost its history.
+	// compacted withholds changes, and then loses its history.
 	compacted
-	// restored ends each call at once, and the store is then back from a copy of its beginning.
+	// restored fails each call immediately, and the store is then restored from a backup made at the
+	// start.
 	restored
 )
 
-// A troubledStore is a store whose calls fail as platform.Store's do: a call that gets
-// no answer fails after timeout, beyond the time for which it may be held. It works in
-// the time of synctest, without connections. It is a ryeford.ConfigurationSource and a
-// ryeford.EndpointSource.
-type troubledStore struct {
+// A disruptedStore is a store whose calls fail like those of platform.Store: a call without an answer
+// fails after timeout, plus the time for which it may be held. It runs in synctest's time, without
+// connections. It is a ryeford.ConfigurationSource and a ryeford.EndpointSource.
+type disruptedStore struct {
 	timeout time.Duration
 	delay   time.Duration // of an answer while slow
-	// transfer is how long the configuration takes on the way. It is as large as one
-	// that is compared before it is transferred, unless transfer is zero.
+	// transfer is the transfer time of the configuration. If it is not zero, the configuration is
+	// large enough to be read conditionally.
 	transfer time.Duration
 	began    time.Time
 
-	mu      sync.Mutex
-	current tables
-	stale   tables // as of when the trouble began
-	trouble trouble
-	oldest  ryeford.Revision // changes up to this revision are forgotten
-	changed chan struct{}    // closed at the next change
+	mu         sync.Mutex
+	current    tables
+	stale      tables // as of the start of the disruption
+	disruption disruption
+	oldest     ryeford.Revision // changes up to this revision are lost
+	changed    chan struct{}    // closed at the next change
 }
 
-// tables are the contents of a troubledStore as of a revision.
+// tables are the contents of a disruptedStore at a revision.
 type tables struct {
 	revision  ryeford.Revision
 	version   int64 // of the configuration
@@ -57,9 +57,9 @@
 	changes   []ryeford.EndpointUpdate // one endpoint each
 }
 
-// newTroubledStore returns a store with a configuration and some endpoints.
-func newTroubledStore(timeout time.Duration, ids ...ryeford.EndpointID) *troubledStore {
-	s := &troubledStore{timeout: timeout, began: time.Now(), changed: make(chan struct{})}
+// newDisruptedStore returns a store with a configuration and the given endpoints.
+func newDisruptedStore(timeout time.Duration, ids ...ryeford.EndpointID) *disruptedStore {
+	s := &disruptedStore{timeout: timeout, began: time.Now(), changed: make(chan struct{})}
 	s.current.version = 1
 	for _, id := range ids {
 		s.put(id, ryeford.EndpointReady)
@@ -67,20 +67,20 @@
 	return s
 }
 
-// put writes the entry of an endpoint.
-func (s *troubledStore) put(id ryeford.EndpointID, state ryeford.EndpointState) {
+// put writes an endpoint's entry.
+func (s *disruptedStore) put(id ryeford.EndpointID, state ryeford.EndpointState) {
 	s.change(ryeford.EndpointUpdate{Present: []ryeford.Endpoint{{ID: id, Service: "s", State: state}}})
 }
 
-// remove removes the entries of endpoints, one after the other.
-func (s *troubledStore) remove(ids ...ryeford.EndpointID) {
+// remove removes the entries of endpoints, one at a time.
+func (s *disruptedStore) remove(ids ...ryeford.EndpointID) {
 	for _, id := range ids {
 		s.change(ryeford.EndpointUpdate{Removed: []ryeford.EndpointID{id}})
 	}
 }
 
-// change makes a change of one endpoint.
-func (s *troubledStore) change(change ryeford.EndpointUpdate) {
+// change applies a change of one endpoint.
+func (s *disruptedStore) change(change ryeford.EndpointUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := tables{
@@ -91,7 +91,7 @@
 	change.Revision = next.revision
 	next.changes = append(next.changes[:len(next.changes):len(next.changes)], change)
 	for _, endpoint := range s.current.endpoints {
-		if !names(&change, endpoint.ID) {
+		if !concerns(&change, endpoint.ID) {
 			next.endpoints = append(next.endpoints, endpoint)
 		}
 	}
@@ -100,16 +100,16 @@
 	s.wake()
 }
 
-// names reports whether a change is of an endpoint.
-func names(change *ryeford.EndpointUpdate, id ryeford.EndpointID) bool {
+// concerns reports whether a change concerns an endpoint.
+func concerns(change *ryeford.EndpointUpdate, id ryeford.EndpointID) bool {
 	if len(change.Present) > 0 {
 		return change.Present[0].ID == id
 	}
 	return change.Removed[0] == id
 }
 
-// configure puts a version of the configuration.
-func (s *troubledStore) configure(version int64) {
+// configure writes a version of the configuration.
+func (s *disruptedStore) configure(version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.current.revision++
@@ -117,28 +117,28 @@
 	s.wake()
 }
 
-// set sets what is wrong from now on. A compacted store has lost its history once it is
-// well again.
-func (s *troubledStore) set(t trouble) {
+// setDisruption sets the disruption from now on. A compacted store has lost its history once the
+// disruption ends.
+func (s *disruptedStore) setDisruption(kind disruption) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.trouble == compacted {
+	if s.disruption == compacted {
 		s.oldest = s.current.revision
 	}
-	s.trouble = t
+	s.disruption = kind
 	s.stale = s.current
 	s.wake()
 }
 
-// copied returns what the store holds now.
-func (s *troubledStore) copied() tables {
+// backup returns the current contents of the store.
+func (s *disruptedStore) backup() tables {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current
 }
 
-// restore makes the store go on from a copy, in the next era.
-func (s *troubledStore) restore(from tables) {
+// restore restores the store from a backup, in the next era.
+func (s *disruptedStore) restore(from tables) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	revision, err := ryeford.NewRevision(s.current.revision.Era()+1, from.revision.Number())
@@ -150,29 +150,30 @@
 	s.wake()
 }
 
-// wake wakes the calls that are held. s.mu is held.
-func (s *troubledStore) wake() {
+// wake unblocks held calls. s.mu is held.
+func (s *disruptedStore) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// read returns what a read sees now, and what wakes a held one.
-func (s *troubledStore) read() (tables, trouble, ryeford.Revision, <-chan struct{}) {
+// read returns the state that a read sees now, and a channel that unblocks a held read.
+func (s *disruptedStore) read() (tables, disruption, ryeford.Revision, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch s.trouble {
+	switch s.disruption {
 	case stale:
-		return s.stale, s.trouble, s.oldest, nil
+		return s.stale, s.disruption, s.oldest, nil
 	case compacted:
-		return s.stale, s.trouble, s.oldest, s.changed
+		return s.stale, s.disruption, s.oldest, s.changed
 	}
-	return s.current, s.trouble, s.oldest, s.changed
+	return s.current, s.disruption, s.oldest, s.changed
 }
 
-// meet lets a call that may be held meet the trouble, and returns how it fails.
-func (s *troubledStore) meet(ctx context.Context, t trouble, limit time.Time) error {
-	failure := &ryeford.UnavailableError{Service: "store", Err: errors.New("trouble")}
-	switch t {
+// applyDisruption applies the disruption to a call that may be held until limit, and returns its
+// error.
+func (s *disruptedStore) applyDisruption(ctx context.Context, kind disruption, limit time.Time) error {
+	failure := &ryeford.UnavailableError{Service: "store", Err: errors.New("disruption")}
+	switch kind {
 	case silent:
 		clock.Sleep(ctx, time.Until(limit))
 		return failure
@@ -189,15 +190,15 @@
 }
 
 // Configuration implements ryeford.ConfigurationSource.
-func (s *troubledStore) Configuration(ctx context.Context, _ ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
+func (s *disruptedStore) Configuration(ctx context.Context, _ ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
 	return s.ConfigurationIfChanged(ctx, ryeford.KnownConfiguration{})
 }
 
 // ConfigurationIfChanged implements ryeford.ConfigurationSource.
-func (s *troubledStore) ConfigurationIfChanged(ctx context.Context, known ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
+func (s *disruptedStore) ConfigurationIfChanged(ctx context.Context, known ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
 	const large = 1 << 20
-	now, trouble, _, _ := s.read()
-	if err := s.meet(ctx, trouble, time.Now().Add(s.timeout)); err != nil {
+	now, kind, _, _ := s.read()
+	if err := s.applyDisruption(ctx, kind, time.Now().Add(s.timeout)); err != nil {
 		return ryeford.ConfigurationUpdate{}, err
 	}
 	update := ryeford.ConfigurationUpdate{
@@ -220,21 +221,21 @@
 }
 
 // Endpoints implements ryeford.EndpointSource.
-func (s *troubledStore) Endpoints(ctx context.Context) (ryeford.EndpointUpdate, error) {
-	now, trouble, _, _ := s.read()
-	if err := s.meet(ctx, trouble, time.Now().Add(s.timeout)); err != nil {
+func (s *disruptedStore) Endpoints(ctx context.Context) (ryeford.EndpointUpdate, error) {
+	now, kind, _, _ := s.read()
+	if err := s.applyDisruption(ctx, kind, time.Now().Add(s.timeout)); err != nil {
 		return ryeford.EndpointUpdate{}, err
 	}
 	return ryeford.EndpointUpdate{Snapshot: true, Revision: now.revision, Present: now.endpoints, Clock: time.Since(s.began), Begun: time.Now()}, nil
 }
 
 // EndpointsSince implements ryeford.EndpointSource.
-func (s *troubledStore) EndpointsSince(ctx context.Context, revision ryeford.Revision, wait time.Duration) (ryeford.EndpointUpdate, error) {
+func (s *disruptedStore) EndpointsSince(ctx context.Context, revision ryeford.Revision, wait time.Duration) (ryeford.EndpointUpdate, error) {
 	over := time.After(wait)
 	limit := time.Now().Add(wait + s.timeout)
 	for {
-		now, trouble, oldest, changed := s.read()
-		if err := s.meet(ctx, trouble, limit); err != nil {
+		now, kind, oldest, changed := s.read()
+		if err := s.applyDisruption(ctx, kind, limit); err != nil {
 			return ryeford.EndpointUpdate{}, err
 		}
 		if revision < oldest {
@@ -255,7 +256,7 @@
 	}
 }
 
-// since returns the changes after a revision, the last one of each endpoint.
+// since returns the changes after a revision, only the last one of each endpoint.
 func (t *tables) since(revision ryeford.Revision) ryeford.EndpointUpdate {
 	update := ryeford.EndpointUpdate{Revision: t.revision}
 	seen := make(map[ryeford.EndpointID]bool)
@@ -271,7 +272,6 @@
 	return update
 }
 
-// endpointIDs returns the IDs of endpoints.
 func endpointIDs(endpoints []ryeford.Endpoint) []ryeford.EndpointID {
 	var ids []ryeford.EndpointID
 	for _, endpoint := range endpoints {
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -12,44 +12,44 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestAwaitNotice checks that a gateway that stops goes on 0.4 s after its second
-// failed probe, and without probes after 3.4 s. Probes before the order don't count.
-func TestAwaitNotice(t *testing.T) {
+// TestAwaitFailedProbes checks that a gateway that is shutting down continues 0.4 s after its second
+// failed probe, or after 3.4 s without probes. Probes before the signal don't count.
+func TestAwaitFailedProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(8*time.Second, log.NewNopLogger())
 		d.countFailedProbe()
 		d.countFailedProbe()
 		d.stopping.Store(true)
 		ordered := time.Now()
-		d.awaitNotice(ordered, ordered.Add(time.Minute))
+		d.awaitFailedProbes(ordered, ordered.Add(time.Minute))
 		assert.Equal(t, time.Since(ordered), 3400*time.Millisecond)
 
 		ordered = time.Now()
-		d.awaitNotice(ordered, ordered.Add(2*time.Second))
+		d.awaitFailedProbes(ordered, ordered.Add(2*time.Second))
 		assert.Equal(t, time.Since(ordered), 2*time.Second, "the grace period is short")
 
 		d.countFailedProbe()
 		ordered = time.Now()
 		time.AfterFunc(time.Second, d.countFailedProbe)
-		d.awaitNotice(ordered, ordered.Add(time.Minute))
+		d.awaitFailedProbes(ordered, ordered.Add(time.Minute))
 		took := time.Since(ordered)
 		assert.Assert(t, took >= 1400*time.Millisecond && took <= 1450*time.Millisecond, "%s", took)
 	})
 }
 
-// TestAwaitQuiet checks that a gateway that stops listens until no caller has
-// connected for half a second, but no longer than until it has to close.
-func TestAwaitQuiet(t *testing.T) {
+// TestAwaitNoNewConnections checks that a gateway that is shutting down listens until no caller has
+// connected for half a second, but no longer than until it must close.
+func TestAwaitNoNewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(8*time.Second, log.NewNopLogger())
 		began := time.Now()
-		d.awaitQuiet(began.Add(5 * time.Second))
+		d.awaitNoNewConnections(began.Add(5 * time.Second))
 		assert.Equal(t, time.Since(began), time.Duration(0), "no caller has ever connected")
 
 		d.recordConnection(nil, http.StateNew)
 		time.AfterFunc(400*time.Millisecond, func() { d.recordConnection(nil, http.StateActive) })
-		d.awaitQuiet(began.Add(5 * time.Second))
-		assert.Equal(t, time.Since(began), 550*time.Millisecond, "a request on an open connection is no new connection")
+		d.awaitNoNewConnections(began.Add(5 * time.Second))
+		assert.Equal(t, time.Since(began), 550*time.Millisecond, "a request on an open connection is not a new connection")
 
 		began = time.Now()
 		stop := make(chan struct{})
@@ -64,14 +64,14 @@
 			}
 		}()
 		d.recordConnection(nil, http.StateNew)
-		d.awaitQuiet(began.Add(2 * time.Second))
-		assert.Equal(t, time.Since(began), 2*time.Second, "callers connect all the time")
+		d.awaitNoNewConnections(began.Add(2 * time.Second))
+		assert.Equal(t, time.Since(began), 2*time.Second, "callers keep connecting")
 		close(stop)
 	})
 }
 
-// TestDrainLeavesTimeFor checks that the time that is left to a request ends when the
-// gateway closes what is open, 0.7 s before it is killed, less the time for last bytes.
+// TestDrainLeavesTimeFor checks that a request's remaining time ends when the gateway closes
+// connections, 0.7 s before it is killed, minus the margin for the last bytes.
 func TestDrainLeavesTimeFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(8*time.Second, log.NewNopLogger())
@@ -82,8 +82,8 @@
 		q.deadline = ordered.Add(7 * time.Second)
 		assert.Assert(t, d.leavesTimeFor(q, 0))
 		q.deadline = ordered.Add(7*time.Second + 1)
-		assert.Assert(t, !d.leavesTimeFor(q, 0), "it may be broken off")
+		assert.Assert(t, !d.leavesTimeFor(q, 0), "the stream could be aborted")
 		q.rule = &ryeford.RouteRule{Kind: ryeford.RouteAtMostOnce}
-		assert.Assert(t, d.leavesTimeFor(q, 2*time.Second), "it is expected to end")
+		assert.Assert(t, d.leavesTimeFor(q, 2*time.Second), "the request is expected to complete")
 	})
 }
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -21,85 +21,86 @@
 )
 
 const (
-	// minFeedPause is the pause after a first failure of the list's source, before
-	// jitter; it doubles with each failure in a row up to maxFeedPause, or more in a large
+	// minRetryPause is the pause after the first failure of the list's source, before jitter. It
+	// doubles with each consecutive failure up to maxRetryPause, or to a higher limit in a large
 	// fleet.
-	minFeedPause = 60 * time.Millisecond
-	// maxFeedPause bounds the pause after a failure. At 0.5 s the return of a source was
-	// noticed late.
-	maxFeedPause = 400 * time.Millisecond
-	// sweepInterval is how often idle connections are looked through.
+	minRetryPause = 60 * time.Millisecond
+	// maxRetryPause limits the pause after a failure, so that the return of the source is noticed
+	// soon.
+	maxRetryPause = 400 * time.Millisecond
+	// sweepInterval is the interval between checks for idle connections.
 	sweepInterval = 500 * time.Millisecond
 )
 
-// A forgetter keeps something of each endpoint, which ends with the endpoint.
-type forgetter interface {
+// An endpointRemover keeps per-endpoint state that is removed together with the endpoint.
+type endpointRemover interface {
 	Forget(id ryeford.EndpointID)
 }
 
-// An endpointList keeps the roster as the platform's list of endpoints says, and
-// drops what the router knows of an endpoint together with the endpoint. It reads the list's
-// source when it is this router's turn (package replica), and else learns from peers.
+// An endpointList keeps the roster in sync with the platform's list of endpoints, and removes an
+// endpoint's state when the endpoint is gone. It reads the list from its source in this router's time
+// slot (package replica), and otherwise from peers.
 type endpointList struct {
 	source ryeford.EndpointSource
 	limits replica.Limits
 	// settle is the pause after a change.
-	settle  time.Duration
-	contact time.Duration // until the router is held to its bounds after an outage
-	copy    *replica.Replica
-	lease   *freshness.Lease // how old the copy is
-	clock   *freshness.SourceClock
-	peers   *peers.Table
-	reader  *peerReader
-	start   *start
+	settle          time.Duration
+	recoveryTimeout time.Duration // after an outage, until the router's guarantees hold again
+	copy            *replica.Replica
+	lease           *freshness.Lease // tracks the age of the copy
+	clock           *freshness.SourceClock
+	peers           *peers.Table
+	reader          *peerReader
+	start           *start
 
-	revision   *revision // the newest of the store, on any of its tables
-	roster     *roster.Roster
-	rests      *rest.Table
-	pool       *endpoint.Pool
-	forgetters []forgetter // forget an endpoint that is gone
-	outage     *watch.Outage
-	onUpdate   func() // called after each update
-	log        log.Logger
-	metrics    *telemetry.Set
+	revision *storeRevision // the newest revision of the store, across all of its tables
+	roster   *roster.Roster
+	backoffs *rest.Table
+	pool     *endpoint.Pool
+	removers []endpointRemover // remove the state of an endpoint that is gone
+	outage   *watch.Outage
+	onUpdate func() // called after each update
+	log      log.Logger
+	metrics  *telemetry.Set
 
-	// dropped holds one entry if endpoints have left the list that sweep must forget.
-	dropped chan struct{}
-	// newer holds a peer, if one has a copy that holds changes which this router lacks.
-	newer chan peerCopy
+	// sweepDue holds one entry if sweep must recompute its next deadline.
+	sweepDue chan struct{}
+	// newerCopy holds a peer whose copy contains changes that this router lacks.
+	newerCopy chan peerCopy
 
 	mu sync.Mutex // held while changes are applied
-	// suspectUntil is until when endpoints that the list drops may be alive (package
-	// roster).
+	// suspectUntil is the time until which endpoints that are missing from the list may still be
+	// alive, and are kept as suspect (package roster).
 	suspectUntil time.Time
-	// failed is when the last read of the source that failed was sent.
-	failed    time.Time
-	malformed map[ryeford.EndpointID]bool // names of entries that can't be read, as they were logged
-	// whole is when the copy was read whole by this router, whose newest change then may be of any
-	// revision up to its own; zero if it is known, or has been read on for long enough.
-	whole time.Time
+	// lastFailedRead is when the last failed read of the source was sent.
+	lastFailedRead time.Time
+	malformed      map[ryeford.EndpointID]bool // names of malformed entries that have been logged
+	// wholeReadAt is when this router last read the whole list. The revision of the newest change in
+	// such a copy is unknown: it may be any up to the copy's own. It is zero once that revision is
+	// known, or enough time has passed.
+	wholeReadAt time.Time
 }
 
-// run follows the list of endpoints until ctx ends.
+// run follows the list of endpoints until ctx is done.
 func (l *endpointList) run(ctx context.Context) error {
 	watch.Run(ctx, l.source, watch.Options{
-		Turn:     l.turn,
+		Turn:     l.timeSlot,
 		Known:    func() ryeford.Revision { return l.copy.Range().To },
 		Settle:   l.settle,
-		MinPause: minFeedPause,
-		MaxPause: func() time.Duration { return replica.MaxPause(maxFeedPause, l.peers.Alive(clock.Now())) },
+		MinPause: minRetryPause,
+		MaxPause: func() time.Duration { return replica.MaxPause(maxRetryPause, l.peers.Alive(clock.Now())) },
 		Sent:     func(whole bool) { l.metrics.Count("ryeford_store_calls_total", causeOf(whole)) },
-		Failed:   l.sourceFailed,
+		Failed:   l.recordSourceFailure,
 	}, l.applySource, l.outage)
 	return nil
 }
 
-// The causes of calls of the store, as they are counted.
+// The causes by which calls of the store are counted.
 const (
 	causeConfiguration = "configuration"
-	causeEndpoints     = "endpoints"       // what has changed of the list
-	causeAllEndpoints  = "endpoints_whole" // the whole list
-	causeRouters       = "routers"         // the list of routers, and the own entry there
+	causeEndpoints     = "endpoints"       // changes to the list of endpoints
+	causeAllEndpoints  = "endpoints_whole" // the whole list of endpoints
+	causeRouters       = "routers"         // the list of routers, and this router's entry in it
 )
 
 func causeOf(whole bool) string {
@@ -109,94 +110,94 @@
 	return causeEndpoints
 }
 
-// turn returns in how long this router is to read the source, and how long the source holds
-// the read.
-func (l *endpointList) turn(now time.Time) (in, hold time.Duration) {
+// timeSlot returns the time until this router reads the source, and how long the source may hold the
+// read.
+func (l *endpointList) timeSlot(now time.Time) (untilRead, hold time.Duration) {
 	age, known := l.lease.Age(now)
 	switch {
 	case !known:
-		return l.start.left(now), 0
+		return l.start.untilStoreRead(now), 0
 	case !l.copy.Range().Known():
-		return maxFeedPause - age, 0 // nothing was ever written to the source
+		return maxRetryPause - age, 0 // the source has never been written to
 	}
 	confirmed, _ := l.lease.Confirmed()
 	rank, alive := l.peers.Rank(now, freshness.Shift(confirmed))
 	if l.start.joining(now) {
 		rank = max(rank, replica.Late)
 	}
-	turn := l.limits.Turn(rank, alive)
+	slot := l.limits.Turn(rank, alive)
 	if age >= l.limits.Hold {
-		return turn.Age - age, 0
+		return slot.Age - age, 0
 	}
-	return turn.Age - age, turn.Hold
+	return slot.Age - age, slot.Hold
 }
 
-// sourceFailed takes that a read of the source failed that was sent at a time.
-func (l *endpointList) sourceFailed(sent time.Time) {
-	l.revision.fail()
+// recordSourceFailure records the failure of a read of the source that was sent at sent.
+func (l *endpointList) recordSourceFailure(sent time.Time) {
+	l.revision.recordFailure()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.failed = sent
+	l.lastFailedRead = sent
 }
 
-// applySource takes an answer of the source to a read that was sent at a time, of what has changed
-// since a revision, and reports whether it holds any change.
+// applySource applies the source's answer to a read, sent at sent, of the changes since a revision. It
+// reports whether the answer contains any change.
 func (l *endpointList) applySource(update *ryeford.EndpointUpdate, since ryeford.Revision, sent time.Time) bool {
-	l.revision.raise(update.Revision)
+	l.revision.recordAnswer(update.Revision)
 	l.logMalformed(update)
 	changes := replica.FromSource(update, since)
 	l.mu.Lock()
 	switch {
 	case update.Snapshot:
-		l.whole = sent
-	case !changes.Empty() || sent.Sub(l.whole) > replica.JoinTime:
-		l.whole = time.Time{}
+		l.wholeReadAt = sent
+	case !changes.Empty() || sent.Sub(l.wholeReadAt) > replica.JoinTime:
+		l.wholeReadAt = time.Time{}
 	}
-	l.endOutage(clock.Now(), update.Revision.Era())
+	l.markOutageEnd(clock.Now(), update.Revision.Era())
 	l.mu.Unlock()
 	if !l.apply(&changes, "source") {
 		return false
 	}
-	// Renewed only now: what peers receive as confirmed must have been applied.
+	// Renewed only after applying: what peers receive as confirmed must have been applied.
 	l.lease.RenewRead(sent, update.Begun, update.Clock)
 	return len(update.Present)+len(update.Removed) > 0
 }
 
-// endOutage is called before the lease is renewed, and before the changes that came with that are
-// applied, which are of an era. If that ends an outage, endpoints that are missing from now on are
-// suspect for a time: nothing confirmed the list for long, and this router's own read failed in
-// between. Without that the source may have answered others all the time. They are suspect, too, if
-// the source is back from a copy. l.mu is held.
-func (l *endpointList) endOutage(now time.Time, era int64) {
+// markOutageEnd sets suspectUntil at the end of an outage. It must be called before the lease is
+// renewed and before the changes, which are of the given era, are applied. After an outage the list
+// may lack endpoints that are alive. It counts as an outage only if this router's own read failed:
+// otherwise the source may have been answering other routers. A restore of the store counts as well.
+// l.mu is held.
+func (l *endpointList) markOutageEnd(now time.Time, era int64) {
 	age, known := l.lease.Age(now)
 	if !known {
 		return
 	}
-	downtime := ryeford.Downtime{Began: now.Add(-age), LastFailed: l.failed, Ended: now}
-	ownReadFailed := !l.failed.Before(downtime.Began)
+	downtime := ryeford.Downtime{Began: now.Add(-age), LastFailed: l.lastFailedRead, Ended: now}
+	localReadFailed := !l.lastFailedRead.Before(downtime.Began)
 	switch {
-	case l.restoredIn(era):
-		if !ownReadFailed {
-			downtime.LastFailed = downtime.Began // the source was in the era before
+	case l.isLaterEra(era):
+		if !localReadFailed {
+			downtime.LastFailed = downtime.Began // the source was still in the previous era
 		}
-		l.suspectUntil = roster.RestoredUntil(&downtime, l.contact)
-	case l.limits.Outage(age) && ownReadFailed:
-		l.suspectUntil = roster.SuspectUntil(&downtime, l.contact)
+		l.suspectUntil = roster.RestoredUntil(&downtime, l.recoveryTimeout)
+	case l.limits.Outage(age) && localReadFailed:
+		l.suspectUntil = roster.SuspectUntil(&downtime, l.recoveryTimeout)
 	}
 }
 
-// restoredIn reports whether an era is later than that of the copy.
-func (l *endpointList) restoredIn(era int64) bool {
+// isLaterEra reports whether an era is later than that of the copy.
+func (l *endpointList) isLaterEra(era int64) bool {
 	at := l.copy.Range()
 	return at.Known() && era > at.To.Era()
 }
 
-// renewFromPeer renews the lease by a peer's confirmation, if that is newer, after changes were
-// applied that are of an era.
+// renewFromPeer renews the lease with a peer's confirmation, if it is newer, after apply has applied
+// changes of the given era.
 func (l *endpointList) renewFromPeer(confirmed time.Duration, era int64, apply func() bool) {
 	l.mu.Lock()
-	if own, known := l.lease.Confirmed(); !known || confirmed > own || l.restoredIn(era) {
-		l.endOutage(clock.Now(), era)
+	if local, known := l.lease.Confirmed(); !known || confirmed > local || l.isLaterEra(era) {
+		l.markOutageEnd(clock.Now(), era)
 	}
 	l.mu.Unlock()
 	if apply() {
@@ -204,10 +205,11 @@
 	}
 }
 
-// apply applies changes to the copy and then to the roster, and reports whether the copy has them.
+// apply applies changes to the copy and then to the roster, and reports whether the copy includes
+// them.
 //
-// An endpoint that is missing shortly after an outage may be alive: the list drops
-// endpoints that could not reach it either, at once or some answers later.
+// An endpoint that is missing shortly after an outage may be alive: its entry may have expired because
+// the endpoint could not reach the store either.
 func (l *endpointList) apply(changes *replica.Changes, from string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -224,38 +226,38 @@
 		l.metrics.Count("ryeford_restarted_endpoints_total", "")
 	}
 	if !change.Empty() {
-		// troubled says that an outage has just ended, and doubted names the endpoints
-		// that have become suspect: the log keeps its old keys.
+		// The log keys are kept for compatibility: troubled means that an outage has just ended,
+		// doubted lists the endpoints that became suspect.
 		_ = l.log.Log("decision", "endpoints", "from", from, "revision", changes.Range.To, "whole", changes.Snapshot, "troubled", now.Before(l.suspectUntil),
 			"added", join(change.Added), "draining", join(change.Drained), "dropped", join(change.Dropped), "doubted", join(change.Suspected), "departed", join(change.Departed), "restarted", join(change.Restarted), "withheld", join(change.Withheld), "known", l.roster.Len())
 		for _, id := range change.Dropped {
-			l.forget(id)
+			l.removeState(id)
 		}
 	}
 	if len(change.Suspected)+len(change.Departed)+len(change.Withheld) > 0 {
-		l.sweepSoon()
+		l.triggerSweep()
 	}
 	return true
 }
 
-// sweepSoon makes sweep look anew at which endpoint expires next.
-func (l *endpointList) sweepSoon() {
+// triggerSweep makes sweep recompute which endpoint expires next.
+func (l *endpointList) triggerSweep() {
 	select {
-	case l.dropped <- struct{}{}:
-	default: // sweep is to look already
+	case l.sweepDue <- struct{}{}:
+	default: // a sweep is already pending
 	}
 }
 
-// forget drops all that is known of an endpoint.
-func (l *endpointList) forget(id ryeford.EndpointID) {
+// removeState removes all state of an endpoint.
+func (l *endpointList) removeState(id ryeford.EndpointID) {
 	l.pool.CloseIdle(id)
-	for _, f := range l.forgetters {
-		f.Forget(id)
+	for _, remover := range l.removers {
+		remover.Forget(id)
 	}
 }
 
-// sweep closes connections that were idle for too long, and forgets endpoints that
-// were kept for a time only as soon as that is over, until ctx ends.
+// sweep closes idle connections, and removes endpoints whose retention period has ended, until ctx is
+// done.
 func (l *endpointList) sweep(ctx context.Context) error {
 	timer := time.NewTimer(sweepInterval)
 	defer timer.Stop()
@@ -263,16 +265,16 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-l.dropped:
+		case <-l.sweepDue:
 		case <-timer.C:
 		}
 		now := clock.Now()
 		l.pool.CloseExpired(now)
-		l.expireRests(now)
+		l.expireBackoffs(now)
 		expired, released := l.roster.Expire(now)
 		for _, id := range expired {
 			_ = l.log.Log("decision", "endpoints", "expired", id)
-			l.forget(id)
+			l.removeState(id)
 		}
 		if len(released) > 0 {
 			_ = l.log.Log("decision", "endpoints", "released", join(released))
@@ -281,7 +283,7 @@
 	}
 }
 
-// join returns endpoint IDs as one text, for the log.
+// join returns endpoint IDs separated by commas, for the log.
 func join(ids []ryeford.EndpointID) string {
 	texts := make([]string, len(ids))
 	for i, id := range ids {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,15 +1,14 @@
-// Package gateway is a router on a platform that keeps the operators'
-// configuration and the list of endpoints itself. It takes callers' requests,
-// chooses an endpoint for each, passes the answer on, and keeps nothing that
-// must last.
+// Package gateway implements the router on a platform that stores the operators' configuration and the
+// list of endpoints. A router accepts callers' requests, chooses an endpoint for each, relays the
+// response, and stores nothing durably.
 //
-// A Gateway wires its parts together and runs them. Each part owns one
-// piece of state: configuration, evacuations, endpointList, gossip, drain, probeHandler, and
-// server for the HTTP servers. A request's life begins in handler.go. The packages below
-// this one hold the rules by which the parts decide.
+// A Gateway creates its components and runs them. Each component owns one piece of state:
+// configuration, evacuations, endpointList, gossip, drain, probeHandler, and server for the HTTP
+// servers. Request handling starts in handler.go. The decision rules are in the packages below this
+// one.
 //
-// The package knows no header and no call of the platform: it is given those as
-// ryeford.Protocol, ryeford.ConfigurationSource and ryeford.EndpointSource.
+// The package uses no header names and no platform calls of its own: these come from ryeford.Protocol,
+// ryeford.ConfigurationSource and ryeford.EndpointSource.
 package gateway
 
 import (
@@ -33,15 +32,14 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// A Platform is what a Gateway needs of the platform.
+// A Platform holds the platform's implementations that a Gateway uses.
 type Platform struct {
 	Protocol       ryeford.Protocol
 	Configurations ryeford.ConfigurationSource
 	Endpoints      ryeford.EndpointSource
-	// Routers may be nil if the settings name no address for peers.
+	// Routers may be nil if the settings configure no address for peers.
 	Routers ryeford.RouterList
-	// HeldRequests may be nil: the requests that are held are then known to the running routers
-	// only.
+	// HeldRequests may be nil: held requests are then known to the running routers only.
 	HeldRequests ryeford.QuarantineStore
 	// ReadyPath is the path of the load balancer's readiness probe.
 	ReadyPath string
@@ -62,14 +60,14 @@
 	initialSync   *initialSync
 	handler       *handler
 
-	// What several parts use:
+	// Shared by several components:
 	*balancer  // what is known of the endpoints
 	pool       *endpoint.Pool
-	revision   *revision // the newest of the store
+	revision   *storeRevision // the newest revision received from the store
 	quarantine *quarantineState
 }
 
-// New returns a Gateway.
+// New returns a Gateway that is not running yet.
 func New(s *settings.Gateway, platform Platform, logger log.Logger, metrics *telemetry.Set) *Gateway {
 	g := &Gateway{
 		settings:    s,
@@ -78,11 +76,11 @@
 		metrics:     metrics,
 		balancer:    newBalancer(s),
 		pool:        endpoint.New(platform.Protocol),
-		revision:    &revision{},
+		revision:    &storeRevision{},
 		drain:       newDrain(s.Bounds.Grace, logger),
 		initialSync: newInitialSync(s.Routing.StartPatience),
 	}
-	g.revision.restored = g.storeRestored
+	g.revision.onRestore = g.handleRestore
 	g.addQuarantine()
 	g.addConfiguration()
 	g.addEndpoints()
@@ -93,63 +91,63 @@
 	return g
 }
 
-// The parts of a Gateway are added in the order in which they use each other.
+// The components of a Gateway are added in dependency order.
 
 func (g *Gateway) addQuarantine() {
 	g.quarantine = newQuarantineState(g.balancer, g.log, g.metrics)
 	if !g.settings.Routing.Quarantine {
-		g.quarantine.off = true
+		g.quarantine.disabled = true
 		return
 	}
-	g.quarantine.keepAt(g.platform.HeldRequests, g.settings.Peers.IsValid())
+	g.quarantine.setStore(g.platform.HeldRequests, g.settings.Peers.IsValid())
 }
 
 func (g *Gateway) addConfiguration() {
 	g.configuration = newConfiguration(configurationOptions{
-		source:      g.platform.Configurations,
-		term:        freshness.Term(g.settings.Bounds.Revoke),
-		bridges:     !g.settings.Bounds.StrictRevoke,
-		refresh:     g.settings.RefreshConfiguration(),
-		bound:       g.settings.Bounds.Configuration,
-		silence:     g.settings.StoreSilence(),
-		peers:       g.peers,
-		clock:       g.clock,
-		start:       g.start,
-		revision:    g.revision,
-		evacuations: newEvacuations(g.roster, g.log, g.metrics),
-		onUpdate:    g.checkSynced,
-		log:         g.log,
-		metrics:     g.metrics,
+		source:            g.platform.Configurations,
+		term:              freshness.Term(g.settings.Bounds.Revoke),
+		serveKeysInOutage: !g.settings.Bounds.StrictRevoke,
+		refresh:           g.settings.RefreshConfiguration(),
+		changeTimeout:     g.settings.Bounds.Configuration,
+		unreachableAfter:  g.settings.StoreSilence(),
+		peers:             g.peers,
+		clock:             g.clock,
+		start:             g.start,
+		revision:          g.revision,
+		evacuations:       newEvacuations(g.roster, g.log, g.metrics),
+		onUpdate:          g.checkSynced,
+		log:               g.log,
+		metrics:           g.metrics,
 	})
 }
 
 func (g *Gateway) addEndpoints() {
 	g.endpoints = &endpointList{
-		source:     g.platform.Endpoints,
-		limits:     listLimits(g.settings),
-		settle:     g.settings.SettleEndpoints(),
-		contact:    g.settings.Bounds.Contact,
-		copy:       replica.New(),
-		lease:      freshness.NewLease(clock.Now(), time.Hour, g.clock),
-		clock:      g.clock,
-		peers:      g.peers,
-		reader:     newPeerReader(),
-		start:      g.start,
-		revision:   g.revision,
-		roster:     g.roster,
-		rests:      g.rests,
-		pool:       g.pool,
-		forgetters: []forgetter{g.detector, g.loads, g.prefixes, g.slowStart},
-		outage:     newOutage("endpoints", g.configuration.leaseLeft, g.log, g.metrics),
-		onUpdate:   g.checkSynced,
-		log:        g.log,
-		metrics:    g.metrics,
-		dropped:    make(chan struct{}, 1),
-		newer:      make(chan peerCopy, 1),
+		source:          g.platform.Endpoints,
+		limits:          listLimits(g.settings),
+		settle:          g.settings.SettleEndpoints(),
+		recoveryTimeout: g.settings.Bounds.Contact,
+		copy:            replica.New(),
+		lease:           freshness.NewLease(clock.Now(), time.Hour, g.clock),
+		clock:           g.clock,
+		peers:           g.peers,
+		reader:          newPeerReader(),
+		start:           g.start,
+		revision:        g.revision,
+		roster:          g.roster,
+		backoffs:        g.rests,
+		pool:            g.pool,
+		removers:        []endpointRemover{g.detector, g.loads, g.prefixes, g.slowStart},
+		outage:          newOutage("endpoints", g.configuration.leaseLeft, g.log, g.metrics),
+		onUpdate:        g.checkSynced,
+		log:             g.log,
+		metrics:         g.metrics,
+		sweepDue:        make(chan struct{}, 1),
+		newerCopy:       make(chan peerCopy, 1),
 	}
 }
 
-// listLimits returns by what a router reads the list of endpoints.
+// listLimits returns the limits for reading the list of endpoints.
 func listLimits(s *settings.Gateway) replica.Limits {
 	limits := replica.NewLimits(s.Bounds.Drain, s.Routing.EndpointsWait)
 	limits.Hold = min(limits.Hold, s.WaitForEndpoints())
@@ -160,7 +158,7 @@
 	g.gossip = &gossip{
 		self:          g.settings.Peers.AddrPort,
 		seeds:         seedAddresses(g.settings),
-		newcomers:     make(chan netip.AddrPort, maxNewcomers),
+		joiningPeers:  make(chan netip.AddrPort, maxJoiningPeers),
 		vm:            g.settings.VM,
 		routers:       g.platform.Routers,
 		started:       clock.Steady().Nanoseconds(),
@@ -176,11 +174,10 @@
 	}
 }
 
-// maxNewcomers is how many peers that have just started wait for a message at the most.
-const maxNewcomers = 128
+// maxJoiningPeers is the maximum number of new peers that wait for a join reply.
+const maxJoiningPeers = 128
 
-// seedAddresses returns the addresses at which other gateways exchange gossip that the settings
-// name.
+// seedAddresses returns the configured gossip addresses of the other gateways.
 func seedAddresses(s *settings.Gateway) []netip.AddrPort {
 	var seeds []netip.AddrPort
 	for _, seed := range s.Seeds {
@@ -246,7 +243,7 @@
 	g.metrics.Gauge("ryeford_configuration_version", func() float64 { return float64(g.configuration.version()) })
 }
 
-// Run serves until stop ends, and then until what is in flight has ended.
+// Run serves until stop is done and the requests in flight have completed.
 func (g *Gateway) Run(stop context.Context) error {
 	work, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
@@ -264,10 +261,10 @@
 	group, work := errgroup.WithContext(work)
 	group.Go(func() error { return g.configuration.run(work) })
 	group.Go(func() error { return g.endpoints.run(work) })
-	group.Go(func() error { return g.endpoints.follow(work) })
+	group.Go(func() error { return g.endpoints.readPeers(work) })
 	group.Go(func() error { return g.endpoints.sweep(work) })
 	group.Go(func() error { return g.gossip.run(work) })
-	group.Go(func() error { return g.quarantine.kept.run(work) })
+	group.Go(func() error { return g.quarantine.heldRequests.run(work) })
 	group.Go(func() error { return logSuspensions(work, g.log, g.metrics) })
 	group.Go(func() error {
 		handler := &peerHandler{configuration: g.configuration, endpoints: g.endpoints, log: g.log}
--- a/gateway/gossip_test.go
+++ b/gateway/gossip_test.go
@@ -22,7 +22,7 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// newGossip returns the gossip of a router that knows one endpoint, "e".
+// newGossip returns the gossip of a router with one endpoint, "e".
 func newGossip(port uint16) *gossip {
 	self := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
 	r := roster.New()
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestGossipMerge checks that what one router sends reaches another's tables, and
-// that prompts at unknown endpoints don't.
+// TestGossipMerge checks that a router's message reaches another router's tables, except for prompts
+// at unknown endpoints.
 func TestGossipMerge(t *testing.T) {
 	a, b := newGossip(7001), newGossip(7002)
 	now := time.Now()
@@ -57,16 +57,16 @@
 	assert.Equal(t, b.table.Requests(now, "e"), 1)
 	assert.Equal(t, b.table.Sample(now, "s"), peers.Sample{Alive: 1, Counted: 1, Complete: 1, Requests: 1})
 	assert.Equal(t, len(b.prefixes.HeldTokens(now, parts)), 1)
-	assert.Equal(t, len(a.message(now, 2, true).Prompts), 0, "prompts are sent once")
+	assert.Equal(t, len(a.message(now, 2, true).Prompts), 0, "prompts are sent only once")
 	suspect := quarantine.FingerprintOf("bank", "/stream/a", nil)
 	a.quarantine.table.Crashed(now, suspect, 0, quarantine.Crash{Began: now.Add(-time.Second), Ended: now})
 	b.merge(now, a.briefMessage(now, 3))
 	assert.Assert(t, b.quarantine.table.Suspects(suspect.Filter()))
 	b.merge(now, a.message(now, 1, true))
-	assert.Equal(t, b.table.Alive(now), 1, "an old message changes nothing")
+	assert.Equal(t, b.table.Alive(now), 1, "an old message has no effect")
 }
 
-// TestGossipPrompts checks that a message's prompts are bounded.
+// TestGossipPrompts checks that the number of prompts in a message is bounded.
 func TestGossipPrompts(t *testing.T) {
 	p := newGossip(7001)
 	for range 2 * peers.MaxPrompts {
@@ -75,8 +75,8 @@
 	assert.Equal(t, len(p.message(time.Now(), 1, true).Prompts), peers.MaxPrompts)
 }
 
-// TestGossipPromptParts checks that the parts of a message's prompts are bounded, and
-// counted anew for each message.
+// TestGossipPromptParts checks that the number of prompt parts in a message is bounded, and counted
+// separately for each message.
 func TestGossipPromptParts(t *testing.T) {
 	p := newGossip(7001)
 	p.addPrompt("e", make([]ryeford.PromptPart, peers.MaxPromptParts-1), false)
@@ -88,7 +88,7 @@
 	assert.Equal(t, len(p.message(time.Now(), 2, true).Prompts[0].Parts), 2)
 }
 
-// TestGossipDropped checks that datagrams which can't be sent or decoded are counted.
+// TestGossipDropped checks that datagrams that can't be sent or decoded are counted.
 func TestGossipDropped(t *testing.T) {
 	p := newGossip(7001)
 	dropped := func(reason string) int {
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -14,29 +14,29 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// A heldEndpoint is an endpoint that answers no request before it is released.
-type heldEndpoint struct {
+// A blockedEndpoint is an endpoint that answers no request until it is released.
+type blockedEndpoint struct {
 	server   appserver.Server
 	received atomic.Int64
-	broken   atomic.Int64 // requests whose connection ended first
+	aborted  atomic.Int64 // requests whose connection was closed first
 	release  chan struct{}
 }
 
 // ServeHTTP implements http.Handler.
-func (e *heldEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *blockedEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.received.Add(1)
 	select {
 	case <-e.release:
 		e.server.ServeHTTP(w, r)
 	case <-r.Context().Done():
-		e.broken.Add(1)
+		e.aborted.Add(1)
 	}
 }
 
-// addHeldEndpoint starts a heldEndpoint and writes its row. It returns its address too.
-func (f *fixture) addHeldEndpoint(service, id string) (*heldEndpoint, string) {
+// addBlockedEndpoint starts a blockedEndpoint, writes its entry, and returns it with its address.
+func (f *fixture) addBlockedEndpoint(service, id string) (*blockedEndpoint, string) {
 	f.t.Helper()
-	e := &heldEndpoint{server: appserver.Server{ID: id}, release: make(chan struct{})}
+	e := &blockedEndpoint{server: appserver.Server{ID: id}, release: make(chan struct{})}
 	server := httptest.NewServer(e)
 	f.t.Cleanup(func() {
 		server.CloseClientConnections()
@@ -47,24 +47,24 @@
 	return e, address
 }
 
-// patience is a timeout that no test reaches.
-const patience = 2 * conditionLimit
+// longTimeout is a timeout that no test reaches.
+const longTimeout = 2 * conditionTimeout
 
-// patientConfiguration returns baseConfiguration with this timeout on each route.
-func patientConfiguration() *wire.Configuration {
+// longTimeoutConfiguration returns baseConfiguration with longTimeout on each route.
+func longTimeoutConfiguration() *wire.Configuration {
 	config := baseConfiguration()
 	for i := range config.Routes {
-		config.Routes[i].TimeoutMs = float64(patience.Milliseconds())
+		config.Routes[i].TimeoutMs = float64(longTimeout.Milliseconds())
 	}
 	return config
 }
 
-// TestLeavingServesOn checks that a request that runs at an endpoint is not broken off
-// when that one leaves, however long it serves on after it is forgotten, and that it
-// gets no other: whether it drains first, or only its entry goes.
-func TestLeavingServesOn(t *testing.T) {
+// TestLeavingFinishesRequests checks that a request in progress is not aborted when its endpoint
+// leaves, even after the endpoint's state is removed, and that the endpoint gets no other requests;
+// whether it drains first or only its entry is removed.
+func TestLeavingFinishesRequests(t *testing.T) {
 	for name, leave := range map[string]func(f *fixture, address string){
-		"its entry goes": func(f *fixture, _ string) {
+		"its entry is removed": func(f *fixture, _ string) {
 			f.store.Remove(wire.TableEndpoints, "held")
 			f.awaitLog("departed=held")
 		},
@@ -72,7 +72,7 @@
 			f.putEndpoint("plain", "held", address, wire.StateDraining)
 			f.awaitLog("draining=held")
 		},
-		"it drains, and its entry goes": func(f *fixture, address string) {
+		"it drains, and its entry is removed": func(f *fixture, address string) {
 			f.putEndpoint("plain", "held", address, wire.StateDraining)
 			f.awaitLog("draining=held")
 			f.store.Remove(wire.TableEndpoints, "held")
@@ -81,15 +81,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, patientConfiguration(), nil)
-			held, address := f.addHeldEndpoint("plain", "held")
+			f := newFixture(t, longTimeoutConfiguration(), nil)
+			blocked, address := f.addBlockedEndpoint("plain", "held")
 			f.awaitReady(true)
 			f.awaitEndpoints(1)
 			answered := make(chan reply, 1)
 			request := f.request("POST", "/once/a", "key-1", "")
-			request.Header.Set(wire.HeaderTimeout, strconv.FormatInt(patience.Milliseconds(), 10))
+			request.Header.Set(wire.HeaderTimeout, strconv.FormatInt(longTimeout.Milliseconds(), 10))
 			go func() { answered <- f.do(request) }()
-			f.await("the request at the endpoint", func() bool { return held.received.Load() == 1 })
+			f.await("the request at the endpoint", func() bool { return blocked.received.Load() == 1 })
 			f.addEndpoint("plain", "p2", 0)
 			f.awaitEndpoints(2)
 
@@ -97,19 +97,19 @@
 			for range 8 {
 				assert.Equal(t, f.call("POST", "/once/b").status, 200)
 			}
-			if name == "its entry goes" {
+			if name == "its entry is removed" {
 				f.awaitLog("expired=held")
 			}
-			assert.Equal(t, held.received.Load(), int64(1))
-			assert.Equal(t, held.broken.Load(), int64(0))
-			close(held.release)
+			assert.Equal(t, blocked.received.Load(), int64(1))
+			assert.Equal(t, blocked.aborted.Load(), int64(0))
+			close(blocked.release)
 			assert.Equal(t, (<-answered).status, 200)
 		})
 	}
 }
 
-// TestCrashedEndpoint checks that requests are served by others while an endpoint that
-// crashed is still on the list: it says nothing.
+// TestCrashedEndpoint checks that requests are served by other endpoints while an endpoint that
+// crashed is still on the list.
 func TestCrashedEndpoint(t *testing.T) {
 	f := startedFixture(t, nil)
 	f.putEndpoint("plain", "p3", "127.0.0.1:1", wire.StateReady) // refuses connections
--- a/gateway/peerconfiguration.go
+++ b/gateway/peerconfiguration.go
@@ -8,25 +8,25 @@
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
-// A router takes the configuration from a peer that has reported a newer one, and reads the source
-// only if that fails: over HTTP, at the address of the peer's gossip, in CBOR. What a peer says of
-// the version is believed as it is when it renews the lease.
+// A router reads a newer configuration from the peer that has reported it, and from the source only if
+// that fails. Peers serve it over HTTP at their gossip address, encoded as CBOR. A peer's version
+// number is trusted as in confirmations that renew the lease.
 
-// A configurationAnswer is what a router answers a peer that reads its configuration.
-type configurationAnswer struct {
+// A configurationResponse is the response to a peer that reads the configuration.
+type configurationResponse struct {
 	Configuration *ryeford.Configuration
-	// ConfirmedAt is what the source's clock showed when the configuration was last known to
-	// be the newest, and Latest the most that it may show now.
+	// ConfirmedAt is what the source's clock showed when the configuration was last confirmed as the
+	// newest, and Latest is the maximum that it may show now.
 	ConfirmedAt time.Duration
 	Latest      time.Duration
-	// Evacuations are those that were read, as of ConfirmedAt or later.
+	// Evacuations were read at ConfirmedAt or later.
 	Evacuations ryeford.Evacuations
 }
 
-// readFromPeer puts the configuration of a peer in force that has reported a newer one, and
-// reports whether it has.
+// readFromPeer reads a newer configuration from the peer that has reported it, puts it in force, and
+// reports whether the version in force is now at least the reported one.
 func (c *configuration) readFromPeer(ctx context.Context) bool {
-	version, peer := c.newer.teller()
+	version, peer := c.newer.reporter()
 	if !peer.IsValid() || version <= c.version() {
 		return false
 	}
@@ -37,13 +37,13 @@
 		return false
 	}
 	if read.Configuration == nil {
-		_ = c.log.Log("decision", "configuration_from_peer", "peer", peer, "version", version, "applied", false, "why", "empty answer")
+		_ = c.log.Log("decision", "configuration_from_peer", "peer", peer, "version", version, "applied", false, "why", "response without a configuration")
 		return false
 	}
 	c.clock.Observe(sent, read.Latest)
-	c.evacuations.learn(read.Evacuations, peer.String())
+	c.evacuations.merge(read.Evacuations, peer.String())
 	applied, took := c.replace(read.Configuration, sent)
-	c.newer.putPeersInForce(c.version(), took >= c.bound)
+	c.newer.setInForceFromPeer(c.version(), took >= c.changeTimeout)
 	if read.Configuration.Version == c.version() {
 		c.lease.RenewFromPeer(clock.Now(), read.ConfirmedAt)
 		c.onUpdate()
@@ -52,15 +52,16 @@
 	return c.version() >= version
 }
 
-// answer returns what a peer is handed out, or nil if there is no configuration or it may be stale.
-func (c *configuration) answer() *configurationAnswer {
+// peerResponse returns the response to a peer, or nil if there is no configuration or it may be stale.
+func (c *configuration) peerResponse() *configurationResponse {
 	now := clock.Now()
-	// The confirmation is read before the configuration and the evacuations, as in gossip.briefMessage.
+	// The confirmation is read before the configuration and the evacuations, as in
+	// gossip.briefMessage.
 	confirmed, known := c.lease.Confirmed()
 	latest, bounded := c.clock.Latest(now)
 	current := c.current()
 	if !known || !bounded || current == nil || !c.reliable(now) {
 		return nil
 	}
-	return &configurationAnswer{Configuration: current.Configuration(), ConfirmedAt: confirmed, Latest: latest, Evacuations: c.evacuations.known()}
+	return &configurationResponse{Configuration: current.Configuration(), ConfirmedAt: confirmed, Latest: latest, Evacuations: c.evacuations.known()}
 }
--- a/gateway/peerconfiguration_test.go
+++ b/gateway/peerconfiguration_test.go
@@ -17,9 +17,9 @@
 	"github.com/ryeford/ryeford/gateway/catalog"
 )
 
-// TestPeerConfigurationKeepsAll checks that a configuration comes from a peer as it is: also
-// that no accounts are not the same as none that are valid.
-func TestPeerConfigurationKeepsAll(t *testing.T) {
+// TestPeerConfigurationRoundTrip checks that a configuration is read from a peer unchanged, including
+// the difference between no accounts and an empty list of accounts.
+func TestPeerConfigurationRoundTrip(t *testing.T) {
 	urgent := ryeford.PriorityHighest
 	for _, want := range []*ryeford.Configuration{
 		{Version: 3},
@@ -31,7 +31,7 @@
 			Limits:   ryeford.RequestLimits{MaxBody: 9, IdleTimeout: time.Minute},
 		},
 	} {
-		server := httptest.NewServer(handOut(t, want))
+		server := httptest.NewServer(newPeerHandler(t, want))
 		got, err := newPeerReader().configuration(t.Context(), netip.MustParseAddrPort(server.Listener.Addr().String()))
 		server.Close()
 		assert.NilError(t, err)
@@ -39,8 +39,8 @@
 	}
 }
 
-// handOut returns the handler of a router with a configuration that is confirmed.
-func handOut(t *testing.T, inForce *ryeford.Configuration) http.Handler {
+// newPeerHandler returns the handler of a router with a confirmed configuration.
+func newPeerHandler(t *testing.T, inForce *ryeford.Configuration) http.Handler {
 	t.Helper()
 	c := newConfiguration(configurationOptions{term: time.Minute})
 	c.inForce.Put(catalog.New(inForce))
@@ -48,10 +48,10 @@
 	return &peerHandler{configuration: c, log: log.NewNopLogger()}
 }
 
-// TestPeerHandler checks what a router hands out: nothing that may be stale.
+// TestPeerHandler checks that a router does not serve a configuration that may be stale.
 func TestPeerHandler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		handler := handOut(t, &ryeford.Configuration{Version: 3})
+		handler := newPeerHandler(t, &ryeford.Configuration{Version: 3})
 		status := func(path string) int {
 			w := httptest.NewRecorder()
 			handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
@@ -60,20 +60,20 @@
 		assert.Equal(t, status(peerConfigurationPath), 200)
 		assert.Equal(t, status("/"), 404)
 		time.Sleep(time.Minute)
-		assert.Equal(t, status(peerConfigurationPath), 503, "its lease has ended")
+		assert.Equal(t, status(peerConfigurationPath), 503, "the lease has ended")
 		handler = &peerHandler{configuration: newConfiguration(configurationOptions{}), log: log.NewNopLogger()}
-		assert.Equal(t, status(peerConfigurationPath), 503, "it has none")
+		assert.Equal(t, status(peerConfigurationPath), 503, "no configuration")
 	})
 }
 
-// TestPeerReaderFails checks that a peer that is silent, refuses or sends what is no
-// configuration brings an error, and not for long.
+// TestPeerReaderFails checks that a peer that is silent, rejects the request or sends malformed data
+// causes an error without a long wait.
 func TestPeerReaderFails(t *testing.T) {
 	for name, answer := range map[string]http.HandlerFunc{
 		"refuses": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 		"garbles": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) },
-		"breaks off": func(w http.ResponseWriter, _ *http.Request) {
-			whole, _ := cbor.Marshal(&configurationAnswer{Configuration: &ryeford.Configuration{Version: 3, Routes: make([]ryeford.RouteRule, 100)}})
+		"closes the connection": func(w http.ResponseWriter, _ *http.Request) {
+			whole, _ := cbor.Marshal(&configurationResponse{Configuration: &ryeford.Configuration{Version: 3, Routes: make([]ryeford.RouteRule, 100)}})
 			_, _ = w.Write(whole[:len(whole)/2])
 		},
 		"silent": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
--- a/gateway/probe_test.go
+++ b/gateway/probe_test.go
@@ -15,9 +15,8 @@
 	"github.com/ryeford/ryeford/gateway/roster"
 )
 
-// TestProbes checks that a readiness probe fails until the configuration and the list
-// are known, and again once the gateway was ordered to stop; and that failed probes
-// count from that order on.
+// TestProbes checks that readiness probes fail until the configuration and the list are known, and
+// again after the shutdown signal; and that failed probes are counted only after the signal.
 func TestProbes(t *testing.T) {
 	h := &probeHandler{
 		path:          "/ready",
@@ -43,20 +42,20 @@
 	assert.Equal(t, h.drain.failedProbes.Load(), int32(1))
 }
 
-// TestBridgedLog checks that a router says when it begins to serve keys beyond its lease, and
-// nothing of that as long as it knows no keys.
-func TestBridgedLog(t *testing.T) {
+// TestServesKeysInOutageLog checks that a router logs once when it starts to serve keys after its
+// lease has ended, and only if its configuration has keys.
+func TestServesKeysInOutageLog(t *testing.T) {
 	var lines strings.Builder
 	h := &probeHandler{
 		path:          "/ready",
-		configuration: newConfiguration(configurationOptions{bridges: true}),
+		configuration: newConfiguration(configurationOptions{serveKeysInOutage: true}),
 		roster:        roster.New(),
 		drain:         newDrain(8*time.Second, log.NewNopLogger()),
 		log:           log.NewLogfmtLogger(&lines),
 	}
 	probe := func() { h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/ready", nil)) }
 	probe()
-	assert.Assert(t, !strings.Contains(lines.String(), "bridge_outage"), "it knows nothing yet")
+	assert.Assert(t, !strings.Contains(lines.String(), "bridge_outage"), "no configuration yet")
 	h.configuration.inForce.Put(catalog.New(&ryeford.Configuration{Version: 1, Accounts: []ryeford.AccountRule{}}))
 	probe()
 	probe()
--- a/gateway/probewhilereading_test.go
+++ b/gateway/probewhilereading_test.go
@@ -15,66 +15,65 @@
 	"github.com/ryeford/ryeford/gateway/roster"
 )
 
-// heldLimit ends a test whose probe is never answered. It decides no verdict on speed.
-const heldLimit = 20 * time.Second
+// probeTimeout fails a test whose probe is never answered. No test of speed depends on it.
+const probeTimeout = 20 * time.Second
 
-// A hold holds up what passes it, once it is armed.
-type hold struct {
+// A gate blocks callers of pass while it is armed.
+type gate struct {
 	armed   bool
-	reached chan struct{} // closed once something is held up
-	release chan struct{} // closed to let it go on
+	reached chan struct{} // closed once a caller is blocked
+	release chan struct{} // closed to unblock the caller
 }
 
-// pass returns at once, or, if the hold is armed, once it is released.
-func (h *hold) pass() {
+// pass returns immediately, or, if the gate is armed, once it is released.
+func (h *gate) pass() {
 	if h.armed {
 		close(h.reached)
 		<-h.release
 	}
 }
 
-// A heldSource is a source of configurations that a hold stops before it returns one, as
-// one that is slow to come or to decode does.
-type heldSource struct {
-	configurationStandIn
-	hold *hold
+// A gatedSource is a source of configurations with a gate before it returns one, like a slow transfer
+// or slow decoding.
+type gatedSource struct {
+	fakeConfigurationSource
+	hold *gate
 }
 
 // Configuration implements ryeford.ConfigurationSource.
-func (s *heldSource) Configuration(ctx context.Context, known ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
-	update, err := s.configurationStandIn.Configuration(ctx, known)
+func (s *gatedSource) Configuration(ctx context.Context, known ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
+	update, err := s.fakeConfigurationSource.Configuration(ctx, known)
 	s.hold.pass()
 	return update, err
 }
 
-// A heldLog is a log that a hold stops at each line.
-type heldLog struct {
-	hold *hold
+// A gatedLogger is a logger with a gate at each line.
+type gatedLogger struct {
+	hold *gate
 }
 
 // Log implements log.Logger.
-func (l *heldLog) Log(...any) error {
+func (l *gatedLogger) Log(...any) error {
 	l.hold.pass()
 	return nil
 }
 
-// TestProbeWhileReading checks that a readiness probe is answered, a route looked up and a
-// peer's confirmation taken while the next configuration is read and decoded, while it is
-// put in force, and while what follows is done: nothing of it holds a lock that these need.
-// The probe is answered by the configuration in force, also if the next one never comes.
+// TestProbeWhileReading checks that readiness probes, route lookups and peers' confirmations are not
+// blocked while the next configuration is read and decoded, put in force, or followed by the update
+// callback.
 func TestProbeWhileReading(t *testing.T) {
-	for _, where := range []string{"read", "put in force", "what follows"} {
+	for _, where := range []string{"read", "put in force", "update callback"} {
 		t.Run(where, func(t *testing.T) {
-			read, log, update := &hold{}, &hold{}, &hold{}
+			read, log, update := &gate{}, &gate{}, &gate{}
 			f := newConfigurationFixture()
-			source := &heldSource{configurationStandIn: configurationStandIn{began: time.Now(), version: 1, revision: 5}, hold: read}
+			source := &gatedSource{fakeConfigurationSource: fakeConfigurationSource{began: time.Now(), version: 1, revision: 5}, hold: read}
 			f.configuration.source = source
-			f.configuration.log = &heldLog{hold: log}
+			f.configuration.log = &gatedLogger{hold: log}
 			f.configuration.onUpdate = update.pass
 			assert.Assert(t, f.read(t.Context()))
 			source.version, source.revision = 2, 6
 
-			at := map[string]*hold{"read": read, "put in force": log, "what follows": update}[where]
+			at := map[string]*gate{"read": read, "put in force": log, "update callback": update}[where]
 			at.armed, at.reached, at.release = true, make(chan struct{}), make(chan struct{})
 			ended := make(chan bool)
 			go func() { ended <- f.read(t.Context()) }()
@@ -84,8 +83,8 @@
 			select {
 			case status := <-answered:
 				assert.Equal(t, status, http.StatusOK)
-			case <-time.After(heldLimit):
-				t.Fatal("the probe waits for the configuration that is read")
+			case <-time.After(probeTimeout):
+				t.Fatal("the probe was blocked by the read of the configuration")
 			}
 			at.armed = false
 			close(at.release)
@@ -95,14 +94,14 @@
 	}
 }
 
-// answerWhileReading does what other goroutines do meanwhile, and returns the status of a
-// probe.
+// answerWhileReading does what other goroutines do concurrently with a read, and returns the status of
+// a probe.
 func answerWhileReading(c *configuration) int {
 	list := roster.New()
 	list.Apply(time.Now(), &ryeford.EndpointUpdate{Snapshot: true, Revision: 1}, time.Time{})
 	probes := &probeHandler{path: "/ready", configuration: c, roster: list, drain: newDrain(time.Second, log.NewNopLogger()), log: log.NewNopLogger()}
 	c.current().Route("host.example", "/path/")
-	c.confirmedByPeer(time.Now(), netip.AddrPort{}, c.version(), 0)
+	c.mergePeerConfirmation(time.Now(), netip.AddrPort{}, c.version(), 0)
 	recorder := httptest.NewRecorder()
 	probes.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/ready", nil))
 	return recorder.Code
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -15,109 +15,109 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// trialShift is how long one router is the one that may try held requests again.
-const trialShift = 10 * time.Second
+// trialSlot is the length of the time slot in which one router may retry held requests.
+const trialSlot = 10 * time.Second
 
-// A quarantineState holds requests that end what runs them, by package quarantine, with what this
+// A quarantineState quarantines poison requests (package quarantine), based on the crashes that this
 // router and its peers have seen. It is safe for concurrent use.
 type quarantineState struct {
-	// off says that nothing is held: the operators' setting.
-	off      bool
-	table    *quarantine.Table
-	kept     *heldRequests
-	crashes  *crashes
-	balancer *balancer // for this router's place among its peers
-	log      log.Logger
-	metrics  *telemetry.Set
+	// disabled is set by the operators' settings: no requests are held.
+	disabled     bool
+	table        *quarantine.Table
+	heldRequests *heldRequests
+	crashes      *crashDetector
+	balancer     *balancer // for this router's rank among its peers
+	log          log.Logger
+	metrics      *telemetry.Set
 }
 
-// newQuarantineState returns a quarantineState that knows nothing yet and keeps nothing on the platform.
+// newQuarantineState returns an empty quarantineState that stores nothing on the platform.
 func newQuarantineState(b *balancer, logger log.Logger, metrics *telemetry.Set) *quarantineState {
 	table := quarantine.New()
 	return &quarantineState{
-		table:    table,
-		kept:     newHeldRequests(table, logger, metrics),
-		crashes:  newCrashes(logger, metrics),
-		balancer: b,
-		log:      logger,
-		metrics:  metrics,
+		table:        table,
+		heldRequests: newHeldRequests(table, logger, metrics),
+		crashes:      newCrashDetector(logger, metrics),
+		balancer:     b,
+		log:          logger,
+		metrics:      metrics,
 	}
 }
 
-// keepAt has what is held kept on the platform, by a router that may have peers.
-func (h *quarantineState) keepAt(source ryeford.QuarantineStore, gossips bool) {
-	h.kept.source, h.kept.peers, h.kept.gossips = source, h.balancer.peers, gossips
+// setStore sets the store for held requests. hasPeers is whether the router may have peers.
+func (h *quarantineState) setStore(store ryeford.QuarantineStore, hasPeers bool) {
+	h.heldRequests.source, h.heldRequests.peers, h.heldRequests.hasPeers = store, h.balancer.peers, hasPeers
 }
 
-// outgoing returns the records that go out with the next message to peers.
+// outgoing returns the records for the next message to peers.
 func (h *quarantineState) outgoing(now time.Time) []peers.Quarantined {
-	if h.off {
+	if h.disabled {
 		return nil
 	}
 	return peers.QuarantinedOf(now, h.table.Outgoing(now, peers.MaxQuarantined))
 }
 
-// merge adds what a peer's message says.
+// merge merges the records of a peer's message.
 func (h *quarantineState) merge(now time.Time, message *peers.Message) {
-	if h.off {
+	if h.disabled {
 		return
 	}
 	if message.HeldRead {
-		h.kept.read.Store(true)
+		h.heldRequests.loaded.Store(true)
 	}
 	for _, record := range h.table.Merge(now, peers.Records(now, message.Quarantined)) {
 		h.logHeld(&record, message.Sender.String())
 	}
 }
 
-// logHeld logs that requests are held from now on, and who has said so.
+// logHeld logs that requests are held from now on, and who reported them.
 func (h *quarantineState) logHeld(record *quarantine.Record, from string) {
 	h.metrics.Count("ryeford_quarantined_total", "")
 	_ = h.log.Log("decision", "quarantine", "fingerprint", record.Fingerprint, "crashes", len(record.Crashes), "from", from)
 }
 
-// mayTry reports whether this router is the one that may try held requests again now: by turns,
-// each for trialShift of the store's clock.
+// mayTry reports whether this router may retry held requests now. Routers take time slots of length
+// trialSlot by the store's clock.
 func (h *quarantineState) mayTry(now time.Time) bool {
-	clock, known := h.balancer.clock.Latest(now)
+	storeTime, known := h.balancer.clock.Latest(now)
 	if !known || h.balancer.start.joining(now) {
 		return false
 	}
-	rank, _ := h.balancer.peers.Rank(now, uint64(clock/trialShift))
+	rank, _ := h.balancer.peers.Rank(now, uint64(storeTime/trialSlot))
 	return rank == 0
 }
 
-// A lostAttempt is an attempt that an endpoint has broken off.
+// A lostAttempt is an attempt whose connection the endpoint has closed.
 type lostAttempt struct {
 	request     ryeford.RequestID
 	fingerprint quarantine.Fingerprint
 	account     ryeford.AccountID
 	began       time.Time
-	lost        time.Time
+	ended       time.Time
 }
 
-// note notes an attempt that an endpoint has broken off, if the endpoint has ended.
-func (h *quarantineState) note(to *roster.Entry, lost *lostAttempt) {
-	if h.off || !h.crashes.crashed(to) {
+// recordCrash records a lost attempt if the endpoint has crashed.
+func (h *quarantineState) recordCrash(to *roster.Entry, lost *lostAttempt) {
+	if h.disabled || !h.crashes.crashed(to) {
 		return
 	}
 	now := clock.Now()
-	crash := quarantine.Crash{Endpoint: uint32(route.NameHash(string(to.ID))), Began: lost.began, Ended: lost.lost}
-	before := h.table.Check(now, lost.fingerprint, false).Held
+	crash := quarantine.Crash{Endpoint: uint32(route.NameHash(string(to.ID))), Began: lost.began, Ended: lost.ended}
+	wasHeld := h.table.Check(now, lost.fingerprint, false).Held
 	record := h.table.Crashed(now, lost.fingerprint, uint32(route.NameHash(string(lost.account))), crash)
 	_ = h.log.Log("decision", "request_crashed", "request", lost.request, "fingerprint", lost.fingerprint, "account", lost.account,
 		"endpoint", to.ID, "crashes", len(record.Crashes), "held", !record.Held.IsZero())
 	if record.Held.IsZero() {
 		return
 	}
-	h.kept.keep(&record)
-	if !before {
+	h.heldRequests.enqueueWrite(&record)
+	if !wasHeld {
 		h.logHeld(&record, "self")
 	}
 }
 
-// fingerprint returns what the request has in common with others that are the same but for their
-// IDs. It is worked out when it is first needed: most requests never need it.
+// fingerprint returns the fingerprint that requests share if they differ only in their IDs. It is
+// computed on first use: most requests never need it.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
 	if x.identity == (quarantine.Fingerprint{}) {
 		x.identity = quarantine.FingerprintOf(x.request.accountID(), x.incoming.RequestURI, x.request.body)
@@ -125,16 +125,16 @@
 	return x.identity
 }
 
-// suspected reports whether requests like this one may have ended endpoints.
+// suspected reports whether requests like this one may have crashed endpoints.
 func (x *exchange) suspected() bool {
-	if x.forwarder.quarantine.off {
+	if x.forwarder.quarantine.disabled {
 		return false
 	}
 	filter := quarantine.FilterOf(x.request.accountID(), x.incoming.RequestURI, len(x.request.body))
 	return x.forwarder.quarantine.table.Suspects(filter)
 }
 
-// checkQuarantine returns whether the request is held.
+// checkQuarantine returns whether the request is held, or let through as a trial.
 func (x *exchange) checkQuarantine(now time.Time) quarantine.Verdict {
 	if !x.suspected() {
 		return quarantine.Verdict{}
@@ -142,33 +142,33 @@
 	h := x.forwarder.quarantine
 	verdict := h.table.Check(now, x.fingerprint(), h.mayTry(now))
 	if verdict.Trial {
-		h.kept.keep(&verdict.Record)
+		h.heldRequests.enqueueWrite(&verdict.Record)
 		_ = h.log.Log("decision", "quarantine_trial", "request", x.request.meta.ID, "fingerprint", x.fingerprint())
 	}
 	return verdict
 }
 
-// clearQuarantine notes that the request was answered with a success: it doesn't end what runs it.
+// clearQuarantine records that the request was answered successfully and so is not a poison request.
 func (x *exchange) clearQuarantine() {
 	if !x.suspected() {
 		return
 	}
 	h := x.forwarder.quarantine
 	if h.table.Answered(clock.Now(), x.fingerprint()) {
-		h.kept.release(x.fingerprint())
+		h.heldRequests.enqueueRemoval(x.fingerprint())
 		_ = h.log.Log("decision", "quarantine_ended", "request", x.request.meta.ID, "fingerprint", x.fingerprint(), "why", "answered")
 	}
 }
 
-// recordLost notes, beside the request, that its attempt at an endpoint was lost, if the endpoint has
-// broken it off. err is how it was lost.
+// recordLost records, in the background, that the request's attempt was lost if err shows that the
+// endpoint has closed the connection.
 func (x *exchange) recordLost(to *roster.Entry, err error) {
 	if !endpoint.BrokeOff(err) {
 		return
 	}
 	lost := &lostAttempt{
 		request: x.request.meta.ID, fingerprint: x.fingerprint(), account: x.request.accountID(),
-		began: x.began, lost: clock.Now(),
+		began: x.began, ended: clock.Now(),
 	}
-	go x.forwarder.quarantine.note(to, lost)
+	go x.forwarder.quarantine.recordCrash(to, lost)
 }
--- a/gateway/revision.go
+++ b/gateway/revision.go
@@ -8,66 +8,66 @@
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
-// A revision is the newest revision that the store has answered with, on any of its
-// tables: they share one counter. It is safe for concurrent use.
-type revision struct {
-	mu       sync.Mutex
-	newest   ryeford.Revision
-	answered time.Time // when the store answered last; zero if never
-	failing  bool      // the last call of the store failed
-	era      int64     // the newest that is known, also from peers
-	entered  bool      // era is known
-	// restored, unless it is nil, is called when the store is back from a copy.
-	restored func(r restore)
+// A storeRevision tracks the newest revision in the store's answers, across all of its tables, which
+// share one counter. It is safe for concurrent use.
+type storeRevision struct {
+	mu          sync.Mutex
+	newest      ryeford.Revision
+	lastContact time.Time // when the store last answered; zero if never
+	failing     bool      // the last call of the store failed
+	era         int64     // the latest era that the store or a peer has reported
+	eraKnown    bool      // era is known
+	// onRestore, if not nil, is called when the store has been restored from a backup.
+	onRestore func(r restore)
 }
 
-// A restore is that the store is back from a copy of an earlier state.
+// A restore describes a restore of the store from a backup.
 type restore struct {
-	before ryeford.Revision // the newest that was known of an earlier era
-	after  ryeford.Revision // of the first answer of the new one
+	before ryeford.Revision // the newest revision known from an earlier era
+	after  ryeford.Revision // the first revision received from the new era
 }
 
-func (r *revision) get() ryeford.Revision {
+func (r *storeRevision) get() ryeford.Revision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.newest
 }
 
-// sinceAnswer returns the time since the store answered last, none unless a call has failed since,
-// and false if it never has answered.
-func (r *revision) sinceAnswer(now time.Time) (time.Duration, bool) {
+// sinceContact returns the time since the last contact with the store, or zero if no call has failed
+// since. It returns false if the store has never answered.
+func (r *storeRevision) sinceContact(now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.failing {
-		return 0, !r.answered.IsZero()
+		return 0, !r.lastContact.IsZero()
 	}
-	return now.Sub(r.answered), !r.answered.IsZero()
+	return now.Sub(r.lastContact), !r.lastContact.IsZero()
 }
 
-// raise takes the revision of an answer. An older one than the newest changes
-// nothing.
-func (r *revision) raise(answered ryeford.Revision) {
-	r.enter(answered)
+// recordAnswer records the revision of an answer. A revision older than the newest does not replace
+// it.
+func (r *storeRevision) recordAnswer(answer ryeford.Revision) {
+	r.observe(answer)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.newest, r.answered, r.failing = max(r.newest, answered), clock.Now(), false
+	r.newest, r.lastContact, r.failing = max(r.newest, answer), clock.Now(), false
 }
 
-// enter takes a revision of the store that it, or a peer, has reported. If that is the first of a later
-// era, the store has been restored.
-func (r *revision) enter(told ryeford.Revision) {
+// observe records a revision that the store or a peer has reported. The first revision of a later era
+// means that the store has been restored.
+func (r *storeRevision) observe(reported ryeford.Revision) {
 	r.mu.Lock()
-	change := restore{before: r.newest, after: told}
-	restored := r.entered && told.Era() > r.era
-	r.era, r.entered = max(r.era, told.Era()), true
+	change := restore{before: r.newest, after: reported}
+	restored := r.eraKnown && reported.Era() > r.era
+	r.era, r.eraKnown = max(r.era, reported.Era()), true
 	r.mu.Unlock()
-	if restored && r.restored != nil {
-		r.restored(change)
+	if restored && r.onRestore != nil {
+		r.onRestore(change)
 	}
 }
 
-// fail takes that a call of the store has failed.
-func (r *revision) fail() {
+// recordFailure records that a call of the store failed.
+func (r *storeRevision) recordFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failing = true
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -14,8 +14,8 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// TestStop checks that a gateway that is ordered to stop fails its readiness probe at
-// once, goes on serving open connections, and breaks off no response.
+// TestStop checks that a gateway fails its readiness probe right after the shutdown signal, keeps
+// serving open connections, and aborts no response.
 func TestStop(t *testing.T) {
 	f := startedFixture(t, nil)
 	for _, id := range []string{"m1", "m2", "m3"} {
@@ -33,32 +33,32 @@
 	got := f.call("POST", "/once/a")
 	assert.Equal(t, got.status, 200)
 	assert.Assert(t, got.close)
-	rest, err := io.ReadAll(reader)
+	remainder, err := io.ReadAll(reader)
 	assert.NilError(t, err)
-	assert.Equal(t, first+string(rest), events(5))
+	assert.Equal(t, first+string(remainder), events(5))
 }
 
-// TestStopWhileNeeded checks that a gateway that is ordered to stop goes on taking
-// new connections for as long as they come, and refuses what it could not finish.
-func TestStopWhileNeeded(t *testing.T) {
+// TestStopWhileConnecting checks that a gateway accepts new connections after the shutdown signal for
+// as long as callers connect, and rejects requests that it could not complete.
+func TestStopWhileConnecting(t *testing.T) {
 	f := startedFixture(t, func(s *settings.Gateway) { s.Bounds.Grace = 4 * time.Second })
 	f.client.Transport.(*http.Transport).DisableKeepAlives = true
 	f.stop()
 	f.awaitReady(false)
 	f.awaitReady(false)
-	// Two probes have failed; a gateway that took no more connections would have
-	// closed its listener half a second later.
+	// Two probes have failed. A gateway that accepted no more connections would close its listener
+	// half a second later.
 	since, last := time.Now(), time.Duration(0)
 	for time.Since(since) < 1500*time.Millisecond {
 		last = time.Since(since)
 		got := f.call("GET", "/safe/a")
-		assert.NilError(t, got.err, "a call begun after %s", last)
-		assert.Equal(t, got.status, 200, "a call begun after %s", last)
+		assert.NilError(t, got.err, "a request sent after %s", last)
+		assert.Equal(t, got.status, 200, "a request sent after %s", last)
 		time.Sleep(20 * time.Millisecond)
 	}
-	assert.Assert(t, last > time.Second, "no call was begun after the first second")
+	assert.Assert(t, last > time.Second, "no request was sent after the first second")
 	refused := false
-	f.await("a refusal", func() bool {
+	f.await("a rejection", func() bool {
 		got := f.call("POST", "/stream/a")
 		refused = refused || (got.err == nil && got.status == 503 && got.header.Get("Retry-After") != "")
 		return refused || got.err != nil
@@ -66,11 +66,10 @@
 	assert.Assert(t, refused)
 }
 
-// TestLateStream checks that a gateway takes no stream late in its stop that it would
-// have to break off: one that is taken 3 s after the order comes whole, however short
-// the streams before it were (incident inc1).
-func TestLateStream(t *testing.T) {
-	f := newFixture(t, patientStreams(), func(s *settings.Gateway) { s.Bounds.Grace = 8 * time.Second })
+// TestStreamDuringStop checks that a gateway does not accept a stream late in its shutdown that it
+// would have to abort, even if earlier streams were short.
+func TestStreamDuringStop(t *testing.T) {
+	f := newFixture(t, longStreamConfiguration(), func(s *settings.Gateway) { s.Bounds.Grace = 8 * time.Second })
 	server := f.addEndpoint("model", "m1", 5)
 	f.addEndpoint("plain", "p1", 0)
 	f.awaitReady(true)
@@ -82,23 +81,23 @@
 	server.Step = time.Second
 	f.stop()
 	time.Sleep(3 * time.Second)
-	assert.Equal(t, f.call("POST", "/once/a").status, http.StatusOK, "what is expected to end is served")
+	assert.Equal(t, f.call("POST", "/once/a").status, http.StatusOK, "a request that is expected to complete is served")
 	got := f.call("POST", "/stream/a")
 	switch got.status {
 	case http.StatusOK:
-		assert.NilError(t, got.err, "taken and broken off")
+		assert.NilError(t, got.err, "accepted and aborted")
 		assert.Equal(t, got.body, events(5))
 	case http.StatusServiceUnavailable:
 		assert.Assert(t, got.header.Get("Retry-After") != "")
 	default:
 		// The gateway closed the connection before it had read the request.
-		assert.Equal(t, len(server.Received()), 10, "taken and not answered: %v", got.err)
+		assert.Equal(t, len(server.Received()), 10, "accepted and not answered: %v", got.err)
 	}
 }
 
-// TestEndOfStop checks that a request which is not answered when a gateway has to close
-// its connections is answered with a failure that does not promise that it did not run.
-func TestEndOfStop(t *testing.T) {
+// TestUnansweredAtStop checks that a request that is unanswered when a gateway must close its
+// connections gets an error response that does not state that the request was not run.
+func TestUnansweredAtStop(t *testing.T) {
 	f := startedFixture(t, func(s *settings.Gateway) { s.Bounds.Grace = 2 * time.Second })
 	f.setFaults(appserver.FaultHang, -1)
 	got := make(chan reply, 1)
@@ -111,8 +110,8 @@
 	assert.Equal(t, answer.status, http.StatusBadGateway)
 }
 
-// patientStreams returns baseConfiguration with streams that may take 15 s.
-func patientStreams() *wire.Configuration {
+// longStreamConfiguration returns baseConfiguration with streams that may take 15 s.
+func longStreamConfiguration() *wire.Configuration {
 	config := baseConfiguration()
 	for i := range config.Routes {
 		if config.Routes[i].Kind == wire.KindStream {
--- a/gateway/suspended.go
+++ b/gateway/suspended.go
@@ -10,30 +10,30 @@
 	"github.com/ryeford/ryeford/internal/telemetry"
 )
 
-// suspensionInterval is how often it is looked whether the machine was suspended, for the log and the
-// metrics: what is decided goes by clock.Now, which notices by itself.
+// suspensionInterval is the interval between checks for a suspension of the VM, for the log and
+// the metrics only: clock.Now corrects for suspensions itself.
 const suspensionInterval = time.Second
 
-// logSuspensions logs and counts for how long the machine was suspended, until ctx ends.
+// logSuspensions logs and counts suspensions of the VM until ctx is done.
 func logSuspensions(ctx context.Context, logger log.Logger, metrics *telemetry.Set) error {
 	ticker := time.NewTicker(suspensionInterval)
 	defer ticker.Stop()
-	known := clock.Suspended()
+	previous := clock.Suspended()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
 		}
-		clock.Now() // looks for a suspension
+		clock.Now() // checks for a suspension
 		total := clock.Suspended()
-		if total == known {
+		if total == previous {
 			continue
 		}
-		span := total - known
-		known = total
+		duration := total - previous
+		previous = total
 		metrics.Count("ryeford_suspensions_total", "")
-		metrics.Add("ryeford_suspended_ms_total", "", int(span.Milliseconds()))
-		_ = logger.Log("decision", "suspended", "span", roundTime(span), "woke", roundTime(clock.Since(clock.Woke())))
+		metrics.Add("ryeford_suspended_ms_total", "", int(duration.Milliseconds()))
+		_ = logger.Log("decision", "suspended", "span", roundTime(duration), "woke", roundTime(clock.Since(clock.Woke())))
 	}
 }
