--- a/gateway/rest/rest.go
+++ b/gateway/backoff/backoff.go
@@ -1,4 +1,4 @@
-// Package rest records which endpoints are backing off from this router, and until when.
+// Package backoff records which endpoints are backing off from this router, and until when.
 //
 // Rule: this router sends nothing to an endpoint that has refused a request with a Retry-After until
 // that time has passed. The latest of several such times counts: an earlier one does not shorten the
@@ -9,7 +9,7 @@
 //
 // The package owns these times, by endpoint incarnation. It reads no clock and does no I/O. A back-off
 // is not a failure: package outlier counts none for it.
-package rest
+package backoff
 
 import (
 	"sync"
--- a/gateway/rest/rest_test.go
+++ b/gateway/backoff/backoff_test.go
@@ -1,4 +1,4 @@
-package rest
+package backoff
 
 import (
 	"fmt"
--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -9,13 +9,13 @@
 	"time"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/gateway/backoff"
 	"github.com/ryeford/ryeford/gateway/choice"
 	"github.com/ryeford/ryeford/gateway/freshness"
 	"github.com/ryeford/ryeford/gateway/loads"
 	"github.com/ryeford/ryeford/gateway/outlier"
 	"github.com/ryeford/ryeford/gateway/peers"
 	"github.com/ryeford/ryeford/gateway/prefixcache"
-	"github.com/ryeford/ryeford/gateway/rest"
 	"github.com/ryeford/ryeford/gateway/roster"
 	"github.com/ryeford/ryeford/gateway/slowstart"
 	"github.com/ryeford/ryeford/internal/clock"
@@ -28,7 +28,7 @@
 type balancer struct {
 	roster   *roster.Roster // updated by endpointList
 	detector *outlier.Detector
-	rests    *rest.Table
+	rests    *backoff.Table
 	loads    *loads.Table
 	prefixes *prefixcache.Index
 	peers    *peers.Table // updated by gossip
@@ -49,7 +49,7 @@
 	return &balancer{
 		roster:   roster.New(),
 		detector: outlier.New(),
-		rests:    rest.New(),
+		rests:    backoff.New(),
 		loads:    loads.New(),
 		prefixes: prefixcache.New(),
 		peers:    peers.New(s.Peers.AddrPort, peers.DefaultLimits()),
--- a/gateway/balancer_test.go
+++ b/gateway/balancer_test.go
@@ -8,12 +8,12 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/gateway/backoff"
 	"github.com/ryeford/ryeford/gateway/choice"
 	"github.com/ryeford/ryeford/gateway/loads"
 	"github.com/ryeford/ryeford/gateway/outlier"
 	"github.com/ryeford/ryeford/gateway/peers"
 	"github.com/ryeford/ryeford/gateway/prefixcache"
-	"github.com/ryeford/ryeford/gateway/rest"
 	"github.com/ryeford/ryeford/gateway/roster"
 )
 
@@ -23,7 +23,7 @@
 	b := &balancer{
 		roster:   roster.New(),
 		detector: outlier.New(),
-		rests:    rest.New(),
+		rests:    backoff.New(),
 		loads:    loads.New(),
 		prefixes: prefixcache.New(),
 		peers:    peers.New(netip.AddrPort{}, peers.DefaultLimits()),
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -9,11 +9,11 @@
 	"github.com/go-kit/log"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/gateway/backoff"
 	"github.com/ryeford/ryeford/gateway/endpoint"
 	"github.com/ryeford/ryeford/gateway/freshness"
 	"github.com/ryeford/ryeford/gateway/peers"
 	"github.com/ryeford/ryeford/gateway/replica"
-	"github.com/ryeford/ryeford/gateway/rest"
 	"github.com/ryeford/ryeford/gateway/roster"
 	"github.com/ryeford/ryeford/gateway/watch"
 	"github.com/ryeford/ryeford/internal/clock"
@@ -55,7 +55,7 @@
 
 	revision *storeRevision // the newest revision of the store, across all of its tables
 	roster   *roster.Roster
-	backoffs *rest.Table
+	backoffs *backoff.Table
 	pool     *endpoint.Pool
 	removers []endpointRemover // remove the state of an endpoint that is gone
 	outage   *watch.Outage
--- a/gateway/endpointlist_test.go
+++ b/gateway/endpointlist_test.go
@@ -12,11 +12,11 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/ryeford/ryeford"
+	"github.com/ryeford/ryeford/gateway/backoff"
 	"github.com/ryeford/ryeford/gateway/endpoint"
 	"github.com/ryeford/ryeford/gateway/freshness"
 	"github.com/ryeford/ryeford/gateway/peers"
 	"github.com/ryeford/ryeford/gateway/replica"
-	"github.com/ryeford/ryeford/gateway/rest"
 	"github.com/ryeford/ryeford/gateway/roster"
 	"github.com/ryeford/ryeford/internal/telemetry"
 	"github.com/ryeford/ryeford/settings"
@@ -89,7 +89,7 @@
 		newerCopy:       make(chan peerCopy, 1),
 		metrics:         telemetry.NewSet(),
 		revision:        &storeRevision{},
-		backoffs:        rest.New(),
+		backoffs:        backoff.New(),
 		roster:          roster.New(),
 		pool:            endpoint.New(nil),
 		outage:          newOutage("endpoints", func() time.Duration { return 0 }, log.NewNopLogger(), telemetry.NewSet()),
--- a/imports_test.go
+++ b/imports_test.go
@@ -69,7 +69,7 @@
 	"gateway/outlier":     {rules, platform},
 	"gateway/peers":       {rules, platform},
 	"gateway/quarantine":  {rules, platform},
-	"gateway/rest":        {rules, platform},
+	"gateway/backoff":     {rules, platform},
 	"gateway/roster":      {rules, platform},
 	"gateway/endpoint":    {plumbing, platform},
 	"gateway/watch":       {plumbing, platform},
