--- a/gateway/backoff/backoff.go
+++ b/gateway/backoff/backoff.go
@@ -25,12 +25,12 @@
 // A Table holds the back-offs of endpoints. Its methods may be called concurrently.
 type Table struct {
 	mu      sync.RWMutex
-	periods map[ryeford.EndpointID]Rest
+	periods map[ryeford.EndpointID]Period
 	size    atomic.Int64 // number of periods, readable without mu
 }
 
-// A Rest is a period in which an endpoint accepts no requests from this router.
-type Rest struct {
+// A Period is a period in which an endpoint accepts no requests from this router.
+type Period struct {
 	Endpoint ryeford.EndpointID
 	// Began is when the endpoint first asked for the back-off, and Until when it ends.
 	Began, Until time.Time
@@ -40,17 +40,17 @@
 }
 
 // New returns an empty Table.
-func New() *Table { return &Table{periods: make(map[ryeford.EndpointID]Rest)} }
+func New() *Table { return &Table{periods: make(map[ryeford.EndpointID]Period)} }
 
-// Ask records that an endpoint has refused a request and backs off for duration from now. It returns true
+// Start records that an endpoint has refused a request and backs off for duration from now. It returns true
 // if the endpoint was not backing off before.
-func (t *Table) Ask(now time.Time, id ryeford.EndpointID, duration time.Duration) bool {
+func (t *Table) Start(now time.Time, id ryeford.EndpointID, duration time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r, known := t.periods[id]
 	started := !known || !now.Before(r.Until)
 	if started {
-		r = Rest{Endpoint: id, Began: now}
+		r = Period{Endpoint: id, Began: now}
 	}
 	if until := now.Add(duration); until.After(r.Until) {
 		r.Until = until
@@ -66,7 +66,7 @@
 
 // evictEarliest evicts the back-off that ends first.
 func (t *Table) evictEarliest() {
-	var first *Rest
+	var first *Period
 	for _, r := range t.periods {
 		if first == nil || r.Until.Before(first.Until) {
 			first = &r
@@ -75,8 +75,8 @@
 	delete(t.periods, first.Endpoint)
 }
 
-// Left returns how long an endpoint still backs off; zero if it doesn't.
-func (t *Table) Left(now time.Time, id ryeford.EndpointID) time.Duration {
+// Remaining returns how long an endpoint still backs off; zero if it doesn't.
+func (t *Table) Remaining(now time.Time, id ryeford.EndpointID) time.Duration {
 	if t.size.Load() == 0 {
 		return 0 // common case; a choice calls Left for each endpoint
 	}
@@ -86,10 +86,10 @@
 }
 
 // Expire removes the back-offs that have ended, and returns them.
-func (t *Table) Expire(now time.Time) []Rest {
+func (t *Table) Expire(now time.Time) []Period {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var ended []Rest
+	var ended []Period
 	for id, r := range t.periods {
 		if !now.Before(r.Until) {
 			ended = append(ended, r)
--- a/gateway/backoff/backoff_test.go
+++ b/gateway/backoff/backoff_test.go
@@ -29,13 +29,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			table := New()
 			for i, a := range test.calls {
-				started := table.Ask(start.Add(a.at), "a", a.duration)
+				started := table.Start(start.Add(a.at), "a", a.duration)
 				assert.Equal(t, started, i == 0 || test.name == "again, after the end")
 			}
 			until := start.Add(test.until)
-			assert.Equal(t, table.Left(until.Add(-1), "a"), time.Duration(1))
-			assert.Equal(t, table.Left(until, "a"), time.Duration(0))
-			assert.Equal(t, table.Left(start, "b"), time.Duration(0))
+			assert.Equal(t, table.Remaining(until.Add(-1), "a"), time.Duration(1))
+			assert.Equal(t, table.Remaining(until, "a"), time.Duration(0))
+			assert.Equal(t, table.Remaining(start, "b"), time.Duration(0))
 		})
 	}
 }
@@ -43,11 +43,11 @@
 // TestExpire checks that an ended back-off is returned once, with the number of refused requests.
 func TestExpire(t *testing.T) {
 	table := New()
-	table.Ask(start, "a", 2*time.Second)
-	table.Ask(start.Add(time.Second), "a", time.Second/2)
-	table.Ask(start, "b", time.Minute)
+	table.Start(start, "a", 2*time.Second)
+	table.Start(start.Add(time.Second), "a", time.Second/2)
+	table.Start(start, "b", time.Minute)
 	assert.Equal(t, len(table.Expire(start.Add(2*time.Second-1))), 0)
-	want := []Rest{{Endpoint: "a", Began: start, Until: start.Add(2 * time.Second), Refused: 2}}
+	want := []Period{{Endpoint: "a", Began: start, Until: start.Add(2 * time.Second), Refused: 2}}
 	assert.DeepEqual(t, table.Expire(start.Add(2*time.Second)), want)
 	assert.Equal(t, len(table.Expire(start.Add(3*time.Second))), 0)
 	assert.Equal(t, table.Len(), 1)
@@ -57,11 +57,11 @@
 // first.
 func TestMaxPeriods(t *testing.T) {
 	table := New()
-	table.Ask(start, "first", time.Second)
+	table.Start(start, "first", time.Second)
 	for i := range maxPeriods {
-		table.Ask(start, ryeford.EndpointID(fmt.Sprint(i)), time.Minute)
+		table.Start(start, ryeford.EndpointID(fmt.Sprint(i)), time.Minute)
 	}
 	assert.Equal(t, table.Len(), maxPeriods)
-	assert.Equal(t, table.Left(start, "first"), time.Duration(0))
-	assert.Equal(t, table.Left(start, "0"), time.Minute)
+	assert.Equal(t, table.Remaining(start, "first"), time.Duration(0))
+	assert.Equal(t, table.Remaining(start, "0"), time.Minute)
 }
--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -136,14 +136,14 @@
 // none.
 func (b *balancer) unavailableFor(now time.Time, service string) time.Duration {
 	return b.shortestWait(service, func(id ryeford.EndpointID) time.Duration {
-		return max(b.detector.EjectedFor(now, id), b.rests.Left(now, id))
+		return max(b.detector.EjectedFor(now, id), b.rests.Remaining(now, id))
 	})
 }
 
 // backingOffFor returns how long it takes until the first of a service's endpoints that accept requests ends its
 // back-off. It is zero if one is not backing off, or if there are none.
 func (b *balancer) backingOffFor(now time.Time, service string) time.Duration {
-	return b.shortestWait(service, func(id ryeford.EndpointID) time.Duration { return b.rests.Left(now, id) })
+	return b.shortestWait(service, func(id ryeford.EndpointID) time.Duration { return b.rests.Remaining(now, id) })
 }
 
 // shortestWait returns the shortest duration that of returns for a service's endpoints that accept requests, or
--- a/gateway/balancer_test.go
+++ b/gateway/balancer_test.go
@@ -104,10 +104,10 @@
 	assert.Equal(t, b.unavailableFor(now, "s"), time.Duration(0), "b is available")
 	b.detector.Eject(now, "b", 3*time.Second)
 	assert.Equal(t, b.unavailableFor(now, "s"), time.Second, "a is available first")
-	b.rests.Ask(now, "a", 2*time.Second)
+	b.rests.Start(now, "a", 2*time.Second)
 	assert.Equal(t, b.unavailableFor(now, "s"), 2*time.Second, "a is available first, after its back-off")
 	assert.Equal(t, b.backingOffFor(now, "s"), time.Duration(0), "b is not backing off")
-	b.rests.Ask(now, "b", time.Minute)
+	b.rests.Start(now, "b", time.Minute)
 	assert.Equal(t, b.backingOffFor(now, "s"), 2*time.Second)
 	assert.Equal(t, b.unavailableFor(now, "another"), time.Duration(0))
 }
--- a/gateway/fleetrest_test.go
+++ b/gateway/fleetrest_test.go
@@ -64,7 +64,7 @@
 	if now.Before(s.ended) {
 		s.refused++
 		s.backOffEnds[r][id] = now.Add(s.backOff)
-		f.at(now.Add(simulatedDelay), func(now time.Time) { r.rests.Ask(now, id, s.backOff) })
+		f.at(now.Add(simulatedDelay), func(now time.Time) { r.rests.Start(now, id, s.backOff) })
 		return true
 	}
 	s.arrivals[id][now.Sub(s.ended)/simulatedSlice]++
