--- a/agentfleet/engine/client.go
+++ b/agentfleet/engine/client.go
@@ -259,7 +259,7 @@
 	case http.StatusPreconditionFailed:
 		return &ryeford.FenceError{}
 	}
-	return &Error{Op: op, Status: status, RetryAfter: retry.Rest(status, response.Header)}
+	return &Error{Op: op, Status: status, RetryAfter: retry.RetryAfter(status, response.Header)}
 }
 
 // RetryAfter returns the back-off that an engine requested when a call failed with err,
--- a/agentfleet/engine/service.go
+++ b/agentfleet/engine/service.go
@@ -92,7 +92,7 @@
 	if !ok {
 		return 0
 	}
-	return retry.Rest(r.response.StatusCode, r.response.Header)
+	return retry.RetryAfter(r.response.StatusCode, r.response.Header)
 }
 
 // Close implements ryeford.ChunkReader.
--- a/agentfleet/router/callers.go
+++ b/agentfleet/router/callers.go
@@ -72,7 +72,7 @@
 func (f *forwarder) serveRequest(ctx *fasthttp.RequestCtx, parse func(*fasthttp.RequestCtx, *request) error) {
 	req := &request{id: ryeford.RequestID(uuid.NewString())}
 	if !f.readiness.synced.Load() {
-		writeError(ctx, req.id, &ryeford.NotRunError{Reason: ryeford.ReasonNotReady, RetryAfter: retry.Spread(unavailableRetryAfter)})
+		writeError(ctx, req.id, &ryeford.NotRunError{Reason: ryeford.ReasonNotReady, RetryAfter: retry.Jitter(unavailableRetryAfter)})
 		return
 	}
 	err := f.parseCommon(ctx, req)
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if !held.Acquired { // another request has replaced the claim
-		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Spread(x.forwarder.limits.Dispatch)}
+		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Jitter(x.forwarder.limits.Dispatch)}
 	}
 	return x.dispatchClaimed(ctx, held)
 }
@@ -118,7 +118,7 @@
 	req := x.request
 	x.forwarder.decisions.Record(req.id, "decision", "refuse", "request", req.id, "account", req.account,
 		"chat", req.chat, "reason", ryeford.ReasonStoreUnavailable, "err", err)
-	return &ryeford.NotRunError{Reason: ryeford.ReasonStoreUnavailable, RetryAfter: retry.Spread(storeRetryAfter)}
+	return &ryeford.NotRunError{Reason: ryeford.ReasonStoreUnavailable, RetryAfter: retry.Jitter(storeRetryAfter)}
 }
 
 // joinFirstRun joins the run of the request that claimed the key, and reports whether
@@ -142,7 +142,7 @@
 		}
 	}
 	if unanswered > 0 {
-		return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, RetryAfter: retry.Spread(x.forwarder.limits.Dispatch)}
+		return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, RetryAfter: retry.Jitter(x.forwarder.limits.Dispatch)}
 	}
 	return false, nil
 }
@@ -158,7 +158,7 @@
 			}
 		}
 		if time.Now().After(x.request.deadline) {
-			return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Spread(time.Until(record.Expires))}
+			return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning, RetryAfter: retry.Jitter(time.Until(record.Expires))}
 		}
 		if !clock.Sleep(ctx, peekInterval) {
 			return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonRunning}
--- a/agentfleet/router/exchange.go
+++ b/agentfleet/router/exchange.go
@@ -62,7 +62,7 @@
 // dispatchAll dispatches the request. If it needs a claim, it claims the key first.
 func (x *exchange) dispatchAll(ctx context.Context) error {
 	if len(x.candidates.queue) == 0 {
-		return &ryeford.NotRunError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(unavailableRetryAfter)}
+		return &ryeford.NotRunError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Jitter(unavailableRetryAfter)}
 	}
 	if x.request.needsClaim() {
 		return x.startClaimed(ctx)
@@ -109,7 +109,7 @@
 		x.history.mayHaveRun = x.history.mayHaveRun || mayHaveRun(last)
 		step = nextStepAfterFailure(last, x.request.repeatable)
 	}
-	return finalError(last, x.history.mayHaveRun, retry.Spread(x.history.retryAfter))
+	return finalError(last, x.history.mayHaveRun, retry.Jitter(x.history.retryAfter))
 }
 
 // startRound queues the first candidate again if allowsAnotherRound permits it.
--- a/agentfleet/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -94,10 +94,10 @@
 	lost := x.stream.candidate.Engine
 	x.candidates.queue = slices.DeleteFunc(ranked, func(c claim.Candidate) bool { return c.Engine == lost })
 	if !x.forwarder.budgets.spend(x.request.account, stepRetry) {
-		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonRetryBudget, RetryAfter: retry.Spread(x.history.retryAfter), Err: cause}
+		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonRetryBudget, RetryAfter: retry.Jitter(x.history.retryAfter), Err: cause}
 	}
 	if len(x.candidates.queue) == 0 {
-		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Spread(x.history.retryAfter), Err: cause}
+		return &ryeford.MayHaveRunError{Reason: ryeford.ReasonNoCandidate, RetryAfter: retry.Jitter(x.history.retryAfter), Err: cause}
 	}
 	return x.dispatchQueue(ctx)
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -152,12 +152,12 @@
 	var blocked *ryeford.NotRunError // returned by checkSend
 	errors.As(err, &blocked)
 	rateAttempt(attemptEnd{end: end, blocked: blocked != nil, ctxDone: ctxDone}).report(x.forwarder.detector, to.ID)
-	if cause := context.Cause(attemptCtx); cause != nil && !ctxDone && end != retry.EndBarred {
+	if cause := context.Cause(attemptCtx); cause != nil && !ctxDone && end != retry.EndForbidden {
 		err = cause
 	}
 	x.recordFailed(to, end, err)
 	switch {
-	case end == retry.EndBarred:
+	case end == retry.EndForbidden:
 		return end, blocked
 	case ctxDone:
 		return end, x.stopError(ctx)
@@ -173,7 +173,7 @@
 	var unsent *endpoint.UnsentError
 	switch {
 	case errors.As(err, &notRun) && !admit.OfEndpoint(notRun.Reason):
-		return retry.EndBarred
+		return retry.EndForbidden
 	case errors.As(err, &notRun), errors.As(err, &unsent):
 		return retry.EndUnsent
 	}
--- a/gateway/attempt_test.go
+++ b/gateway/attempt_test.go
@@ -21,8 +21,8 @@
 	}{
 		{"the endpoint accepts no connection", &endpoint.UnsentError{Err: errors.New("refused")}, retry.EndUnsent},
 		{"the endpoint began to drain", &endpoint.UnsentError{Err: giveup.NotRun(ryeford.ReasonLeaving)}, retry.EndUnsent},
-		{"the configuration went stale", &endpoint.UnsentError{Err: giveup.NotRun(ryeford.ReasonStaleConfiguration)}, retry.EndBarred},
-		{"the key was revoked", &endpoint.UnsentError{Err: giveup.NotRun(ryeford.ReasonKeyRevoked)}, retry.EndBarred},
+		{"the configuration went stale", &endpoint.UnsentError{Err: giveup.NotRun(ryeford.ReasonStaleConfiguration)}, retry.EndForbidden},
+		{"the key was revoked", &endpoint.UnsentError{Err: giveup.NotRun(ryeford.ReasonKeyRevoked)}, retry.EndForbidden},
 		{"the connection broke", &endpoint.LostError{Err: errors.New("reset")}, retry.EndLost},
 		{"the response belongs to another request", &endpoint.LostError{Err: &endpoint.UnusableResponseError{}}, retry.EndLost},
 	} {
--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -259,7 +259,7 @@
 
 // mayAttempt reports whether an attempt may be made at an endpoint.
 func (x *exchange) mayAttempt(to *roster.Entry) bool {
-	return x.history.Tries(x.forwarder.detector.Unusable(clock.Now(), to.ID))
+	return x.history.MayTry(x.forwarder.detector.Unusable(clock.Now(), to.ID))
 }
 
 // logChoice logs the endpoint of an attempt and the reason for the choice.
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -58,8 +58,8 @@
 }
 
 func (x *exchange) serve(ctx context.Context) {
-	step := retry.Step{Again: true}
-	for step.Again {
+	step := retry.Decision{Retry: true}
+	for step.Retry {
 		if err := x.checkServable(); err != nil {
 			x.giveUp(err)
 			return
@@ -99,7 +99,7 @@
 
 // chooseFor chooses the endpoint of an attempt, and the endpoint from which it may fetch cached
 // parts of the prompt. Either may be nil.
-func (x *exchange) chooseFor(step retry.Step) (to, source *roster.Entry) {
+func (x *exchange) chooseFor(step retry.Decision) (to, source *roster.Entry) {
 	to, source = x.choose()
 	if to == nil && step.AllowTried {
 		clear(x.tried)
@@ -109,14 +109,14 @@
 }
 
 // next returns what follows an attempt, and charges a needed retry to the retry budget.
-func (x *exchange) next(ctx context.Context, end retry.End) retry.Step {
+func (x *exchange) next(ctx context.Context, end retry.End) retry.Decision {
 	ctxDone := ctx.Err() != nil
 	if end == retry.EndUnsent && !ctxDone { // otherwise the end of ctx may have caused it
 		x.history.Unsent++
 	}
 	step := x.policy.Next(end, x.history, ctxDone)
 	if step.Budgeted && !x.retryCharged && !x.takeRetry() {
-		return retry.Step{}
+		return retry.Decision{}
 	}
 	return step
 }
@@ -126,7 +126,7 @@
 func (x *exchange) takeRetry() bool {
 	now := clock.Now()
 	routers := x.forwarder.peers.Alive(now) + 1
-	return x.request.budget.TakeRetry(now, retry.Sharers(x.forwarder.minSharers, routers))
+	return x.request.budget.TakeRetry(now, retry.ReserveDivisor(x.forwarder.minSharers, routers))
 }
 
 // shouldWithhold reports whether an endpoint's response is not passed on: it is a failure that
@@ -135,7 +135,7 @@
 	if isSuccess(status) {
 		return false
 	}
-	return x.policy.Next(retry.EndFailed, x.history, false).Again || giveup.PromisesNotRun(status)
+	return x.policy.Next(retry.EndFailed, x.history, false).Retry || giveup.PromisesNotRun(status)
 }
 
 // stopError returns the error of a request whose context has ended.
--- a/gateway/exchange_test.go
+++ b/gateway/exchange_test.go
@@ -72,7 +72,7 @@
 
 // newExchangeTest returns an exchangeTest without endpoints whose request may be sent.
 func newExchangeTest(t testing.TB) *exchangeTest {
-	e := &exchangeTest{t: t, retries: retry.WindowLimits{Span: time.Second, Reserve: 100}}
+	e := &exchangeTest{t: t, retries: retry.WindowLimits{Length: time.Second, Reserve: 100}}
 	e.configuration = &ryeford.Configuration{
 		Version:  1,
 		Accounts: []ryeford.AccountRule{{Account: "bank", Keys: []string{"key"}}},
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -205,7 +205,7 @@
 		drain:       g.drain,
 		initialSync: g.initialSync,
 		bodies:      semaphore.NewWeighted(admit.BodyMemory(s.Memory)),
-		budgets:     retry.NewWindows(retry.WindowLimits{Span: s.Bounds.RetryWindow, Ratio: s.Bounds.RetryRatio, Reserve: s.Bounds.RetryReserve}),
+		budgets:     retry.NewWindows(retry.WindowLimits{Length: s.Bounds.RetryWindow, Ratio: s.Bounds.RetryRatio, Reserve: s.Bounds.RetryReserve}),
 	}
 }
 
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -113,7 +113,7 @@
 	}
 	q.setAffinity()
 	q.setService()
-	q.budget = h.budgets.Of(q.arrived, q.service)
+	q.budget = h.budgets.ForService(q.arrived, q.service)
 	q.budget.CountRequest(q.arrived)
 	return nil
 }
--- a/gateway/handler_test.go
+++ b/gateway/handler_test.go
@@ -35,7 +35,7 @@
 		drain:       newDrain(8*time.Second, log.NewNopLogger()),
 		initialSync: newInitialSync(0),
 		bodies:      semaphore.NewWeighted(1000),
-		budgets:     retry.NewWindows(retry.WindowLimits{Span: time.Second}),
+		budgets:     retry.NewWindows(retry.WindowLimits{Length: time.Second}),
 	}
 	h.configuration.inForce.Put(catalog.New(&ryeford.Configuration{
 		Version:  1,
--- a/gateway/rating_test.go
+++ b/gateway/rating_test.go
@@ -25,7 +25,7 @@
 		{"no connection", attemptEnd{end: retry.EndUnsent}, ratingUnreachable},
 		{"no connection until the deadline", attemptEnd{end: retry.EndUnsent, ctxDone: true}, ratingNone},
 		{"it began to drain before the request was sent", attemptEnd{end: retry.EndUnsent, blocked: true}, ratingNone},
-		{"the key was revoked before the request was sent", attemptEnd{end: retry.EndBarred, blocked: true}, ratingNone},
+		{"the key was revoked before the request was sent", attemptEnd{end: retry.EndForbidden, blocked: true}, ratingNone},
 		{"it sheds load", attemptEnd{end: retry.EndRefused, status: 503}, ratingFailure},
 		{"it is full, and sheds load", attemptEnd{end: retry.EndRefused, status: 503, full: true}, ratingNone},
 		{"it sheds load with a Retry-After", attemptEnd{end: retry.EndRefused, status: 503, backOff: true}, ratingNone},
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -61,7 +61,7 @@
 // writeVerdict writes a response that the gateway generates itself.
 func writeVerdict(w http.ResponseWriter, protocol ryeford.Protocol, id ryeford.RequestID, verdict *giveup.Verdict) {
 	header := w.Header()
-	protocol.ErrorHeader(header, id, retry.Between(verdict.RetryAfter.From, verdict.RetryAfter.To))
+	protocol.ErrorHeader(header, id, retry.RandomBetween(verdict.RetryAfter.From, verdict.RetryAfter.To))
 	if verdict.Final {
 		header.Set(headerShouldRetry, "false")
 	}
--- a/retry/after.go
+++ b/retry/after.go
@@ -12,9 +12,9 @@
 // of time.Duration.
 const maxRetryAfter = 24 * time.Hour
 
-// Rest returns how long a response asks its client to send no requests. Only 503 and 429 responses
+// RetryAfter returns how long a response asks its client to send no requests. Only 503 and 429 responses
 // with a Retry-After header do so; for others it returns 0.
-func Rest(status int, header http.Header) time.Duration {
+func RetryAfter(status int, header http.Header) time.Duration {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0
 	}
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -28,9 +28,9 @@
 	// EndUnsent: nothing was sent to the endpoint, so the request has not run
 	// there. Another endpoint may serve it.
 	EndUnsent
-	// EndBarred: nothing was sent, and nothing may be sent any more, since the configuration
+	// EndForbidden: nothing was sent, and nothing may be sent any more, since the configuration
 	// became stale or the key was revoked after the request arrived.
-	EndBarred
+	EndForbidden
 	// EndRefused: the endpoint states that it has not run the request.
 	EndRefused
 	// EndLost: the request was sent, but no complete response arrived. It may have run.
@@ -46,19 +46,19 @@
 // String returns the code of an end in logs and metrics. Some ends share a code.
 func (e End) String() string {
 	return [...]string{
-		EndAnswered: "done",
-		EndUnsent:   "unsent",
-		EndBarred:   "unsent",
-		EndRefused:  "not_run",
-		EndLost:     "failed",
-		EndFailed:   "failed",
-		EndStopped:  "stopped",
+		EndAnswered:  "done",
+		EndUnsent:    "unsent",
+		EndForbidden: "unsent",
+		EndRefused:   "not_run",
+		EndLost:      "failed",
+		EndFailed:    "failed",
+		EndStopped:   "stopped",
 	}[e]
 }
 
 // MayHaveRun reports whether the endpoint may have run the request.
 func (e End) MayHaveRun() bool {
-	return e != EndUnsent && e != EndBarred && e != EndRefused
+	return e != EndUnsent && e != EndForbidden && e != EndRefused
 }
 
 // A Policy decides when a request is sent again.
@@ -90,10 +90,10 @@
 	Unsent int // attempts that ended before anything was sent
 }
 
-// A Step is what follows an attempt. The zero Step means that the request is given up.
-type Step struct {
-	// Again reports that the request may be sent to an endpoint not yet tried.
-	Again bool
+// A Decision is what follows an attempt. The zero Step means that the request is given up.
+type Decision struct {
+	// Retry reports that the request may be sent to an endpoint not yet tried.
+	Retry bool
 	// Budgeted reports that this takes one retry from the service's budget.
 	Budgeted bool
 	// AllowTried reports that an endpoint may be tried again if all have been tried. This holds
@@ -104,13 +104,13 @@
 
 // Next returns what follows an attempt. h includes that attempt. done reports that the caller
 // has disconnected or that the request's deadline has passed.
-func (p Policy) Next(end End, h History, done bool) Step {
+func (p Policy) Next(end End, h History, done bool) Decision {
 	if done {
-		return Step{}
+		return Decision{}
 	}
 	switch end {
 	case EndUnsent:
-		return Step{Again: h.Unsent < maxUnsent}
+		return Decision{Retry: h.Unsent < maxUnsent}
 	case EndRefused:
 		return p.resend(h, false)
 	case EndLost:
@@ -122,22 +122,22 @@
 			return p.resend(h, true)
 		}
 	}
-	return Step{}
+	return Decision{}
 }
 
 // resend returns the Step that sends the request again, if MaxAttempts allows it.
-func (p Policy) resend(h History, allowTried bool) Step {
+func (p Policy) resend(h History, allowTried bool) Decision {
 	if h.Sent >= p.MaxAttempts {
-		return Step{}
+		return Decision{}
 	}
-	return Step{Again: true, Budgeted: true, AllowTried: allowTried}
+	return Decision{Retry: true, Budgeted: true, AllowTried: allowTried}
 }
 
-// Tries reports whether an attempt may go to an endpoint. unusable reports that the endpoint recently
+// MayTry reports whether an attempt may go to an endpoint. unusable reports that the endpoint recently
 // accepted no connection or responded as another endpoint. Such an endpoint is chosen only if no
 // other is left, and is tried once in case it has recovered. It is not tried after an unsent attempt:
 // each costs the caller up to the connection timeout, which is then missing for its own retry.
-func (h History) Tries(unusable bool) bool { return !unusable || h.Unsent == 0 }
+func (h History) MayTry(unusable bool) bool { return !unusable || h.Unsent == 0 }
 
 // PerTryTimeout returns how long the next attempt may wait for the first event of a stream, or for
 // the end of any other response, before the request is sent to another endpoint. It returns false
--- a/retry/policy_test.go
+++ b/retry/policy_test.go
@@ -13,17 +13,17 @@
 func TestNext(t *testing.T) {
 	once := Policy{MaxAttempts: 3}
 	idempotent := Policy{Idempotent: true, MaxAttempts: 3}
-	another := Step{Again: true}
-	budgeted := Step{Again: true, Budgeted: true}
-	tried := Step{Again: true, Budgeted: true, AllowTried: true}
-	stop := Step{}
+	another := Decision{Retry: true}
+	budgeted := Decision{Retry: true, Budgeted: true}
+	tried := Decision{Retry: true, Budgeted: true, AllowTried: true}
+	stop := Decision{}
 	for _, row := range []struct {
 		rule    string
 		policy  Policy
 		end     End
 		history History
 		done    bool
-		want    Step
+		want    Decision
 	}{
 		{"answered: done", idempotent, EndAnswered, History{Sent: 1}, false, stop},
 		{"the caller has disconnected: no retry", idempotent, EndUnsent, History{Unsent: 1}, true, stop},
@@ -32,7 +32,7 @@
 		{"unsent: another endpoint even after MaxAttempts", once, EndUnsent, History{Sent: 3, Unsent: 1}, false, another},
 		{"unsent: another endpoint below the limit", once, EndUnsent, History{Unsent: maxUnsent - 1}, false, another},
 		{"unsent: not beyond the limit", once, EndUnsent, History{Unsent: maxUnsent}, false, stop},
-		{"barred: it may not run anywhere", idempotent, EndBarred, History{}, false, stop},
+		{"barred: it may not run anywhere", idempotent, EndForbidden, History{}, false, stop},
 		{"refused: another endpoint, though not idempotent", once, EndRefused, History{Sent: 2}, false, budgeted},
 		{"refused: at most MaxAttempts", once, EndRefused, History{Sent: 3}, false, stop},
 		{"lost, may have run: not repeated", once, EndLost, History{Sent: 1}, false, stop},
@@ -63,7 +63,7 @@
 		{"unusable, after one that refused the request", History{Sent: 1}, true, true},
 		{"unusable, after one that could not be reached", History{Unsent: 1}, true, false},
 	} {
-		assert.Equal(t, row.history.Tries(row.unusable), row.want, row.rule)
+		assert.Equal(t, row.history.MayTry(row.unusable), row.want, row.rule)
 	}
 }
 
@@ -76,7 +76,7 @@
 	}{
 		{EndAnswered, true, "done"},
 		{EndUnsent, false, "unsent"},
-		{EndBarred, false, "unsent"},
+		{EndForbidden, false, "unsent"},
 		{EndRefused, false, "not_run"},
 		{EndLost, true, "failed"},
 		{EndFailed, true, "failed"},
--- a/retry/share_test.go
+++ b/retry/share_test.go
@@ -20,17 +20,17 @@
 		{"a quarter is rounded down", 1, 3, 3},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
-			assert.Equal(t, Sharers(row.configured, row.live), row.want)
+			assert.Equal(t, ReserveDivisor(row.configured, row.live), row.want)
 		})
 	}
 }
 
 // TestWindows checks that each service has its own budget, of which a router uses nine tenths.
 func TestWindows(t *testing.T) {
-	w := NewWindows(WindowLimits{Span: 10 * time.Second, Ratio: 0.2, Reserve: 10})
+	w := NewWindows(WindowLimits{Length: 10 * time.Second, Ratio: 0.2, Reserve: 10})
 	now := time.Now()
 	spend := func(service string) (retries int) {
-		for w.Of(now, service).TakeRetry(now, 1) {
+		for w.ForService(now, service).TakeRetry(now, 1) {
 			retries++
 		}
 		return retries
@@ -39,7 +39,7 @@
 	assert.Equal(t, spend("chat"), 0)
 	assert.Equal(t, spend("plain"), 9)
 	for range 100 {
-		w.Of(now, "chat").CountRequest(now)
+		w.ForService(now, "chat").CountRequest(now)
 	}
 	assert.Equal(t, spend("chat"), 18)
 }
--- a/retry/spread.go
+++ b/retry/spread.go
@@ -8,17 +8,17 @@
 // defaultSpread replaces a base of zero or less.
 const defaultSpread = time.Second
 
-// Spread returns a random time between base and twice base, so that callers that were refused
+// Jitter returns a random time between base and twice base, so that callers that were refused
 // together do not retry together.
-func Spread(base time.Duration) time.Duration {
+func Jitter(base time.Duration) time.Duration {
 	if base <= 0 {
 		base = defaultSpread
 	}
-	return Between(base, 2*base)
+	return RandomBetween(base, 2*base)
 }
 
-// Between returns a random time in [from, to), or from if to is not later.
-func Between(from, to time.Duration) time.Duration {
+// RandomBetween returns a random time in [from, to), or from if to is not later.
+func RandomBetween(from, to time.Duration) time.Duration {
 	if to <= from {
 		return from
 	}
--- a/retry/spread_test.go
+++ b/retry/spread_test.go
@@ -12,7 +12,7 @@
 func TestSpread(t *testing.T) {
 	seen := make(map[time.Duration]bool)
 	for range 100 {
-		d := Spread(time.Second)
+		d := Jitter(time.Second)
 		assert.Assert(t, d >= time.Second && d < 2*time.Second)
 		seen[d] = true
 	}
@@ -24,11 +24,11 @@
 func TestBetween(t *testing.T) {
 	seen := make(map[time.Duration]bool)
 	for range 100 {
-		d := Between(time.Second, 3*time.Second)
+		d := RandomBetween(time.Second, 3*time.Second)
 		assert.Assert(t, d >= time.Second && d < 3*time.Second)
 		seen[d] = true
 	}
 	assert.Assert(t, len(seen) > 50)
-	assert.Equal(t, Between(time.Second, time.Second), time.Second)
-	assert.Equal(t, Between(0, 0), time.Duration(0))
+	assert.Equal(t, RandomBetween(time.Second, time.Second), time.Second)
+	assert.Equal(t, RandomBetween(0, 0), time.Duration(0))
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -34,7 +34,7 @@
 
 // WindowLimits are the limits of a Window.
 type WindowLimits struct {
-	Span time.Duration // length of the sliding window
+	Length time.Duration // length of the sliding window
 	// Ratio is the share of this router's requests that may be sent again.
 	Ratio float64
 	// Reserve is how many retries all routers together may send beyond the ratio.
@@ -86,7 +86,7 @@
 // but only once they are admitted. A request that arrived before the first slice counts in the first
 // one, and one whose slice has been reused since counts in the newer slice.
 func (w *Window) slice(now time.Time) *windowSlice {
-	number := max(0, int64(now.Sub(w.epoch)/(w.limits.Span/windowSlices)))
+	number := max(0, int64(now.Sub(w.epoch)/(w.limits.Length/windowSlices)))
 	s := &w.slices[number%(windowSlices+1)]
 	if s.number < number {
 		*s = windowSlice{number: number}
@@ -94,13 +94,13 @@
 	return s
 }
 
-// Sharers returns the number of routers among which the Reserve of a Window is divided, so that all
+// ReserveDivisor returns the number of routers among which the Reserve of a Window is divided, so that all
 // of them together keep to it without coordination: the live routers and a quarter more, but at
 // least the configured number, since a router that is isolated from its peers must not take the
 // whole reserve.
 //
 // live counts this router and the peers from which it has recently received a message.
-func Sharers(configured, live int) int {
+func ReserveDivisor(configured, live int) int {
 	return max(configured, live+live/liveRoutersPerUnseen)
 }
 
@@ -121,8 +121,8 @@
 	return &Windows{limits: limits, windows: make(map[string]*Window)}
 }
 
-// Of returns the Window of a service, which is created at now if it doesn't exist.
-func (w *Windows) Of(now time.Time, service string) *Window {
+// ForService returns the Window of a service, which is created at now if it doesn't exist.
+func (w *Windows) ForService(now time.Time, service string) *Window {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	window := w.windows[service]
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -12,7 +12,7 @@
 // and of the one before it allow.
 func TestWindowBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := WindowLimits{Span: 10 * time.Second, Ratio: 0.18, Reserve: 5}
+		limits := WindowLimits{Length: 10 * time.Second, Ratio: 0.18, Reserve: 5}
 		now := time.Unix(1000, 0)
 		w := NewWindow(now, limits)
 		var requests, retries []time.Time
@@ -37,9 +37,9 @@
 				}
 				return n
 			}
-			to := from.Add(limits.Span)
+			to := from.Add(limits.Length)
 			got := in(retries, from, to)
-			allowed := limits.Ratio*float64(in(requests, from.Add(-limits.Span), to)) + limits.Reserve
+			allowed := limits.Ratio*float64(in(requests, from.Add(-limits.Length), to)) + limits.Reserve
 			assert.Assert(t, float64(got) <= allowed, "%d retries, %f allowed", got, allowed)
 		}
 	})
@@ -48,7 +48,7 @@
 // TestWindowSlides checks that retries are allowed again once old ones have left the window.
 func TestWindowSlides(t *testing.T) {
 	now := time.Unix(1000, 0)
-	w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Reserve: 2})
+	w := NewWindow(now, WindowLimits{Length: 10 * time.Second, Reserve: 2})
 	assert.Assert(t, w.TakeRetry(now, 1))
 	assert.Assert(t, w.TakeRetry(now, 1))
 	assert.Assert(t, !w.TakeRetry(now.Add(9*time.Second), 1))
@@ -61,7 +61,7 @@
 	now := time.Unix(1000, 0)
 	retries := 0
 	for range routers {
-		w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Ratio: 0.2, Reserve: 84})
+		w := NewWindow(now, WindowLimits{Length: 10 * time.Second, Ratio: 0.2, Reserve: 84})
 		for w.TakeRetry(now, routers) {
 			retries++
 		}
@@ -73,7 +73,7 @@
 // created: one that waited for the first configuration.
 func TestWindowEarlyRequest(t *testing.T) {
 	now := time.Unix(1000, 0)
-	w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Ratio: 1})
+	w := NewWindow(now, WindowLimits{Length: 10 * time.Second, Ratio: 1})
 	w.CountRequest(now.Add(-600 * time.Millisecond))
 	assert.Assert(t, w.TakeRetry(now, 1), "the request counts")
 	assert.Assert(t, !w.TakeRetry(now, 1))
@@ -83,7 +83,7 @@
 // slow body, resetting the count of retries.
 func TestWindowLateCount(t *testing.T) {
 	now := time.Unix(1000, 0)
-	w := NewWindow(now, WindowLimits{Span: 10 * time.Second, Reserve: 2})
+	w := NewWindow(now, WindowLimits{Length: 10 * time.Second, Reserve: 2})
 	now = now.Add(30 * time.Second)
 	assert.Assert(t, w.TakeRetry(now, 1))
 	assert.Assert(t, w.TakeRetry(now, 1))
