--- a/gateway/admit/admit.go
+++ b/gateway/admit/admit.go
@@ -64,11 +64,11 @@
 	return nil
 }
 
-// A Sending is what a router knows about a request and its endpoint before an attempt begins, and
+// A SendState is what a router knows about a request and its endpoint before an attempt begins, and
 // again right before the first byte is sent.
-type Sending struct {
-	// Hindrance is the exclusion reason of the endpoint, or empty.
-	Hindrance ryeford.Reason
+type SendState struct {
+	// ExclusionReason is the exclusion reason of the endpoint, or empty.
+	ExclusionReason ryeford.Reason
 	// RouteFound reports that the configuration still has a route for the request.
 	RouteFound bool
 	// NeedsKey reports that the request was admitted because of its key.
@@ -81,10 +81,10 @@
 
 // CheckSend returns why a request must not be sent, or nil. The error is a
 // *ryeford.NotRunError. It is final unless OfEndpoint returns true for its reason.
-func CheckSend(s Sending) error {
+func CheckSend(s SendState) error {
 	switch {
-	case s.Hindrance != "":
-		return giveup.NotRun(s.Hindrance)
+	case s.ExclusionReason != "":
+		return giveup.NotRun(s.ExclusionReason)
 	case !s.RouteFound && !s.Reliable:
 		return giveup.NotRun(ryeford.ReasonStaleConfiguration)
 	case !s.RouteFound:
@@ -97,9 +97,9 @@
 	return nil
 }
 
-// OfEndpoint reports whether a reason returned by CheckSend concerns only one endpoint, so that another
+// ConcernsEndpoint reports whether a reason returned by CheckSend concerns only one endpoint, so that another
 // endpoint may serve the request.
-func OfEndpoint(reason ryeford.Reason) bool {
+func ConcernsEndpoint(reason ryeford.Reason) bool {
 	return reason == ryeford.ReasonLeaving || reason == ryeford.ReasonEvacuated || reason == ryeford.ReasonResting
 }
 
--- a/gateway/admit/admit_test.go
+++ b/gateway/admit/admit_test.go
@@ -76,26 +76,26 @@
 // TestCheckSend guards against sending a request that a change after its admission forbids, and
 // against a retryable error when the configuration no longer allows the request.
 func TestCheckSend(t *testing.T) {
-	ready := Sending{RouteFound: true, NeedsKey: true, Reliable: true, ServesKeys: true, KeyFound: true}
+	ready := SendState{RouteFound: true, NeedsKey: true, Reliable: true, ServesKeys: true, KeyFound: true}
 	for _, row := range []struct {
 		rule   string
-		change func(*Sending)
+		change func(*SendState)
 		want   failure
 	}{
-		{"nothing has changed", func(*Sending) {}, failure{}},
-		{"the endpoint is draining or gone", func(s *Sending) { s.Hindrance = ryeford.ReasonLeaving }, failure{503, "leaving"}},
-		{"its failure domain is evacuated", func(s *Sending) { s.Hindrance = ryeford.ReasonEvacuated }, failure{503, "evacuated"}},
-		{"the endpoint is backing off", func(s *Sending) { s.Hindrance = ryeford.ReasonResting }, failure{503, "resting"}},
-		{"the configuration became stale", func(s *Sending) { s.Reliable, s.ServesKeys = false, false }, failure{503, "stale_configuration"}},
-		{"in a store outage during which keys are served", func(s *Sending) { s.Reliable = false }, failure{}},
-		{"the key is unknown in an outage: the configuration may be stale", func(s *Sending) { s.KeyFound, s.Reliable = false, false }, failure{503, "stale_configuration"}},
-		{"the key was revoked", func(s *Sending) { s.KeyFound = false }, failure{401, "key_taken"}},
-		{"the key was revoked, but the configuration may be stale", func(s *Sending) { s.KeyFound, s.Reliable, s.ServesKeys = false, false, false }, failure{503, "stale_configuration"}},
-		{"the route was removed", func(s *Sending) { s.RouteFound = false }, failure{404, "route_removed"}},
-		{"the route was removed, but the configuration may be stale", func(s *Sending) { s.RouteFound, s.Reliable, s.ServesKeys = false, false, false }, failure{503, "stale_configuration"}},
-		{"a public route may be removed too", func(s *Sending) { s.RouteFound, s.NeedsKey, s.KeyFound = false, false, false }, failure{404, "route_removed"}},
-		{"a public route needs neither lease nor key", func(s *Sending) { s.NeedsKey, s.Reliable, s.ServesKeys, s.KeyFound = false, false, false, false }, failure{}},
-		{"the endpoint is checked first: another may serve the request", func(s *Sending) { s.Hindrance, s.Reliable, s.ServesKeys = ryeford.ReasonLeaving, false, false }, failure{503, "leaving"}},
+		{"nothing has changed", func(*SendState) {}, failure{}},
+		{"the endpoint is draining or gone", func(s *SendState) { s.ExclusionReason = ryeford.ReasonLeaving }, failure{503, "leaving"}},
+		{"its failure domain is evacuated", func(s *SendState) { s.ExclusionReason = ryeford.ReasonEvacuated }, failure{503, "evacuated"}},
+		{"the endpoint is backing off", func(s *SendState) { s.ExclusionReason = ryeford.ReasonResting }, failure{503, "resting"}},
+		{"the configuration became stale", func(s *SendState) { s.Reliable, s.ServesKeys = false, false }, failure{503, "stale_configuration"}},
+		{"in a store outage during which keys are served", func(s *SendState) { s.Reliable = false }, failure{}},
+		{"the key is unknown in an outage: the configuration may be stale", func(s *SendState) { s.KeyFound, s.Reliable = false, false }, failure{503, "stale_configuration"}},
+		{"the key was revoked", func(s *SendState) { s.KeyFound = false }, failure{401, "key_taken"}},
+		{"the key was revoked, but the configuration may be stale", func(s *SendState) { s.KeyFound, s.Reliable, s.ServesKeys = false, false, false }, failure{503, "stale_configuration"}},
+		{"the route was removed", func(s *SendState) { s.RouteFound = false }, failure{404, "route_removed"}},
+		{"the route was removed, but the configuration may be stale", func(s *SendState) { s.RouteFound, s.Reliable, s.ServesKeys = false, false, false }, failure{503, "stale_configuration"}},
+		{"a public route may be removed too", func(s *SendState) { s.RouteFound, s.NeedsKey, s.KeyFound = false, false, false }, failure{404, "route_removed"}},
+		{"a public route needs neither lease nor key", func(s *SendState) { s.NeedsKey, s.Reliable, s.ServesKeys, s.KeyFound = false, false, false, false }, failure{}},
+		{"the endpoint is checked first: another may serve the request", func(s *SendState) { s.ExclusionReason, s.Reliable, s.ServesKeys = ryeford.ReasonLeaving, false, false }, failure{503, "leaving"}},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
 			sending := ready
--- a/gateway/affinity.go
+++ b/gateway/affinity.go
@@ -36,8 +36,8 @@
 	return firstEndpoints{
 		entries: first.entries[:first.n:first.n],
 		means: choice.Means{
-			Counted:  total / float64(max(1, len(serving))),
-			Sendable: total / float64(max(1, cold.countWarm(query.service))),
+			NotDraining: total / float64(max(1, len(serving))),
+			Available:   total / float64(max(1, cold.countWarm(query.service))),
 		},
 	}
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -120,17 +120,17 @@
 func (x *exchange) checkSend(to *roster.Entry) error {
 	f, now := x.forwarder, clock.Now()
 	s := x.sendState(now)
-	s.Hindrance = f.exclusionReason(now, f.roster.Entry(to.ID))
+	s.ExclusionReason = f.exclusionReason(now, f.roster.Entry(to.ID))
 	return admit.CheckSend(s)
 }
 
 // sendState returns the inputs of the decision whether the request may still be sent, without
 // those that depend on the endpoint.
-func (x *exchange) sendState(now time.Time) admit.Sending {
+func (x *exchange) sendState(now time.Time) admit.SendState {
 	f, q := x.forwarder, x.request
 	current := f.configuration.current()
 	unchanged := current == q.catalog
-	return admit.Sending{
+	return admit.SendState{
 		RouteFound: unchanged || findRoute(current, x.incoming) != nil,
 		NeedsKey:   q.admittedByKey(),
 		Reliable:   f.configuration.reliable(now),
@@ -172,7 +172,7 @@
 	var notRun *ryeford.NotRunError
 	var unsent *endpoint.UnsentError
 	switch {
-	case errors.As(err, &notRun) && !admit.OfEndpoint(notRun.Reason):
+	case errors.As(err, &notRun) && !admit.ConcernsEndpoint(notRun.Reason):
 		return retry.EndForbidden
 	case errors.As(err, &notRun), errors.As(err, &unsent):
 		return retry.EndUnsent
--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -128,7 +128,7 @@
 func (b *balancer) prompt(now time.Time, query *endpointQuery) choice.Prompt {
 	sample := b.peers.Sample(now, query.service)
 	peers := sample.Demand(b.peers.Demand(now, query.affinity))
-	return choice.Prompt{Key: query.affinity, UnderWay: peers + float64(b.loads.Prompt(query.affinity))}
+	return choice.Prompt{Key: query.affinity, InFlight: peers + float64(b.loads.Prompt(query.affinity))}
 }
 
 // unavailableFor returns how long it takes until the first of a service's endpoints that accept
@@ -198,7 +198,7 @@
 			Tried:         query.tried[entry.ID],
 			Unhealthy:     !b.detector.Healthy(now, entry.ID),
 			Draining:      !entry.Listed(),
-			Barred:        excluded,
+			Excluded:      excluded,
 			MissingTokens: tokens - cachedTokens[entry.ID],
 		})
 	}
@@ -229,7 +229,7 @@
 		return entry != nil && entry.Service == query.service && id != to.ID && b.detector.Healthy(now, id)
 	})
 	joined := !to.FirstSeen.IsZero()
-	if choice.FromAlternate(chosen, parts, len(query.shared), joined) {
+	if choice.FetchFromAlternate(chosen, parts, len(query.shared), joined) {
 		return entries[chosen.Alternate]
 	}
 	return b.roster.Entry(indexed)
--- a/gateway/choice/affinity.go
+++ b/gateway/choice/affinity.go
@@ -16,8 +16,8 @@
 // A Prompt is the part of a request by which ByAffinity places it.
 type Prompt struct {
 	Key uint64 // hash of the prompt's last shared part
-	// UnderWay is the estimated number of requests with this prompt in flight, at all routers.
-	UnderWay float64
+	// InFlight is the estimated number of requests with this prompt in flight, at all routers.
+	InFlight float64
 	// Means holds the mean loads of all endpoints if the candidates are only the first ones in
 	// rendezvous order, nil if the candidates are complete.
 	Means *Means
@@ -44,7 +44,7 @@
 	result := newChoice(means, &limits)
 	open := func(c *Candidate) bool { return c.usable() && !c.isFull(result.Cap) && c.hasRoom() }
 	home := best(candidates, prompt.Key, -1, (*Candidate).usable)
-	needed := endpointsNeeded(prompt.UnderWay, result.Cap-means.Sendable)
+	needed := endpointsNeeded(prompt.InFlight, result.Cap-means.Available)
 	switch {
 	case home >= 0 && needed == 1 && open(&candidates[home]):
 		result.Index, result.Reason, result.Settled = home, ReasonHome, true
--- a/gateway/choice/choice.go
+++ b/gateway/choice/choice.go
@@ -40,9 +40,9 @@
 	Unhealthy bool
 	// Draining endpoints accept no requests but may still hold prompts.
 	Draining bool
-	// Barred endpoints are excluded for a reason other than load. They may hold prompts, and
+	// Excluded endpoints are excluded for a reason other than load. They may hold prompts, and
 	// their load counts for the mean.
-	Barred bool
+	Excluded bool
 	// MissingTokens is how many tokens of the prompt's shared parts the endpoint is not known
 	// to hold.
 	MissingTokens int
@@ -59,7 +59,7 @@
 
 // usable reports whether the candidate is healthy, accepts requests, is not excluded and was not
 // tried.
-func (c *Candidate) usable() bool { return !c.Draining && !c.Barred && !c.Tried && !c.Unhealthy }
+func (c *Candidate) usable() bool { return !c.Draining && !c.Excluded && !c.Tried && !c.Unhealthy }
 
 // Limits are the parameters of a choice that are configured for each router.
 type Limits struct {
@@ -98,25 +98,25 @@
 }
 
 func newChoice(means Means, limits *Limits) Choice {
-	return Choice{Index: -1, Alternate: -1, Reason: ReasonNone, Mean: means.Counted, Cap: limits.loadCap(means.Counted)}
+	return Choice{Index: -1, Alternate: -1, Reason: ReasonNone, Mean: means.NotDraining, Cap: limits.loadCap(means.NotDraining)}
 }
 
 // Means are mean loads in requests.
 type Means struct {
-	// Counted is the mean over all endpoints that are not draining; the cap is derived from it.
+	// NotDraining is the mean over all endpoints that are not draining; the cap is derived from it.
 	// Sendable is the mean over those that are not excluded either.
-	Counted, Sendable float64
+	NotDraining, Available float64
 }
 
 func meansOf(candidates []Candidate) Means {
-	return Means{Counted: meanLoad(candidates, (*Candidate).counted), Sendable: meanLoad(candidates, (*Candidate).sendable)}
+	return Means{NotDraining: meanLoad(candidates, (*Candidate).counted), Available: meanLoad(candidates, (*Candidate).sendable)}
 }
 
 // counted reports whether the candidate's load counts for the mean that the cap is derived from.
 func (c *Candidate) counted() bool { return !c.Draining }
 
 // sendable reports whether the candidate accepts requests and is not excluded.
-func (c *Candidate) sendable() bool { return !c.Draining && !c.Barred }
+func (c *Candidate) sendable() bool { return !c.Draining && !c.Excluded }
 
 // meanLoad returns the mean load, in requests, of the candidates for which counts returns true, or
 // 0 if there are none.
--- a/gateway/choice/choice_test.go
+++ b/gateway/choice/choice_test.go
@@ -39,7 +39,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := drawCandidates(t)
 		for _, chosen := range []Choice{
-			ByAffinity(candidates, Prompt{Key: rapid.Uint64().Draw(t, "key"), UnderWay: float64(rapid.IntRange(0, 200).Draw(t, "in flight"))}, limits, rapid.Uint64().Draw(t, "random")),
+			ByAffinity(candidates, Prompt{Key: rapid.Uint64().Draw(t, "key"), InFlight: float64(rapid.IntRange(0, 200).Draw(t, "in flight"))}, limits, rapid.Uint64().Draw(t, "random")),
 			ByLoad(candidates, limits, rapid.IntRange(0, 100).Draw(t, "start")),
 		} {
 			usable, healthy := 0, 0
--- a/gateway/choice/load.go
+++ b/gateway/choice/load.go
@@ -32,7 +32,7 @@
 	for n := range candidates {
 		i := (start + n) % len(candidates)
 		c := &candidates[i]
-		if c.Draining || c.Barred || c.Tried || c.Unhealthy != unhealthy {
+		if c.Draining || c.Excluded || c.Tried || c.Unhealthy != unhealthy {
 			continue
 		}
 		if cost := limits.cost(c); found < 0 || cost < lowest {
--- a/gateway/choice/rules_test.go
+++ b/gateway/choice/rules_test.go
@@ -180,7 +180,7 @@
 		{"a prefix is indexed, home is draining", Choice{Reason: ReasonHome, Alternate: 1, AlternateFirst: true}, 1, false, true},
 		{"a prefix is indexed, not sent home", Choice{Reason: ReasonSpill, Alternate: 1}, 1, false, true},
 	} {
-		assert.Equal(t, FromAlternate(&test.chosen, test.indexed, 2, test.joined), test.want, test.name)
+		assert.Equal(t, FetchFromAlternate(&test.chosen, test.indexed, 2, test.joined), test.want, test.name)
 	}
 }
 
--- a/gateway/choice/source.go
+++ b/gateway/choice/source.go
@@ -1,6 +1,6 @@
 package choice
 
-// FromAlternate reports whether the chosen endpoint should fetch the missing part of the prompt
+// FetchFromAlternate reports whether the chosen endpoint should fetch the missing part of the prompt
 // from the choice's alternate rather than from the source in the prefix-cache index, which is the
 // endpoint that holds the longest indexed prefix. indexed is the number of the prompt's shared
 // parts that the index lists for another endpoint, shared the number of shared parts, and joined
@@ -10,7 +10,7 @@
 // no part, the alternate is used. If it lists only a prefix, and earlier requests with this prompt
 // probably went to another endpoint than the chosen one, the alternate is more likely to hold the
 // whole prompt.
-func FromAlternate(chosen *Choice, indexed, shared int, joined bool) bool {
+func FetchFromAlternate(chosen *Choice, indexed, shared int, joined bool) bool {
 	if chosen.Alternate < 0 || indexed >= shared {
 		return false
 	}
--- a/gateway/choice/spread_test.go
+++ b/gateway/choice/spread_test.go
@@ -60,7 +60,7 @@
 		got := make(map[int]int)
 		reasons := make(map[Reason]int)
 		for random := range uint64(2000) {
-			chosen := ByAffinity(candidates, Prompt{Key: testKey, UnderWay: test.underWay}, limits, route.KeyHash(random))
+			chosen := ByAffinity(candidates, Prompt{Key: testKey, InFlight: test.underWay}, limits, route.KeyHash(random))
 			got[chosen.Index]++
 			reasons[chosen.Reason]++
 		}
