--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -154,9 +154,9 @@
 func (x *exchange) giveUp(err error) {
 	f, q, now := x.forwarder, x.request, clock.Now()
 	verdict := giveup.Decide(giveup.Request{
-		Err: err, Last: x.lastErr, MayHaveRun: x.mayHaveRun, Begun: x.relay.headerSent.Load(),
-		Unavailable: f.unavailableFor(now, q.service), Resting: f.backingOffFor(now, q.service), Unlisted: f.roster.Accepting(q.service) == 0, Caller: q.caller(), Recent: f.refusals.get(now, q.service),
-		Overloaded: f.overloads.duration(now, q.service),
+		Err: err, Last: x.lastErr, MayHaveRun: x.mayHaveRun, ResponseStarted: x.relay.headerSent.Load(),
+		UnavailableFor: f.unavailableFor(now, q.service), BackingOffFor: f.backingOffFor(now, q.service), Unlisted: f.roster.Accepting(q.service) == 0, Caller: q.caller(), Recent: f.refusals.get(now, q.service),
+		OverloadedFor: f.overloads.duration(now, q.service),
 	})
 	f.refusals.add(now, q.service, verdict.Counts())
 	if verdict.Reason == string(ryeford.ReasonOverload) {
@@ -192,7 +192,7 @@
 	if isSuccess(status) {
 		x.clearQuarantine()
 	}
-	f.refusals.add(clock.Now(), q.service, giveup.Recent{Answered: 1})
+	f.refusals.add(clock.Now(), q.service, giveup.RecentCounts{Answered: 1})
 	f.metrics.Count("ryeford_answered_total", "")
 	f.metrics.Observe("ryeford_answer_seconds", took.Seconds())
 	_ = f.log.Log("decision", "answer", "request", q.meta.ID, "route", q.rule.Name, "endpoint", to.ID, "status", status,
--- a/gateway/exchange_test.go
+++ b/gateway/exchange_test.go
@@ -246,7 +246,7 @@
 	seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 	assert.NilError(t, err)
 	assert.Assert(t, seconds > 590 && seconds < 600, "%v", seconds)
-	assert.Equal(t, e.forwarder.refusals.get(time.Now(), "s"), giveup.Recent{})
+	assert.Equal(t, e.forwarder.refusals.get(time.Now(), "s"), giveup.RecentCounts{})
 
 	e = newExchangeTest(t)
 	server := &appserver.Server{ID: "e1"}
--- a/gateway/forwarder.go
+++ b/gateway/forwarder.go
@@ -25,7 +25,7 @@
 	minSharers    int // minimum number of routers that share the retry budget's reserve
 	durations     *durations
 	fastest       *slidingWindow[time.Duration]
-	refusals      *slidingWindow[giveup.Recent]
+	refusals      *slidingWindow[giveup.RecentCounts]
 	occupancy     *occupancy.Table
 	overloads     *overloads
 	quarantine    *quarantineState
--- a/gateway/giveup/giveup.go
+++ b/gateway/giveup/giveup.go
@@ -47,29 +47,29 @@
 	Last error // error of the last attempt, or nil
 	// MayHaveRun reports that any of its attempts may have run.
 	MayHaveRun bool
-	// Begun reports that part of a response has been sent to the caller.
-	Begun bool
-	// Unavailable is how long all endpoints of the service remain ejected or back off; zero if one
+	// ResponseStarted reports that part of a response has been sent to the caller.
+	ResponseStarted bool
+	// UnavailableFor is how long all endpoints of the service remain ejected or back off; zero if one
 	// of them does neither, or if there are none.
-	Unavailable time.Duration
-	// Resting is how long all of them back off; zero if one doesn't.
-	Resting time.Duration
+	UnavailableFor time.Duration
+	// BackingOffFor is how long all of them back off; zero if one doesn't.
+	BackingOffFor time.Duration
 	// Unlisted reports that no listed endpoint of the service accepts requests.
 	Unlisted bool
-	// Overloaded is how long requests for the service have been refused because of load.
-	Overloaded time.Duration
-	Caller     Caller
-	Recent     Recent
+	// OverloadedFor is how long requests for the service have been refused because of load.
+	OverloadedFor time.Duration
+	Caller        Caller
+	Recent        RecentCounts
 }
 
-// A Verdict is how a request ends.
-type Verdict struct {
+// A Outcome is how a request ends.
+type Outcome struct {
 	// Err is the error to log. It is a *MayHaveRunError if the request may have run.
 	Err error
 	// Status is the HTTP status of the response, unless Abort is true.
 	Status int
 	// RetryAfter is the interval in which the caller should retry.
-	RetryAfter Band
+	RetryAfter RetryInterval
 	// Reason is the code of the failure in logs and metrics.
 	Reason string
 	// Final reports that callers must not retry automatically, whatever the status is. Many of them
@@ -80,21 +80,21 @@
 }
 
 // Decide returns how a request ends.
-func Decide(r Request) Verdict {
+func Decide(r Request) Outcome {
 	err := r.Err
 	var notRun *ryeford.NotRunError
 	if r.MayHaveRun && errors.As(err, &notRun) {
 		// The last attempt has not run, but an earlier one may have.
 		err = &ryeford.MayHaveRunError{Reason: notRun.Reason, Err: r.Last}
 	}
-	verdict := Verdict{Err: err, Status: statusOf(err), Reason: reasonOf(err), Abort: r.Begun}
+	verdict := Outcome{Err: err, Status: statusOf(err), Reason: reasonOf(err), Abort: r.ResponseStarted}
 	verdict.Final = verdict.Reason == string(ryeford.ReasonQuarantined)
 	switch {
 	case verdict.Status != http.StatusServiceUnavailable:
 	case verdict.Final: // quarantined, not overloaded: there are no simultaneous retries to spread
-		verdict.RetryAfter = Band{From: r.earliestRetry(), To: r.earliestRetry()}
+		verdict.RetryAfter = RetryInterval{From: r.earliestRetry(), To: r.earliestRetry()}
 	default:
-		verdict.RetryAfter = retryBand(r.earliestRetry(), r.Overloaded, r.Caller, r.Recent)
+		verdict.RetryAfter = retryBand(r.earliestRetry(), r.OverloadedFor, r.Caller, r.Recent)
 	}
 	return verdict
 }
@@ -102,7 +102,7 @@
 // ClosesConnection reports whether the connection of a caller whose request was not
 // admitted is closed after the response: the unread data may not be a request, or another
 // router may have a configuration that is not stale.
-func ClosesConnection(v *Verdict) bool {
+func ClosesConnection(v *Outcome) bool {
 	return v.Status == http.StatusRequestEntityTooLarge || v.Status == http.StatusBadRequest ||
 		v.Reason == string(ryeford.ReasonStaleConfiguration)
 }
--- a/gateway/giveup/giveup_test.go
+++ b/gateway/giveup/giveup_test.go
@@ -57,7 +57,7 @@
 		{"the route was removed, but an attempt may have run", Request{Err: NotRun(ryeford.ReasonRouteRemoved), Last: lost, MayHaveRun: true}, 502, "route_removed", false},
 		{"quarantined: not run", Request{Err: Quarantined(time.Hour)}, 503, "quarantined", false},
 		{"quarantined, and an attempt may have run", Request{Err: Quarantined(time.Hour), Last: lost, MayHaveRun: true}, 502, "quarantined", false},
-		{"a response has begun: aborted", Request{Err: lost, Last: lost, MayHaveRun: true, Begun: true}, 502, "engine_lost", true},
+		{"a response has begun: aborted", Request{Err: lost, Last: lost, MayHaveRun: true, ResponseStarted: true}, 502, "engine_lost", true},
 	} {
 		t.Run(row.rule, func(t *testing.T) {
 			row.request.Caller.Left = time.Minute
@@ -68,7 +68,7 @@
 			assert.Equal(t, got.Abort, row.abort)
 			assert.Equal(t, got.Final, row.reason == ryeford.ReasonQuarantined)
 			if got.Final && got.Status == http.StatusServiceUnavailable {
-				assert.Equal(t, got.RetryAfter, Band{From: time.Hour, To: time.Hour})
+				assert.Equal(t, got.RetryAfter, RetryInterval{From: time.Hour, To: time.Hour})
 			}
 			assert.Assert(t, !row.request.MayHaveRun || !PromisesNotRun(got.Status))
 		})
--- a/gateway/giveup/retryafter.go
+++ b/gateway/giveup/retryafter.go
@@ -67,9 +67,9 @@
 		if r.Unlisted {
 			return retryUnlisted
 		}
-		return max(notRun.RetryAfter, r.Unavailable)
+		return max(notRun.RetryAfter, r.UnavailableFor)
 	case ryeford.ReasonOverload:
-		return max(notRun.RetryAfter, r.Resting) // an ejected endpoint may still be tried, one that backs off may not
+		return max(notRun.RetryAfter, r.BackingOffFor) // an ejected endpoint may still be tried, one that backs off may not
 	}
 	return notRun.RetryAfter
 }
@@ -98,30 +98,30 @@
 	return rank, max(len(c.InUse), rank+1)
 }
 
-// A Recent counts how other requests of the same service recently ended at this router.
-type Recent struct {
+// A RecentCounts counts how other requests of the same service recently ended at this router.
+type RecentCounts struct {
 	Refused, Answered int
 }
 
 // Counts returns what a request with this verdict adds to the recent counts. It counts as refused if
 // the caller is notified that it has not run, except if it is quarantined.
-func (v *Verdict) Counts() Recent {
+func (v *Outcome) Counts() RecentCounts {
 	if v.Status == http.StatusServiceUnavailable && !v.Final {
-		return Recent{Refused: 1}
+		return RecentCounts{Refused: 1}
 	}
-	return Recent{}
+	return RecentCounts{}
 }
 
 // refusedShare returns the share of recent requests that were refused, from 0 to 1, including the
 // current one.
-func (r Recent) refusedShare() float64 {
+func (r RecentCounts) refusedShare() float64 {
 	refused := r.Refused + 1
 	return float64(refused) / float64(refused+r.Answered+assumedAnswers)
 }
 
-// A Band is the interval, from now, in which a caller should retry. The zero Band gives no
+// A RetryInterval is the interval, from now, in which a caller should retry. The zero Band gives no
 // retry time.
-type Band struct {
+type RetryInterval struct {
 	From, To time.Duration
 }
 
@@ -139,15 +139,15 @@
 // In an overload the interval begins no sooner than after the time for which the overload has
 // lasted, up to the latest retry time. A long overload is likely to go on, and callers that
 // retry during it take capacity from first requests.
-func retryBand(earliest, overloaded time.Duration, caller Caller, recent Recent) Band {
+func retryBand(earliest, overloaded time.Duration, caller Caller, recent RecentCounts) RetryInterval {
 	last := min(time.Duration(retryShare*float64(caller.Left)), maxRetryAfter)
 	if last <= 0 {
-		return Band{}
+		return RetryInterval{}
 	}
 	first := max(min(earliest, last/2), min(overloaded, last))
 	interval := time.Duration(recent.refusedShare() * float64(last-first))
 	rank, of := caller.rank()
 	width := interval / time.Duration(of)
 	from := first + time.Duration(rank)*width
-	return Band{From: from, To: from + width}
+	return RetryInterval{From: from, To: from + width}
 }
--- a/gateway/giveup/retryafter_test.go
+++ b/gateway/giveup/retryafter_test.go
@@ -15,10 +15,10 @@
 // TestRetryBand guards against retry intervals that overlap between priorities, that begin after the
 // time in which callers honor them, and against any interval for a caller without time left.
 func TestRetryBand(t *testing.T) {
-	for _, recent := range []Recent{{}, {Refused: 1}, {Answered: 1000}, {Refused: 1000}} {
+	for _, recent := range []RecentCounts{{}, {Refused: 1}, {Answered: 1000}, {Refused: 1000}} {
 		for _, earliest := range []time.Duration{0, 100 * time.Millisecond, time.Second, time.Hour} {
 			for _, left := range []time.Duration{time.Millisecond, 100 * time.Millisecond, time.Second, 6 * time.Second, time.Minute, NoLimit} {
-				previous := Band{}
+				previous := RetryInterval{}
 				for i, priority := range allPriorities {
 					band := retryBand(earliest, 0, Caller{Priority: priority, InUse: allPriorities, Left: left}, recent)
 					assert.Assert(t, band.From <= band.To)
@@ -32,7 +32,7 @@
 		}
 	}
 	for _, left := range []time.Duration{0, -time.Second} {
-		assert.Equal(t, retryBand(time.Second, 0, Caller{Left: left}, Recent{Refused: 9}), Band{})
+		assert.Equal(t, retryBand(time.Second, 0, Caller{Left: left}, RecentCounts{Refused: 9}), RetryInterval{})
 	}
 }
 
@@ -42,7 +42,7 @@
 	caller := Caller{Left: 10 * time.Second}
 	last := time.Duration(retryShare * float64(caller.Left))
 	for _, overloaded := range []time.Duration{0, time.Second, 2 * time.Second, time.Minute} {
-		for _, recent := range []Recent{{}, {Refused: 1000}} {
+		for _, recent := range []RecentCounts{{}, {Refused: 1000}} {
 			band := retryBand(100*time.Millisecond, overloaded, caller, recent)
 			assert.Equal(t, band.From, min(last, max(overloaded, 100*time.Millisecond)))
 			assert.Assert(t, band.From <= band.To && band.To <= last)
@@ -55,29 +55,29 @@
 func TestRetrySpread(t *testing.T) {
 	caller := Caller{Left: 4 * time.Second}
 	const first, last = 100 * time.Millisecond, 1200 * time.Millisecond
-	single := retryBand(first, 0, caller, Recent{Answered: 100})
+	single := retryBand(first, 0, caller, RecentCounts{Answered: 100})
 	assert.Equal(t, single.From, first)
 	assert.Assert(t, single.To < first+20*time.Millisecond, "%v", single)
-	many := retryBand(first, 0, caller, Recent{Refused: 10000})
+	many := retryBand(first, 0, caller, RecentCounts{Refused: 10000})
 	assert.Equal(t, many.From, first)
 	assert.Assert(t, many.To > last-time.Millisecond && many.To <= last, "%v", many)
-	half := retryBand(first, 0, caller, Recent{Refused: 10000, Answered: 10000})
+	half := retryBand(first, 0, caller, RecentCounts{Refused: 10000, Answered: 10000})
 	assert.Assert(t, half.To > 640*time.Millisecond && half.To < 660*time.Millisecond, "%v", half)
 }
 
 // TestRetryPriority checks that the interval is divided among the priorities in use, and
 // that a priority that is not in use is ranked among them.
 func TestRetryPriority(t *testing.T) {
-	at := func(p ryeford.Priority) Band {
-		return retryBand(0, 0, Caller{Priority: p, InUse: []ryeford.Priority{9, 7}, Left: 10 * time.Second}, Recent{Refused: 1 << 20})
+	at := func(p ryeford.Priority) RetryInterval {
+		return retryBand(0, 0, Caller{Priority: p, InUse: []ryeford.Priority{9, 7}, Left: 10 * time.Second}, RecentCounts{Refused: 1 << 20})
 	}
-	second := func(b Band) Band {
-		return Band{From: b.From.Round(10 * time.Millisecond), To: b.To.Round(10 * time.Millisecond)}
+	second := func(b RetryInterval) RetryInterval {
+		return RetryInterval{From: b.From.Round(10 * time.Millisecond), To: b.To.Round(10 * time.Millisecond)}
 	}
-	assert.Equal(t, second(at(9)), Band{From: 0, To: 1500 * time.Millisecond})
-	assert.Equal(t, second(at(7)), Band{From: 1500 * time.Millisecond, To: 3 * time.Second})
+	assert.Equal(t, second(at(9)), RetryInterval{From: 0, To: 1500 * time.Millisecond})
+	assert.Equal(t, second(at(7)), RetryInterval{From: 1500 * time.Millisecond, To: 3 * time.Second})
 	assert.Equal(t, at(8), at(7))
-	assert.Equal(t, second(at(5)), Band{From: 2 * time.Second, To: 3 * time.Second}, "not in use: ranked below both")
+	assert.Equal(t, second(at(5)), RetryInterval{From: 2 * time.Second, To: 3 * time.Second}, "not in use: ranked below both")
 }
 
 // TestRetryAfterEjection checks that callers retry when the first of their ejected endpoints is
@@ -89,12 +89,12 @@
 		ryeford.ReasonUnreachable: 700 * time.Millisecond,
 		ryeford.ReasonOverload:    100 * time.Millisecond,
 	} {
-		verdict := Decide(Request{Err: NotRun(reason), Unavailable: 700 * time.Millisecond, Caller: caller})
+		verdict := Decide(Request{Err: NotRun(reason), UnavailableFor: 700 * time.Millisecond, Caller: caller})
 		assert.Equal(t, verdict.RetryAfter.From, want, string(reason))
 	}
-	verdict := Decide(Request{Err: NotRun(ryeford.ReasonOverload), Unavailable: 700 * time.Millisecond, Resting: 600 * time.Millisecond, Caller: caller})
+	verdict := Decide(Request{Err: NotRun(ryeford.ReasonOverload), UnavailableFor: 700 * time.Millisecond, BackingOffFor: 600 * time.Millisecond, Caller: caller})
 	assert.Equal(t, verdict.RetryAfter.From, 600*time.Millisecond, "all back off: none serves sooner")
-	verdict = Decide(Request{Err: NotRun(ryeford.ReasonNoCandidate), Unavailable: time.Millisecond, Caller: caller})
+	verdict = Decide(Request{Err: NotRun(ryeford.ReasonNoCandidate), UnavailableFor: time.Millisecond, Caller: caller})
 	assert.Equal(t, verdict.RetryAfter.From, retryNoEndpoint)
 	verdict = Decide(Request{Err: NotRun(ryeford.ReasonNoCandidate), Unlisted: true, Caller: caller})
 	assert.Equal(t, verdict.RetryAfter.From, retryUnlisted)
--- a/gateway/giveup/simulation_test.go
+++ b/gateway/giveup/simulation_test.go
@@ -56,7 +56,7 @@
 	load   func(at time.Duration) float64 // first requests, as a multiple of capacity
 	down   func(at time.Duration) bool    // reports whether all endpoints are unreachable
 	length time.Duration
-	rule   func(Request) Band
+	rule   func(Request) RetryInterval
 	// connectTimeout is how long a request waits for an endpoint that does not answer a connection attempt;
 	// zero if all requests are refused without an attempt. probeInterval is the interval between attempts
 	// at an endpoint that is known to be silent; zero if each request makes one.
@@ -71,7 +71,7 @@
 	busy       int                         // slots
 	queue      []*waiter                   // highest priority first
 	retries    []int                       // by tick
-	recent     []Recent                    // by window
+	recent     []RecentCounts              // by window
 	silent     bool                        // the last completed connection attempt was not answered
 	ejected    time.Duration               // end of the ejection
 	lastProbes [simEndpoints]time.Duration // start of the last probe of each endpoint
@@ -99,7 +99,7 @@
 func (s *simulation) run(after time.Duration) simResult {
 	s.began = time.Now()
 	s.retries = make([]int, 10*s.length/simTick)
-	s.recent = make([]Recent, 10*s.length/simWindow)
+	s.recent = make([]RecentCounts, 10*s.length/simWindow)
 	s.results = make(chan outcome, 1<<16)
 	random := rand.New(rand.NewPCG(simSeed, 0))
 	n := uint64(0)
@@ -141,7 +141,7 @@
 			return
 		}
 		band := s.rule(Request{
-			Err: NotRun(reason), Unavailable: ejected, Recent: s.count(reason),
+			Err: NotRun(reason), UnavailableFor: ejected, Recent: s.count(reason),
 			Caller: Caller{Priority: classes[kind].priority, InUse: inUse, Left: left},
 		})
 		wait := band.From + time.Duration(random.Float64()*float64(band.To-band.From))
@@ -159,7 +159,7 @@
 
 // count counts a request that ended, and returns the counts of the current and the previous window
 // before it.
-func (s *simulation) count(reason ryeford.Reason) Recent {
+func (s *simulation) count(reason ryeford.Reason) RecentCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	window := time.Since(s.began) / simWindow
@@ -331,16 +331,16 @@
 
 // byReason is the baseline: a base interval that depends on the reason alone, and up to twice
 // that.
-func byReason(r Request) Band {
+func byReason(r Request) RetryInterval {
 	base := 100 * time.Millisecond
 	if reasonOf(r.Err) == string(ryeford.ReasonUnreachable) {
 		base = 150 * time.Millisecond
 	}
-	return Band{From: base, To: 2 * base}
+	return RetryInterval{From: base, To: 2 * base}
 }
 
 // byPriority is the rule under test.
-func byPriority(r Request) Band { return Decide(r).RetryAfter }
+func byPriority(r Request) RetryInterval { return Decide(r).RetryAfter }
 
 // TestRetryPeaks guards against the rule causing higher retry peaks, or serving fewer callers, than
 // byReason in a burst of four times the capacity and in a full outage.
@@ -356,7 +356,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			during := func(at time.Duration) bool { return at >= begin && at < begin+row.disturbance }
-			run := func(rule func(Request) Band) simResult {
+			run := func(rule func(Request) RetryInterval) simResult {
 				var result simResult
 				synctest.Test(t, func(*testing.T) {
 					s := simulation{
@@ -393,9 +393,9 @@
 			synctest.Test(t, func(*testing.T) {
 				s := simulation{down: func(time.Duration) bool { return false }, length: 12 * time.Second}
 				s.load = func(at time.Duration) float64 { return map[bool]float64{true: row.load, false: 0.6}[during(at)] }
-				s.rule = func(r Request) Band {
+				s.rule = func(r Request) RetryInterval {
 					if at := time.Since(s.began); known && during(at) {
-						r.Overloaded = at - begin
+						r.OverloadedFor = at - begin
 					}
 					return byPriority(r)
 				}
@@ -419,7 +419,7 @@
 			run := func(unlisted bool) simResult {
 				s := outage(load, length)
 				s.unlisted = true
-				s.rule = func(r Request) Band {
+				s.rule = func(r Request) RetryInterval {
 					r.Unlisted = unlisted
 					return byPriority(r)
 				}
--- a/gateway/refusals_test.go
+++ b/gateway/refusals_test.go
@@ -14,18 +14,18 @@
 func TestRefusalCounts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newRefusals()
-	end := func(status int) { r.add(now, "s", (&giveup.Verdict{Status: status}).Counts()) }
+	end := func(status int) { r.add(now, "s", (&giveup.Outcome{Status: status}).Counts()) }
 	end(503)
 	end(404)
 	end(502)
-	r.add(now, "s", giveup.Recent{Answered: 1})
-	assert.Equal(t, r.get(now, "s"), giveup.Recent{Refused: 1, Answered: 1})
-	assert.Equal(t, r.get(now, "another"), giveup.Recent{})
+	r.add(now, "s", giveup.RecentCounts{Answered: 1})
+	assert.Equal(t, r.get(now, "s"), giveup.RecentCounts{Refused: 1, Answered: 1})
+	assert.Equal(t, r.get(now, "another"), giveup.RecentCounts{})
 	now = now.Add(refusalsWindow)
 	end(503)
-	assert.Equal(t, r.get(now, "s"), giveup.Recent{Refused: 2, Answered: 1})
+	assert.Equal(t, r.get(now, "s"), giveup.RecentCounts{Refused: 2, Answered: 1})
 	now = now.Add(refusalsWindow)
-	assert.Equal(t, r.get(now, "s"), giveup.Recent{Refused: 1})
+	assert.Equal(t, r.get(now, "s"), giveup.RecentCounts{Refused: 1})
 	now = now.Add(2 * refusalsWindow)
-	assert.Equal(t, r.get(now, "s"), giveup.Recent{})
+	assert.Equal(t, r.get(now, "s"), giveup.RecentCounts{})
 }
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -59,7 +59,7 @@
 const headerShouldRetry = "X-Should-Retry"
 
 // writeVerdict writes a response that the gateway generates itself.
-func writeVerdict(w http.ResponseWriter, protocol ryeford.Protocol, id ryeford.RequestID, verdict *giveup.Verdict) {
+func writeVerdict(w http.ResponseWriter, protocol ryeford.Protocol, id ryeford.RequestID, verdict *giveup.Outcome) {
 	header := w.Header()
 	protocol.ErrorHeader(header, id, retry.RandomBetween(verdict.RetryAfter.From, verdict.RetryAfter.To))
 	if verdict.Final {
