--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -128,7 +128,7 @@
 func (b *balancer) prompt(now time.Time, query *endpointQuery) choice.Prompt {
 	sample := b.peers.Sample(now, query.service)
 	peers := sample.Demand(b.peers.Demand(now, query.affinity))
-	return choice.Prompt{Key: query.affinity, InFlight: peers + float64(b.loads.Prompt(query.affinity))}
+	return choice.Prompt{Key: query.affinity, InFlight: peers + float64(b.loads.LocalPrompt(query.affinity))}
 }
 
 // unavailableFor returns how long it takes until the first of a service's endpoints that accept
@@ -170,7 +170,7 @@
 func (b *balancer) candidateSet(now time.Time, query *endpointQuery, entries []*roster.Entry) candidateSet {
 	var cachedTokens map[ryeford.EndpointID]int // cached tokens of the prompt's shared parts
 	if len(query.shared) > 0 {
-		cachedTokens = b.prefixes.HeldTokens(now, query.shared)
+		cachedTokens = b.prefixes.CachedTokens(now, query.shared)
 	}
 	tokens := 0
 	for _, part := range query.shared {
@@ -216,7 +216,7 @@
 // report of their requests. mean is the expected number of the peers' requests at the endpoint.
 func (b *balancer) estimate(now time.Time, entry *roster.Entry, sample peers.Sample, mean float64) (requests, deviation float64) {
 	known := b.loads.Observe(now, entry.ID, entry.Hash)
-	known.Peers, known.Share, known.Mean = b.peers.Requests(now, entry.ID), sample.Share(known.Reports), mean
+	known.PeerRequests, known.PeerShare, known.Mean = b.peers.Requests(now, entry.ID), sample.Share(known.Reported), mean
 	return known.Estimate()
 }
 
@@ -224,7 +224,7 @@
 // or nil.
 func (b *balancer) source(now time.Time, query *endpointQuery, entries []*roster.Entry, chosen *choice.Choice) *roster.Entry {
 	to := entries[chosen.Index]
-	indexed, parts := b.prefixes.Longest(now, query.shared, func(id ryeford.EndpointID) bool {
+	indexed, parts := b.prefixes.LongestPrefix(now, query.shared, func(id ryeford.EndpointID) bool {
 		entry := b.roster.Entry(id)
 		return entry != nil && entry.Service == query.service && id != to.ID && b.detector.Healthy(now, id)
 	})
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -54,8 +54,8 @@
 		fleet := c.balancer.fleet(c.now)
 		c.fleet = &fleet
 	}
-	number, valid := c.fleet.Turn(entry.Hash, c.service.ColdRate)
-	return number, true, valid && c.balancer.slowStart.Free(entry.ID, number)
+	number, valid := c.fleet.TimeSlot(entry.Hash, c.service.ColdRate)
+	return number, true, valid && c.balancer.slowStart.IsFree(entry.ID, number)
 }
 
 // check returns whether an endpoint gets a limited number of requests from all routers, because it is
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -34,7 +34,7 @@
 
 // An endpointRemover keeps per-endpoint state that is removed together with the endpoint.
 type endpointRemover interface {
-	Forget(id ryeford.EndpointID)
+	Remove(id ryeford.EndpointID)
 }
 
 // An endpointList keeps the roster in sync with the platform's list of endpoints, and removes an
@@ -252,7 +252,7 @@
 func (l *endpointList) removeState(id ryeford.EndpointID) {
 	l.pool.CloseIdle(id)
 	for _, remover := range l.removers {
-		remover.Forget(id)
+		remover.Remove(id)
 	}
 }
 
--- a/gateway/endpointlist_test.go
+++ b/gateway/endpointlist_test.go
@@ -27,8 +27,8 @@
 	removed []ryeford.EndpointID
 }
 
-// Forget implements endpointRemover.
-func (m *recordingRemover) Forget(id ryeford.EndpointID) { m.removed = append(m.removed, id) }
+// Remove implements endpointRemover.
+func (m *recordingRemover) Remove(id ryeford.EndpointID) { m.removed = append(m.removed, id) }
 
 // An endpointListFixture is an endpointList without a gateway that follows a disruptedStore with the
 // default settings.
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -142,7 +142,7 @@
 	if message.Confirmed {
 		g.configuration.mergePeerConfirmation(now, message.Sender, message.Version, message.ConfirmedAt)
 	}
-	g.loads.Learn(now, message.Reports)
+	g.loads.Merge(now, message.Reports)
 	g.quarantine.merge(now, message)
 	for _, prompt := range message.Prompts {
 		if !g.roster.Knows(prompt.Endpoint) {
@@ -257,7 +257,7 @@
 	message.Brief = false
 	message.Members = g.table.Members(now, peers.MaxMembers)
 	message.Complete = complete
-	message.Totals, message.Loads = g.loads.Own(complete)
+	message.Totals, message.Loads = g.loads.Local(complete)
 	message.Demands = g.loads.Demands()
 	message.Reports = g.loads.Reports(now, peers.MaxHighReports, peers.MaxOtherReports)
 	g.mu.Lock()
--- a/gateway/gossip_test.go
+++ b/gateway/gossip_test.go
@@ -56,7 +56,7 @@
 	b.merge(now, a.message(now, 1, true))
 	assert.Equal(t, b.table.Requests(now, "e"), 1)
 	assert.Equal(t, b.table.Sample(now, "s"), peers.Sample{Alive: 1, Counted: 1, Complete: 1, Requests: 1})
-	assert.Equal(t, len(b.prefixes.HeldTokens(now, parts)), 1)
+	assert.Equal(t, len(b.prefixes.CachedTokens(now, parts)), 1)
 	assert.Equal(t, len(a.message(now, 2, true).Prompts), 0, "prompts are sent only once")
 	suspect := quarantine.FingerprintOf("bank", "/stream/a", nil)
 	a.quarantine.table.Crashed(now, suspect, 0, quarantine.Crash{Began: now.Add(-time.Second), Ended: now})
--- a/gateway/loads/estimate.go
+++ b/gateway/loads/estimate.go
@@ -33,30 +33,30 @@
 
 // An Observation is what a router knows about the requests at an endpoint.
 type Observation struct {
-	Own   int     // requests of this router
-	Peers int     // requests that peers have recently reported
-	Share float64 // share of all peers that have recently reported, at most 1
-	Mean  float64 // mean number of all peers' requests at an endpoint of the service
-	// Reports reports that an endpoint status report is known. It is Age old and counts Others
+	Local        int     // requests of this router
+	PeerRequests int     // requests that peers have recently reported
+	PeerShare    float64 // share of all peers that have recently reported, at most 1
+	Mean         float64 // mean number of all peers' requests at an endpoint of the service
+	// Reported reports that an endpoint status report is known. It is Age old and counts Others
 	// requests of other routers.
-	Reports bool
-	Others  float64
-	Age     time.Duration
+	Reported bool
+	Others   float64
+	Age      time.Duration
 }
 
 // Estimate returns the estimated number of requests at the endpoint, and its standard deviation.
 func (o *Observation) Estimate() (requests, deviation float64) {
-	if o.Share >= 1 {
-		return float64(o.Own + o.Peers), 0
+	if o.PeerShare >= 1 {
+		return float64(o.Local + o.PeerRequests), 0
 	}
 	others := estimate{value: o.Mean, variance: meanVariance*o.Mean + minVariance}
-	if o.Reports {
+	if o.Reported {
 		others = o.fromReport()
 	}
-	if o.Share > 0 {
+	if o.PeerShare > 0 {
 		others = others.combine(o.fromPeers(others.value))
 	}
-	return float64(o.Own) + others.value, math.Sqrt(others.variance)
+	return float64(o.Local) + others.value, math.Sqrt(others.variance)
 }
 
 // An estimate is an estimated value and its variance.
@@ -81,6 +81,6 @@
 // fromPeers returns the estimate of the other routers' requests that follows from the requests of the
 // peers that have reported. The variance is computed for at least expected requests.
 func (o *Observation) fromPeers(expected float64) estimate {
-	value := float64(o.Peers) / o.Share
-	return estimate{value: value, variance: minVariance + max(value, expected)*(1-o.Share)/o.Share}
+	value := float64(o.PeerRequests) / o.PeerShare
+	return estimate{value: value, variance: minVariance + max(value, expected)*(1-o.PeerShare)/o.PeerShare}
 }
--- a/gateway/loads/loads.go
+++ b/gateway/loads/loads.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// Prompt returns the number of this router's requests in flight with a prompt.
-func (t *Table) Prompt(prompt uint64) int {
+// LocalPrompt returns the number of this router's requests in flight with a prompt.
+func (t *Table) LocalPrompt(prompt uint64) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.prompts[uint32(prompt)]
@@ -127,8 +127,8 @@
 	return demands[:min(len(demands), peers.MaxDemands)]
 }
 
-// Total returns the number of this router's requests in flight at all endpoints of a service.
-func (t *Table) Total(service string) int {
+// LocalTotal returns the number of this router's requests in flight at all endpoints of a service.
+func (t *Table) LocalTotal(service string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.totals[Key(route.NameHash(service))]
@@ -153,8 +153,8 @@
 	t.reports[Key(route.NameHash(string(id)))] = report{at: now, requests: requests, others: max(0, requests-t.localAt(id))}
 }
 
-// Learn merges endpoint status reports that peers have received. Newer ones replace older ones.
-func (t *Table) Learn(now time.Time, reports []peers.Report) {
+// Merge merges endpoint status reports that peers have received. Newer ones replace older ones.
+func (t *Table) Merge(now time.Time, reports []peers.Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range reports {
@@ -170,9 +170,9 @@
 func (t *Table) Observe(now time.Time, id ryeford.EndpointID, hash uint64) Observation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	o := Observation{Own: t.localAt(id)}
+	o := Observation{Local: t.localAt(id)}
 	if r, ok := t.reports[Key(hash)]; ok {
-		o.Reports, o.Others, o.Age = true, float64(r.others), now.Sub(r.at)
+		o.Reported, o.Others, o.Age = true, float64(r.others), now.Sub(r.at)
 	}
 	return o
 }
@@ -219,9 +219,9 @@
 	return high, others
 }
 
-// Own returns this router's requests in flight, as they are sent to peers: the totals by service, and
+// Local returns this router's requests in flight, as they are sent to peers: the totals by service, and
 // those at each endpoint. Unless all is true, endpoints that report their loads are left out.
-func (t *Table) Own(all bool) (totals []peers.Total, local []peers.Load) {
+func (t *Table) Local(all bool) (totals []peers.Total, local []peers.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, requests := range t.local {
@@ -235,8 +235,8 @@
 	return totals, local
 }
 
-// Forget drops an endpoint that is gone.
-func (t *Table) Forget(id ryeford.EndpointID) {
+// Remove drops an endpoint that is gone.
+func (t *Table) Remove(id ryeford.EndpointID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if local := t.local[id]; local != nil {
--- a/gateway/loads/loads_test.go
+++ b/gateway/loads/loads_test.go
@@ -22,18 +22,18 @@
 		deviation float64
 	}{
 		{"nothing is known", Observation{}, 0, 0.5},
-		{"local requests only", Observation{Own: 3}, 3, 0.5},
-		{"all peers have reported", Observation{Own: 3, Peers: 4, Share: 1, Mean: 9}, 7, 0},
-		{"all peers have reported, and override an endpoint status report", Observation{Own: 3, Peers: 4, Share: 1, Reports: true, Others: 90}, 7, 0},
-		{"no peers: the endpoint status report", Observation{Reports: true, Others: 8}, 8, 0.5},
-		{"no peers: a report one half-life old", Observation{Reports: true, Others: 8, Age: reportHalfLife}, 4, 3.5},
-		{"no peers: a report one hour old", Observation{Own: 1, Reports: true, Others: 8, Age: time.Hour}, 1, 4.031},
-		{"the mean only", Observation{Own: 1, Mean: 5}, 6, 3.202},
-		{"a report that decays toward the mean", Observation{Mean: 5, Reports: true, Others: 13, Age: reportHalfLife}, 9, 4.444},
-		{"a tenth of the peers have reported: close to the mean", Observation{Peers: 1, Share: 0.1, Mean: 5}, 5.510, 3.034},
-		{"a tenth of the peers have reported, and none has requests there", Observation{Share: 0.1, Mean: 5}, 4.0766, 2.891},
-		{"half of the peers have reported many requests", Observation{Peers: 20, Share: 0.5, Mean: 5}, 12.104, 2.858},
-		{"a new report beside a tenth of the peers", Observation{Peers: 3, Share: 0.1, Mean: 5, Reports: true, Others: 12}, 12.0166, 0.4998},
+		{"local requests only", Observation{Local: 3}, 3, 0.5},
+		{"all peers have reported", Observation{Local: 3, PeerRequests: 4, PeerShare: 1, Mean: 9}, 7, 0},
+		{"all peers have reported, and override an endpoint status report", Observation{Local: 3, PeerRequests: 4, PeerShare: 1, Reported: true, Others: 90}, 7, 0},
+		{"no peers: the endpoint status report", Observation{Reported: true, Others: 8}, 8, 0.5},
+		{"no peers: a report one half-life old", Observation{Reported: true, Others: 8, Age: reportHalfLife}, 4, 3.5},
+		{"no peers: a report one hour old", Observation{Local: 1, Reported: true, Others: 8, Age: time.Hour}, 1, 4.031},
+		{"the mean only", Observation{Local: 1, Mean: 5}, 6, 3.202},
+		{"a report that decays toward the mean", Observation{Mean: 5, Reported: true, Others: 13, Age: reportHalfLife}, 9, 4.444},
+		{"a tenth of the peers have reported: close to the mean", Observation{PeerRequests: 1, PeerShare: 0.1, Mean: 5}, 5.510, 3.034},
+		{"a tenth of the peers have reported, and none has requests there", Observation{PeerShare: 0.1, Mean: 5}, 4.0766, 2.891},
+		{"half of the peers have reported many requests", Observation{PeerRequests: 20, PeerShare: 0.5, Mean: 5}, 12.104, 2.858},
+		{"a new report beside a tenth of the peers", Observation{PeerRequests: 3, PeerShare: 0.1, Mean: 5, Reported: true, Others: 12}, 12.0166, 0.4998},
 	} {
 		requests, deviation := test.known.Estimate()
 		assert.Assert(t, math.Abs(requests-test.want) < 0.001, "%s: %g", test.name, requests)
@@ -51,42 +51,42 @@
 		want Observation
 	}{
 		{"nothing", func(*Table) {}, Observation{}},
-		{"local requests", func(table *Table) { table.Begin("a", "s") }, Observation{Own: 1}},
+		{"local requests", func(table *Table) { table.Begin("a", "s") }, Observation{Local: 1}},
 		{"a report includes local requests", func(table *Table) {
 			table.Begin("a", "s")
 			table.Report(now, "a", &ryeford.EndpointLoad{Running: 3, Waiting: 2})
-		}, Observation{Own: 1, Reports: true, Others: 4}},
+		}, Observation{Local: 1, Reported: true, Others: 4}},
 		{"local requests have ended since", func(table *Table) {
 			table.Begin("a", "s")
 			table.Report(now.Add(-time.Second), "a", &ryeford.EndpointLoad{Running: 3})
 			table.End("a")
-		}, Observation{Reports: true, Others: 2, Age: time.Second}},
+		}, Observation{Reported: true, Others: 2, Age: time.Second}},
 		{"more local requests than reported", func(table *Table) {
 			table.Begin("a", "s")
 			table.Begin("a", "s")
 			table.Report(now, "a", &ryeford.EndpointLoad{Running: 1})
-		}, Observation{Own: 2, Reports: true}},
+		}, Observation{Local: 2, Reported: true}},
 		{"an endpoint that reports nothing", func(table *Table) { table.Report(now, "a", nil) }, Observation{}},
 		{"a report from a peer", func(table *Table) {
-			table.Learn(now, []peers.Report{{Endpoint: Key(hash), Requests: 7, Age: 300 * time.Millisecond}})
+			table.Merge(now, []peers.Report{{Endpoint: Key(hash), Requests: 7, Age: 300 * time.Millisecond}})
 		},
-			Observation{Reports: true, Others: 7, Age: 300 * time.Millisecond}},
+			Observation{Reported: true, Others: 7, Age: 300 * time.Millisecond}},
 		{"a report from a peer, older than the local one", func(table *Table) {
 			table.Report(now.Add(-100*time.Millisecond), "a", &ryeford.EndpointLoad{Running: 3})
-			table.Learn(now, []peers.Report{{Endpoint: Key(hash), Requests: 7, Age: 300 * time.Millisecond}})
-		}, Observation{Reports: true, Others: 3, Age: 100 * time.Millisecond}},
+			table.Merge(now, []peers.Report{{Endpoint: Key(hash), Requests: 7, Age: 300 * time.Millisecond}})
+		}, Observation{Reported: true, Others: 3, Age: 100 * time.Millisecond}},
 		{"a report from a peer, newer than the local one", func(table *Table) {
 			table.Report(now.Add(-500*time.Millisecond), "a", &ryeford.EndpointLoad{Running: 3})
-			table.Learn(now, []peers.Report{{Endpoint: Key(hash), Requests: 7, Age: 300 * time.Millisecond}})
-		}, Observation{Reports: true, Others: 7, Age: 300 * time.Millisecond}},
+			table.Merge(now, []peers.Report{{Endpoint: Key(hash), Requests: 7, Age: 300 * time.Millisecond}})
+		}, Observation{Reported: true, Others: 7, Age: 300 * time.Millisecond}},
 		{"a report from a peer that has expired", func(table *Table) {
-			table.Learn(now, []peers.Report{{Endpoint: Key(hash), Requests: 7, Age: reportTTL}})
+			table.Merge(now, []peers.Report{{Endpoint: Key(hash), Requests: 7, Age: reportTTL}})
 		},
 			Observation{}},
 		{"removed", func(table *Table) {
 			table.Begin("a", "s")
 			table.Report(now, "a", &ryeford.EndpointLoad{Running: 3})
-			table.Forget("a")
+			table.Remove("a")
 		}, Observation{}},
 	} {
 		table := New()
@@ -108,7 +108,7 @@
 		received = append(received, report)
 	}
 	received = append(received, peers.Report{Endpoint: 99, Requests: 50, Age: forwardTTL + 1})
-	table.Learn(now, received)
+	table.Merge(now, received)
 	forwarded := table.Reports(now, 4, 6)
 	assert.Equal(t, len(forwarded), 10)
 	for i, report := range forwarded {
@@ -136,15 +136,15 @@
 	table.End("c")
 	table.Begin("d", "s")
 	table.Report(now, "d", &ryeford.EndpointLoad{Running: 1})
-	totals, local := table.Own(false)
+	totals, local := table.Local(false)
 	assert.DeepEqual(t, local, []peers.Load{{Endpoint: "a", Requests: 2}})
 	assert.Equal(t, len(totals), 1)
 	assert.Equal(t, totals[0].Requests, 3)
-	_, local = table.Own(true)
+	_, local = table.Local(true)
 	assert.Equal(t, len(local), 2)
-	table.Forget("a")
-	table.Forget("d")
-	totals, local = table.Own(true)
+	table.Remove("a")
+	table.Remove("d")
+	totals, local = table.Local(true)
 	assert.Equal(t, len(local)+len(totals), 0)
 }
 
@@ -162,9 +162,9 @@
 		assert.Equal(t, demand, peers.Demand{Prompt: uint32(2*peers.MaxDemands - 1 - i), Requests: 2*peers.MaxDemands - 1 - i})
 	}
 	table.EndPrompt(2)
-	assert.Equal(t, table.Prompt(2), 1)
+	assert.Equal(t, table.LocalPrompt(2), 1)
 	table.EndPrompt(2)
-	assert.Equal(t, table.Prompt(2), 0)
+	assert.Equal(t, table.LocalPrompt(2), 0)
 }
 
 // TestTotal guards against a wrong total of a service if an endpoint is removed while it has requests
@@ -176,14 +176,14 @@
 	}
 	table.Begin("b", "s")
 	table.Begin("c", "other")
-	assert.Equal(t, table.Total("s"), 4)
+	assert.Equal(t, table.LocalTotal("s"), 4)
 	table.End("a")
-	assert.Equal(t, table.Total("s"), 3)
-	table.Forget("a")
+	assert.Equal(t, table.LocalTotal("s"), 3)
+	table.Remove("a")
 	table.End("a") // requests that were in flight at the removal
 	table.End("a")
-	assert.Equal(t, table.Total("s"), 1)
-	assert.Equal(t, table.Total("other"), 1)
+	assert.Equal(t, table.LocalTotal("s"), 1)
+	assert.Equal(t, table.LocalTotal("other"), 1)
 	table.End("b")
-	assert.Equal(t, table.Total("s"), 0)
+	assert.Equal(t, table.LocalTotal("s"), 0)
 }
--- a/gateway/outlier/outlier.go
+++ b/gateway/outlier/outlier.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// Succeeded records a response that is not a failure. The next ejection lasts baseEjection again if
+// RecordSuccess records a response that is not a failure. The next ejection lasts baseEjection again if
 // the last one ended more than maxEjection ago.
-func (d *Detector) Succeeded(now time.Time, id ryeford.EndpointID) {
+func (d *Detector) RecordSuccess(now time.Time, id ryeford.EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.get(id)
@@ -80,9 +80,9 @@
 	}
 }
 
-// Failed records a failure, and ejects the endpoint if its record exceeds the limits (limits.go).
+// RecordFailure records a failure, and ejects the endpoint if its record exceeds the limits (limits.go).
 // Failures of an ejected endpoint do not extend its ejection.
-func (d *Detector) Failed(now time.Time, id ryeford.EndpointID) {
+func (d *Detector) RecordFailure(now time.Time, id ryeford.EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.get(id)
@@ -161,8 +161,8 @@
 	return 0
 }
 
-// Forget drops the record of an endpoint that is gone.
-func (d *Detector) Forget(id ryeford.EndpointID) {
+// Remove drops the record of an endpoint that is gone.
+func (d *Detector) Remove(id ryeford.EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.states, id)
--- a/gateway/outlier/outlier_test.go
+++ b/gateway/outlier/outlier_test.go
@@ -15,7 +15,7 @@
 	for _, want := range []time.Duration{baseEjection, 2 * baseEjection, maxEjection, maxEjection} {
 		for range consecutiveFailures {
 			assert.Assert(t, d.Healthy(now, "a"))
-			d.Failed(now, "a")
+			d.RecordFailure(now, "a")
 		}
 		assert.Assert(t, !d.Healthy(now.Add(want-1), "a"))
 		now = now.Add(want)
@@ -34,9 +34,9 @@
 		d := New()
 		for i := range 40 {
 			if i%test.failEvery == 1 {
-				d.Failed(now, "a")
+				d.RecordFailure(now, "a")
 			} else {
-				d.Succeeded(now, "a")
+				d.RecordSuccess(now, "a")
 			}
 			if !d.Healthy(now, "a") {
 				break
@@ -70,10 +70,10 @@
 	assert.Equal(t, d.EjectedFor(now.Add(2*time.Second), "a"), time.Second)
 	assert.Assert(t, !d.Unusable(now.Add(3*time.Second), "a"), "the ejection is over")
 	assert.Equal(t, d.EjectedFor(now.Add(4*time.Second), "a"), time.Duration(0))
-	d.Succeeded(now.Add(2*time.Second), "a")
+	d.RecordSuccess(now.Add(2*time.Second), "a")
 	assert.Assert(t, !d.Unusable(now.Add(2*time.Second), "a"), "it has responded")
 	for range consecutiveFailures {
-		d.Failed(now, "b")
+		d.RecordFailure(now, "b")
 	}
 	assert.Assert(t, !d.Healthy(now, "b") && !d.Unusable(now, "b"), "ejected for failures, but usable")
 	assert.Equal(t, d.EjectedFor(now, "b"), baseEjection)
--- a/gateway/panic_test.go
+++ b/gateway/panic_test.go
@@ -35,7 +35,7 @@
 		e.serve()
 	}()
 	e.forwarder.protocol = protocol
-	assert.Equal(t, e.forwarder.loads.Total("s"), 0)
+	assert.Equal(t, e.forwarder.loads.LocalTotal("s"), 0)
 	assert.Assert(t, e.forwarder.detector.Healthy(time.Now().Add(time.Minute), "e1"))
 	assert.Equal(t, e.serve().Code, 200)
 }
--- a/gateway/prefixcache/index.go
+++ b/gateway/prefixcache/index.go
@@ -78,10 +78,10 @@
 // holds reports whether the endpoint is still assumed to hold the part.
 func (h holder) holds(now time.Time) bool { return now.Sub(h.sentAt) <= holderTTL }
 
-// Longest returns the endpoint that is likely to hold the longest prefix of a prompt, and the number of parts of
+// LongestPrefix returns the endpoint that is likely to hold the longest prefix of a prompt, and the number of parts of
 // that prefix. Among several holders it returns the most recent one. It considers only endpoints for which
 // allowed returns true, and returns "" and 0 if there is none. allowed must not call the Index.
-func (x *Index) Longest(now time.Time, parts []ryeford.PromptPart, allowed func(ryeford.EndpointID) bool) (ryeford.EndpointID, int) {
+func (x *Index) LongestPrefix(now time.Time, parts []ryeford.PromptPart, allowed func(ryeford.EndpointID) bool) (ryeford.EndpointID, int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for i := len(parts) - 1; i >= 0; i-- {
@@ -94,9 +94,9 @@
 	return "", 0
 }
 
-// HeldTokens returns the endpoints that are likely to hold a prefix of a prompt, with the number of tokens of the
+// CachedTokens returns the endpoints that are likely to hold a prefix of a prompt, with the number of tokens of the
 // longest one.
-func (x *Index) HeldTokens(now time.Time, parts []ryeford.PromptPart) map[ryeford.EndpointID]int {
+func (x *Index) CachedTokens(now time.Time, parts []ryeford.PromptPart) map[ryeford.EndpointID]int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	held := make(map[ryeford.EndpointID]int)
@@ -112,8 +112,8 @@
 	return held
 }
 
-// Forget removes an endpoint that is gone.
-func (x *Index) Forget(id ryeford.EndpointID) {
+// Remove removes an endpoint that is gone.
+func (x *Index) Remove(id ryeford.EndpointID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for part, list := range x.parts {
--- a/gateway/prefixcache/index_test.go
+++ b/gateway/prefixcache/index_test.go
@@ -22,7 +22,7 @@
 
 // longest calls Longest without some endpoints.
 func longest(index *Index, now time.Time, prompt []ryeford.PromptPart, without ...ryeford.EndpointID) (ryeford.EndpointID, int) {
-	return index.Longest(now, prompt, func(id ryeford.EndpointID) bool { return !slices.Contains(without, id) })
+	return index.LongestPrefix(now, prompt, func(id ryeford.EndpointID) bool { return !slices.Contains(without, id) })
 }
 
 // TestLongest checks that the most recent holder of the longest prefix of a prompt is found.
@@ -64,7 +64,7 @@
 	}
 	id, _ := longest(index, start, parts(1), later...)
 	assert.Equal(t, id, ryeford.EndpointID(""))
-	index.Forget("e")
+	index.Remove("e")
 	id, _ = longest(index, start, parts(1))
 	assert.Equal(t, id, ryeford.EndpointID("d"))
 	for i := range uint64(maxParts + 100) {
@@ -79,9 +79,9 @@
 	prompt := []ryeford.PromptPart{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 20}}
 	index.Add(start, "a", prompt[:1])
 	index.Add(start, "b", prompt)
-	held := index.HeldTokens(start, prompt)
+	held := index.CachedTokens(start, prompt)
 	assert.Equal(t, held["a"], 100)
 	assert.Equal(t, held["b"], 120)
 	assert.Equal(t, held["c"], 0)
-	assert.Equal(t, len(index.HeldTokens(start.Add(holderTTL+1), prompt)), 0, "holders have expired")
+	assert.Equal(t, len(index.CachedTokens(start.Add(holderTTL+1), prompt)), 0, "holders have expired")
 }
--- a/gateway/rating.go
+++ b/gateway/rating.go
@@ -61,9 +61,9 @@
 	now := clock.Now()
 	switch r {
 	case ratingGood:
-		detector.Succeeded(now, id)
+		detector.RecordSuccess(now, id)
 	case ratingFailure:
-		detector.Failed(now, id)
+		detector.RecordFailure(now, id)
 	case ratingUnreachable:
 		detector.Eject(now, id, outlier.UnreachableEjection)
 	case ratingMisdirected:
--- a/gateway/slowstart/replay_test.go
+++ b/gateway/slowstart/replay_test.go
@@ -60,7 +60,7 @@
 	{"time slots", func(r *simRouter, endpoint int, hash uint64, now time.Duration) bool {
 		f := r.fleet
 		f.Clock += now + time.Hour
-		slot, valid := f.Turn(hash, simRate)
+		slot, valid := f.TimeSlot(hash, simRate)
 		return valid && r.table.Take(ryeford.EndpointID(fmt.Sprint(endpoint)), slot)
 	}},
 }
--- a/gateway/slowstart/slowstart.go
+++ b/gateway/slowstart/slowstart.go
@@ -44,9 +44,9 @@
 	Rank, Routers int
 }
 
-// Turn returns the number of this router's latest time slot at an endpoint, and reports whether it is
+// TimeSlot returns the number of this router's latest time slot at an endpoint, and reports whether it is
 // still valid. hash is the uniform hash of the endpoint's ID, and rate its requests a second.
-func (f *Fleet) Turn(hash uint64, rate float64) (number int64, valid bool) {
+func (f *Fleet) TimeSlot(hash uint64, rate float64) (number int64, valid bool) {
 	if f.Routers <= 0 || !(rate > 0) { // also false for NaN
 		return 0, false
 	}
@@ -77,8 +77,8 @@
 // New returns an empty Table.
 func New() *Table { return &Table{taken: make(map[ryeford.EndpointID]int64)} }
 
-// Free reports whether neither the time slot nor a later one at the endpoint was taken yet.
-func (t *Table) Free(id ryeford.EndpointID, slot int64) bool {
+// IsFree reports whether neither the time slot nor a later one at the endpoint was taken yet.
+func (t *Table) IsFree(id ryeford.EndpointID, slot int64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	last, ok := t.taken[id]
@@ -96,8 +96,8 @@
 	return true
 }
 
-// Forget drops an endpoint that is gone.
-func (t *Table) Forget(id ryeford.EndpointID) {
+// Remove drops an endpoint that is gone.
+func (t *Table) Remove(id ryeford.EndpointID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.taken, id)
--- a/gateway/slowstart/slowstart_test.go
+++ b/gateway/slowstart/slowstart_test.go
@@ -16,7 +16,7 @@
 	for at := 10 * time.Second; at < 20*time.Second; at += 10 * time.Millisecond {
 		for rank := range routers {
 			f := Fleet{Clock: at, Rank: rank, Routers: routers}
-			if number, valid := f.Turn(hash, rate); valid {
+			if number, valid := f.TimeSlot(hash, rate); valid {
 				if owner, ok := taken[number]; ok {
 					assert.Equal(t, owner, rank)
 				}
@@ -26,23 +26,23 @@
 	}
 	assert.Assert(t, len(taken) >= 60 && len(taken) <= 64, "%d time slots in 10 s, want %v a second", len(taken), rate*rateShare)
 	fleet := Fleet{Clock: 100 * time.Millisecond, Routers: 4}
-	number, valid := fleet.Turn(0, rate)
+	number, valid := fleet.TimeSlot(0, rate)
 	assert.Assert(t, number == 0 && valid)
 	fleet.Clock = slotValidity
-	_, valid = fleet.Turn(0, rate)
+	_, valid = fleet.TimeSlot(0, rate)
 	assert.Assert(t, !valid)
 	empty := Fleet{}
-	_, valid = empty.Turn(0, rate)
+	_, valid = empty.TimeSlot(0, rate)
 	assert.Assert(t, !valid)
 }
 
 // TestTable checks that a time slot can be taken once, and that earlier ones can't be taken after it.
 func TestTable(t *testing.T) {
 	table := New()
-	assert.Assert(t, table.Free("a", 7) && table.Take("a", 7))
-	assert.Assert(t, !table.Free("a", 7) && !table.Take("a", 7) && !table.Take("a", 6))
+	assert.Assert(t, table.IsFree("a", 7) && table.Take("a", 7))
+	assert.Assert(t, !table.IsFree("a", 7) && !table.Take("a", 7) && !table.Take("a", 6))
 	assert.Assert(t, table.Take("b", 6) && table.Take("a", 8))
-	table.Forget("a")
+	table.Remove("a")
 	assert.Assert(t, table.Take("a", 7))
 }
 
@@ -55,7 +55,7 @@
 	}
 	f.Fuzz(func(t *testing.T, clock int64, rank, routers int, hash uint64, rate float64) {
 		fleet := Fleet{Clock: time.Duration(clock), Rank: rank, Routers: routers}
-		if _, valid := fleet.Turn(hash, rate); valid && (routers <= 0 || !(rate > 0)) {
+		if _, valid := fleet.TimeSlot(hash, rate); valid && (routers <= 0 || !(rate > 0)) {
 			t.Fatalf("valid time slot of %+v at %v requests a second", fleet, rate)
 		}
 	})
