--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -73,7 +73,7 @@
 // awaitFailedProbes waits until enough readiness probes have failed for the load balancer to remove
 // the gateway, but no longer than until closeBy.
 func (d *drain) awaitFailedProbes(requested, closeBy time.Time) {
-	for !shutdown.Noticed(clock.Since(requested), int(d.failedProbes.Load())) && clock.Now().Before(closeBy) {
+	for !shutdown.BalancerNoticed(clock.Since(requested), int(d.failedProbes.Load())) && clock.Now().Before(closeBy) {
 		time.Sleep(shutdown.CheckInterval)
 	}
 	time.Sleep(min(shutdown.NoticeMargin, clock.Until(closeBy)))
@@ -87,7 +87,7 @@
 		if p := d.lastConnection.Load(); p != nil {
 			last = *p
 		}
-		if shutdown.Quiet(now, last) {
+		if shutdown.NoNewConnections(now, last) {
 			return
 		}
 		time.Sleep(shutdown.CheckInterval)
@@ -113,11 +113,11 @@
 // the duration of the slowest requests on its route.
 func (d *drain) leavesTimeFor(q *request, slowest time.Duration) bool {
 	now, requested := clock.Now(), *d.ordered.Load()
-	return shutdown.LeavesTimeFor(shutdown.Request{
-		SinceOrder: now.Sub(requested),
-		Left:       shutdown.CloseBy(requested, d.grace).Sub(now),
-		Slowest:    slowest,
-		Longest:    q.deadline.Sub(now),
-		Stream:     q.rule.Kind == ryeford.RouteStream,
+	return shutdown.HasTimeFor(shutdown.Request{
+		SinceSignal:   now.Sub(requested),
+		UntilClose:    shutdown.CloseBy(requested, d.grace).Sub(now),
+		Slowest:       slowest,
+		UntilDeadline: q.deadline.Sub(now),
+		Stream:        q.rule.Kind == ryeford.RouteStream,
 	})
 }
--- a/gateway/shutdown/shutdown.go
+++ b/gateway/shutdown/shutdown.go
@@ -50,34 +50,34 @@
 	return signaled.Add(grace - closeMargin)
 }
 
-// Noticed reports whether the load balancer has noticed the shutdown, or the wait for it has
+// BalancerNoticed reports whether the load balancer has noticed the shutdown, or the wait for it has
 // timed out. failedProbes is the number of failed probes since the shutdown signal.
-func Noticed(sinceSignal time.Duration, failedProbes int) bool {
+func BalancerNoticed(sinceSignal time.Duration, failedProbes int) bool {
 	return failedProbes >= minFailedProbes || sinceSignal >= maxNoticeWait
 }
 
-// Quiet reports whether no caller has connected for quietPeriod. lastConnection is the time of the
+// NoNewConnections reports whether no caller has connected for quietPeriod. lastConnection is the time of the
 // last new connection, or zero if there was none.
-func Quiet(now, lastConnection time.Time) bool {
+func NoNewConnections(now, lastConnection time.Time) bool {
 	return lastConnection.IsZero() || now.Sub(lastConnection) > quietPeriod
 }
 
 // A Request is what a process that is shutting down knows of an arriving request.
 type Request struct {
-	SinceOrder time.Duration // time since the shutdown signal
-	Left       time.Duration // time until the process closes all connections
-	Slowest    time.Duration // longest known duration of requests on its route
-	Longest    time.Duration // time until its deadline, at which it ends in any case
-	Stream     bool          // whether the response is a stream
+	SinceSignal   time.Duration // time since the shutdown signal
+	UntilClose    time.Duration // time until the process closes all connections
+	Slowest       time.Duration // longest known duration of requests on its route
+	UntilDeadline time.Duration // time until its deadline, at which it ends in any case
+	Stream        bool          // whether the response is a stream
 }
 
-// LeavesTimeFor reports whether a process that is shutting down accepts a request.
-func LeavesTimeFor(r Request) bool {
-	left := r.Left - EndMargin
-	if left > 0 && r.Longest <= left {
+// HasTimeFor reports whether a process that is shutting down accepts a request.
+func HasTimeFor(r Request) bool {
+	left := r.UntilClose - EndMargin
+	if left > 0 && r.UntilDeadline <= left {
 		return true
 	}
-	if r.Stream && r.SinceOrder >= estimateWindow {
+	if r.Stream && r.SinceSignal >= estimateWindow {
 		return false
 	}
 	return left > time.Duration(finishFactor*float64(r.Slowest))
--- a/gateway/shutdown/shutdown_test.go
+++ b/gateway/shutdown/shutdown_test.go
@@ -28,7 +28,7 @@
 		{"one probe failed, just before the timeout", 3*time.Second - 1, 1, false},
 		{"the timeout has elapsed", 3 * time.Second, 0, true},
 	} {
-		assert.Equal(t, Noticed(test.sinceSignal, test.failedProbes), test.want, test.name)
+		assert.Equal(t, BalancerNoticed(test.sinceSignal, test.failedProbes), test.want, test.name)
 	}
 }
 
@@ -44,7 +44,7 @@
 		{"the last one arrived half a second ago", signaled.Add(-500 * time.Millisecond), false},
 		{"the last one arrived longer ago", signaled.Add(-500*time.Millisecond - 1), true},
 	} {
-		assert.Equal(t, Quiet(signaled, test.last), test.want, test.name)
+		assert.Equal(t, NoNewConnections(signaled, test.last), test.want, test.name)
 	}
 }
 
@@ -71,9 +71,9 @@
 		{"late, ends at its deadline, and not in time for its last bytes", late, 4800 * time.Millisecond, long, 4500*time.Millisecond + 1, false, false},
 		{"late, no time is left", late, 0, 0, 0, false, false},
 	} {
-		request := Request{SinceOrder: test.sinceSignal, Left: test.left, Slowest: test.slowest, Longest: test.longest}
-		assert.Equal(t, LeavesTimeFor(request), test.other, test.name)
+		request := Request{SinceSignal: test.sinceSignal, UntilClose: test.left, Slowest: test.slowest, UntilDeadline: test.longest}
+		assert.Equal(t, HasTimeFor(request), test.other, test.name)
 		request.Stream = true
-		assert.Equal(t, LeavesTimeFor(request), test.stream, "%s, a stream", test.name)
+		assert.Equal(t, HasTimeFor(request), test.stream, "%s, a stream", test.name)
 	}
 }
