--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -197,7 +197,7 @@
 			Slots:         entry.Slots,
 			Tried:         query.tried[entry.ID],
 			Unhealthy:     !b.detector.Healthy(now, entry.ID),
-			Draining:      !entry.Listed(),
+			Draining:      !entry.Serving(),
 			Excluded:      excluded,
 			MissingTokens: tokens - cachedTokens[entry.ID],
 		})
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -13,7 +13,7 @@
 // evacuation and after the endpoint was last unreachable, since it may have restarted.
 func (b *balancer) coldUntil(entry *roster.Entry, service *ryeford.ServiceRule) time.Time {
 	until := entry.ColdUntil
-	for _, since := range []time.Time{entry.Returned, b.detector.ReachableSince(entry.ID)} {
+	for _, since := range []time.Time{entry.EvacuationEnded, b.detector.ReachableSince(entry.ID)} {
 		if since.IsZero() {
 			continue
 		}
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -180,7 +180,7 @@
 		if !localReadFailed {
 			downtime.LastFailed = downtime.Began // the source was still in the previous era
 		}
-		l.suspectUntil = roster.RestoredUntil(&downtime, l.recoveryTimeout)
+		l.suspectUntil = roster.SuspectUntilAfterRestore(&downtime, l.recoveryTimeout)
 	case l.limits.Outage(age) && localReadFailed:
 		l.suspectUntil = roster.SuspectUntil(&downtime, l.recoveryTimeout)
 	}
@@ -229,7 +229,7 @@
 		// The log keys are kept for compatibility: troubled means that an outage has just ended,
 		// doubted lists the endpoints that became suspect.
 		_ = l.log.Log("decision", "endpoints", "from", from, "revision", changes.Range.To, "whole", changes.Snapshot, "troubled", now.Before(l.suspectUntil),
-			"added", join(change.Added), "draining", join(change.Drained), "dropped", join(change.Dropped), "doubted", join(change.Suspected), "departed", join(change.Departed), "restarted", join(change.Restarted), "withheld", join(change.Withheld), "known", l.roster.Len())
+			"added", join(change.Added), "draining", join(change.Draining), "dropped", join(change.Dropped), "doubted", join(change.Suspected), "departed", join(change.Departed), "restarted", join(change.Restarted), "withheld", join(change.Withheld), "known", l.roster.Len())
 		for _, id := range change.Dropped {
 			l.removeState(id)
 		}
--- a/gateway/endpointlist_test.go
+++ b/gateway/endpointlist_test.go
@@ -248,7 +248,7 @@
 			f.store.put("c", ryeford.EndpointDraining)
 			f.simulateOutage("c")
 			assert.Equal(f.t, f.accepting(), "ab")
-			assert.Assert(f.t, !f.roster.Knows("c"))
+			assert.Assert(f.t, !f.roster.Has("c"))
 		}},
 		{"an endpoint that left before the outage does not become suspect", func(f *endpointListFixture) {
 			f.sleepUntil(time.Second)
--- a/gateway/endpointreport.go
+++ b/gateway/endpointreport.go
@@ -12,7 +12,7 @@
 func (x *exchange) recordReport(from *roster.Entry, report *ryeford.EndpointReport) {
 	f, q, now := x.forwarder, x.request, clock.Now()
 	// The list may contain this late or never, for example during an outage of the store.
-	leaving := report.Leaving && f.roster.Leave(now, from.ID)
+	leaving := report.Leaving && f.roster.MarkLeaving(now, from.ID)
 	if leaving {
 		f.metrics.Count("ryeford_leaving_endpoints_total", "")
 	}
--- a/gateway/fleetleaving_test.go
+++ b/gateway/fleetleaving_test.go
@@ -39,7 +39,7 @@
 	if l.last > 500*time.Millisecond {
 		l.late++
 	}
-	f.at(now.Add(simulatedFirst), func(now time.Time) { r.roster.Leave(now, id) })
+	f.at(now.Add(simulatedFirst), func(now time.Time) { r.roster.MarkLeaving(now, id) })
 }
 
 // TestFleetLeaving simulates fleets of several sizes in which a third of the engines leave during an
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -145,7 +145,7 @@
 	g.loads.Merge(now, message.Reports)
 	g.quarantine.merge(now, message)
 	for _, prompt := range message.Prompts {
-		if !g.roster.Knows(prompt.Endpoint) {
+		if !g.roster.Has(prompt.Endpoint) {
 			continue
 		}
 		parts := make([]ryeford.PromptPart, 0, len(prompt.Parts))
@@ -246,7 +246,7 @@
 		Reports:     g.loads.Reports(now, peers.MaxBriefReports, 0),
 	}
 	message.SetWithheld(g.roster.Withheld(now, peers.MaxWithheld))
-	message.Leaving = g.roster.LatelyLeaving(now, peers.MaxLeaving)
+	message.Leaving = g.roster.RecentlyLeaving(now, peers.MaxLeaving)
 	return message
 }
 
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -65,7 +65,7 @@
 // checkUnread returns the error with which a request is refused before its body is read, or
 // nil. It accepts every request until the configuration and the endpoint list are loaded.
 func (h *handler) checkUnread(r *http.Request, q *request) error {
-	if r.ContentLength == 0 || h.configuration.current() == nil || !h.roster.Known() {
+	if r.ContentLength == 0 || h.configuration.current() == nil || !h.roster.Loaded() {
 		return nil
 	}
 	h.lookUp(r, q)
@@ -140,7 +140,7 @@
 	state := admit.State{
 		Configured: q.catalog != nil,
 		Superseded: h.configuration.superseded(clock.Now()),
-		Listed:     h.roster.Known(),
+		Listed:     h.roster.Loaded(),
 		Reliable:   h.configuration.reliable(clock.Now()),
 		ServesKeys: h.configuration.servesKeys(clock.Now()),
 	}
--- a/gateway/hindrance.go
+++ b/gateway/hindrance.go
@@ -12,7 +12,7 @@
 // endpoint that is not listed. The reason is checked for each choice and again immediately before the first byte is sent.
 // A cold endpoint is not excluded: it may be sent a request in each time slot of this router.
 func (b *balancer) exclusionReason(now time.Time, entry *roster.Entry) ryeford.Reason {
-	if reason := entry.Hindrance(); reason != "" {
+	if reason := entry.ExclusionReason(); reason != "" {
 		return reason
 	}
 	if b.rests.Remaining(now, entry.ID) > 0 {
--- a/gateway/hindrance_test.go
+++ b/gateway/hindrance_test.go
@@ -29,12 +29,12 @@
 			x.State = ryeford.EndpointDraining
 			b.roster.Apply(now, &ryeford.EndpointUpdate{Revision: 3, Present: []ryeford.Endpoint{x.Endpoint}}, time.Time{})
 		}, ryeford.ReasonLeaving, exclusionCounts{}},
-		{"it reported that it is leaving", func(b *balancer) { b.roster.Leave(now, "x") }, ryeford.ReasonLeaving, exclusionCounts{}},
+		{"it reported that it is leaving", func(b *balancer) { b.roster.MarkLeaving(now, "x") }, ryeford.ReasonLeaving, exclusionCounts{}},
 		{"its failure domain is evacuated", func(b *balancer) { b.roster.SetEvacuated(now, evacuated) }, ryeford.ReasonEvacuated, exclusionCounts{evacuated: 1}},
 		{"it is backing off", func(b *balancer) { b.rests.Start(now, "x", time.Second) }, ryeford.ReasonResting, exclusionCounts{backingOff: 1}},
 		{"it is backing off and leaving", func(b *balancer) {
 			b.rests.Start(now, "x", time.Second)
-			b.roster.Leave(now, "x")
+			b.roster.MarkLeaving(now, "x")
 		}, ryeford.ReasonLeaving, exclusionCounts{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/gateway/initialsync.go
+++ b/gateway/initialsync.go
@@ -47,7 +47,7 @@
 // checkSynced completes the initial sync once both the configuration and the list of endpoints are
 // known.
 func (g *Gateway) checkSynced() {
-	if g.configuration.current() != nil && g.roster.Known() {
+	if g.configuration.current() != nil && g.roster.Loaded() {
 		g.initialSync.complete()
 	}
 }
--- a/gateway/peerlist.go
+++ b/gateway/peerlist.go
@@ -76,7 +76,7 @@
 func (l *endpointList) mergeLeaving(now time.Time, message *peers.Message) {
 	var added []ryeford.EndpointID
 	for _, id := range message.Leaving[:min(len(message.Leaving), peers.MaxLeaving)] {
-		if l.roster.Leave(now, id) {
+		if l.roster.MarkLeaving(now, id) {
 			added = append(added, id)
 		}
 	}
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -53,7 +53,7 @@
 	return readiness.State{
 		Stopping:       h.drain.stopping.Load(),
 		Configured:     current != nil,
-		EndpointsKnown: h.roster.Known(),
+		EndpointsKnown: h.roster.Loaded(),
 		Keyed:          current != nil && current.Keyed(),
 		ServesKeys:     h.configuration.servesKeys(now),
 		Superseded:     h.configuration.superseded(now),
--- a/gateway/roster/entry.go
+++ b/gateway/roster/entry.go
@@ -20,8 +20,8 @@
 	// Evacuated reports that the operators have evacuated the endpoint's failure domain: it accepts
 	// no requests, whatever its status.
 	Evacuated bool
-	// Returned is when the last evacuation of the failure domain ended, or zero.
-	Returned time.Time
+	// EvacuationEnded is when the last evacuation of the failure domain ended, or zero.
+	EvacuationEnded time.Time
 	// ColdUntil is when the cold period that the endpoint reported ends, counted from when this router
 	// received the report.
 	ColdUntil time.Time
@@ -31,11 +31,11 @@
 	expires time.Time
 }
 
-// Hindrance returns the reason for which the endpoint accepts no new requests, or "" if it accepts them.
+// ExclusionReason returns the reason for which the endpoint accepts no new requests, or "" if it accepts them.
 // A nil entry stands for an unknown endpoint, which counts as leaving.
-func (e *Entry) Hindrance() ryeford.Reason {
+func (e *Entry) ExclusionReason() ryeford.Reason {
 	switch {
-	case e == nil || !e.Listed():
+	case e == nil || !e.Serving():
 		return ryeford.ReasonLeaving
 	case e.Evacuated:
 		return ryeford.ReasonEvacuated
@@ -43,9 +43,9 @@
 	return ""
 }
 
-// Listed reports whether the endpoint accepts new requests, apart from an evacuation of its failure
+// Serving reports whether the endpoint accepts new requests, apart from an evacuation of its failure
 // domain.
-func (e *Entry) Listed() bool { return e.Status.accepts() }
+func (e *Entry) Serving() bool { return e.Status.accepts() }
 
 // Accepts reports whether the endpoint accepts new requests.
-func (e *Entry) Accepts() bool { return e.Hindrance() == "" }
+func (e *Entry) Accepts() bool { return e.ExclusionReason() == "" }
--- a/gateway/roster/evacuated.go
+++ b/gateway/roster/evacuated.go
@@ -30,7 +30,7 @@
 	for id, entry := range r.entries {
 		if slices.Contains(began, entry.FailureDomain) || slices.Contains(ended, entry.FailureDomain) {
 			changed := *entry // callers may hold the old entry
-			changed.Evacuated, changed.Returned = r.evacuated[entry.FailureDomain], r.evacuationEnded[entry.FailureDomain]
+			changed.Evacuated, changed.EvacuationEnded = r.evacuated[entry.FailureDomain], r.evacuationEnded[entry.FailureDomain]
 			r.entries[id] = &changed
 		}
 	}
--- a/gateway/roster/evacuated_test.go
+++ b/gateway/roster/evacuated_test.go
@@ -24,7 +24,7 @@
 	r.Apply(start, &ryeford.EndpointUpdate{Revision: 3, Present: []ryeford.Endpoint{endpointIn("a2", "a")}}, noSuspects)
 	for id, accepts := range map[ryeford.EndpointID]bool{"a1": false, "a2": false, "b1": true} {
 		assert.Equal(t, r.Entry(id).Accepts(), accepts, id)
-		assert.Assert(t, r.Knows(id), id)
+		assert.Assert(t, r.Has(id), id)
 	}
 	assert.Equal(t, len(r.Serving("s")), 3) // evacuated endpoints still count for the mean load
 
@@ -33,6 +33,6 @@
 	assert.Equal(t, len(began), 0)
 	assert.DeepEqual(t, ended, []string{"a"})
 	assert.Assert(t, r.Entry("a1").Accepts() && r.Entry("a2").Accepts())
-	assert.Equal(t, r.Entry("a1").Returned, end)
-	assert.Assert(t, r.Entry("b1").Returned.IsZero())
+	assert.Equal(t, r.Entry("a1").EvacuationEnded, end)
+	assert.Assert(t, r.Entry("b1").EvacuationEnded.IsZero())
 }
--- a/gateway/roster/leaving.go
+++ b/gateway/roster/leaving.go
@@ -26,9 +26,9 @@
 	leavingGossipWindow = 3 * time.Second
 )
 
-// Leave records that an endpoint has reported, in a response to this router or to a peer, that it is
+// MarkLeaving records that an endpoint has reported, in a response to this router or to a peer, that it is
 // leaving. It reports whether that is new.
-func (r *Roster) Leave(now time.Time, id ryeford.EndpointID) bool {
+func (r *Roster) MarkLeaving(now time.Time, id ryeford.EndpointID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, known := r.leaving[id]; known {
@@ -49,9 +49,9 @@
 	return true
 }
 
-// LatelyLeaving returns the endpoints that were recorded as leaving within leavingGossipWindow, the
+// RecentlyLeaving returns the endpoints that were recorded as leaving within leavingGossipWindow, the
 // latest first, up to limit.
-func (r *Roster) LatelyLeaving(now time.Time, limit int) []ryeford.EndpointID {
+func (r *Roster) RecentlyLeaving(now time.Time, limit int) []ryeford.EndpointID {
 	return r.LeavingSince(now.Add(-leavingGossipWindow), limit)
 }
 
--- a/gateway/roster/leaving_test.go
+++ b/gateway/roster/leaving_test.go
@@ -63,8 +63,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			r := New()
 			r.Apply(start, snapshot(revisionOf(1, 2), withSequence(ready(first), 5), ready("b")), noSuspects)
-			assert.Assert(t, r.Leave(start, ryeford.EndpointID(first)))
-			assert.Assert(t, !r.Leave(start, ryeford.EndpointID(first)), "a repeated report is not new")
+			assert.Assert(t, r.MarkLeaving(start, ryeford.EndpointID(first)))
+			assert.Assert(t, !r.MarkLeaving(start, ryeford.EndpointID(first)), "a repeated report is not new")
 			assert.Equal(t, serving(r), "b")
 			test.then(r)
 			r.Expire(start.Add(test.later))
@@ -76,7 +76,7 @@
 // TestLeaveUnlisted checks that the report of an endpoint that is not listed yet applies once it is listed.
 func TestLeaveUnlisted(t *testing.T) {
 	r := New()
-	r.Leave(start, "a")
+	r.MarkLeaving(start, "a")
 	r.Apply(start, snapshot(1, ready("a"), ready("b")), noSuspects)
 	assert.Equal(t, serving(r), "b")
 }
@@ -86,9 +86,9 @@
 func TestLeaveBound(t *testing.T) {
 	r := New()
 	r.Apply(start, snapshot(1, ready("a"), ready("b")), noSuspects)
-	r.Leave(start, "a")
+	r.MarkLeaving(start, "a")
 	for i := range 2 * maxLeaving {
-		r.Leave(start.Add(time.Duration(i)*time.Second), ryeford.EndpointID(fmt.Sprintf("gone-%d", i)))
+		r.MarkLeaving(start.Add(time.Duration(i)*time.Second), ryeford.EndpointID(fmt.Sprintf("gone-%d", i)))
 	}
 	assert.Assert(t, len(r.leaving) <= maxLeaving, "%d", len(r.leaving))
 	r.Apply(start, snapshot(2, ready("a"), ready("b")), noSuspects)
@@ -103,15 +103,15 @@
 func TestRecentlyLeaving(t *testing.T) {
 	r := New()
 	r.Apply(start, snapshot(1, ready("a"), ready("b")), noSuspects)
-	assert.Equal(t, len(r.LatelyLeaving(start, 2)), 0)
+	assert.Equal(t, len(r.RecentlyLeaving(start, 2)), 0)
 	for i, id := range []ryeford.EndpointID{"a", "b", "c"} {
-		r.Leave(start.Add(time.Duration(i)*time.Second), id)
+		r.MarkLeaving(start.Add(time.Duration(i)*time.Second), id)
 	}
-	assert.DeepEqual(t, r.LatelyLeaving(start.Add(2*time.Second), 2), []ryeford.EndpointID{"c", "b"})
-	assert.DeepEqual(t, r.LatelyLeaving(start.Add(leavingGossipWindow), 8), []ryeford.EndpointID{"c", "b", "a"})
-	r.Leave(start.Add(leavingGossipWindow), "a") // a delayed report from a peer
-	assert.DeepEqual(t, r.LatelyLeaving(start.Add(leavingGossipWindow+1), 8), []ryeford.EndpointID{"c", "b"})
-	assert.Equal(t, len(r.LatelyLeaving(start.Add(time.Hour), 8)), 0)
+	assert.DeepEqual(t, r.RecentlyLeaving(start.Add(2*time.Second), 2), []ryeford.EndpointID{"c", "b"})
+	assert.DeepEqual(t, r.RecentlyLeaving(start.Add(leavingGossipWindow), 8), []ryeford.EndpointID{"c", "b", "a"})
+	r.MarkLeaving(start.Add(leavingGossipWindow), "a") // a delayed report from a peer
+	assert.DeepEqual(t, r.RecentlyLeaving(start.Add(leavingGossipWindow+1), 8), []ryeford.EndpointID{"c", "b"})
+	assert.Equal(t, len(r.RecentlyLeaving(start.Add(time.Hour), 8)), 0)
 	assert.DeepEqual(t, r.LeavingSince(time.Time{}, 8), []ryeford.EndpointID{"c", "b", "a"})
 	assert.Equal(t, serving(r), "")
 }
--- a/gateway/roster/queries.go
+++ b/gateway/roster/queries.go
@@ -2,8 +2,8 @@
 
 import "github.com/ryeford/ryeford"
 
-// Known reports whether a list has been read.
-func (r *Roster) Known() bool {
+// Loaded reports whether a list has been read.
+func (r *Roster) Loaded() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.loaded
@@ -38,8 +38,8 @@
 	return r.entries[id]
 }
 
-// Knows reports whether the roster has an endpoint, whatever its status.
-func (r *Roster) Knows(id ryeford.EndpointID) bool { return r.Entry(id) != nil }
+// Has reports whether the roster has an endpoint, whatever its status.
+func (r *Roster) Has(id ryeford.EndpointID) bool { return r.Entry(id) != nil }
 
 // Len returns the number of endpoints, whatever their status.
 func (r *Roster) Len() int {
--- a/gateway/roster/restarted_test.go
+++ b/gateway/roster/restarted_test.go
@@ -21,7 +21,7 @@
 		assert.DeepEqual(t, change.Dropped, []ryeford.EndpointID{before})
 		assert.DeepEqual(t, change.Added, []ryeford.EndpointID{next.ID})
 		assert.DeepEqual(t, change.Restarted, []ryeford.EndpointID{next.ID})
-		assert.Assert(t, !r.Knows(before) && r.Entry(next.ID).Accepts() && r.Entry("b").Accepts())
+		assert.Assert(t, !r.Has(before) && r.Entry(next.ID).Accepts() && r.Entry("b").Accepts())
 		assert.Equal(t, r.Entry(next.ID).FirstSeen, start)
 	}
 	change := r.Apply(start, &ryeford.EndpointUpdate{Revision: 4, Removed: []ryeford.EndpointID{"a"}}, noSuspects)
--- a/gateway/roster/roster.go
+++ b/gateway/roster/roster.go
@@ -54,7 +54,7 @@
 
 // A Change holds the IDs of the endpoints whose status an update has changed.
 type Change struct {
-	Added, Drained, Dropped, Suspected, Departed []ryeford.EndpointID
+	Added, Draining, Dropped, Suspected, Departed []ryeford.EndpointID
 	// Withheld endpoints are listed as ready but get no requests.
 	Withheld []ryeford.EndpointID
 	// Restarted holds the new incarnations of endpoints; each earlier incarnation is in Dropped.
@@ -63,7 +63,7 @@
 
 // Empty reports whether nothing has changed.
 func (c *Change) Empty() bool {
-	return len(c.Added)+len(c.Drained)+len(c.Dropped)+len(c.Suspected)+len(c.Departed)+len(c.Withheld) == 0
+	return len(c.Added)+len(c.Draining)+len(c.Dropped)+len(c.Suspected)+len(c.Departed)+len(c.Withheld) == 0
 }
 
 // Apply applies an update, unless it is older than the last one. Before suspectUntil (see SuspectUntil)
@@ -112,7 +112,7 @@
 	r.endIncarnation(now, endpoint.ID, change)
 	old := r.entries[endpoint.ID]
 	entry := &Entry{Endpoint: endpoint, Status: r.statusOf(&endpoint), Hash: route.NameHash(string(endpoint.ID)),
-		Evacuated: r.evacuated[endpoint.FailureDomain], Returned: r.evacuationEnded[endpoint.FailureDomain]}
+		Evacuated: r.evacuated[endpoint.FailureDomain], EvacuationEnded: r.evacuationEnded[endpoint.FailureDomain]}
 	switch {
 	case old != nil:
 		entry.FirstSeen = old.FirstSeen
@@ -134,7 +134,7 @@
 		change.Added = append(change.Added, endpoint.ID)
 	}
 	if entry.Status == StatusDraining && (old == nil || old.Status.accepts()) {
-		change.Drained = append(change.Drained, endpoint.ID)
+		change.Draining = append(change.Draining, endpoint.ID)
 	}
 	r.entries[endpoint.ID] = entry
 }
--- a/gateway/roster/roster_test.go
+++ b/gateway/roster/roster_test.go
@@ -42,7 +42,7 @@
 // TestChanges checks that endpoints join, drain and leave as updates state.
 func TestChanges(t *testing.T) {
 	r := New()
-	assert.Assert(t, !r.Known())
+	assert.Assert(t, !r.Loaded())
 	r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 1, Present: []ryeford.Endpoint{ready("b"), ready("a")}}, noSuspects)
 	assert.Equal(t, serving(r), "ab")
 	r.Apply(start, &ryeford.EndpointUpdate{Revision: 2, Present: []ryeford.Endpoint{draining("a"), ready("c")}}, noSuspects)
@@ -86,7 +86,7 @@
 	assert.Equal(t, serving(r), "b")
 	assert.Assert(t, !r.Entry("a").Accepts())
 	assert.Equal(t, len(r.Draining("s")), 1)
-	assert.Assert(t, r.Knows("a") && !r.Knows("d"))
+	assert.Assert(t, r.Has("a") && !r.Has("d"))
 	// A full list that lacks it too changes nothing.
 	change = r.Apply(start, &ryeford.EndpointUpdate{Snapshot: true, Revision: 3, Present: []ryeford.Endpoint{ready("b")}}, noSuspects)
 	assert.Assert(t, change.Empty())
--- a/gateway/roster/status.go
+++ b/gateway/roster/status.go
@@ -32,13 +32,13 @@
 	if downtime.Length() < minOutageForLapse {
 		return time.Time{}
 	}
-	return RestoredUntil(downtime, contact)
+	return SuspectUntilAfterRestore(downtime, contact)
 }
 
-// RestoredUntil is like SuspectUntil, for a source that was restored from a backup. It has no minimum
+// SuspectUntilAfterRestore is like SuspectUntil, for a source that was restored from a backup. It has no minimum
 // downtime: the backup lacks endpoints that registered after it was made, until they write their entries
 // again.
-func RestoredUntil(downtime *ryeford.Downtime, contact time.Duration) time.Time {
+func SuspectUntilAfterRestore(downtime *ryeford.Downtime, contact time.Duration) time.Time {
 	until := downtime.Ended.Add(suspectDuration)
 	if latest := downtime.LastFailed.Add(contact - suspectMargin); latest.Before(until) {
 		return latest
