--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -89,7 +89,7 @@
 	}
 	// A quarantined request that callers repeat could otherwise end one endpoint after another.
 	if verdict := x.checkQuarantine(now); verdict.Held {
-		return giveup.Quarantined(verdict.Left)
+		return giveup.Quarantined(verdict.RetryAfter)
 	}
 	if x.history.Sent == 0 && x.forwarder.occupancy.Full(now, q.service) {
 		return giveup.NotRun(ryeford.ReasonOverload)
--- a/gateway/gossip_test.go
+++ b/gateway/gossip_test.go
@@ -59,9 +59,9 @@
 	assert.Equal(t, len(b.prefixes.CachedTokens(now, parts)), 1)
 	assert.Equal(t, len(a.message(now, 2, true).Prompts), 0, "prompts are sent only once")
 	suspect := quarantine.FingerprintOf("bank", "/stream/a", nil)
-	a.quarantine.table.Crashed(now, suspect, 0, quarantine.Crash{Began: now.Add(-time.Second), Ended: now})
+	a.quarantine.table.RecordCrash(now, suspect, 0, quarantine.Crash{Began: now.Add(-time.Second), Ended: now})
 	b.merge(now, a.briefMessage(now, 3))
-	assert.Assert(t, b.quarantine.table.Suspects(suspect.Filter()))
+	assert.Assert(t, b.quarantine.table.MayMatch(suspect.Filter()))
 	b.merge(now, a.message(now, 1, true))
 	assert.Equal(t, b.table.Alive(now), 1, "an old message has no effect")
 }
--- a/gateway/peers/quarantine.go
+++ b/gateway/peers/quarantine.go
@@ -38,7 +38,7 @@
 		record := &records[i]
 		q := Quarantined{
 			Fingerprint: record.Fingerprint, Account: record.Account, Trials: record.Trials,
-			Answered: ageAt(now, record.Answered), Held: ageAt(now, record.Held), Tried: ageAt(now, record.Tried),
+			Answered: ageAt(now, record.LastSuccess), Held: ageAt(now, record.HeldSince), Tried: ageAt(now, record.LastTrial),
 		}
 		for _, crash := range record.Crashes {
 			q.Crashes = append(q.Crashes, Crash{Endpoint: crash.Endpoint, Began: AgeOf(now.Sub(crash.Began)), Ended: AgeOf(now.Sub(crash.Ended))})
@@ -56,7 +56,7 @@
 		q := &received[i]
 		record := quarantine.Record{
 			Fingerprint: q.Fingerprint, Account: q.Account, Trials: q.Trials,
-			Answered: timeOf(now, q.Answered), Held: timeOf(now, q.Held), Tried: timeOf(now, q.Tried),
+			LastSuccess: timeOf(now, q.Answered), HeldSince: timeOf(now, q.Held), LastTrial: timeOf(now, q.Tried),
 		}
 		for _, crash := range q.Crashes[:min(len(q.Crashes), quarantine.MaxCrashes)] {
 			record.Crashes = append(record.Crashes, quarantine.Crash{
--- a/gateway/peers/quarantine_test.go
+++ b/gateway/peers/quarantine_test.go
@@ -34,9 +34,9 @@
 				{Endpoint: 1 << 29, Began: ago(7 * time.Second), Ended: ago(6 * time.Second)},
 				{Endpoint: 1 << 28, Began: ago(5 * time.Second), Ended: ago(4 * time.Second)},
 			},
-			Held: ago(4 * time.Second), Trials: 1, Tried: ago(time.Second),
+			HeldSince: ago(4 * time.Second), Trials: 1, LastTrial: ago(time.Second),
 		}, 78},
-		{"answered", quarantine.Record{Fingerprint: fingerprint, Account: 1 << 31, Answered: ago(time.Second)}, 36},
+		{"answered", quarantine.Record{Fingerprint: fingerprint, Account: 1 << 31, LastSuccess: ago(time.Second)}, 36},
 	} {
 		content, err := cbor.Marshal(&Message{Quarantined: QuarantinedOf(sent, []quarantine.Record{test.record})})
 		assert.NilError(t, err)
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -104,10 +104,10 @@
 	now := clock.Now()
 	crash := quarantine.Crash{Endpoint: uint32(route.NameHash(string(to.ID))), Began: lost.began, Ended: lost.ended}
 	wasHeld := h.table.Check(now, lost.fingerprint, false).Held
-	record := h.table.Crashed(now, lost.fingerprint, uint32(route.NameHash(string(lost.account))), crash)
+	record := h.table.RecordCrash(now, lost.fingerprint, uint32(route.NameHash(string(lost.account))), crash)
 	_ = h.log.Log("decision", "request_crashed", "request", lost.request, "fingerprint", lost.fingerprint, "account", lost.account,
-		"endpoint", to.ID, "crashes", len(record.Crashes), "held", !record.Held.IsZero())
-	if record.Held.IsZero() {
+		"endpoint", to.ID, "crashes", len(record.Crashes), "held", !record.HeldSince.IsZero())
+	if record.HeldSince.IsZero() {
 		return
 	}
 	h.heldRequests.enqueueWrite(&record)
@@ -131,13 +131,13 @@
 		return false
 	}
 	filter := quarantine.FilterOf(x.request.accountID(), x.incoming.RequestURI, len(x.request.body))
-	return x.forwarder.quarantine.table.Suspects(filter)
+	return x.forwarder.quarantine.table.MayMatch(filter)
 }
 
 // checkQuarantine returns whether the request is held, or let through as a trial.
-func (x *exchange) checkQuarantine(now time.Time) quarantine.Verdict {
+func (x *exchange) checkQuarantine(now time.Time) quarantine.Decision {
 	if !x.suspected() {
-		return quarantine.Verdict{}
+		return quarantine.Decision{}
 	}
 	h := x.forwarder.quarantine
 	verdict := h.table.Check(now, x.fingerprint(), h.mayTry(now))
@@ -154,7 +154,7 @@
 		return
 	}
 	h := x.forwarder.quarantine
-	if h.table.Answered(clock.Now(), x.fingerprint()) {
+	if h.table.RecordSuccess(clock.Now(), x.fingerprint()) {
 		h.heldRequests.enqueueRemoval(x.fingerprint())
 		_ = h.log.Log("decision", "quarantine_ended", "request", x.request.meta.ID, "fingerprint", x.fingerprint(), "why", "answered")
 	}
--- a/gateway/quarantine/record.go
+++ b/gateway/quarantine/record.go
@@ -45,13 +45,13 @@
 	Fingerprint Fingerprint
 	Account     uint32  // the low half of route.NameHash of the client account
 	Crashes     []Crash // ordered by Ended
-	// Answered is the time of the last success, or zero. Attempts that began earlier don't count.
-	Answered time.Time
-	// Held is when the requests were held, or zero if they are not.
-	Held time.Time
+	// LastSuccess is the time of the last success, or zero. Attempts that began earlier don't count.
+	LastSuccess time.Time
+	// HeldSince is when the requests were held, or zero if they are not.
+	HeldSince time.Time
 	// Trials is the number of trials since Held, and Tried is when the last one began.
-	Trials int
-	Tried  time.Time
+	Trials    int
+	LastTrial time.Time
 }
 
 // same reports whether c and other are the same crash of one endpoint. An endpoint may restart under its ID and
@@ -64,7 +64,7 @@
 // add adds a crash. It reports false if the crash is already recorded or precedes the last success.
 func (r *Record) add(crash Crash) (added bool) {
 	known := func(other Crash) bool { return crash.same(other) }
-	if !crash.Began.After(r.Answered) || slices.ContainsFunc(r.Crashes, known) {
+	if !crash.Began.After(r.LastSuccess) || slices.ContainsFunc(r.Crashes, known) {
 		return false
 	}
 	r.Crashes = append(r.Crashes, crash)
@@ -79,8 +79,8 @@
 // hold marks the requests as held if enough endpoints have crashed.
 func (r *Record) hold() {
 	n := countSuccessive(r.Crashes)
-	if r.Held.IsZero() && (n >= crashesToHold || n >= minSuccessiveCrashes && len(r.Crashes) >= totalCrashesToHold) {
-		r.Held = r.Crashes[len(r.Crashes)-1].Ended
+	if r.HeldSince.IsZero() && (n >= crashesToHold || n >= minSuccessiveCrashes && len(r.Crashes) >= totalCrashesToHold) {
+		r.HeldSince = r.Crashes[len(r.Crashes)-1].Ended
 	}
 }
 
@@ -100,28 +100,28 @@
 // recordAnswer records a success. It removes the crashes and the hold that precede it, and reports whether
 // anything changed.
 func (r *Record) recordAnswer(at time.Time) bool {
-	if !at.After(r.Answered) {
+	if !at.After(r.LastSuccess) {
 		return false
 	}
-	r.Answered = at
+	r.LastSuccess = at
 	r.Crashes = slices.DeleteFunc(r.Crashes, func(crash Crash) bool { return !crash.Began.After(at) })
-	if !r.Held.After(at) {
-		r.Held, r.Tried, r.Trials = time.Time{}, time.Time{}, 0
+	if !r.HeldSince.After(at) {
+		r.HeldSince, r.LastTrial, r.Trials = time.Time{}, time.Time{}, 0
 	}
 	return true
 }
 
 // merge adds a peer's record, and reports whether anything changed.
 func (r *Record) merge(other *Record) (changed bool) {
-	changed = !other.Answered.IsZero() && r.mergeAnswer(other.Answered)
+	changed = !other.LastSuccess.IsZero() && r.mergeAnswer(other.LastSuccess)
 	for _, crash := range other.Crashes {
 		changed = r.add(crash) || changed
 	}
-	if r.Held.IsZero() && other.Held.After(r.Answered) {
-		r.Held, changed = other.Held, true
+	if r.HeldSince.IsZero() && other.HeldSince.After(r.LastSuccess) {
+		r.HeldSince, changed = other.HeldSince, true
 	}
-	if !r.Held.IsZero() && other.Trials > r.Trials {
-		r.Trials, r.Tried, changed = other.Trials, other.Tried, true
+	if !r.HeldSince.IsZero() && other.Trials > r.Trials {
+		r.Trials, r.LastTrial, changed = other.Trials, other.LastTrial, true
 	}
 	return changed
 }
@@ -132,7 +132,7 @@
 
 // mergeAnswer is recordAnswer for a success from a peer's record, which may already be recorded.
 func (r *Record) mergeAnswer(at time.Time) bool {
-	if !r.Answered.IsZero() && at.Sub(r.Answered) < timeTolerance {
+	if !r.LastSuccess.IsZero() && at.Sub(r.LastSuccess) < timeTolerance {
 		return false
 	}
 	return r.recordAnswer(at)
@@ -143,21 +143,21 @@
 	if r.Trials >= maxTrials {
 		return time.Time{}, false
 	}
-	since, wait := r.Held, trialDelay
+	since, wait := r.HeldSince, trialDelay
 	for range r.Trials {
-		since, wait = r.Tried, wait*trialDelayFactor
+		since, wait = r.LastTrial, wait*trialDelayFactor
 	}
 	return since.Add(wait), true
 }
 
 // expires returns when the record can be removed unless it changes.
 func (r *Record) expires() time.Time {
-	last := r.Answered.Add(answeredTTL)
+	last := r.LastSuccess.Add(answeredTTL)
 	if n := len(r.Crashes); n > 0 {
 		last = later(last, r.Crashes[n-1].Ended.Add(crashTTL))
 	}
-	if !r.Held.IsZero() {
-		last = later(last, later(r.Held, r.Tried).Add(holdTTL))
+	if !r.HeldSince.IsZero() {
+		last = later(last, later(r.HeldSince, r.LastTrial).Add(holdTTL))
 	}
 	return last
 }
--- a/gateway/quarantine/record_test.go
+++ b/gateway/quarantine/record_test.go
@@ -41,7 +41,7 @@
 		{"three among overlapping ones", crashed([2]float64{0, 1}, [2]float64{0.5, 1.5}, [2]float64{1.2, 2}, [2]float64{1.8, 2.6}, [2]float64{2.1, 3}), true},
 		{"one attempt overlaps all others", crashed([2]float64{0, 9}, [2]float64{1, 2}, [2]float64{3, 4}), false},
 	} {
-		assert.Equal(t, !test.record.Held.IsZero(), test.held, test.name)
+		assert.Equal(t, !test.record.HeldSince.IsZero(), test.held, test.name)
 	}
 }
 
@@ -56,23 +56,23 @@
 	record.add(Crash{Endpoint: 7, Began: at(6), Ended: at(6.5)})
 	record.add(Crash{Endpoint: 7, Began: at(0), Ended: at(1)})
 	assert.Equal(t, len(record.Crashes), 3)
-	assert.Assert(t, !record.Held.IsZero())
+	assert.Assert(t, !record.HeldSince.IsZero())
 }
 
 // TestAnswer checks that a success removes earlier crashes and the hold, and that late reports of these are ignored.
 func TestAnswer(t *testing.T) {
 	record := crashed([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5})
 	assert.Assert(t, record.recordAnswer(at(6)))
-	assert.Assert(t, record.Held.IsZero() && len(record.Crashes) == 0)
+	assert.Assert(t, record.HeldSince.IsZero() && len(record.Crashes) == 0)
 	late := crashed([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5.5})
 	assert.Assert(t, !record.merge(late))
-	assert.Assert(t, record.Held.IsZero() && len(record.Crashes) == 0)
+	assert.Assert(t, record.HeldSince.IsZero() && len(record.Crashes) == 0)
 	for i, interval := range [][2]float64{{7, 8}, {9, 10}, {11, 12}} {
 		record.add(Crash{Endpoint: uint32(i), Began: at(interval[0]), Ended: at(interval[1])})
 	}
-	assert.Equal(t, record.Held, at(12))
-	assert.Assert(t, !record.merge(&Record{Answered: at(6.01)}), "the same success in another message")
-	assert.Equal(t, record.Held, at(12))
+	assert.Equal(t, record.HeldSince, at(12))
+	assert.Assert(t, !record.merge(&Record{LastSuccess: at(6.01)}), "the same success in another message")
+	assert.Equal(t, record.HeldSince, at(12))
 }
 
 // TestMerge checks that routers that each recorded one crash hold the requests after they have merged all records,
@@ -86,24 +86,24 @@
 		for _, i := range order {
 			record.merge(parts[i])
 		}
-		assert.Equal(t, record.Held, at(5))
+		assert.Equal(t, record.HeldSince, at(5))
 		assert.Equal(t, len(record.Crashes), 3)
 	}
 	var receiver Record
-	assert.Assert(t, receiver.merge(&Record{Held: at(5)}), "a hold is merged without its crashes")
-	assert.Equal(t, receiver.Held, at(5))
+	assert.Assert(t, receiver.merge(&Record{HeldSince: at(5)}), "a hold is merged without its crashes")
+	assert.Equal(t, receiver.HeldSince, at(5))
 }
 
 // TestTrialDue checks when held requests are tried again, and that the number of trials is limited.
 func TestTrialDue(t *testing.T) {
-	record := Record{Held: at(0)}
+	record := Record{HeldSince: at(0)}
 	for _, want := range []time.Duration{10 * time.Minute, time.Hour} {
 		due, possible := record.trialDue()
 		assert.Assert(t, possible)
-		assert.Equal(t, due.Sub(later(record.Held, record.Tried)), want)
-		record.Trials, record.Tried = record.Trials+1, due
+		assert.Equal(t, due.Sub(later(record.HeldSince, record.LastTrial)), want)
+		record.Trials, record.LastTrial = record.Trials+1, due
 	}
 	_, possible := record.trialDue()
 	assert.Assert(t, !possible)
-	assert.Equal(t, record.expires(), record.Tried.Add(holdTTL))
+	assert.Equal(t, record.expires(), record.LastTrial.Add(holdTTL))
 }
--- a/gateway/quarantine/table.go
+++ b/gateway/quarantine/table.go
@@ -38,16 +38,16 @@
 	return &Table{records: make(map[Fingerprint]*entry), filters: make(map[Filter]int)}
 }
 
-// Suspects reports whether a record may match a request whose fingerprint has the filter.
-func (t *Table) Suspects(filter Filter) bool {
+// MayMatch reports whether a record may match a request whose fingerprint has the filter.
+func (t *Table) MayMatch(filter Filter) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.filters[filter] > 0
 }
 
-// Crashed records that an endpoint ended while it ran a request of an account. It returns a copy of the
+// RecordCrash records that an endpoint ended while it ran a request of an account. It returns a copy of the
 // request's record.
-func (t *Table) Crashed(now time.Time, fingerprint Fingerprint, account uint32, crash Crash) Record {
+func (t *Table) RecordCrash(now time.Time, fingerprint Fingerprint, account uint32, crash Crash) Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entry(now, fingerprint, account)
@@ -57,15 +57,15 @@
 	return e.copy()
 }
 
-// Answered records that a request was answered with a success, and reports whether it was held.
-func (t *Table) Answered(now time.Time, fingerprint Fingerprint) (wasHeld bool) {
+// RecordSuccess records that a request was answered with a success, and reports whether it was held.
+func (t *Table) RecordSuccess(now time.Time, fingerprint Fingerprint) (wasHeld bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.records[fingerprint]
 	if e == nil {
 		return false
 	}
-	wasHeld = !e.Held.IsZero()
+	wasHeld = !e.HeldSince.IsZero()
 	if len(e.Crashes) > 0 || wasHeld {
 		e.recordAnswer(now)
 		e.sendsLeft = sendsPerChange
@@ -73,11 +73,11 @@
 	return wasHeld
 }
 
-// A Verdict states whether a request may be sent to an endpoint.
-type Verdict struct {
+// A Decision states whether a request may be sent to an endpoint.
+type Decision struct {
 	Held bool
-	// Left is the time until a held request may be tried again, or until its record expires.
-	Left time.Duration
+	// RetryAfter is the time until a held request may be tried again, or until its record expires.
+	RetryAfter time.Duration
 	// Trial reports that the request may be sent as a trial of a held request. Record is the record
 	// including this trial.
 	Trial  bool
@@ -85,24 +85,24 @@
 }
 
 // Check returns the verdict on a request. mayTry reports whether this router may start a trial now.
-func (t *Table) Check(now time.Time, fingerprint Fingerprint, mayTry bool) Verdict {
+func (t *Table) Check(now time.Time, fingerprint Fingerprint, mayTry bool) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.records[fingerprint]
-	if e == nil || e.Held.IsZero() {
-		return Verdict{}
+	if e == nil || e.HeldSince.IsZero() {
+		return Decision{}
 	}
 	due, possible := e.trialDue()
 	switch {
 	case !possible:
-		return Verdict{Held: true, Left: e.expires().Sub(now)}
+		return Decision{Held: true, RetryAfter: e.expires().Sub(now)}
 	case now.Before(due):
-		return Verdict{Held: true, Left: due.Sub(now)}
+		return Decision{Held: true, RetryAfter: due.Sub(now)}
 	case !mayTry:
-		return Verdict{Held: true, Left: trialDuration}
+		return Decision{Held: true, RetryAfter: trialDuration}
 	}
-	e.Trials, e.Tried, e.sendsLeft = e.Trials+1, now, sendsPerChange
-	return Verdict{Trial: true, Record: e.copy()}
+	e.Trials, e.LastTrial, e.sendsLeft = e.Trials+1, now, sendsPerChange
+	return Decision{Trial: true, Record: e.copy()}
 }
 
 // Merge adds the records of a peer, and returns the records that are held as a result.
@@ -115,11 +115,11 @@
 			continue
 		}
 		e := t.entry(now, other.Fingerprint, other.Account)
-		before := e.Held
+		before := e.HeldSince
 		if e.merge(other) {
 			e.sendsLeft = sendsPerChange
 		}
-		if before.IsZero() && !e.Held.IsZero() {
+		if before.IsZero() && !e.HeldSince.IsZero() {
 			held = append(held, e.copy())
 		}
 	}
@@ -156,7 +156,7 @@
 		switch {
 		case e.sendsLeft > 0:
 			changed = append(changed, e)
-		case !e.Held.IsZero():
+		case !e.HeldSince.IsZero():
 			held = append(held, e)
 		}
 	}
@@ -169,7 +169,7 @@
 
 // weight returns the priority of the record: held requests have the highest.
 func (e *entry) weight() int {
-	if !e.Held.IsZero() {
+	if !e.HeldSince.IsZero() {
 		return crashesToHold + 1
 	}
 	return countSuccessive(e.Crashes)
@@ -181,7 +181,7 @@
 	defer t.mu.Unlock()
 	var held []Record
 	for _, e := range t.records {
-		if !e.Held.IsZero() {
+		if !e.HeldSince.IsZero() {
 			held = append(held, e.copy())
 		}
 	}
--- a/gateway/quarantine/table_test.go
+++ b/gateway/quarantine/table_test.go
@@ -18,27 +18,27 @@
 func crashUntilHeld(t *Table, fingerprint Fingerprint, account uint32, second float64) {
 	for i := range crashesToHold {
 		began := second + float64(i)
-		t.Crashed(at(began+0.5), fingerprint, account, Crash{Endpoint: uint32(i), Began: at(began), Ended: at(began + 0.5)})
+		t.RecordCrash(at(began+0.5), fingerprint, account, Crash{Endpoint: uint32(i), Began: at(began), Ended: at(began + 0.5)})
 	}
 }
 
 // TestCheck checks the verdicts on a request from its first crash to a successful trial.
 func TestCheck(t *testing.T) {
 	table := New()
-	assert.Assert(t, !table.Suspects(poison.Filter()))
+	assert.Assert(t, !table.MayMatch(poison.Filter()))
 	crashUntilHeld(table, poison, 1, 0)
-	assert.Assert(t, table.Suspects(poison.Filter()))
-	assert.DeepEqual(t, table.Check(at(3), poison, true), Verdict{Held: true, Left: trialDelay - 500*time.Millisecond})
-	assert.DeepEqual(t, table.Check(at(3), FingerprintOf("church", "/stream/a", []byte("body")), true), Verdict{})
+	assert.Assert(t, table.MayMatch(poison.Filter()))
+	assert.DeepEqual(t, table.Check(at(3), poison, true), Decision{Held: true, RetryAfter: trialDelay - 500*time.Millisecond})
+	assert.DeepEqual(t, table.Check(at(3), FingerprintOf("church", "/stream/a", []byte("body")), true), Decision{})
 
 	due := at(2.5).Add(trialDelay)
-	assert.DeepEqual(t, table.Check(due, poison, false), Verdict{Held: true, Left: trialDuration})
+	assert.DeepEqual(t, table.Check(due, poison, false), Decision{Held: true, RetryAfter: trialDuration})
 	trial := table.Check(due, poison, true)
 	assert.Assert(t, trial.Trial && !trial.Held)
 	assert.Equal(t, trial.Record.Trials, 1)
-	assert.DeepEqual(t, table.Check(due, poison, true), Verdict{Held: true, Left: trialDelayFactor * trialDelay})
-	assert.Assert(t, table.Answered(due.Add(time.Second), poison))
-	assert.DeepEqual(t, table.Check(due.Add(time.Second), poison, false), Verdict{})
+	assert.DeepEqual(t, table.Check(due, poison, true), Decision{Held: true, RetryAfter: trialDelayFactor * trialDelay})
+	assert.Assert(t, table.RecordSuccess(due.Add(time.Second), poison))
+	assert.DeepEqual(t, table.Check(due.Add(time.Second), poison, false), Decision{})
 	assert.Equal(t, len(table.Held()), 0)
 }
 
@@ -103,7 +103,7 @@
 	table := New()
 	for i := range 20 {
 		fingerprint := FingerprintOf("bank", fmt.Sprint(i), nil)
-		table.Crashed(at(1), fingerprint, 1, Crash{Endpoint: 1, Began: at(0), Ended: at(1)})
+		table.RecordCrash(at(1), fingerprint, 1, Crash{Endpoint: 1, Began: at(0), Ended: at(1)})
 	}
 	crashUntilHeld(table, poison, 1, 2)
 	first := table.Outgoing(at(5), 3)
@@ -120,13 +120,13 @@
 // TestExpiry checks that records of crashes expire, and those of held requests later.
 func TestExpiry(t *testing.T) {
 	table := New()
-	table.Crashed(at(1), FingerprintOf("bank", "/once", nil), 1, Crash{Endpoint: 1, Began: at(0), Ended: at(1)})
+	table.RecordCrash(at(1), FingerprintOf("bank", "/once", nil), 1, Crash{Endpoint: 1, Began: at(0), Ended: at(1)})
 	crashUntilHeld(table, poison, 1, 0)
 	table.Outgoing(at(1).Add(crashTTL), 1)
 	assert.Equal(t, table.Len(), 1)
 	table.Outgoing(at(2.5).Add(holdTTL), 1)
 	assert.Equal(t, table.Len(), 0)
-	assert.Assert(t, !table.Suspects(poison.Filter()))
+	assert.Assert(t, !table.MayMatch(poison.Filter()))
 }
 
 // TestEvictionPerAccount checks that an account with many poison requests neither exceeds the memory bound nor
