--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -87,14 +87,14 @@
 func (x *exchange) send(ctx context.Context, to, source *roster.Entry) (*endpoint.Response, error) {
 	f, q := x.forwarder, x.request
 	return f.pool.Send(ctx, &to.Endpoint, &endpoint.Request{
-		ID:      q.meta.ID,
-		Method:  x.incoming.Method,
-		Target:  x.incoming.RequestURI,
-		Host:    x.incoming.Host,
-		Header:  f.protocol.ForwardHeader(x.incoming.Header, x.forwardMeta(to, source)),
-		Body:    q.body,
-		HasBody: q.hasBody,
-		Once:    !q.rule.Idempotent(),
+		ID:            q.meta.ID,
+		Method:        x.incoming.Method,
+		Target:        x.incoming.RequestURI,
+		Host:          x.incoming.Host,
+		Header:        f.protocol.ForwardHeader(x.incoming.Header, x.forwardMeta(to, source)),
+		Body:          q.body,
+		HasBody:       q.hasBody,
+		NotRepeatable: !q.rule.Idempotent(),
 	}, func() error { return x.checkSend(to) })
 }
 
--- a/gateway/catalog/catalog.go
+++ b/gateway/catalog/catalog.go
@@ -79,9 +79,9 @@
 // Limits returns the limits on callers' requests.
 func (c *Catalog) Limits() *ryeford.RequestLimits { return &c.configuration.Limits }
 
-// Keyed reports whether requests need keys. They don't if the configuration has no list of accounts. If the
+// RequiresKey reports whether requests need keys. They don't if the configuration has no list of accounts. If the
 // list is empty, no key is valid.
-func (c *Catalog) Keyed() bool { return c.configuration.Accounts != nil }
+func (c *Catalog) RequiresKey() bool { return c.configuration.Accounts != nil }
 
 // Account returns the client account that a key belongs to, or nil.
 func (c *Catalog) Account(key string) *ryeford.AccountRule { return c.accounts[key] }
--- a/gateway/catalog/catalog_test.go
+++ b/gateway/catalog/catalog_test.go
@@ -75,12 +75,12 @@
 // TestAccounts checks that keys are needed with a list of accounts, even an empty one, and not without it.
 func TestAccounts(t *testing.T) {
 	open := New(&ryeford.Configuration{})
-	assert.Assert(t, !open.Keyed())
+	assert.Assert(t, !open.RequiresKey())
 	keyed := New(&ryeford.Configuration{Accounts: []ryeford.AccountRule{{Account: "bank", Keys: []string{"k"}}}})
-	assert.Assert(t, keyed.Keyed())
+	assert.Assert(t, keyed.RequiresKey())
 	assert.Equal(t, keyed.Account("k").Account, ryeford.AccountID("bank"))
 	assert.Assert(t, keyed.Account("") == nil)
-	assert.Assert(t, New(&ryeford.Configuration{Accounts: []ryeford.AccountRule{}}).Keyed())
+	assert.Assert(t, New(&ryeford.Configuration{Accounts: []ryeford.AccountRule{}}).RequiresKey())
 }
 
 // TestCurrentNeverReverts checks that no older version comes into force when many goroutines put versions at once.
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -85,7 +85,7 @@
 		if i > 0 {
 			clock.Sleep(ctx, crashCheckPause)
 		}
-		if endpoint.Refuses(ctx, to.Address) {
+		if endpoint.RefusesConnections(ctx, to.Address) {
 			c.crashed = true
 			return
 		}
--- a/gateway/endpoint/disconnect.go
+++ b/gateway/endpoint/disconnect.go
@@ -9,9 +9,9 @@
 	"syscall"
 )
 
-// Refuses reports whether a connection to an address is refused, which means that no process listens there. It
+// RefusesConnections reports whether a connection to an address is refused, which means that no process listens there. It
 // is false if the connection opens, and if the host does not answer.
-func Refuses(ctx context.Context, address netip.AddrPort) bool {
+func RefusesConnections(ctx context.Context, address netip.AddrPort) bool {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", address.String())
 	if err != nil {
@@ -21,9 +21,9 @@
 	return false
 }
 
-// BrokeOff reports whether an error means that the endpoint closed or reset a connection before the end of a
+// ConnectionBroken reports whether an error means that the endpoint closed or reset a connection before the end of a
 // response. It is false for late and for unusable responses.
-func BrokeOff(err error) bool {
+func ConnectionBroken(err error) bool {
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, cause) {
 			return true
--- a/gateway/endpoint/disconnect_test.go
+++ b/gateway/endpoint/disconnect_test.go
@@ -19,9 +19,9 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := netip.MustParseAddrPort(listener.Addr().String())
-	assert.Assert(t, !Refuses(t.Context(), address))
+	assert.Assert(t, !RefusesConnections(t.Context(), address))
 	assert.NilError(t, listener.Close())
-	assert.Assert(t, Refuses(t.Context(), address))
+	assert.Assert(t, RefusesConnections(t.Context(), address))
 }
 
 // TestBrokeOff checks which errors mean that the endpoint closed or reset the connection.
@@ -40,6 +40,6 @@
 		{"an error response of the endpoint", &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineError, Err: errors.New("status 500")}, false},
 		{"none", nil, false},
 	} {
-		assert.Equal(t, BrokeOff(test.err), test.want, test.name)
+		assert.Equal(t, ConnectionBroken(test.err), test.want, test.name)
 	}
 }
--- a/gateway/endpoint/endpoint_test.go
+++ b/gateway/endpoint/endpoint_test.go
@@ -79,7 +79,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, body, "ok")
 	time.Sleep(beyondOnceMaxIdle)
-	once := &endpoint.Request{ID: "r", Method: "POST", Target: "/", Host: "h", Header: http.Header{}, Once: true}
+	once := &endpoint.Request{ID: "r", Method: "POST", Target: "/", Host: "h", Header: http.Header{}, NotRepeatable: true}
 	got, err := pool.Send(t.Context(), to, once, func() error { return nil })
 	assert.NilError(t, err)
 	_, err = got.ReadAll(100)
--- a/gateway/endpoint/reuse_test.go
+++ b/gateway/endpoint/reuse_test.go
@@ -140,7 +140,7 @@
 		}))
 		to := &ryeford.Endpoint{ID: "e", Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
 		pool := New(platform.Protocol{})
-		request := &Request{ID: "r", Method: "GET", Target: "/", Host: "h", Header: http.Header{"Ryeford-Request-Id": {"r"}}, Once: once}
+		request := &Request{ID: "r", Method: "GET", Target: "/", Host: "h", Header: http.Header{"Ryeford-Request-Id": {"r"}}, NotRepeatable: once}
 		got, err := pool.Send(t.Context(), to, request, func() error { return nil })
 		assert.NilError(t, err)
 		_, err = got.ReadAll(100)
--- a/gateway/endpoint/send.go
+++ b/gateway/endpoint/send.go
@@ -35,10 +35,10 @@
 	Body   []byte
 	// HasBody reports whether the caller sent a body, which may be empty.
 	HasBody bool
-	// Once reports that the request must not be sent again if it gets no response. It uses a connection
+	// NotRepeatable reports that the request must not be sent again if it gets no response. It uses a connection
 	// that was idle for at most onceMaxIdle, or a new one, whose handshake proves that the endpoint is
 	// reachable.
-	Once bool
+	NotRepeatable bool
 }
 
 // encode returns the request in wire format. A body has a Content-Length.
@@ -62,7 +62,7 @@
 // Send calls check right before it writes the first byte. If check fails, the request is not sent and the
 // *UnsentError wraps the error.
 func (p *Pool) Send(ctx context.Context, to *ryeford.Endpoint, request *Request, check func() error) (*Response, error) {
-	c, err := p.connection(ctx, to, request.Once)
+	c, err := p.connection(ctx, to, request.NotRepeatable)
 	if err != nil {
 		return nil, err
 	}
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	response.stop = stop
-	if request.Once {
+	if request.NotRepeatable {
 		// Idle connections of many routers could exceed an endpoint's connection limit, so that it resets others.
 		c.maxIdle = min(c.maxIdle, onceMaxIdle)
 	}
--- a/gateway/evacuation/table.go
+++ b/gateway/evacuation/table.go
@@ -36,9 +36,9 @@
 	keptUntil time.Time
 }
 
-// Learn applies evacuations that were read from the source by this router or a peer. It returns the evacuations
+// Merge applies evacuations that were read from the source by this router or a peer. It returns the evacuations
 // that are in force now, and whether they have changed.
-func (t *Table) Learn(now time.Time, read ryeford.Evacuations) (inForce ryeford.Evacuations, changed bool) {
+func (t *Table) Merge(now time.Time, read ryeford.Evacuations) (inForce ryeford.Evacuations, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before := t.inForce()
@@ -74,8 +74,8 @@
 	return others
 }
 
-// Known returns the evacuations as last read, without kept orders.
-func (t *Table) Known() ryeford.Evacuations {
+// LastRead returns the evacuations as last read, without kept orders.
+func (t *Table) LastRead() ryeford.Evacuations {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lastRead
--- a/gateway/evacuation/table_test.go
+++ b/gateway/evacuation/table_test.go
@@ -37,9 +37,9 @@
 		{"never read", readAt(0), false, readAt(10, a9, b7)},
 		{"withdrawn", readAt(11, b7), true, readAt(11, b7)},
 	} {
-		inForce, changed := table.Learn(start, test.read)
+		inForce, changed := table.Merge(start, test.read)
 		assert.Equal(t, changed, test.changed, test.name)
-		assert.DeepEqual(t, table.Known(), test.known)
+		assert.DeepEqual(t, table.LastRead(), test.known)
 		assert.Equal(t, len(inForce.Orders), len(test.known.Orders))
 	}
 }
@@ -70,14 +70,14 @@
 		{"not issued again in time", keepDuration, readAt(era2(5), c), "c"},
 		{"later", 2 * keepDuration, readAt(era2(6), c), "c"},
 	} {
-		inForce, _ := table.Learn(start.Add(test.after), test.read)
+		inForce, _ := table.Merge(start.Add(test.after), test.read)
 		domains := ""
 		for _, order := range inForce.Orders {
 			domains += order.FailureDomain
 		}
 		assert.Equal(t, domains, test.inForce, test.name)
 		if test.read.Revision.Era() == 2 {
-			assert.DeepEqual(t, table.Known(), test.read)
+			assert.DeepEqual(t, table.LastRead(), test.read)
 		}
 	}
 }
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -35,7 +35,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := clock.Now()
-	inForce, changed := e.table.Learn(now, read)
+	inForce, changed := e.table.Merge(now, read)
 	if !changed {
 		return
 	}
@@ -47,4 +47,4 @@
 }
 
 // known returns the newest evacuations that were read.
-func (e *evacuations) known() ryeford.Evacuations { return e.table.Known() }
+func (e *evacuations) known() ryeford.Evacuations { return e.table.LastRead() }
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -54,7 +54,7 @@
 		Stopping:       h.drain.stopping.Load(),
 		Configured:     current != nil,
 		EndpointsKnown: h.roster.Loaded(),
-		Keyed:          current != nil && current.Keyed(),
+		Keyed:          current != nil && current.RequiresKey(),
 		ServesKeys:     h.configuration.servesKeys(now),
 		Superseded:     h.configuration.superseded(now),
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -163,7 +163,7 @@
 // recordLost records, in the background, that the request's attempt was lost if err shows that the
 // endpoint has closed the connection.
 func (x *exchange) recordLost(to *roster.Entry, err error) {
-	if !endpoint.BrokeOff(err) {
+	if !endpoint.ConnectionBroken(err) {
 		return
 	}
 	lost := &lostAttempt{
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -35,7 +35,7 @@
 }
 
 // needsKey reports whether the request's route needs a key. The route must be set.
-func (q *request) needsKey() bool { return q.catalog.Keyed() && !q.rule.Public }
+func (q *request) needsKey() bool { return q.catalog.RequiresKey() && !q.rule.Public }
 
 // admittedByKey reports whether the request was admitted by its key.
 func (q *request) admittedByKey() bool { return q.account != nil }
