--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -84,13 +84,13 @@
 // run follows the list of endpoints until ctx is done.
 func (l *endpointList) run(ctx context.Context) error {
 	watch.Run(ctx, l.source, watch.Options{
-		Turn:     l.timeSlot,
-		Known:    func() ryeford.Revision { return l.copy.Range().To },
-		Settle:   l.settle,
-		MinPause: minRetryPause,
-		MaxPause: func() time.Duration { return replica.MaxPause(maxRetryPause, l.peers.Alive(clock.Now())) },
-		Sent:     func(whole bool) { l.metrics.Count("ryeford_store_calls_total", causeOf(whole)) },
-		Failed:   l.recordSourceFailure,
+		NextPoll:      l.timeSlot,
+		KnownRevision: func() ryeford.Revision { return l.copy.Range().To },
+		SettleDelay:   l.settle,
+		MinPause:      minRetryPause,
+		MaxPause:      func() time.Duration { return replica.MaxPause(maxRetryPause, l.peers.Alive(clock.Now())) },
+		OnSend:        func(whole bool) { l.metrics.Count("ryeford_store_calls_total", causeOf(whole)) },
+		OnFailure:     l.recordSourceFailure,
 	}, l.applySource, l.outage)
 	return nil
 }
--- a/gateway/endpointlist_test.go
+++ b/gateway/endpointlist_test.go
@@ -55,8 +55,8 @@
 	}
 	f.endpointList = newEndpointList(s, f.store)
 	f.removers = []endpointRemover{f.remover}
-	logged := f.outage.Regained
-	f.outage.Regained = func(downtime ryeford.Downtime) {
+	logged := f.outage.OnRegained
+	f.outage.OnRegained = func(downtime ryeford.Downtime) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.recoveries = append(f.recoveries, downtime.Ended.Sub(f.began))
--- a/gateway/outage.go
+++ b/gateway/outage.go
@@ -14,11 +14,11 @@
 // begins and ends. leaseLeft returns how much longer the configuration may be used.
 func newOutage(dependency string, leaseLeft func() time.Duration, logger log.Logger, metrics *telemetry.Set) *watch.Outage {
 	return &watch.Outage{
-		Lost: func(err error) {
+		OnLost: func(err error) {
 			metrics.Count("ryeford_dependency_lost_total", dependency)
 			_ = logger.Log("msg", "dependency lost", "dependency", dependency, "lease", leaseLeft(), "err", err)
 		},
-		Regained: func(downtime ryeford.Downtime) {
+		OnRegained: func(downtime ryeford.Downtime) {
 			_ = logger.Log("msg", "dependency regained", "dependency", dependency, "after", roundTime(downtime.Length()))
 		},
 	}
--- a/gateway/watch/next.go
+++ b/gateway/watch/next.go
@@ -95,7 +95,7 @@
 func (p poll) pause(result outcome, changed bool, options *Options) time.Duration {
 	switch {
 	case result == current && changed:
-		return options.Settle
+		return options.SettleDelay
 	case result == stale, result == failed:
 		return jitter(backoff(p.failures, options))
 	}
--- a/gateway/watch/next_test.go
+++ b/gateway/watch/next_test.go
@@ -15,7 +15,7 @@
 
 // TestNext checks which poll follows each kind of response, for a watch that has revision 7 and has failed twice.
 func TestNext(t *testing.T) {
-	options := &Options{Settle: 300 * time.Millisecond, MinPause: 10 * time.Millisecond, MaxPause: maxPause}
+	options := &Options{SettleDelay: 300 * time.Millisecond, MinPause: 10 * time.Millisecond, MaxPause: maxPause}
 	last := poll{revision: 7, failures: 2, maxWait: time.Second}
 	for _, test := range []struct {
 		name     string
--- a/gateway/watch/watch.go
+++ b/gateway/watch/watch.go
@@ -14,23 +14,23 @@
 
 // Options configure how a source is followed.
 type Options struct {
-	// Turn returns the time until the next poll is due, zero if it is due now, and how long the source may
+	// NextPoll returns the time until the next poll is due, zero if it is due now, and how long the source may
 	// wait for a change before it responds. It is called again before the poll.
-	Turn func(now time.Time) (in, maxWait time.Duration)
-	// Known returns the newest revision that the router has from any source, or zero if it has none. The
+	NextPoll func(now time.Time) (in, maxWait time.Duration)
+	// KnownRevision returns the newest revision that the router has from any source, or zero if it has none. The
 	// full list is read if it is zero.
-	Known func() ryeford.Revision
-	// Settle is the pause after a response with a change, so that the next response contains several
+	KnownRevision func() ryeford.Revision
+	// SettleDelay is the pause after a response with a change, so that the next response contains several
 	// changes.
-	Settle time.Duration
+	SettleDelay time.Duration
 	// MinPause is the pause after the first failure, of which jitter subtracts up to half. It doubles with
 	// each failure in a row, up to MaxPause. It is also the pause after a stale response.
 	MinPause time.Duration
 	MaxPause func() time.Duration
-	// Sent is called before each poll, and Failed after each failed poll with the time at which it was
+	// OnSend is called before each poll, and Failed after each failed poll with the time at which it was
 	// sent.
-	Sent   func(full bool)
-	Failed func(sent time.Time)
+	OnSend    func(full bool)
+	OnFailure func(sent time.Time)
 }
 
 // MaxSleep is the maximum time that a watch sleeps before it checks again whether a poll is due: a revision that is
@@ -43,16 +43,16 @@
 func Run(ctx context.Context, source ryeford.EndpointSource, options Options, apply func(update *ryeford.EndpointUpdate, since ryeford.Revision, sent time.Time) bool, outage *Outage) {
 	next := poll{full: true}
 	for ctx.Err() == nil {
-		in, maxWait := options.Turn(clock.Now())
+		in, maxWait := options.NextPoll(clock.Now())
 		if in > 0 {
 			clock.Sleep(ctx, min(in, MaxSleep))
 			continue
 		}
 		next.maxWait = maxWait
-		if known := options.Known(); known > 0 {
+		if known := options.KnownRevision(); known > 0 {
 			next.full, next.revision = next.historyLost, known
 		}
-		options.Sent(next.full)
+		options.OnSend(next.full)
 		sent := clock.Now()
 		update, err := send(ctx, source, next)
 		if ctx.Err() != nil {
@@ -67,7 +67,7 @@
 		case stale:
 			outage.Answered()
 		case failed:
-			options.Failed(sent)
+			options.OnFailure(sent)
 			outage.recordFailure(next.downSince(sent, clock.Now()), sent, err)
 		}
 		next = next.advance(result, revision)
@@ -86,10 +86,10 @@
 
 // An Outage tracks whether a source responds. The zero Outage is of a source that does.
 type Outage struct {
-	// Lost is called at the first failure after a success, Regained at the first success after a
+	// OnLost is called at the first failure after a success, Regained at the first success after a
 	// failure.
-	Lost     func(err error)
-	Regained func(downtime ryeford.Downtime)
+	OnLost     func(err error)
+	OnRegained func(downtime ryeford.Downtime)
 
 	lost     bool
 	downtime ryeford.Downtime // set while lost
@@ -107,7 +107,7 @@
 	}
 	o.lost = true
 	o.downtime.Began = downSince
-	o.Lost(err)
+	o.OnLost(err)
 }
 
 // Answered records that the source has responded.
@@ -117,5 +117,5 @@
 	}
 	o.lost = false
 	o.downtime.Ended = clock.Now()
-	o.Regained(o.downtime)
+	o.OnRegained(o.downtime)
 }
--- a/gateway/watch/watch_test.go
+++ b/gateway/watch/watch_test.go
@@ -34,7 +34,7 @@
 	polls    []receivedPoll
 	times    []time.Duration    // of the polls, since began
 	applied  []ryeford.Revision // revisions of the applied updates
-	lost     int                // calls of Outage.Lost
+	lost     int                // calls of Outage.OnLost
 	regained []ryeford.Downtime
 	began    time.Time
 }
@@ -72,10 +72,10 @@
 		}
 		known := ryeford.Revision(0)
 		options := Options{
-			Turn:     func(time.Time) (in, maxWait time.Duration) { return 0, time.Second },
-			Known:    func() ryeford.Revision { return known },
-			MinPause: 10 * time.Millisecond, MaxPause: maxPause, Settle: settle,
-			Sent: func(bool) {}, Failed: func(time.Time) {},
+			NextPoll:      func(time.Time) (in, maxWait time.Duration) { return 0, time.Second },
+			KnownRevision: func() ryeford.Revision { return known },
+			MinPause:      10 * time.Millisecond, MaxPause: maxPause, SettleDelay: settle,
+			OnSend: func(bool) {}, OnFailure: func(time.Time) {},
 		}
 		apply := func(update *ryeford.EndpointUpdate, _ ryeford.Revision, _ time.Time) bool {
 			known = update.Revision
@@ -83,8 +83,8 @@
 			return len(r.applied) > 1 && r.applied[len(r.applied)-2] < update.Revision
 		}
 		Run(ctx, fakeSource(respond), options, apply, &Outage{
-			Lost:     func(error) { r.lost++ },
-			Regained: func(downtime ryeford.Downtime) { r.regained = append(r.regained, downtime) },
+			OnLost:     func(error) { r.lost++ },
+			OnRegained: func(downtime ryeford.Downtime) { r.regained = append(r.regained, downtime) },
 		})
 	})
 	return r
