--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -27,7 +27,7 @@
 // fleet returns the routers that share the request rate of a cold endpoint, or an empty Fleet if this
 // router doesn't know its rank among them.
 func (b *balancer) fleet(now time.Time) slowstart.Fleet {
-	clock, known := b.clock.Latest(now)
+	clock, known := b.clock.UpperBound(now)
 	if !known || b.start.joining(now) {
 		return slowstart.Fleet{}
 	}
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -111,7 +111,7 @@
 
 // leaseLeft returns the time until the lease ends, rounded for the log.
 func (c *configuration) leaseLeft() time.Duration {
-	return c.lease.Left(clock.Now()).Round(time.Millisecond)
+	return c.lease.Remaining(clock.Now()).Round(time.Millisecond)
 }
 
 // run reads the configuration whenever this router's read is due (freshness.ReadAge), until ctx is
@@ -149,7 +149,7 @@
 		return c.start.untilStoreRead(now)
 	}
 	confirmed, _ := c.lease.Confirmed()
-	rank, alive := c.peers.Rank(now, freshness.Shift(confirmed))
+	rank, alive := c.peers.Rank(now, freshness.TimeSlot(confirmed))
 	if c.start.joining(now) {
 		rank = max(rank, replica.Late)
 	}
@@ -174,7 +174,7 @@
 func (c *configuration) read(ctx context.Context) bool {
 	// A source whose version is older than the one in force was restored from a backup. Which other
 	// changes it lost is unknown, so its answer confirms nothing.
-	known := freshness.Seen{Revision: c.revision.get(), Version: max(c.newer.reportedVersion(), c.version())}
+	known := freshness.SourceState{Revision: c.revision.get(), Version: max(c.newer.reportedVersion(), c.version())}
 	if c.newer.reportedVersion() > c.version() && c.readFromPeer(ctx) {
 		return true
 	}
@@ -202,7 +202,7 @@
 // fetch asks the source for the configuration, or only for a change to it.
 func (c *configuration) fetch(ctx context.Context) (ryeford.ConfigurationUpdate, error) {
 	known := ryeford.KnownConfiguration{State: c.state, Size: c.size, OnChange: c.sourceChanged}
-	if freshness.Compares(freshness.Known{Size: c.size, Failed: c.failedReads, Outdated: c.newer.known()}) {
+	if freshness.UseComparison(freshness.ReadState{Size: c.size, FailedReads: c.failedReads, Outdated: c.newer.known()}) {
 		return c.source.ConfigurationIfChanged(ctx, known)
 	}
 	return c.source.Configuration(ctx, known)
@@ -217,8 +217,8 @@
 
 // apply puts the configuration of an answer in force if it is new, and renews the lease. It reports
 // whether the answer was accepted. known is the newest state that was known when the read was sent.
-func (c *configuration) apply(update *ryeford.ConfigurationUpdate, known freshness.Seen, sent time.Time) bool {
-	read := freshness.Seen{Revision: update.Revision, Version: c.versionIn(update)}
+func (c *configuration) apply(update *ryeford.ConfigurationUpdate, known freshness.SourceState, sent time.Time) bool {
+	read := freshness.SourceState{Revision: update.Revision, Version: c.versionIn(update)}
 	if !freshness.Confirms(read, known) {
 		c.newer.recordContradiction(clock.Now())
 		c.metrics.Count("ryeford_stale_answers_total", "")
@@ -288,11 +288,11 @@
 // steady clock showed at.
 func (c *configuration) mergePeerConfirmation(now time.Time, from netip.AddrPort, version int64, at time.Duration) {
 	current := c.current()
-	switch freshness.AfterPeer(current != nil, versionOf(current), version) {
+	switch freshness.PeerActionFor(current != nil, versionOf(current), version) {
 	case freshness.PeerIsNewer:
 		c.newer.recordReport(now, from, version)
 		c.triggerRead()
-	case freshness.PeerRenews:
+	case freshness.PeerConfirms:
 		c.lease.RenewFromPeer(now, at)
 	}
 }
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -121,7 +121,7 @@
 		return maxRetryPause - age, 0 // the source has never been written to
 	}
 	confirmed, _ := l.lease.Confirmed()
-	rank, alive := l.peers.Rank(now, freshness.Shift(confirmed))
+	rank, alive := l.peers.Rank(now, freshness.TimeSlot(confirmed))
 	if l.start.joining(now) {
 		rank = max(rank, replica.Late)
 	}
--- a/gateway/freshness/confirm.go
+++ b/gateway/freshness/confirm.go
@@ -25,15 +25,15 @@
 // covers several gossip rounds.
 const peerReportTTL = time.Second
 
-// Seen is a state of the source's configuration.
-type Seen struct {
+// SourceState is a state of the source's configuration.
+type SourceState struct {
 	Revision ryeford.Revision // of the source
 	Version  int64            // of the configuration
 }
 
 // Confirms reports whether a local read confirms the configuration that it returned. known is
 // the newest state that was known when the read was sent.
-func Confirms(read, known Seen) bool {
+func Confirms(read, known SourceState) bool {
 	return read.Revision >= known.Revision && read.Version >= known.Version
 }
 
@@ -45,24 +45,24 @@
 	// PeerIgnored means that the confirmation is for an older version than the one in force
 	// and has no effect.
 	PeerIgnored PeerAction = iota
-	// PeerRenews means that the confirmation renews the lease.
-	PeerRenews
+	// PeerConfirms means that the confirmation renews the lease.
+	PeerConfirms
 	// PeerIsNewer means that the router must read the configuration from the source at once.
 	PeerIsNewer
 )
 
-// AfterPeer returns what to do after a peer has confirmed the version reported. local is the
+// PeerActionFor returns what to do after a peer has confirmed the version reported. local is the
 // version in force here; configured is false if there is none.
-func AfterPeer(configured bool, local, reported int64) PeerAction {
+func PeerActionFor(configured bool, local, reported int64) PeerAction {
 	switch {
 	case !configured || local < reported:
 		return PeerIsNewer
 	case local == reported:
-		return PeerRenews
+		return PeerConfirms
 	}
 	return PeerIgnored
 }
 
-// Forgets reports whether a version reported by peers is dropped when the source contradicts
+// PeerReportExpired reports whether a version reported by peers is dropped when the source contradicts
 // it. age is the time since the last report.
-func Forgets(age time.Duration) bool { return age >= peerReportTTL }
+func PeerReportExpired(age time.Duration) bool { return age >= peerReportTTL }
--- a/gateway/freshness/confirm_test.go
+++ b/gateway/freshness/confirm_test.go
@@ -9,17 +9,17 @@
 
 // TestConfirms checks that stale reads do not confirm the configuration.
 func TestConfirms(t *testing.T) {
-	known := Seen{Revision: 7, Version: 3}
-	assert.Assert(t, Confirms(Seen{Revision: 8, Version: 4}, known), "newer than the known state")
+	known := SourceState{Revision: 7, Version: 3}
+	assert.Assert(t, Confirms(SourceState{Revision: 8, Version: 4}, known), "newer than the known state")
 	assert.Assert(t, Confirms(known, known), "equal to the known state")
-	assert.Assert(t, !Confirms(Seen{Revision: 6, Version: 3}, known), "a stale revision")
-	assert.Assert(t, !Confirms(Seen{Revision: 8, Version: 2}, known), "a version older than a peer's")
+	assert.Assert(t, !Confirms(SourceState{Revision: 6, Version: 3}, known), "a stale revision")
+	assert.Assert(t, !Confirms(SourceState{Revision: 8, Version: 2}, known), "a version older than a peer's")
 }
 
 // TestPeerReportExpiry checks when a version reported by peers is dropped.
 func TestPeerReportExpiry(t *testing.T) {
-	assert.Assert(t, !Forgets(time.Second-1))
-	assert.Assert(t, Forgets(time.Second))
+	assert.Assert(t, !PeerReportExpired(time.Second-1))
+	assert.Assert(t, PeerReportExpired(time.Second))
 }
 
 // TestAfterPeer checks the reaction to a peer's confirmation.
@@ -32,9 +32,9 @@
 	}{
 		{"nothing is in force here", false, 0, 3, PeerIsNewer},
 		{"the peer has a newer version", true, 2, 3, PeerIsNewer},
-		{"the peer has the same version", true, 3, 3, PeerRenews},
+		{"the peer has the same version", true, 3, 3, PeerConfirms},
 		{"the peer has an older version", true, 4, 3, PeerIgnored},
 	} {
-		assert.Equal(t, AfterPeer(test.configured, test.local, test.reported), test.want, test.name)
+		assert.Equal(t, PeerActionFor(test.configured, test.local, test.reported), test.want, test.name)
 	}
 }
--- a/gateway/freshness/lease.go
+++ b/gateway/freshness/lease.go
@@ -68,7 +68,7 @@
 // read at least confirmed. It reports whether the confirmation was newer than the last one. It
 // does nothing while there is no bound on the source's clock.
 func (l *Lease) RenewFromPeer(now time.Time, confirmed time.Duration) bool {
-	latest, ok := l.clock.Latest(now)
+	latest, ok := l.clock.UpperBound(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	restarted := l.confirmed > latest // the source's clock was reset: earlier readings are not comparable
@@ -115,7 +115,7 @@
 	return now.Sub(l.started) - (time.Duration(until) - l.term), true
 }
 
-// Left returns the time until the lease ends. It is negative after the lease has ended.
-func (l *Lease) Left(now time.Time) time.Duration {
+// Remaining returns the time until the lease ends. It is negative after the lease has ended.
+func (l *Lease) Remaining(now time.Time) time.Duration {
 	return time.Duration(l.until.Load()) - now.Sub(l.started)
 }
--- a/gateway/freshness/lease_test.go
+++ b/gateway/freshness/lease_test.go
@@ -32,7 +32,7 @@
 		assert.Assert(t, confirmed)
 		l.renew(later)
 		l.renew(sent) // a delayed response
-		assert.Equal(t, l.Left(time.Now()), time.Second)
+		assert.Equal(t, l.Remaining(time.Now()), time.Second)
 	})
 }
 
--- a/gateway/freshness/refresh.go
+++ b/gateway/freshness/refresh.go
@@ -33,9 +33,9 @@
 	slowReadPause = 400 * time.Millisecond
 )
 
-// Shift returns the number of the time slot of a confirmation, given the reading of the source's
+// TimeSlot returns the number of the time slot of a confirmation, given the reading of the source's
 // clock at that confirmation.
-func Shift(confirmed time.Duration) uint64 { return uint64(confirmed / timeSlotDuration) }
+func TimeSlot(confirmed time.Duration) uint64 { return uint64(confirmed / timeSlotDuration) }
 
 // ReadAge returns the age of a confirmation at which a router reads the configuration again.
 // refresh is the age without peers, rank is the router's rank in the time slot, from 0, and peers
--- a/gateway/freshness/refresh_test.go
+++ b/gateway/freshness/refresh_test.go
@@ -37,7 +37,7 @@
 	for confirmed, want := range map[time.Duration]uint64{
 		0: 0, 4*time.Second - 1: 0, 4 * time.Second: 1, time.Hour: 900,
 	} {
-		assert.Equal(t, Shift(confirmed), want, "%s", confirmed)
+		assert.Equal(t, TimeSlot(confirmed), want, "%s", confirmed)
 	}
 }
 
--- a/gateway/freshness/sourceclock.go
+++ b/gateway/freshness/sourceclock.go
@@ -47,9 +47,9 @@
 	c.reading, c.at, c.known = reading, sent, true
 }
 
-// Latest returns the upper bound on the clock's reading at now, and false if nothing has been
+// UpperBound returns the upper bound on the clock's reading at now, and false if nothing has been
 // observed.
-func (c *SourceClock) Latest(now time.Time) (time.Duration, bool) {
+func (c *SourceClock) UpperBound(now time.Time) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.upperBound(now)
--- a/gateway/freshness/sourceclock_test.go
+++ b/gateway/freshness/sourceclock_test.go
@@ -76,7 +76,7 @@
 		now := start.Add(elapsed)
 		reading := time.Duration(clockRate * float64(elapsed))
 		c.Observe(now, reading)
-		latest, _ := c.Latest(now)
+		latest, _ := c.UpperBound(now)
 		worst = max(worst, reading-latest)
 	}
 	assert.Assert(t, worst <= leaseMargin/8, "%s", worst)
@@ -88,13 +88,13 @@
 	var c SourceClock
 	c.Observe(start, 50*time.Second)
 	c.Observe(start.Add(time.Second), 52*time.Second) // the response took a second
-	latest, _ := c.Latest(start.Add(time.Second))
+	latest, _ := c.UpperBound(start.Add(time.Second))
 	assert.Assert(t, latest < 51001*time.Millisecond)
 	c.Observe(start.Add(2*time.Second), time.Second) // reset backward
-	latest, _ = c.Latest(start.Add(2 * time.Second))
+	latest, _ = c.UpperBound(start.Add(2 * time.Second))
 	assert.Equal(t, latest, time.Second)
 	c.Observe(start.Add(3*time.Second), time.Hour) // reset forward
-	latest, _ = c.Latest(start.Add(3 * time.Second))
+	latest, _ = c.UpperBound(start.Add(3 * time.Second))
 	assert.Equal(t, latest, time.Hour)
 }
 
@@ -110,7 +110,7 @@
 
 		clock.Observe(time.Now(), 100*time.Millisecond) // the clock was reset
 		assert.Assert(t, l.RenewFromPeer(time.Now(), 50*time.Millisecond))
-		assert.Equal(t, l.Left(time.Now()).Round(time.Millisecond), 1950*time.Millisecond)
+		assert.Equal(t, l.Remaining(time.Now()).Round(time.Millisecond), 1950*time.Millisecond)
 		assert.Assert(t, !l.RenewFromPeer(time.Now(), time.Hour), "a confirmation from before the reset")
 		assert.Assert(t, !l.RenewFromPeer(time.Now(), 40*time.Millisecond), "an older confirmation")
 		time.Sleep(time.Second)
--- a/gateway/freshness/transfer.go
+++ b/gateway/freshness/transfer.go
@@ -21,15 +21,15 @@
 // response.
 const fullReadAfter = 2
 
-// A Known is a router's state of the configuration before a read.
-type Known struct {
-	Size     int  // of the configuration at the source, in bytes; zero if unknown
-	Failed   int  // consecutive reads that failed or were stale
-	Outdated bool // a newer version is known
+// A ReadState is a router's state of the configuration before a read.
+type ReadState struct {
+	Size        int  // of the configuration at the source, in bytes; zero if unknown
+	FailedReads int  // consecutive reads that failed or were stale
+	Outdated    bool // a newer version is known
 }
 
-// Compares reports whether a read asks the source to transfer the configuration only if it has
+// UseComparison reports whether a read asks the source to transfer the configuration only if it has
 // changed.
-func Compares(k Known) bool {
-	return k.Size >= minComparedSize && k.Failed%(fullReadAfter+1) < fullReadAfter && !k.Outdated
+func UseComparison(k ReadState) bool {
+	return k.Size >= minComparedSize && k.FailedReads%(fullReadAfter+1) < fullReadAfter && !k.Outdated
 }
--- a/gateway/freshness/transfer_test.go
+++ b/gateway/freshness/transfer_test.go
@@ -10,19 +10,19 @@
 func TestCompares(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		known Known
+		known ReadState
 		want  bool
 	}{
-		{"none is known", Known{}, false},
-		{"small", Known{Size: 64<<10 - 1}, false},
-		{"large", Known{Size: 64 << 10}, true},
-		{"large, and the last read failed", Known{Size: 64 << 10, Failed: 1}, true},
-		{"large, and the last two failed", Known{Size: 64 << 10, Failed: 2}, false},
-		{"large, and the last two and the full read failed", Known{Size: 64 << 10, Failed: 3}, true},
-		{"large, and one more read failed", Known{Size: 64 << 10, Failed: 4}, true},
-		{"large, and two more reads failed", Known{Size: 64 << 10, Failed: 5}, false},
-		{"large, and a newer version is known", Known{Size: 64 << 10, Outdated: true}, false},
+		{"none is known", ReadState{}, false},
+		{"small", ReadState{Size: 64<<10 - 1}, false},
+		{"large", ReadState{Size: 64 << 10}, true},
+		{"large, and the last read failed", ReadState{Size: 64 << 10, FailedReads: 1}, true},
+		{"large, and the last two failed", ReadState{Size: 64 << 10, FailedReads: 2}, false},
+		{"large, and the last two and the full read failed", ReadState{Size: 64 << 10, FailedReads: 3}, true},
+		{"large, and one more read failed", ReadState{Size: 64 << 10, FailedReads: 4}, true},
+		{"large, and two more reads failed", ReadState{Size: 64 << 10, FailedReads: 5}, false},
+		{"large, and a newer version is known", ReadState{Size: 64 << 10, Outdated: true}, false},
 	} {
-		assert.Equal(t, Compares(test.known), test.want, test.name)
+		assert.Equal(t, UseComparison(test.known), test.want, test.name)
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -235,7 +235,7 @@
 	g.metrics.Gauge("ryeford_evacuated_domains", func() float64 { return float64(len(g.configuration.evacuations.known().Orders)) })
 	g.metrics.Gauge("ryeford_quarantined_requests", func() float64 { return float64(len(g.quarantine.table.Held())) })
 	g.metrics.Gauge("ryeford_peers", func() float64 { return float64(g.peers.Alive(clock.Now())) })
-	g.metrics.Gauge("ryeford_lease_seconds", func() float64 { return g.configuration.lease.Left(clock.Now()).Seconds() })
+	g.metrics.Gauge("ryeford_lease_seconds", func() float64 { return g.configuration.lease.Remaining(clock.Now()).Seconds() })
 	g.metrics.Gauge("ryeford_endpoints_age_seconds", func() float64 {
 		age, _ := g.endpoints.lease.Age(clock.Now())
 		return age.Seconds()
--- a/gateway/newerversion.go
+++ b/gateway/newerversion.go
@@ -78,11 +78,11 @@
 }
 
 // recordContradiction records that the source does not have the newest version that peers have
-// reported, and drops that version if the report is old enough (freshness.Forgets).
+// reported, and drops that version if the report is old enough (freshness.PeerReportExpired).
 func (n *newerVersion) recordContradiction(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if freshness.Forgets(now.Sub(n.reportedAt)) {
+	if freshness.PeerReportExpired(now.Sub(n.reportedAt)) {
 		n.newest = n.inForce
 	}
 }
--- a/gateway/peerconfiguration.go
+++ b/gateway/peerconfiguration.go
@@ -58,7 +58,7 @@
 	// The confirmation is read before the configuration and the evacuations, as in
 	// gossip.briefMessage.
 	confirmed, known := c.lease.Confirmed()
-	latest, bounded := c.clock.Latest(now)
+	latest, bounded := c.clock.UpperBound(now)
 	current := c.current()
 	if !known || !bounded || current == nil || !c.reliable(now) {
 		return nil
--- a/gateway/peerlist.go
+++ b/gateway/peerlist.go
@@ -154,7 +154,7 @@
 	// The confirmation is read before the changes, so that they are at least as new as the
 	// confirmation.
 	confirmed, known := l.lease.Confirmed()
-	latest, bounded := l.clock.Latest(clock.Now())
+	latest, bounded := l.clock.UpperBound(clock.Now())
 	if !known || !bounded || !l.copy.Range().Known() {
 		return nil
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -79,7 +79,7 @@
 // mayTry reports whether this router may retry held requests now. Routers take time slots of length
 // trialSlot by the store's clock.
 func (h *quarantineState) mayTry(now time.Time) bool {
-	storeTime, known := h.balancer.clock.Latest(now)
+	storeTime, known := h.balancer.clock.UpperBound(now)
 	if !known || h.balancer.start.joining(now) {
 		return false
 	}
