--- a/gateway/affinity.go
+++ b/gateway/affinity.go
@@ -29,7 +29,7 @@
 		return firstEndpoints{}
 	}
 	cold := coldChecker{balancer: b, now: now, service: query.rule}
-	total := sample.All(sample.Requests) + float64(b.loads.LocalTotal(query.service))
+	total := sample.Extrapolate(sample.Requests) + float64(b.loads.LocalTotal(query.service))
 	var first topEntries
 	first.addAll(query.affinity, serving)
 	first.addAll(query.affinity, draining)
--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -127,7 +127,7 @@
 // prompt returns what is known of a query's prompt.
 func (b *balancer) prompt(now time.Time, query *endpointQuery) choice.Prompt {
 	sample := b.peers.Sample(now, query.service)
-	peers := sample.Demand(b.peers.Demand(now, query.affinity))
+	peers := sample.ExtrapolateDemand(b.peers.Demand(now, query.affinity))
 	return choice.Prompt{Key: query.affinity, InFlight: peers + float64(b.loads.LocalPrompt(query.affinity))}
 }
 
@@ -178,7 +178,7 @@
 	}
 	sample := b.peers.Sample(now, query.service)
 	cold := coldChecker{balancer: b, now: now, service: query.rule}
-	mean := sample.Mean(cold.countWarm(query.service))
+	mean := sample.MeanPerEndpoint(cold.countWarm(query.service))
 	s := candidateSet{entries: entries, candidates: make([]choice.Candidate, 0, len(entries))}
 	for _, entry := range entries {
 		limited, allowed := cold.check(entry)
@@ -208,7 +208,7 @@
 // estimatedLoad returns the estimated number of requests at an endpoint.
 func (b *balancer) estimatedLoad(now time.Time, entry *roster.Entry) float64 {
 	sample := b.peers.Sample(now, entry.Service)
-	requests, _ := b.estimate(now, entry, sample, sample.Mean(len(b.roster.Serving(entry.Service))))
+	requests, _ := b.estimate(now, entry, sample, sample.MeanPerEndpoint(len(b.roster.Serving(entry.Service))))
 	return requests
 }
 
@@ -216,7 +216,7 @@
 // report of their requests. mean is the expected number of the peers' requests at the endpoint.
 func (b *balancer) estimate(now time.Time, entry *roster.Entry, sample peers.Sample, mean float64) (requests, deviation float64) {
 	known := b.loads.Observe(now, entry.ID, entry.Hash)
-	known.PeerRequests, known.PeerShare, known.Mean = b.peers.Requests(now, entry.ID), sample.Share(known.Reported), mean
+	known.PeerRequests, known.PeerShare, known.Mean = b.peers.Requests(now, entry.ID), sample.KnownFraction(known.Reported), mean
 	return known.Estimate()
 }
 
--- a/gateway/fleetload_test.go
+++ b/gateway/fleetload_test.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		panic(err)
 	}
-	r.schedule.Sent(message, len(content), len(targets))
+	r.schedule.RecordSent(message, len(content), len(targets))
 	r.sent += len(targets) * len(content)
 	for _, target := range targets {
 		to := f.byAddress[target]
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -138,7 +138,7 @@
 	g.endpoints.mergeWithheld(message)
 	g.endpoints.mergeLeaving(now, message)
 	g.endpoints.mergeDigest(message.Sender, message.List)
-	g.configuration.evacuations.merge(message.Evacuations.Read(), message.Sender.String())
+	g.configuration.evacuations.merge(message.Evacuations.Decode(), message.Sender.String())
 	if message.Confirmed {
 		g.configuration.mergePeerConfirmation(now, message.Sender, message.Version, message.ConfirmedAt)
 	}
@@ -217,7 +217,7 @@
 		g.countDropped(droppedEncode)
 		return
 	}
-	schedule.Sent(message, len(content), len(targets))
+	schedule.RecordSent(message, len(content), len(targets))
 	for _, target := range targets {
 		if _, err := conn.WriteToUDPAddrPort(content, target); err != nil {
 			g.countDropped(droppedSend)
@@ -232,18 +232,18 @@
 	// confirm outdated data.
 	confirmedAt, confirmed := g.configuration.lease.Confirmed()
 	message := &peers.Message{
-		ConfirmedAt: confirmedAt,
-		Confirmed:   confirmed,
-		Version:     g.configuration.version(),
-		Evacuations: peers.EvacuationsOf(g.configuration.evacuations.known()),
-		Quarantined: g.quarantine.outgoing(now),
-		HeldRead:    g.quarantine.heldRequests.loaded.Load(),
-		Sender:      g.self,
-		Started:     g.started,
-		Sequence:    sequence,
-		Brief:       true,
-		List:        g.endpoints.digest(),
-		Reports:     g.loads.Reports(now, peers.MaxBriefReports, 0),
+		ConfirmedAt:      confirmedAt,
+		Confirmed:        confirmed,
+		Version:          g.configuration.version(),
+		Evacuations:      peers.EncodeEvacuations(g.configuration.evacuations.known()),
+		Quarantined:      g.quarantine.outgoing(now),
+		HeldRequestsRead: g.quarantine.heldRequests.loaded.Load(),
+		Sender:           g.self,
+		Started:          g.started,
+		Sequence:         sequence,
+		Brief:            true,
+		List:             g.endpoints.digest(),
+		Reports:          g.loads.Reports(now, peers.MaxBriefReports, 0),
 	}
 	message.SetWithheld(g.roster.Withheld(now, peers.MaxWithheld))
 	message.Leaving = g.roster.RecentlyLeaving(now, peers.MaxLeaving)
--- a/gateway/gossiplookup.go
+++ b/gateway/gossiplookup.go
@@ -54,11 +54,11 @@
 		registered = *at
 	}
 	confirmed, _ := g.endpoints.lease.Confirmed()
-	rank, _ := g.table.Rank(now, peers.LookupShift(confirmed))
+	rank, _ := g.table.Rank(now, peers.LookupTimeSlot(confirmed))
 	lookup := peers.Lookup{
 		Running: now.Sub(began), Seeded: len(g.seeds) > 0,
-		Registered: !registered.IsZero(), Since: now.Sub(registered),
-		Heard: g.table.Heard(now), First: rank == 0,
+		Registered: !registered.IsZero(), SinceRegistration: now.Sub(registered),
+		ReceivedRecently: g.table.ReceivedRecently(now), FirstInSlot: rank == 0,
 	}
 	return lookup.Due()
 }
--- a/gateway/peerlist.go
+++ b/gateway/peerlist.go
@@ -31,7 +31,7 @@
 	if !known || !at.Known() {
 		return nil
 	}
-	return peers.ListOf(at.From, at.To, !l.wholeReadAt.IsZero(), confirmed)
+	return peers.NewList(at.From, at.To, !l.wholeReadAt.IsZero(), confirmed)
 }
 
 // mergeDigest compares a peer's copy with this router's. It reads a newer copy, and renews the lease
@@ -49,11 +49,11 @@
 	case replica.Newer:
 		// Within one era, a copy that was read whole may only appear to be newer.
 		localRange := l.copy.Range()
-		if !list.Whole || !localRange.Known() || peerRange.To.Era() > localRange.To.Era() {
+		if !list.Full || !localRange.Known() || peerRange.To.Era() > localRange.To.Era() {
 			l.triggerPeerRead(peerCopy{peer: peer, contents: peerRange})
 		}
 	case replica.Same:
-		if !list.Whole {
+		if !list.Full {
 			l.setWholeReadAt(time.Time{})
 		}
 		l.renewFromPeer(list.ConfirmedAt, to.Era(), func() bool { return true })
@@ -62,7 +62,7 @@
 
 // mergeWithheld merges the endpoints that a peer reports as leaving though the list has them as ready.
 func (l *endpointList) mergeWithheld(message *peers.Message) {
-	endpoints, left := message.ReadWithheld()
+	endpoints, left := message.WithheldEndpoints()
 	added := l.roster.Withhold(clock.Now(), endpoints, left)
 	if len(added) == 0 {
 		return
@@ -145,7 +145,7 @@
 	// and Latest is the maximum that it may show now.
 	ConfirmedAt time.Duration
 	Latest      time.Duration
-	// Whole has the meaning of peers.List.Whole.
+	// Whole has the meaning of peers.List.Full.
 	Whole bool
 }
 
--- a/gateway/peers/budget.go
+++ b/gateway/peers/budget.go
@@ -37,8 +37,8 @@
 	return received >= minReceivedFraction*float64(alive)
 }
 
-// Sent records that a message of length bytes was sent to targets peers.
-func (s *Schedule) Sent(message *Message, length, targets int) {
+// RecordSent records that a message of length bytes was sent to targets peers.
+func (s *Schedule) RecordSent(message *Message, length, targets int) {
 	size := length + datagramHeader
 	if message.Brief {
 		s.briefSize = size
--- a/gateway/peers/budget_test.go
+++ b/gateway/peers/budget_test.go
@@ -13,8 +13,8 @@
 	s := NewSchedule(start, 5000)
 	for i := range 1000 {
 		fullTargets, briefTargets := s.Next(start.Add(time.Duration(i)*100*time.Millisecond), alive)
-		s.Sent(&Message{}, fullLength, fullTargets)
-		s.Sent(&Message{Brief: true}, briefLength, briefTargets)
+		s.RecordSent(&Message{}, fullLength, fullTargets)
+		s.RecordSent(&Message{Brief: true}, briefLength, briefTargets)
 		full, brief = full+fullTargets, brief+briefTargets
 		bytes += fullTargets*(fullLength+datagramHeader) + briefTargets*(briefLength+datagramHeader)
 	}
@@ -42,7 +42,7 @@
 	assert.Assert(t, many < few)
 	assert.Assert(t, brief > 3*many)
 	s := NewSchedule(start, 5000)
-	s.Sent(&Message{}, 472, 1)
+	s.RecordSent(&Message{}, 472, 1)
 	assert.Assert(t, s.Complete(40), "messages of 10 of 40 peers are received in a second")
 	assert.Assert(t, !s.Complete(41))
 }
@@ -53,8 +53,8 @@
 	full, brief := s.Next(start, 1000)
 	assert.Equal(t, full, Fanout)
 	assert.Equal(t, brief, Fanout)
-	s.Sent(&Message{}, 1000-datagramHeader, full)
-	s.Sent(&Message{Brief: true}, 1000-datagramHeader, brief)
+	s.RecordSent(&Message{}, 1000-datagramHeader, full)
+	s.RecordSent(&Message{Brief: true}, 1000-datagramHeader, brief)
 	full, brief = s.Next(start, 1000)
 	assert.Equal(t, full+brief, 0)
 	full, brief = s.Next(start.Add(15*time.Second), 1000)
--- a/gateway/peers/evacuations.go
+++ b/gateway/peers/evacuations.go
@@ -2,8 +2,8 @@
 
 import "github.com/ryeford/ryeford"
 
-// EvacuationsOf returns the message form of evacuations, or nil if they were never read.
-func EvacuationsOf(known ryeford.Evacuations) *Evacuations {
+// EncodeEvacuations returns the message form of evacuations, or nil if they were never read.
+func EncodeEvacuations(known ryeford.Evacuations) *Evacuations {
 	if known.Revision == 0 {
 		return nil
 	}
@@ -14,9 +14,9 @@
 	return result
 }
 
-// Read returns the evacuations of a message. The result is empty, with revision zero, if e is nil
+// Decode returns the evacuations of a message. The result is empty, with revision zero, if e is nil
 // or holds an invalid revision.
-func (e *Evacuations) Read() ryeford.Evacuations {
+func (e *Evacuations) Decode() ryeford.Evacuations {
 	if e == nil {
 		return ryeford.Evacuations{}
 	}
--- a/gateway/peers/evacuations_test.go
+++ b/gateway/peers/evacuations_test.go
@@ -34,11 +34,11 @@
 		{"one", ryeford.Evacuations{Revision: at(0, 70_000), Orders: []ryeford.Evacuation{{FailureDomain: "zg-b", State: at(0, 69_000)}}}, 22},
 		{"in a later era", ryeford.Evacuations{Revision: at(3, 70_000), Orders: []ryeford.Evacuation{{FailureDomain: "zg-b", State: at(3, 69_000)}}}, 22},
 	} {
-		content, err := cbor.Marshal(&Message{Evacuations: EvacuationsOf(test.known)})
+		content, err := cbor.Marshal(&Message{Evacuations: EncodeEvacuations(test.known)})
 		assert.NilError(t, err)
 		var got Message
 		assert.NilError(t, cbor.Unmarshal(content, &got))
-		assert.DeepEqual(t, got.Evacuations.Read(), test.known)
+		assert.DeepEqual(t, got.Evacuations.Decode(), test.known)
 		t.Logf("%s: %d bytes", test.name, len(content)-len(without))
 		assert.Assert(t, len(content)-len(without) <= test.bytes, test.name)
 	}
@@ -49,7 +49,7 @@
 func TestListInMessage(t *testing.T) {
 	without, err := cbor.Marshal(&Message{})
 	assert.NilError(t, err)
-	content, err := cbor.Marshal(&Message{List: ListOf(at(3, 70_000), at(3, 70_001), true, 90*time.Second)})
+	content, err := cbor.Marshal(&Message{List: NewList(at(3, 70_000), at(3, 70_001), true, 90*time.Second)})
 	assert.NilError(t, err)
 	assert.Assert(t, len(content)-len(without) <= 23, "%d bytes", len(content)-len(without))
 	var got Message
@@ -61,7 +61,7 @@
 	_, _, ok = (&List{Era: 1, To: -1}).Revisions()
 	assert.Assert(t, !ok)
 	malformed := Evacuations{Era: -1, Number: 7}
-	assert.Equal(t, malformed.Read().Revision, ryeford.Revision(0))
+	assert.Equal(t, malformed.Decode().Revision, ryeford.Revision(0))
 }
 
 // TestOlderRelease checks that this release and an older one, which sends no era, don't accept each
--- a/gateway/peers/limits_test.go
+++ b/gateway/peers/limits_test.go
@@ -46,11 +46,11 @@
 		{"some have reported all endpoints", Sample{Alive: 4, Counted: 2, Complete: 2, Requests: 6}, 0.5, 0.5, 4, 2},
 		{"some have reported some endpoints", Sample{Alive: 10, Counted: 2, Complete: 1, Requests: 6}, 0.2, 0.1, 10, 5},
 	} {
-		assert.Equal(t, test.sample.Share(false), test.share, test.name)
-		assert.Equal(t, test.sample.Share(true), test.reporting, test.name)
-		assert.Equal(t, test.sample.Mean(3), test.mean, test.name)
-		assert.Equal(t, test.sample.Mean(0), 0.0, test.name)
-		assert.Equal(t, test.sample.Demand(2), test.demand, test.name)
+		assert.Equal(t, test.sample.KnownFraction(false), test.share, test.name)
+		assert.Equal(t, test.sample.KnownFraction(true), test.reporting, test.name)
+		assert.Equal(t, test.sample.MeanPerEndpoint(3), test.mean, test.name)
+		assert.Equal(t, test.sample.MeanPerEndpoint(0), 0.0, test.name)
+		assert.Equal(t, test.sample.ExtrapolateDemand(2), test.demand, test.name)
 	}
 }
 
--- a/gateway/peers/list.go
+++ b/gateway/peers/list.go
@@ -6,11 +6,11 @@
 	"github.com/ryeford/ryeford"
 )
 
-// ListOf returns the List of a copy of the list of endpoints that is valid for the revisions from to
+// NewList returns the List of a copy of the list of endpoints that is valid for the revisions from to
 // to, both of one era. full reports whether the copy was last read in full, and confirmedAt is the
 // reading of the source's clock at the last confirmation.
-func ListOf(from, to ryeford.Revision, full bool, confirmedAt time.Duration) *List {
-	return &List{Era: to.Era(), From: from.Number(), To: to.Number(), Whole: full, ConfirmedAt: confirmedAt}
+func NewList(from, to ryeford.Revision, full bool, confirmedAt time.Duration) *List {
+	return &List{Era: to.Era(), From: from.Number(), To: to.Number(), Full: full, ConfirmedAt: confirmedAt}
 }
 
 // Revisions returns the range of revisions for which the sender's copy is valid, and false if the
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -59,9 +59,9 @@
 	// Quarantined are records of poison requests: those that changed recently at the sender, and
 	// the others in rotation.
 	Quarantined []Quarantined `cbor:"21,keyasint,omitempty"`
-	// HeldRead reports whether the sender or one of its peers has read the held requests from the
+	// HeldRequestsRead reports whether the sender or one of its peers has read the held requests from the
 	// platform's store, so that gossip carries them.
-	HeldRead bool `cbor:"22,keyasint,omitempty"`
+	HeldRequestsRead bool `cbor:"22,keyasint,omitempty"`
 	// Withheld are endpoints that receive no requests although they are listed as ready.
 	// WithheldFor is the remaining duration when the message was sent.
 	Withheld    []Withheld `cbor:"25,keyasint,omitempty"`
@@ -96,9 +96,9 @@
 	// From and To are the first and last revision of the source, as numbers within Era, for which
 	// the copy is valid.
 	Era, From, To int64
-	// Whole reports whether the copy was last read in full, so that its newest change may be of any
+	// Full reports whether the copy was last read in full, so that its newest change may be of any
 	// revision up to From.
-	Whole bool
+	Full bool
 	// ConfirmedAt is the reading of the source's steady clock when the copy was last known to be
 	// the newest.
 	ConfirmedAt time.Duration
--- a/gateway/peers/quarantine.go
+++ b/gateway/peers/quarantine.go
@@ -31,8 +31,8 @@
 	Ended    Age
 }
 
-// QuarantinedOf returns the message form of records, with ages relative to now.
-func QuarantinedOf(now time.Time, records []quarantine.Record) []Quarantined {
+// EncodeRecords returns the message form of records, with ages relative to now.
+func EncodeRecords(now time.Time, records []quarantine.Record) []Quarantined {
 	var result []Quarantined
 	for i := range records {
 		record := &records[i]
@@ -48,9 +48,9 @@
 	return result
 }
 
-// Records returns the records of a message received at now. Entries beyond the limits of a message
+// DecodeRecords returns the records of a message received at now. Entries beyond the limits of a message
 // are dropped.
-func Records(now time.Time, received []Quarantined) []quarantine.Record {
+func DecodeRecords(now time.Time, received []Quarantined) []quarantine.Record {
 	var result []quarantine.Record
 	for i := range received[:min(len(received), MaxQuarantined)] {
 		q := &received[i]
--- a/gateway/peers/quarantine_test.go
+++ b/gateway/peers/quarantine_test.go
@@ -38,11 +38,11 @@
 		}, 78},
 		{"answered", quarantine.Record{Fingerprint: fingerprint, Account: 1 << 31, LastSuccess: ago(time.Second)}, 36},
 	} {
-		content, err := cbor.Marshal(&Message{Quarantined: QuarantinedOf(sent, []quarantine.Record{test.record})})
+		content, err := cbor.Marshal(&Message{Quarantined: EncodeRecords(sent, []quarantine.Record{test.record})})
 		assert.NilError(t, err)
 		var got Message
 		assert.NilError(t, cbor.Unmarshal(content, &got))
-		assert.DeepEqual(t, Records(sent, got.Quarantined), []quarantine.Record{test.record})
+		assert.DeepEqual(t, DecodeRecords(sent, got.Quarantined), []quarantine.Record{test.record})
 		t.Logf("%s: %d bytes", test.name, len(content)-len(without))
 		assert.Assert(t, len(content)-len(without) <= test.bytes, test.name)
 	}
@@ -54,7 +54,7 @@
 	for i := range many {
 		many[i].Crashes = make([]Crash, 1000)
 	}
-	got := Records(time.Unix(10_000, 0), many)
+	got := DecodeRecords(time.Unix(10_000, 0), many)
 	assert.Equal(t, len(got), MaxQuarantined)
 	assert.Equal(t, len(got[0].Crashes), quarantine.MaxCrashes)
 }
--- a/gateway/peers/schedule.go
+++ b/gateway/peers/schedule.go
@@ -69,12 +69,12 @@
 
 // A Lookup decides whether a router registers with the platform and looks up its peers there.
 type Lookup struct {
-	Running    time.Duration // since the router's start
-	Seeded     bool          // addresses of peers were configured
-	Registered bool
-	Since      time.Duration // since the last registration
-	Heard      bool          // a message was received recently
-	First      bool          // the router is the first in the time slot of LookupShift
+	Running           time.Duration // since the router's start
+	Seeded            bool          // addresses of peers were configured
+	Registered        bool
+	SinceRegistration time.Duration // since the last registration
+	ReceivedRecently  bool          // a message was received recently
+	FirstInSlot       bool          // the router is the first in the time slot of LookupShift
 }
 
 // Due reports whether a registration and lookup is due. For a router that receives no messages it is
@@ -84,12 +84,12 @@
 // parts of a partitioned fleet find each other.
 func (l *Lookup) Due() bool {
 	switch {
-	case !l.Heard:
+	case !l.ReceivedRecently:
 		return !l.Seeded || l.Running >= seedTimeout
-	case l.Registered && l.Since <= registerInterval:
+	case l.Registered && l.SinceRegistration <= registerInterval:
 		return false
 	}
-	return !l.Seeded || l.First
+	return !l.Seeded || l.FirstInSlot
 }
 
 // EnoughEntries returns the number of other routers' entries in the platform's list at which a
@@ -102,6 +102,6 @@
 	return enoughEntries
 }
 
-// LookupShift returns the number of the time slot in which one router is the first to register.
+// LookupTimeSlot returns the number of the time slot in which one router is the first to register.
 // since is the time since an epoch that is about the same for all routers.
-func LookupShift(since time.Duration) uint64 { return uint64(since / lookupSlotDuration) }
+func LookupTimeSlot(since time.Duration) uint64 { return uint64(since / lookupSlotDuration) }
--- a/gateway/peers/sums.go
+++ b/gateway/peers/sums.go
@@ -59,9 +59,9 @@
 	Requests int // requests in flight of the counted peers at the service
 }
 
-// Share returns the fraction of the live peers whose requests at an endpoint are known. reports says
+// KnownFraction returns the fraction of the live peers whose requests at an endpoint are known. reports says
 // whether the endpoint reports its load.
-func (s *Sample) Share(reports bool) float64 {
+func (s *Sample) KnownFraction(reports bool) float64 {
 	known := s.Counted
 	if reports {
 		known = s.Complete
@@ -72,30 +72,30 @@
 	return min(1, float64(known)/float64(s.Alive))
 }
 
-// Demand estimates the number of requests with a prompt that all peers have in flight, from the
+// ExtrapolateDemand estimates the number of requests with a prompt that all peers have in flight, from the
 // number at the counted peers. If not all live peers are counted, one request is subtracted first,
 // because most prompts have few requests and a single one must not be extrapolated.
-func (s *Sample) Demand(requests int) float64 {
+func (s *Sample) ExtrapolateDemand(requests int) float64 {
 	if s.Counted < s.Alive {
 		requests = max(0, requests-1)
 	}
-	return s.All(requests)
+	return s.Extrapolate(requests)
 }
 
-// All estimates the number of requests that all peers have in flight, from the number at the
+// Extrapolate estimates the number of requests that all peers have in flight, from the number at the
 // counted peers. It returns zero if no peer's loads count.
-func (s *Sample) All(requests int) float64 {
+func (s *Sample) Extrapolate(requests int) float64 {
 	if s.Counted == 0 {
 		return 0
 	}
 	return float64(requests) * float64(s.Alive) / float64(s.Counted)
 }
 
-// Mean estimates the mean number of requests of all peers at each of the service's endpoints. It
+// MeanPerEndpoint estimates the mean number of requests of all peers at each of the service's endpoints. It
 // returns zero if no peer's loads count.
-func (s *Sample) Mean(endpoints int) float64 {
+func (s *Sample) MeanPerEndpoint(endpoints int) float64 {
 	if endpoints == 0 {
 		return 0
 	}
-	return s.All(s.Requests) / float64(endpoints)
+	return s.Extrapolate(s.Requests) / float64(endpoints)
 }
--- a/gateway/peers/table.go
+++ b/gateway/peers/table.go
@@ -69,8 +69,8 @@
 	return true, first
 }
 
-// Heard reports whether a message was received within PeerTTL.
-func (t *Table) Heard(now time.Time) bool {
+// ReceivedRecently reports whether a message was received within PeerTTL.
+func (t *Table) ReceivedRecently(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.received.IsZero() && now.Sub(t.received) <= t.limits.PeerTTL
--- a/gateway/peers/table_test.go
+++ b/gateway/peers/table_test.go
@@ -111,8 +111,8 @@
 	assert.Equal(t, requestsAt(table, start.Add(limits.LoadTTL+1)), 0)
 	_, first = table.Receive(start, &Message{Sender: address(1), Started: 2, Sequence: 1, Brief: true})
 	assert.Assert(t, first, "another process")
-	assert.Assert(t, table.Heard(start.Add(limits.PeerTTL)))
-	assert.Assert(t, !table.Heard(start.Add(limits.PeerTTL+1)))
+	assert.Assert(t, table.ReceivedRecently(start.Add(limits.PeerTTL)))
+	assert.Assert(t, !table.ReceivedRecently(start.Add(limits.PeerTTL+1)))
 }
 
 // TestUnknownEndpoint checks that an endpoint without loads has no requests.
--- a/gateway/peers/withheld.go
+++ b/gateway/peers/withheld.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// ReadWithheld returns the withheld endpoints and the remaining duration.
-func (m *Message) ReadWithheld() ([]ryeford.WithheldEndpoint, time.Duration) {
+// WithheldEndpoints returns the withheld endpoints and the remaining duration.
+func (m *Message) WithheldEndpoints() ([]ryeford.WithheldEndpoint, time.Duration) {
 	var endpoints []ryeford.WithheldEndpoint
 	for _, w := range m.Withheld {
 		endpoints = append(endpoints, ryeford.WithheldEndpoint{ID: w.ID, Sequence: w.Sequence, Gone: w.Gone})
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -54,7 +54,7 @@
 	if h.disabled {
 		return nil
 	}
-	return peers.QuarantinedOf(now, h.table.Outgoing(now, peers.MaxQuarantined))
+	return peers.EncodeRecords(now, h.table.Outgoing(now, peers.MaxQuarantined))
 }
 
 // merge merges the records of a peer's message.
@@ -62,10 +62,10 @@
 	if h.disabled {
 		return
 	}
-	if message.HeldRead {
+	if message.HeldRequestsRead {
 		h.heldRequests.loaded.Store(true)
 	}
-	for _, record := range h.table.Merge(now, peers.Records(now, message.Quarantined)) {
+	for _, record := range h.table.Merge(now, peers.DecodeRecords(now, message.Quarantined)) {
 		h.logHeld(&record, message.Sender.String())
 	}
 }
