--- a/gateway/bounds_test.go
+++ b/gateway/bounds_test.go
@@ -23,7 +23,7 @@
 	limits := listLimits(s)
 	for _, routers := range []int{1, 2, 4, 27, 103, 390} {
 		last, peers := routers-1, routers-1
-		list := limits.Turn(last, peers).Age + watch.MaxSleep
+		list := limits.Schedule(last, peers).Age + watch.MaxSleep
 		if routers == 1 {
 			list = limits.Hold + s.SettleEndpoints() // a held read, or the pause after a change
 		}
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -151,7 +151,7 @@
 	confirmed, _ := c.lease.Confirmed()
 	rank, alive := c.peers.Rank(now, freshness.TimeSlot(confirmed))
 	if c.start.joining(now) {
-		rank = max(rank, replica.Late)
+		rank = max(rank, replica.FirstFallbackRank)
 	}
 	return freshness.ReadAge(c.refresh, rank, alive) - age
 }
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -117,15 +117,15 @@
 	switch {
 	case !known:
 		return l.start.untilStoreRead(now), 0
-	case !l.copy.Range().Known():
+	case !l.copy.Range().IsSet():
 		return maxRetryPause - age, 0 // the source has never been written to
 	}
 	confirmed, _ := l.lease.Confirmed()
 	rank, alive := l.peers.Rank(now, freshness.TimeSlot(confirmed))
 	if l.start.joining(now) {
-		rank = max(rank, replica.Late)
+		rank = max(rank, replica.FirstFallbackRank)
 	}
-	slot := l.limits.Turn(rank, alive)
+	slot := l.limits.Schedule(rank, alive)
 	if age >= l.limits.Hold {
 		return slot.Age - age, 0
 	}
@@ -150,7 +150,7 @@
 	switch {
 	case update.Snapshot:
 		l.wholeReadAt = sent
-	case !changes.Empty() || sent.Sub(l.wholeReadAt) > replica.JoinTime:
+	case !changes.Empty() || sent.Sub(l.wholeReadAt) > replica.JoinDuration:
 		l.wholeReadAt = time.Time{}
 	}
 	l.markOutageEnd(clock.Now(), update.Revision.Era())
@@ -189,7 +189,7 @@
 // isLaterEra reports whether an era is later than that of the copy.
 func (l *endpointList) isLaterEra(era int64) bool {
 	at := l.copy.Range()
-	return at.Known() && era > at.To.Era()
+	return at.IsSet() && era > at.To.Era()
 }
 
 // renewFromPeer renews the lease with a peer's confirmation, if it is newer, after apply has applied
--- a/gateway/peerlist.go
+++ b/gateway/peerlist.go
@@ -28,7 +28,7 @@
 	at := l.copy.Range()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !known || !at.Known() {
+	if !known || !at.IsSet() {
 		return nil
 	}
 	return peers.NewList(at.From, at.To, !l.wholeReadAt.IsZero(), confirmed)
@@ -45,11 +45,11 @@
 		return
 	}
 	peerRange := replica.Range{From: from, To: to}
-	switch l.copy.Meet(peerRange) {
+	switch l.copy.MergeRange(peerRange) {
 	case replica.Newer:
 		// Within one era, a copy that was read whole may only appear to be newer.
 		localRange := l.copy.Range()
-		if !list.Full || !localRange.Known() || peerRange.To.Era() > localRange.To.Era() {
+		if !list.Full || !localRange.IsSet() || peerRange.To.Era() > localRange.To.Era() {
 			l.triggerPeerRead(peerCopy{peer: peer, contents: peerRange})
 		}
 	case replica.Same:
@@ -155,7 +155,7 @@
 	// confirmation.
 	confirmed, known := l.lease.Confirmed()
 	latest, bounded := l.clock.UpperBound(clock.Now())
-	if !known || !bounded || !l.copy.Range().Known() {
+	if !known || !bounded || !l.copy.Range().IsSet() {
 		return nil
 	}
 	l.mu.Lock()
--- a/gateway/replica/model_test.go
+++ b/gateway/replica/model_test.go
@@ -139,7 +139,7 @@
 		step(func(n *modelState) { n.revision = modelRevision(s.revision.Era()+1, modelBackup) })
 	}
 	for i := range s.routers {
-		if s.routers[i].at.Known() {
+		if s.routers[i].at.IsSet() {
 			step(func(n *modelState) { n.routers[i] = New() })
 		}
 		if len(s.flight) == modelFlight {
@@ -151,7 +151,7 @@
 			})
 		}
 		for j := range s.routers {
-			if j != i && s.routers[j].at.Known() {
+			if j != i && s.routers[j].at.IsSet() {
 				step(func(n *modelState) {
 					n.flight = append(n.flight, modelMessage{to: i, from: j, at: n.routers[j].at})
 				})
@@ -173,7 +173,7 @@
 		r.Apply(m.changes)
 		return
 	}
-	if r.Meet(m.at) == Newer && s.routers[m.from].at.Known() {
+	if r.MergeRange(m.at) == Newer && s.routers[m.from].at.IsSet() {
 		c := s.routers[m.from].Since(r.at.To)
 		r.Apply(&c)
 	}
@@ -183,7 +183,7 @@
 // applied after a gap.
 func (s *modelState) check(t *testing.T) {
 	for _, r := range s.routers {
-		for revision := r.at.From; r.at.Known() && revision <= r.at.To; revision++ {
+		for revision := r.at.From; r.at.IsSet() && revision <= r.at.To; revision++ {
 			if !slices.Equal(r.listed(), modelList(revision)) {
 				t.Fatalf("copy of revisions %v: got %v, want %v at revision %d: %s", r.at, r.listed(), modelList(revision), revision, s.key())
 			}
@@ -228,7 +228,7 @@
 				n.check(t)
 				n.checkConverges(t)
 				for i, r := range n.routers {
-					assert.Assert(t, r.at.To >= s.routers[i].at.To || !r.at.Known(), "the copy went back to an older revision")
+					assert.Assert(t, r.at.To >= s.routers[i].at.To || !r.at.IsSet(), "the copy went back to an older revision")
 				}
 				following = append(following, n)
 			}
@@ -350,7 +350,7 @@
 		r.suspendedUntil = now + time.Duration(f.random.IntN(4000))*time.Millisecond
 		return
 	}
-	scheduled := f.limits.Turn(f.rank(i, r.confirmed/(4*time.Second)), len(f.routers)-1)
+	scheduled := f.limits.Schedule(f.rank(i, r.confirmed/(4*time.Second)), len(f.routers)-1)
 	age := now - r.confirmed
 	// The first router's read is held, and confirms the copy when it ends.
 	if age >= max(scheduled.Age, scheduled.Hold) {
--- a/gateway/replica/replica.go
+++ b/gateway/replica/replica.go
@@ -23,8 +23,8 @@
 	From, To ryeford.Revision
 }
 
-// Known reports whether the copy of r has been read.
-func (r Range) Known() bool { return r.To > 0 }
+// IsSet reports whether the copy of r has been read.
+func (r Range) IsSet() bool { return r.To > 0 }
 
 // Changes are an update of a copy from one range of revisions to another.
 type Changes struct {
@@ -57,15 +57,15 @@
 // Empty reports whether c changes only the range.
 func (c *Changes) Empty() bool { return !c.Snapshot && len(c.Present)+len(c.Removed) == 0 }
 
-// A Verdict is the result of applying Changes.
-type Verdict int
+// A ApplyResult is the result of applying Changes.
+type ApplyResult int
 
 // The verdicts.
 const (
 	// Applied means that the changes were applied.
-	Applied Verdict = iota
-	// Old means that the copy is newer than the changes.
-	Old
+	Applied ApplyResult = iota
+	// Outdated means that the copy is newer than the changes.
+	Outdated
 	// Gap means that the copy lacks earlier changes.
 	Gap
 )
@@ -98,14 +98,14 @@
 }
 
 // Apply applies changes, unless r is newer or lacks earlier changes.
-func (r *Replica) Apply(c *Changes) Verdict {
+func (r *Replica) Apply(c *Changes) ApplyResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case !c.Snapshot && c.Since > r.at.To:
 		return Gap
 	case c.Range.To < r.at.To:
-		return Old
+		return Outdated
 	case c.Snapshot:
 		r.applySnapshot(c)
 	default:
@@ -147,7 +147,7 @@
 		}
 	}
 	switch {
-	case !r.at.Known() || c.Range.To.Era() > r.at.To.Era():
+	case !r.at.IsSet() || c.Range.To.Era() > r.at.To.Era():
 		// Revisions don't show which changes a copy of an earlier era lacks. A peer with such a
 		// copy is sent a snapshot.
 		r.at, r.horizon = c.Range, c.Range.From
@@ -219,13 +219,13 @@
 	return Same
 }
 
-// Meet compares the range of a peer's copy with that of r. If both copies have the same contents, the
+// MergeRange compares the range of a peer's copy with that of r. If both copies have the same contents, the
 // range of r is extended by the peer's.
-func (r *Replica) Meet(peer Range) Relation {
+func (r *Replica) MergeRange(peer Range) Relation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	relation := r.at.Compare(peer)
-	if relation == Same && r.at.Known() {
+	if relation == Same && r.at.IsSet() {
 		r.at = Range{From: min(r.at.From, peer.From), To: max(r.at.To, peer.To)}
 	}
 	return relation
--- a/gateway/replica/replica_test.go
+++ b/gateway/replica/replica_test.go
@@ -39,7 +39,7 @@
 	for _, test := range []struct {
 		name    string
 		changes Changes
-		verdict Verdict
+		verdict ApplyResult
 		at      Range
 		listed  string
 	}{
@@ -48,11 +48,11 @@
 		{"a change of a listed endpoint", FromSource(&ryeford.EndpointUpdate{Present: []ryeford.Endpoint{draining}, Revision: 15, Changed: 12}, 10), Applied, Range{12, 15}, "abc"},
 		{"a removal without its revision", FromSource(&ryeford.EndpointUpdate{Removed: []ryeford.EndpointID{"b"}, Revision: 15}, 10), Applied, Range{15, 15}, "ac"},
 		{"read since an older revision", FromSource(&ryeford.EndpointUpdate{Present: endpoints("c"), Revision: 15, Changed: 9}, 5), Applied, Range{10, 15}, "abc"},
-		{"older", FromSource(&ryeford.EndpointUpdate{Removed: []ryeford.EndpointID{"b"}, Revision: 9}, 5), Old, Range{10, 10}, "abc"},
+		{"older", FromSource(&ryeford.EndpointUpdate{Removed: []ryeford.EndpointID{"b"}, Revision: 9}, 5), Outdated, Range{10, 10}, "abc"},
 		{"after a gap", FromSource(&ryeford.EndpointUpdate{Present: endpoints("d"), Revision: 15}, 11), Gap, Range{10, 10}, "abc"},
 		{"a snapshot, unchanged", FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a", "b", "c"), Revision: 15}, 0), Applied, Range{10, 15}, "abc"},
 		{"a snapshot, changed", FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a", "d"), Revision: 15}, 0), Applied, Range{15, 15}, "ad"},
-		{"a snapshot, older", FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a"), Revision: 9}, 0), Old, Range{10, 10}, "abc"},
+		{"a snapshot, older", FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a"), Revision: 9}, 0), Outdated, Range{10, 10}, "abc"},
 	} {
 		r := newSynced(t)
 		assert.Equal(t, r.Apply(&test.changes), test.verdict, test.name)
@@ -129,7 +129,7 @@
 	} {
 		r := New()
 		r.at = test.local
-		assert.Equal(t, r.Meet(test.peer), test.want, test.name)
+		assert.Equal(t, r.MergeRange(test.peer), test.want, test.name)
 		assert.Equal(t, r.Range(), test.after, test.name)
 	}
 }
--- a/gateway/replica/start.go
+++ b/gateway/replica/start.go
@@ -19,9 +19,9 @@
 	// startSteepness is the exponent of the delay distribution: the density of the delays grows
 	// by a factor of e to the startSteepness from the shortest to the longest.
 	startSteepness = 6.0
-	// JoinTime is how long after its start a router may not have received messages from all
+	// JoinDuration is how long after its start a router may not have received messages from all
 	// others.
-	JoinTime = time.Second
+	JoinDuration = time.Second
 )
 
 // StartDelay returns the start delay, up to spread, for a random number drawn from 0 to 1.
--- a/gateway/replica/turns.go
+++ b/gateway/replica/turns.go
@@ -58,28 +58,28 @@
 	return min(maxMargin, time.Duration(marginFraction*float64(l.Bound)))
 }
 
-// A Turn is the schedule of a router's next read of the source.
-type Turn struct {
+// A ReadSchedule is the schedule of a router's next read of the source.
+type ReadSchedule struct {
 	// Age is the age of the copy's newest confirmation at which the router reads.
 	Age time.Duration
 	// Hold is how long the source holds the read if nothing changes.
 	Hold time.Duration
 }
 
-// Late is the lowest rank of the routers that read only if the first two have failed.
-const Late = 2
+// FirstFallbackRank is the lowest rank of the routers that read only if the first two have failed.
+const FirstFallbackRank = 2
 
-// Turn returns the Turn of a router. rank is its rank in the time slot, from 0, and peers is the number
+// Schedule returns the Turn of a router. rank is its rank in the time slot, from 0, and peers is the number
 // of other live routers.
-func (l *Limits) Turn(rank, peers int) Turn {
+func (l *Limits) Schedule(rank, peers int) ReadSchedule {
 	switch {
 	case rank == 0:
-		return Turn{Hold: l.Hold}
+		return ReadSchedule{Hold: l.Hold}
 	case rank == 1:
-		return Turn{Age: l.Hold + time.Duration(secondFraction*float64(l.margin()))}
+		return ReadSchedule{Age: l.Hold + time.Duration(secondFraction*float64(l.margin()))}
 	}
 	stagger := staggerFraction * float64(l.Bound) * float64(rank) / float64(peers+1)
-	return Turn{Age: max(l.Hold+l.margin(), l.maxAge()) + time.Duration(stagger)}
+	return ReadSchedule{Age: max(l.Hold+l.margin(), l.maxAge()) + time.Duration(stagger)}
 }
 
 // Outage reports whether a copy whose newest confirmation has the given age lacks confirmations for
--- a/gateway/replica/turns_test.go
+++ b/gateway/replica/turns_test.go
@@ -15,22 +15,22 @@
 		name        string
 		bound, hold time.Duration
 		rank, peers int
-		want        Turn
+		want        ReadSchedule
 	}{
-		{"the first, a bound of 2 s", 2 * time.Second, 0, 0, 9, Turn{Hold: 700 * ms}},
-		{"the second", 2 * time.Second, 0, 1, 9, Turn{Age: 1015 * ms}},
-		{"the third of ten", 2 * time.Second, 0, 2, 9, Turn{Age: 1440 * ms}},
-		{"the last of ten", 2 * time.Second, 0, 9, 9, Turn{Age: 1580 * ms}},
-		{"the first, a bound of 4 s", 4 * time.Second, 0, 0, 102, Turn{Hold: 2100 * ms}},
-		{"the second", 4 * time.Second, 0, 1, 102, Turn{Age: 2415 * ms}},
-		{"the last of 103", 4 * time.Second, 0, 102, 102, Turn{Age: 3196 * ms}},
-		{"an isolated router", 4 * time.Second, 0, 0, 0, Turn{Hold: 2100 * ms}},
-		{"the first, with a configured hold", 2 * time.Second, 100 * ms, 0, 9, Turn{Hold: 100 * ms}},
-		{"the third, with a hold as long as the bound", 2 * time.Second, 2 * time.Second, 2, 9, Turn{Age: 2740 * ms}},
-		{"the first, with a short bound", 200 * ms, 0, 0, 9, Turn{Hold: 100 * ms}},
+		{"the first, a bound of 2 s", 2 * time.Second, 0, 0, 9, ReadSchedule{Hold: 700 * ms}},
+		{"the second", 2 * time.Second, 0, 1, 9, ReadSchedule{Age: 1015 * ms}},
+		{"the third of ten", 2 * time.Second, 0, 2, 9, ReadSchedule{Age: 1440 * ms}},
+		{"the last of ten", 2 * time.Second, 0, 9, 9, ReadSchedule{Age: 1580 * ms}},
+		{"the first, a bound of 4 s", 4 * time.Second, 0, 0, 102, ReadSchedule{Hold: 2100 * ms}},
+		{"the second", 4 * time.Second, 0, 1, 102, ReadSchedule{Age: 2415 * ms}},
+		{"the last of 103", 4 * time.Second, 0, 102, 102, ReadSchedule{Age: 3196 * ms}},
+		{"an isolated router", 4 * time.Second, 0, 0, 0, ReadSchedule{Hold: 2100 * ms}},
+		{"the first, with a configured hold", 2 * time.Second, 100 * ms, 0, 9, ReadSchedule{Hold: 100 * ms}},
+		{"the third, with a hold as long as the bound", 2 * time.Second, 2 * time.Second, 2, 9, ReadSchedule{Age: 2740 * ms}},
+		{"the first, with a short bound", 200 * ms, 0, 0, 9, ReadSchedule{Hold: 100 * ms}},
 	} {
 		limits := NewLimits(test.bound, test.hold)
-		got := limits.Turn(test.rank, test.peers)
+		got := limits.Schedule(test.rank, test.peers)
 		assert.Equal(t, got.Age.Round(ms), test.want.Age, test.name)
 		assert.Equal(t, got.Hold, test.want.Hold, test.name)
 	}
@@ -44,7 +44,7 @@
 		for _, peers := range []int{0, 1, 9, 102, 389} {
 			last := time.Duration(-1)
 			for rank := range peers + 1 {
-				scheduled := limits.Turn(rank, peers)
+				scheduled := limits.Schedule(rank, peers)
 				assert.Assert(t, scheduled.Age > last)
 				last = scheduled.Age
 				assert.Assert(t, scheduled.Age+scheduled.Hold <= bound*4/5, "%s: %s", bound, scheduled.Age)
@@ -56,8 +56,8 @@
 // TestOutage checks that the failure of one reading router does not count as an outage.
 func TestOutage(t *testing.T) {
 	limits := NewLimits(2*time.Second, 0)
-	assert.Assert(t, !limits.Outage(limits.Turn(1, 9).Age+50*time.Millisecond), "the second router takes over")
-	assert.Assert(t, limits.Outage(limits.Turn(2, 9).Age))
+	assert.Assert(t, !limits.Outage(limits.Schedule(1, 9).Age+50*time.Millisecond), "the second router takes over")
+	assert.Assert(t, limits.Outage(limits.Schedule(2, 9).Age))
 }
 
 // TestMaxPause checks that the pause limits a fleet to 50 reads per second in an outage.
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -32,5 +32,5 @@
 // joining reports whether the router may not have received the other routers' addresses yet, and so
 // can't compute its rank among them.
 func (s *start) joining(now time.Time) bool {
-	return s.hasPeers && now.Sub(s.began) < replica.JoinTime
+	return s.hasPeers && now.Sub(s.began) < replica.JoinDuration
 }
