--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -28,7 +28,7 @@
 	sent := clock.Now()
 	x.relay.onFirstResponse = func() {
 		stopTimer()
-		f.fastest.add(clock.Now(), x.request.service, clock.Since(sent))
+		f.minResponseTimes.add(clock.Now(), x.request.service, clock.Since(sent))
 	}
 	f.loads.Begin(to.ID, x.request.service)
 	defer f.loads.End(to.ID)
@@ -38,7 +38,7 @@
 	}
 	f.occupancy.Begin(x.request.service)
 	defer f.occupancy.End(x.request.service)
-	x.began = sent
+	x.attemptStarted = sent
 	response, err := x.observedSend(attemptCtx, to, source)
 	if err != nil {
 		if timedOut(attemptCtx) || errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -147,7 +147,7 @@
 	}
 	ctxDone := ctx.Err() != nil
 	if end == retry.EndLost && !ctxDone {
-		x.recordLost(to, err)
+		x.recordLostAttempt(to, err)
 	}
 	var blocked *ryeford.NotRunError // returned by checkSend
 	errors.As(err, &blocked)
@@ -221,7 +221,7 @@
 		end, err = retry.EndStopped, x.stopError(ctx)
 	}
 	if end == retry.EndLost {
-		x.recordLost(to, err)
+		x.recordLostAttempt(to, err)
 	}
 	x.recordFailed(to, end, err)
 	return end, err
--- a/gateway/backoffsend_test.go
+++ b/gateway/backoffsend_test.go
@@ -21,7 +21,7 @@
 func TestExclusionBeforeFirstByte(t *testing.T) {
 	evacuated := ryeford.Evacuations{Revision: 2, Orders: []ryeford.Evacuation{{State: 2}}} // evacuates the domain without a name
 	for reason, exclude := range map[ryeford.Reason]func(b *balancer){
-		ryeford.ReasonResting:   func(b *balancer) { b.rests.Start(time.Now(), "e1", time.Minute) },
+		ryeford.ReasonResting:   func(b *balancer) { b.backoffs.Start(time.Now(), "e1", time.Minute) },
 		ryeford.ReasonLeaving:   func(b *balancer) { b.roster.MarkLeaving(time.Now(), "e1") },
 		ryeford.ReasonEvacuated: func(b *balancer) { b.roster.SetEvacuated(time.Now(), evacuated) },
 	} {
--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -28,7 +28,7 @@
 type balancer struct {
 	roster   *roster.Roster // updated by endpointList
 	detector *outlier.Detector
-	rests    *backoff.Table
+	backoffs *backoff.Table
 	loads    *loads.Table
 	prefixes *prefixcache.Index
 	peers    *peers.Table // updated by gossip
@@ -36,7 +36,7 @@
 
 	slowStart *slowstart.Table
 	clock     *freshness.SourceClock // time base of the time slots
-	start     *start
+	start     *startup
 	// minRouters is the minimum number of routers among which the request rate of a cold endpoint
 	// is divided.
 	minRouters int
@@ -49,7 +49,7 @@
 	return &balancer{
 		roster:   roster.New(),
 		detector: outlier.New(),
-		rests:    backoff.New(),
+		backoffs: backoff.New(),
 		loads:    loads.New(),
 		prefixes: prefixcache.New(),
 		peers:    peers.New(s.Peers.AddrPort, peers.DefaultLimits()),
@@ -57,7 +57,7 @@
 
 		slowStart:  slowstart.New(),
 		clock:      &freshness.SourceClock{},
-		start:      newStart(s),
+		start:      newStartup(s),
 		minRouters: s.Routing.Routers,
 	}
 }
@@ -136,14 +136,14 @@
 // none.
 func (b *balancer) unavailableFor(now time.Time, service string) time.Duration {
 	return b.shortestWait(service, func(id ryeford.EndpointID) time.Duration {
-		return max(b.detector.EjectedFor(now, id), b.rests.Remaining(now, id))
+		return max(b.detector.EjectedFor(now, id), b.backoffs.Remaining(now, id))
 	})
 }
 
 // backingOffFor returns how long it takes until the first of a service's endpoints that accept requests ends its
 // back-off. It is zero if one is not backing off, or if there are none.
 func (b *balancer) backingOffFor(now time.Time, service string) time.Duration {
-	return b.shortestWait(service, func(id ryeford.EndpointID) time.Duration { return b.rests.Remaining(now, id) })
+	return b.shortestWait(service, func(id ryeford.EndpointID) time.Duration { return b.backoffs.Remaining(now, id) })
 }
 
 // shortestWait returns the shortest duration that of returns for a service's endpoints that accept requests, or
@@ -271,7 +271,7 @@
 	}
 	_ = f.log.Log("decision", "send", "request", q.meta.ID, "route", q.rule.Name, "account", q.accountID(), "service", q.service,
 		"endpoint", s.to.ID, "why", s.choice.Reason, "load", roundLoad(s.load), "mean", roundLoad(s.choice.Mean), "cap", roundLoad(s.choice.Cap), "candidates", s.candidates, "evacuated", s.excluded.evacuated, "cold", s.excluded.cold, "resting", s.excluded.backingOff, "prompt", promptText(q.meta.Prefix), "source", sourceID,
-		"sent", x.history.Sent, "unsent", x.history.Unsent, "version", q.catalog.Version(), "lease", f.configuration.leaseLeft())
+		"sent", x.history.Sent, "unsent", x.history.Unsent, "version", q.catalog.Version(), "lease", f.configuration.leaseRemaining())
 }
 
 // logNoChoice logs that no endpoint may be sent the request now.
--- a/gateway/balancer_test.go
+++ b/gateway/balancer_test.go
@@ -23,7 +23,7 @@
 	b := &balancer{
 		roster:   roster.New(),
 		detector: outlier.New(),
-		rests:    backoff.New(),
+		backoffs: backoff.New(),
 		loads:    loads.New(),
 		prefixes: prefixcache.New(),
 		peers:    peers.New(netip.AddrPort{}, peers.DefaultLimits()),
@@ -104,10 +104,10 @@
 	assert.Equal(t, b.unavailableFor(now, "s"), time.Duration(0), "b is available")
 	b.detector.Eject(now, "b", 3*time.Second)
 	assert.Equal(t, b.unavailableFor(now, "s"), time.Second, "a is available first")
-	b.rests.Start(now, "a", 2*time.Second)
+	b.backoffs.Start(now, "a", 2*time.Second)
 	assert.Equal(t, b.unavailableFor(now, "s"), 2*time.Second, "a is available first, after its back-off")
 	assert.Equal(t, b.backingOffFor(now, "s"), time.Duration(0), "b is not backing off")
-	b.rests.Start(now, "b", time.Minute)
+	b.backoffs.Start(now, "b", time.Minute)
 	assert.Equal(t, b.backingOffFor(now, "s"), 2*time.Second)
 	assert.Equal(t, b.unavailableFor(now, "another"), time.Duration(0))
 }
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -16,7 +16,7 @@
 // of the source's clock, and a service with a ColdTime of 3 s and a ColdRate of four requests a second.
 func newColdBalancer(now time.Time) (*balancer, *ryeford.ServiceRule) {
 	b := newTestBalancer(now)
-	b.slowStart, b.clock, b.start, b.minRouters = slowstart.New(), &freshness.SourceClock{}, &start{}, 1
+	b.slowStart, b.clock, b.start, b.minRouters = slowstart.New(), &freshness.SourceClock{}, &startup{}, 1
 	b.clock.Observe(now, time.Minute)
 	return b, &ryeford.ServiceRule{Name: "s", ColdTime: 3 * time.Second, ColdRate: 4}
 }
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -51,7 +51,7 @@
 	changeTimeout, unreachableAfter time.Duration
 	// peers determines which router reads next.
 	peers *peers.Table
-	start *start
+	start *startup
 	// clock tracks the source's clock.
 	clock *freshness.SourceClock
 	// revision is the newest revision of the store, across all of its tables.
@@ -69,7 +69,7 @@
 		options.clock = &freshness.SourceClock{}
 	}
 	if options.start == nil {
-		options.start = &start{}
+		options.start = &startup{}
 	}
 	if options.evacuations == nil {
 		options.evacuations = newEvacuations(roster.New(), options.log, options.metrics)
@@ -80,7 +80,7 @@
 		wake:                 make(chan struct{}, 1),
 		peerReader:           newPeerReader(),
 	}
-	c.outage = newOutage("configuration", c.leaseLeft, options.log, options.metrics)
+	c.outage = newOutage("configuration", c.leaseRemaining, options.log, options.metrics)
 	return c
 }
 
@@ -109,8 +109,8 @@
 	return freshness.ServesKeys(c.serveKeysInOutage, c.reliable(now), c.newer.mayExist())
 }
 
-// leaseLeft returns the time until the lease ends, rounded for the log.
-func (c *configuration) leaseLeft() time.Duration {
+// leaseRemaining returns the time until the lease ends, rounded for the log.
+func (c *configuration) leaseRemaining() time.Duration {
 	return c.lease.Remaining(clock.Now()).Round(time.Millisecond)
 }
 
--- a/gateway/configuration_test.go
+++ b/gateway/configuration_test.go
@@ -146,7 +146,7 @@
 		f.source.err = errors.New("unavailable")
 		f.runFor(t, 3800*time.Millisecond)
 		assert.Assert(t, f.reliable(time.Now()))
-		assert.Equal(t, f.leaseLeft(), 100*time.Millisecond)
+		assert.Equal(t, f.leaseRemaining(), 100*time.Millisecond)
 		f.runFor(t, 100*time.Millisecond)
 		assert.Assert(t, !f.reliable(time.Now()))
 		assert.Equal(t, f.version(), int64(1), "it stays in force without a valid lease")
@@ -179,15 +179,15 @@
 		f.runFor(t, 10*time.Millisecond)
 		time.Sleep(2 * time.Second)
 		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 0, 2*time.Second)
-		assert.Equal(t, f.leaseLeft(), 1990*time.Millisecond, "an older version")
+		assert.Equal(t, f.leaseRemaining(), 1990*time.Millisecond, "an older version")
 		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 1, 2*time.Second)
-		assert.Equal(t, f.leaseLeft(), 3990*time.Millisecond, "the same version, confirmed 10 ms ago")
+		assert.Equal(t, f.leaseRemaining(), 3990*time.Millisecond, "the same version, confirmed 10 ms ago")
 		confirmed, _ := f.lease.Confirmed()
 		assert.Equal(t, confirmed, 2*time.Second, "the confirmation is passed on to peers")
 		reads := len(f.source.reads)
 		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 2*time.Second)
 		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 2, 2*time.Second)
-		assert.Equal(t, f.leaseLeft(), 3990*time.Millisecond, "a newer version does not confirm the one in force")
+		assert.Equal(t, f.leaseRemaining(), 3990*time.Millisecond, "a newer version does not confirm the one in force")
 		f.source.version = 2
 		f.runFor(t, 100*time.Millisecond)
 		assert.Equal(t, len(f.source.reads), reads+1, "it is read immediately, and only once")
@@ -217,7 +217,7 @@
 		f.runFor(t, 3500*time.Millisecond)
 		assert.Equal(t, len(f.source.reads), 1)
 		assert.Equal(t, f.source.compared, 3)
-		assert.Equal(t, f.leaseLeft(), 3500*time.Millisecond)
+		assert.Equal(t, f.leaseRemaining(), 3500*time.Millisecond)
 
 		f.source.version = 2
 		f.runFor(t, time.Second)
@@ -291,7 +291,7 @@
 		f.runFor(t, 100*time.Millisecond)
 		f.mergePeerConfirmation(time.Now(), netip.AddrPort{}, 99, 0)
 		f.runFor(t, 100*time.Millisecond)
-		assert.Equal(t, f.leaseLeft(), 3800*time.Millisecond)
+		assert.Equal(t, f.leaseRemaining(), 3800*time.Millisecond)
 		f.runFor(t, 3500*time.Millisecond)
 		assert.Equal(t, f.source.compared, 3, "conditional reads resume after a second")
 		assert.Assert(t, f.reliable(time.Now()))
@@ -314,7 +314,7 @@
 			f.revision.recordAnswer(5) // by the list of endpoints
 		}
 		assert.Assert(t, f.superseded(time.Now()))
-		assert.Equal(t, f.leaseLeft(), 900*time.Millisecond)
+		assert.Equal(t, f.leaseRemaining(), 900*time.Millisecond)
 	})
 }
 
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -22,22 +22,22 @@
 	log      log.Logger
 	inFlight atomic.Int64 // callers' requests
 
-	ordered        atomic.Pointer[time.Time] // when shutdown was requested; set before stopping
+	requestedAt    atomic.Pointer[time.Time] // when shutdown was requested; set before stopping
 	stopping       atomic.Bool               // shutdown was requested
 	failedProbes   atomic.Int32              // since the shutdown signal
 	lastConnection atomic.Pointer[time.Time] // when a caller last connected, or nil
 
-	// ending is done shortly before connections are closed. Requests that are still unanswered then
+	// aborting is done shortly before connections are closed. Requests that are still unanswered then
 	// are aborted with a response to their callers.
-	ending context.Context
-	abort  context.CancelFunc
+	aborting context.Context
+	abort    context.CancelFunc
 }
 
 // newDrain returns the drain of a running gateway. grace is the time from the shutdown signal to the
 // end of the process.
 func newDrain(grace time.Duration, logger log.Logger) *drain {
 	d := &drain{grace: grace, log: logger}
-	d.ending, d.abort = context.WithCancel(context.Background())
+	d.aborting, d.abort = context.WithCancel(context.Background())
 	return d
 }
 
@@ -52,7 +52,7 @@
 	}
 	requested := clock.Now()
 	closeBy := shutdown.CloseBy(requested, d.grace)
-	d.ordered.Store(&requested)
+	d.requestedAt.Store(&requested)
 	d.stopping.Store(true)
 	_ = d.log.Log("msg", "stopping", "in_flight", d.inFlight.Load())
 	timer := time.AfterFunc(clock.Until(closeBy)-shutdown.EndMargin, d.abort)
@@ -109,10 +109,10 @@
 	}
 }
 
-// leavesTimeFor reports whether a gateway that is shutting down still accepts a request. slowest is
+// hasTimeFor reports whether a gateway that is shutting down still accepts a request. slowest is
 // the duration of the slowest requests on its route.
-func (d *drain) leavesTimeFor(q *request, slowest time.Duration) bool {
-	now, requested := clock.Now(), *d.ordered.Load()
+func (d *drain) hasTimeFor(q *request, slowest time.Duration) bool {
+	now, requested := clock.Now(), *d.requestedAt.Load()
 	return shutdown.HasTimeFor(shutdown.Request{
 		SinceSignal:   now.Sub(requested),
 		UntilClose:    shutdown.CloseBy(requested, d.grace).Sub(now),
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -76,14 +76,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(8*time.Second, log.NewNopLogger())
 		ordered := time.Now()
-		d.ordered.Store(&ordered)
+		d.requestedAt.Store(&ordered)
 		time.Sleep(3 * time.Second)
 		q := &request{rule: &ryeford.RouteRule{Kind: ryeford.RouteStream}}
 		q.deadline = ordered.Add(7 * time.Second)
-		assert.Assert(t, d.leavesTimeFor(q, 0))
+		assert.Assert(t, d.hasTimeFor(q, 0))
 		q.deadline = ordered.Add(7*time.Second + 1)
-		assert.Assert(t, !d.leavesTimeFor(q, 0), "the stream could be aborted")
+		assert.Assert(t, !d.hasTimeFor(q, 0), "the stream could be aborted")
 		q.rule = &ryeford.RouteRule{Kind: ryeford.RouteAtMostOnce}
-		assert.Assert(t, d.leavesTimeFor(q, 2*time.Second), "the request is expected to complete")
+		assert.Assert(t, d.hasTimeFor(q, 2*time.Second), "the request is expected to complete")
 	})
 }
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -51,7 +51,7 @@
 	clock           *freshness.SourceClock
 	peers           *peers.Table
 	reader          *peerReader
-	start           *start
+	start           *startup
 
 	revision *storeRevision // the newest revision of the store, across all of its tables
 	roster   *roster.Roster
--- a/gateway/endpointlist_test.go
+++ b/gateway/endpointlist_test.go
@@ -85,7 +85,7 @@
 		clock:           clock,
 		peers:           peers.New(netip.AddrPort{}, peers.DefaultLimits()),
 		reader:          newPeerReader(),
-		start:           &start{},
+		start:           &startup{},
 		newerCopy:       make(chan peerCopy, 1),
 		metrics:         telemetry.NewSet(),
 		revision:        &storeRevision{},
--- a/gateway/endpointreport.go
+++ b/gateway/endpointreport.go
@@ -17,7 +17,7 @@
 		f.metrics.Count("ryeford_leaving_endpoints_total", "")
 	}
 	// An endpoint that rejects all requests has a low load and would attract even more.
-	backingOff := report.Rest > 0 && f.rests.Start(now, from.ID, report.Rest)
+	backingOff := report.Rest > 0 && f.backoffs.Start(now, from.ID, report.Rest)
 	if backingOff {
 		f.metrics.Count("ryeford_rests_total", "")
 	}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -33,8 +33,8 @@
 	mayHaveRun   bool  // any attempt may have run at an endpoint
 	lastErr      error // error of the last attempt
 
-	began    time.Time              // start of the last attempt
-	identity quarantine.Fingerprint // computed on first use: see fingerprint
+	attemptStarted    time.Time              // start of the last attempt
+	cachedFingerprint quarantine.Fingerprint // computed on first use: see fingerprint
 }
 
 // A stoppingError reports that a request was given up because the gateway is about to close
@@ -94,7 +94,7 @@
 	if x.history.Sent == 0 && x.forwarder.occupancy.Full(now, q.service) {
 		return giveup.NotRun(ryeford.ReasonOverload)
 	}
-	return admit.CheckTime(q.deadline.Sub(now), x.forwarder.fastest.get(now, q.service))
+	return admit.CheckTime(q.deadline.Sub(now), x.forwarder.minResponseTimes.get(now, q.service))
 }
 
 // chooseFor chooses the endpoint of an attempt, and the endpoint from which it may fetch cached
@@ -126,7 +126,7 @@
 func (x *exchange) takeRetry() bool {
 	now := clock.Now()
 	routers := x.forwarder.peers.Alive(now) + 1
-	return x.request.budget.TakeRetry(now, retry.ReserveDivisor(x.forwarder.minSharers, routers))
+	return x.request.budget.TakeRetry(now, retry.ReserveDivisor(x.forwarder.minBudgetRouters, routers))
 }
 
 // shouldWithhold reports whether an endpoint's response is not passed on: it is a failure that
--- a/gateway/exchange_test.go
+++ b/gateway/exchange_test.go
@@ -83,22 +83,22 @@
 	}
 	balancer := newTestBalancer(time.Now())
 	balancer.roster.Apply(time.Now(), &ryeford.EndpointUpdate{Snapshot: true, Revision: 1}, time.Time{})
-	balancer.clock, balancer.start = &freshness.SourceClock{}, &start{}
+	balancer.clock, balancer.start = &freshness.SourceClock{}, &startup{}
 	logger, metrics := log.NewLogfmtLogger(&e.log), telemetry.NewSet()
 	e.forwarder = &forwarder{
-		protocol:      platform.Protocol{},
-		configuration: newConfiguration(configurationOptions{term: time.Minute}),
-		balancer:      balancer,
-		pool:          endpoint.New(platform.Protocol{}),
-		minSharers:    1,
-		durations:     newDurations(),
-		fastest:       newFastest(),
-		refusals:      newRefusals(),
-		occupancy:     occupancy.New(),
-		overloads:     newOverloads(),
-		quarantine:    newQuarantineState(balancer, logger, metrics),
-		log:           logger,
-		metrics:       metrics,
+		protocol:         platform.Protocol{},
+		configuration:    newConfiguration(configurationOptions{term: time.Minute}),
+		balancer:         balancer,
+		pool:             endpoint.New(platform.Protocol{}),
+		minBudgetRouters: 1,
+		durations:        newDurations(),
+		minResponseTimes: newMinResponseTimes(),
+		refusals:         newRefusals(),
+		occupancy:        occupancy.New(),
+		overloads:        newOverloads(),
+		quarantine:       newQuarantineState(balancer, logger, metrics),
+		log:              logger,
+		metrics:          metrics,
 	}
 	e.forwarder.configuration.lease.RenewRead(time.Now(), time.Now(), 0)
 	e.forwarder.configuration.inForce.Put(catalog.New(e.configuration))
@@ -201,7 +201,7 @@
 			e.request.arrived = time.Now().Add(-time.Minute)
 			e.request.deadline = time.Now().Add(-time.Millisecond)
 		}, 503, "deadline", false},
-		{"less time is left than the fastest response took", func(e *exchangeTest) { e.forwarder.fastest.add(time.Now(), "s", time.Hour) }, 503, "deadline", true},
+		{"less time is left than the fastest response took", func(e *exchangeTest) { e.forwarder.minResponseTimes.add(time.Now(), "s", time.Hour) }, 503, "deadline", true},
 		{"the key was revoked while it waited", (*exchangeTest).revokeKey, 401, "key_taken", false},
 		{"the route was removed while it waited", (*exchangeTest).removeRoute, 404, "route_removed", false},
 		{"the configuration went stale while it waited", func(e *exchangeTest) {
--- a/gateway/fastest_test.go
+++ b/gateway/fastest_test.go
@@ -10,7 +10,7 @@
 // TestMinResponseTimes checks that a response time counts for at least one window and at most two.
 func TestMinResponseTimes(t *testing.T) {
 	now := time.Unix(1000, 0)
-	f := newFastest()
+	f := newMinResponseTimes()
 	assert.Equal(t, f.get(now, "s"), time.Duration(0), "no response")
 	f.add(now, "s", 30*time.Millisecond)
 	f.add(now, "s", 20*time.Millisecond)
--- a/gateway/fleetleaving_test.go
+++ b/gateway/fleetleaving_test.go
@@ -9,9 +9,9 @@
 	"github.com/ryeford/ryeford"
 )
 
-// leavings are a third of the engines of a simulated fleet, which report in their responses that they
+// leavingEngines are a third of the engines of a simulated fleet, which report in their responses that they
 // are leaving while the list has them as ready.
-type leavings struct {
+type leavingEngines struct {
 	began time.Time
 	ids   map[ryeford.EndpointID]bool
 	late  int           // requests that arrived more than half a second after the engines had started to report it
@@ -19,19 +19,19 @@
 }
 
 // leave makes a third of the engines report that they are leaving once the warm-up has ended.
-func (f *simulatedFleet) leave() *leavings {
-	l := &leavings{began: f.began.Add(simulatedWarmUp), ids: make(map[ryeford.EndpointID]bool)}
+func (f *simulatedFleet) leave() *leavingEngines {
+	l := &leavingEngines{began: f.began.Add(simulatedWarmUp), ids: make(map[ryeford.EndpointID]bool)}
 	for i, id := range f.ids {
 		if i%3 == 0 {
 			l.ids[id] = true
 		}
 	}
-	f.leavings = l
+	f.leavingEngines = l
 	return l
 }
 
-// take counts a request at an engine whose response reports that it is leaving.
-func (l *leavings) take(f *simulatedFleet, now time.Time, r *simulatedRouter, id ryeford.EndpointID) {
+// observe counts a request at an engine whose response reports that it is leaving.
+func (l *leavingEngines) observe(f *simulatedFleet, now time.Time, r *simulatedRouter, id ryeford.EndpointID) {
 	if l == nil || !l.ids[id] || now.Before(l.began) {
 		return
 	}
@@ -39,7 +39,7 @@
 	if l.last > 500*time.Millisecond {
 		l.late++
 	}
-	f.at(now.Add(simulatedFirst), func(now time.Time) { r.roster.MarkLeaving(now, id) })
+	f.schedule(now.Add(simulatedResponseDelay), func(now time.Time) { r.roster.MarkLeaving(now, id) })
 }
 
 // TestFleetLeaving simulates fleets of several sizes in which a third of the engines leave during an
--- a/gateway/fleetlist_test.go
+++ b/gateway/fleetlist_test.go
@@ -43,7 +43,7 @@
 		}
 		var half, all time.Duration
 		changed := f.began.Add(simulatedWarmUp)
-		f.at(changed, func(now time.Time) {
+		f.schedule(changed, func(now time.Time) {
 			first, read := f.routers[0].gossip.endpoints, *update
 			read.Begun = time.Now()
 			first.applySource(&read, 5, time.Now())
@@ -92,5 +92,5 @@
 		*all = now.Sub(changed)
 		return
 	}
-	f.at(now.Add(step), func(now time.Time) { f.readNewerCopies(now, changed, revision, half, all) })
+	f.schedule(now.Add(step), func(now time.Time) { f.readNewerCopies(now, changed, revision, half, all) })
 }
--- a/gateway/fleetload_test.go
+++ b/gateway/fleetload_test.go
@@ -24,17 +24,17 @@
 // A simulated fleet: routers that exchange their loads by gossip only, and engines on which one prompt
 // becomes hot. Time is simulated, and all random values come from a seed.
 const (
-	simulatedRate      = 12.3 // requests per second and router
-	simulatedEngines   = 1.75 // engines per router
-	simulatedSlots     = 48
-	simulatedPrompts   = 18   // prompts per router
-	simulatedHotShare  = 0.16 // fraction of the requests that have the hot prompt
-	simulatedCap       = 2    // the operators' load bound is this multiple of the mean load
-	simulatedCapMargin = 3    // plus this number of requests
-	simulatedWarmUp    = 2 * time.Second
-	simulatedLength    = 4 * time.Second // from the onset of the hot prompt
-	simulatedDelay     = time.Millisecond
-	simulatedFirst     = 20 * time.Millisecond // from sending to the start of the response
+	simulatedRate          = 12.3 // requests per second and router
+	simulatedEngines       = 1.75 // engines per router
+	simulatedSlots         = 48
+	simulatedPrompts       = 18   // prompts per router
+	simulatedHotShare      = 0.16 // fraction of the requests that have the hot prompt
+	simulatedCap           = 2    // the operators' load bound is this multiple of the mean load
+	simulatedCapMargin     = 3    // plus this number of requests
+	simulatedWarmUp        = 2 * time.Second
+	simulatedLength        = 4 * time.Second // from the onset of the hot prompt
+	simulatedDelay         = time.Millisecond
+	simulatedResponseDelay = 20 * time.Millisecond // from sending to the start of the response
 )
 
 // simulatedDurations are how long requests take, with the fraction of requests for each.
@@ -89,8 +89,8 @@
 	sent, aboveBound int     // requests since the onset, and those of them sent to engines above the bound
 	spilled          int     // those of sent that did not go to the first engine by affinity
 	errors           errorSums
-	shedding         *shedding // nil without
-	leavings         *leavings // nil without
+	shedding         *shedding       // nil without
+	leavingEngines   *leavingEngines // nil without
 }
 
 // errorSums are the sums from which the error of the routers' load estimates is computed.
@@ -137,14 +137,14 @@
 	}
 	for _, r := range f.routers {
 		r.peers.Add(f.began, addresses)
-		f.at(f.began.Add(time.Duration(f.random.Int64N(int64(peers.Interval)))), func(now time.Time) { f.sendGossip(now, r, 1) })
+		f.schedule(f.began.Add(time.Duration(f.random.Int64N(int64(peers.Interval)))), func(now time.Time) { f.sendGossip(now, r, 1) })
 	}
 	f.handleArrival(f.began)
 	f.observe(f.began.Add(simulatedWarmUp))
 	return f
 }
 
-func (f *simulatedFleet) at(at time.Time, do func(now time.Time)) {
+func (f *simulatedFleet) schedule(at time.Time, do func(now time.Time)) {
 	heap.Push(&f.events, fleetEvent{at: at, do: do})
 }
 
@@ -168,7 +168,7 @@
 	if len(targets) > whole {
 		f.sendTo(now, r, r.gossip.briefMessage(now, sequence), targets[whole:])
 	}
-	f.at(now.Add(peers.Interval), func(now time.Time) { f.sendGossip(now, r, sequence+1) })
+	f.schedule(now.Add(peers.Interval), func(now time.Time) { f.sendGossip(now, r, sequence+1) })
 }
 
 // sendTo sends a message to the targets.
@@ -181,7 +181,7 @@
 	r.sent += len(targets) * len(content)
 	for _, target := range targets {
 		to := f.byAddress[target]
-		f.at(now.Add(simulatedDelay), func(now time.Time) { to.gossip.merge(now, message) })
+		f.schedule(now.Add(simulatedDelay), func(now time.Time) { to.gossip.merge(now, message) })
 	}
 }
 
@@ -189,7 +189,7 @@
 func (f *simulatedFleet) handleArrival(now time.Time) {
 	f.send(now, f.routers[f.random.IntN(len(f.routers))])
 	rate := simulatedRate * float64(len(f.routers))
-	f.at(now.Add(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second))), f.handleArrival)
+	f.schedule(now.Add(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second))), f.handleArrival)
 }
 
 // send sends a request to the engine that a router chooses.
@@ -219,17 +219,17 @@
 			f.aboveBound++
 		}
 	}
-	f.leavings.take(f, now, r, to.ID)
+	f.leavingEngines.observe(f, now, r, to.ID)
 	f.load[to.ID]++
 	f.inFlight++
 	r.loads.Begin(to.ID, "s")
 	r.loads.BeginPrompt(route.KeyHash(parts[1].ID))
-	f.at(now.Add(simulatedFirst), func(now time.Time) {
+	f.schedule(now.Add(simulatedResponseDelay), func(now time.Time) {
 		r.loads.Report(now, to.ID, &ryeford.EndpointLoad{Running: f.load[to.ID]})
 		r.prefixes.Add(now, to.ID, parts)
 		r.gossip.addPrompt(to.ID, parts, home)
 	})
-	f.at(now.Add(duration), func(time.Time) {
+	f.schedule(now.Add(duration), func(time.Time) {
 		r.loads.End(to.ID)
 		r.loads.EndPrompt(route.KeyHash(parts[1].ID))
 		f.load[to.ID]--
@@ -260,7 +260,7 @@
 			f.errors.squaredError += difference * difference
 		}
 	}
-	f.at(now.Add(200*time.Millisecond), f.observe)
+	f.schedule(now.Add(200*time.Millisecond), f.observe)
 }
 
 // estimates returns a router's load estimates by engine.
@@ -309,7 +309,7 @@
 // engines.
 func (f *simulatedFleet) evacuate() {
 	orders := ryeford.Evacuations{Revision: 2, Orders: []ryeford.Evacuation{{FailureDomain: "a", State: 2}}}
-	f.at(f.began.Add(simulatedWarmUp), func(now time.Time) {
+	f.schedule(f.began.Add(simulatedWarmUp), func(now time.Time) {
 		for _, r := range f.routers {
 			r.roster.SetEvacuated(now, orders)
 		}
--- a/gateway/fleetrest_test.go
+++ b/gateway/fleetrest_test.go
@@ -58,13 +58,13 @@
 	if s == nil || !s.ids[id] || now.Before(s.began) {
 		return false
 	}
-	if end := s.backOffEnds[r][id]; now.Before(end) && now.After(end.Add(simulatedFirst/2-s.backOff)) {
+	if end := s.backOffEnds[r][id]; now.Before(end) && now.After(end.Add(simulatedResponseDelay/2-s.backOff)) {
 		s.duringBackOff++
 	}
 	if now.Before(s.ended) {
 		s.refused++
 		s.backOffEnds[r][id] = now.Add(s.backOff)
-		f.at(now.Add(simulatedDelay), func(now time.Time) { r.rests.Start(now, id, s.backOff) })
+		f.schedule(now.Add(simulatedDelay), func(now time.Time) { r.backoffs.Start(now, id, s.backOff) })
 		return true
 	}
 	s.arrivals[id][now.Sub(s.ended)/simulatedSlice]++
--- a/gateway/forwarder.go
+++ b/gateway/forwarder.go
@@ -18,19 +18,19 @@
 // and the connections to the endpoints. It owns none of it.
 type forwarder struct {
 	*balancer
-	protocol      ryeford.Protocol
-	configuration *configuration
-	pool          *endpoint.Pool
-	gossip        *gossip
-	minSharers    int // minimum number of routers that share the retry budget's reserve
-	durations     *durations
-	fastest       *slidingWindow[time.Duration]
-	refusals      *slidingWindow[giveup.RecentCounts]
-	occupancy     *occupancy.Table
-	overloads     *overloads
-	quarantine    *quarantineState
-	log           log.Logger
-	metrics       *telemetry.Set
+	protocol         ryeford.Protocol
+	configuration    *configuration
+	pool             *endpoint.Pool
+	gossip           *gossip
+	minBudgetRouters int // minimum number of routers that share the retry budget's reserve
+	durations        *durations
+	minResponseTimes *slidingWindow[time.Duration]
+	refusals         *slidingWindow[giveup.RecentCounts]
+	occupancy        *occupancy.Table
+	overloads        *overloads
+	quarantine       *quarantineState
+	log              log.Logger
+	metrics          *telemetry.Set
 }
 
 // newExchange returns the exchange that serves a request and writes its response to w.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -135,10 +135,10 @@
 		start:           g.start,
 		revision:        g.revision,
 		roster:          g.roster,
-		backoffs:        g.rests,
+		backoffs:        g.backoffs,
 		pool:            g.pool,
 		removers:        []endpointRemover{g.detector, g.loads, g.prefixes, g.slowStart},
-		outage:          newOutage("endpoints", g.configuration.leaseLeft, g.log, g.metrics),
+		outage:          newOutage("endpoints", g.configuration.leaseRemaining, g.log, g.metrics),
 		onUpdate:        g.checkSynced,
 		log:             g.log,
 		metrics:         g.metrics,
@@ -204,34 +204,34 @@
 		forwarder:   g.newForwarder(),
 		drain:       g.drain,
 		initialSync: g.initialSync,
-		bodies:      semaphore.NewWeighted(admit.BodyMemory(s.Memory)),
+		bodyMemory:  semaphore.NewWeighted(admit.BodyMemory(s.Memory)),
 		budgets:     retry.NewWindows(retry.WindowLimits{Length: s.Bounds.RetryWindow, Ratio: s.Bounds.RetryRatio, Reserve: s.Bounds.RetryReserve}),
 	}
 }
 
 func (g *Gateway) newForwarder() *forwarder {
 	return &forwarder{
-		balancer:      g.balancer,
-		protocol:      g.platform.Protocol,
-		configuration: g.configuration,
-		pool:          g.pool,
-		gossip:        g.gossip,
-		minSharers:    g.settings.Routing.Routers,
-		durations:     newDurations(),
-		refusals:      newRefusals(),
-		occupancy:     occupancy.New(),
-		overloads:     newOverloads(),
-		quarantine:    g.quarantine,
-		fastest:       newFastest(),
-		log:           g.log,
-		metrics:       g.metrics,
+		balancer:         g.balancer,
+		protocol:         g.platform.Protocol,
+		configuration:    g.configuration,
+		pool:             g.pool,
+		gossip:           g.gossip,
+		minBudgetRouters: g.settings.Routing.Routers,
+		durations:        newDurations(),
+		refusals:         newRefusals(),
+		occupancy:        occupancy.New(),
+		overloads:        newOverloads(),
+		quarantine:       g.quarantine,
+		minResponseTimes: newMinResponseTimes(),
+		log:              g.log,
+		metrics:          g.metrics,
 	}
 }
 
 func (g *Gateway) addMetrics() {
 	g.metrics.Gauge("ryeford_in_flight", func() float64 { return float64(g.drain.inFlight.Load()) })
 	g.metrics.Gauge("ryeford_endpoints", func() float64 { return float64(g.roster.Len()) })
-	g.metrics.Gauge("ryeford_resting_endpoints", func() float64 { return float64(g.rests.Len()) })
+	g.metrics.Gauge("ryeford_resting_endpoints", func() float64 { return float64(g.backoffs.Len()) })
 	g.metrics.Gauge("ryeford_evacuated_domains", func() float64 { return float64(len(g.configuration.evacuations.known().Orders)) })
 	g.metrics.Gauge("ryeford_quarantined_requests", func() float64 { return float64(len(g.quarantine.table.Held())) })
 	g.metrics.Gauge("ryeford_peers", func() float64 { return float64(g.peers.Alive(clock.Now())) })
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -22,7 +22,7 @@
 	*forwarder
 	drain       *drain
 	initialSync *initialSync
-	bodies      *semaphore.Weighted // bytes of request bodies held in memory
+	bodyMemory  *semaphore.Weighted // bytes of request bodies held in memory
 	budgets     *retry.Windows
 }
 
@@ -59,7 +59,7 @@
 	q.hasBody = r.ContentLength != 0 || len(body) > 0 || r.Header.Get("Content-Length") != ""
 	ctx, cancel := context.WithTimeout(r.Context(), clock.Until(q.deadline))
 	defer cancel()
-	h.newExchange(q, r, w).serveUntil(ctx, h.drain.ending)
+	h.newExchange(q, r, w).serveUntil(ctx, h.drain.aborting)
 }
 
 // checkUnread returns the error with which a request is refused before its body is read, or
@@ -80,10 +80,10 @@
 	}
 	maxBody := admit.MaxBody(h.configuredMaxBody())
 	size := admit.BodySize(r.ContentLength, maxBody)
-	if !h.bodies.TryAcquire(size) {
+	if !h.bodyMemory.TryAcquire(size) {
 		return nil, nil, admit.NoMemory()
 	}
-	release := func() { h.bodies.Release(size) }
+	release := func() { h.bodyMemory.Release(size) }
 	control := http.NewResponseController(w)
 	// SetReadDeadline fails only if the connection is closed; reading from it then fails too.
 	_ = control.SetReadDeadline(time.Now().Add(admit.BodyTimeout(q.callerTimeLeft())))
@@ -149,7 +149,7 @@
 	}
 	state.RouteFound = true
 	q.setDeadline()
-	state.NoTimeLeft = h.drain.stopping.Load() && !h.drain.leavesTimeFor(q, h.durations.slowest(q.rule))
+	state.NoTimeLeft = h.drain.stopping.Load() && !h.drain.hasTimeFor(q, h.durations.slowest(q.rule))
 	state.NeedsKey = q.needsKey()
 	state.KeyFound = q.account != nil
 	return state
--- a/gateway/handler_test.go
+++ b/gateway/handler_test.go
@@ -34,7 +34,7 @@
 		},
 		drain:       newDrain(8*time.Second, log.NewNopLogger()),
 		initialSync: newInitialSync(0),
-		bodies:      semaphore.NewWeighted(1000),
+		bodyMemory:  semaphore.NewWeighted(1000),
 		budgets:     retry.NewWindows(retry.WindowLimits{Length: time.Second}),
 	}
 	h.configuration.inForce.Put(catalog.New(&ryeford.Configuration{
@@ -57,7 +57,7 @@
 	stop := func(h *handler) {
 		fresh(h)
 		ordered := time.Now().Add(-h.drain.grace)
-		h.drain.ordered.Store(&ordered)
+		h.drain.requestedAt.Store(&ordered)
 		h.drain.stopping.Store(true)
 	}
 	for _, row := range []struct {
@@ -82,9 +82,9 @@
 		{"body too large", fresh, "/keyed/a", "key", strings.Repeat("x", 101), 413, "input", true},
 		{"no memory for the body", func(h *handler) {
 			fresh(h)
-			h.bodies = semaphore.NewWeighted(99)
+			h.bodyMemory = semaphore.NewWeighted(99)
 		}, "/keyed/a", "key", strings.Repeat("x", 100), 503, "overload", false},
-		{"no memory for the body, stale", func(h *handler) { h.bodies = semaphore.NewWeighted(99) }, "/keyed/a", "key", strings.Repeat("x", 100), 503, "stale_configuration", true},
+		{"no memory for the body, stale", func(h *handler) { h.bodyMemory = semaphore.NewWeighted(99) }, "/keyed/a", "key", strings.Repeat("x", 100), 503, "stale_configuration", true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			var b strings.Builder
--- a/gateway/hindrance.go
+++ b/gateway/hindrance.go
@@ -15,7 +15,7 @@
 	if reason := entry.ExclusionReason(); reason != "" {
 		return reason
 	}
-	if b.rests.Remaining(now, entry.ID) > 0 {
+	if b.backoffs.Remaining(now, entry.ID) > 0 {
 		return ryeford.ReasonResting
 	}
 	return ""
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -37,7 +37,7 @@
 	reason := readiness.Check(state)
 	ready := reason == readiness.Ready
 	if h.wasReady.Swap(ready) != ready {
-		_ = h.log.Log("decision", "readiness", "ready", ready, "reason", reason, "lease", h.configuration.leaseLeft(), "endpoints", h.roster.Len())
+		_ = h.log.Log("decision", "readiness", "ready", ready, "reason", reason, "lease", h.configuration.leaseRemaining(), "endpoints", h.roster.Len())
 	}
 	if ready {
 		w.WriteHeader(http.StatusOK)
@@ -63,6 +63,6 @@
 // logServesExpired logs when the router starts or stops serving keys after the lease has ended.
 func (h *probeHandler) logServesExpired(servesExpired bool) {
 	if h.servedExpired.Swap(servesExpired) != servesExpired {
-		_ = h.log.Log("decision", "bridge_outage", "serves", servesExpired, "version", h.configuration.version(), "lease", h.configuration.leaseLeft())
+		_ = h.log.Log("decision", "bridge_outage", "serves", servesExpired, "version", h.configuration.version(), "lease", h.configuration.leaseRemaining())
 	}
 }
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -119,14 +119,14 @@
 // fingerprint returns the fingerprint that requests share if they differ only in their IDs. It is
 // computed on first use: most requests never need it.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
-	if x.identity == (quarantine.Fingerprint{}) {
-		x.identity = quarantine.FingerprintOf(x.request.accountID(), x.incoming.RequestURI, x.request.body)
+	if x.cachedFingerprint == (quarantine.Fingerprint{}) {
+		x.cachedFingerprint = quarantine.FingerprintOf(x.request.accountID(), x.incoming.RequestURI, x.request.body)
 	}
-	return x.identity
+	return x.cachedFingerprint
 }
 
-// suspected reports whether requests like this one may have crashed endpoints.
-func (x *exchange) suspected() bool {
+// mayBePoison reports whether requests like this one may have crashed endpoints.
+func (x *exchange) mayBePoison() bool {
 	if x.forwarder.quarantine.disabled {
 		return false
 	}
@@ -136,7 +136,7 @@
 
 // checkQuarantine returns whether the request is held, or let through as a trial.
 func (x *exchange) checkQuarantine(now time.Time) quarantine.Decision {
-	if !x.suspected() {
+	if !x.mayBePoison() {
 		return quarantine.Decision{}
 	}
 	h := x.forwarder.quarantine
@@ -150,7 +150,7 @@
 
 // clearQuarantine records that the request was answered successfully and so is not a poison request.
 func (x *exchange) clearQuarantine() {
-	if !x.suspected() {
+	if !x.mayBePoison() {
 		return
 	}
 	h := x.forwarder.quarantine
@@ -160,15 +160,15 @@
 	}
 }
 
-// recordLost records, in the background, that the request's attempt was lost if err shows that the
+// recordLostAttempt records, in the background, that the request's attempt was lost if err shows that the
 // endpoint has closed the connection.
-func (x *exchange) recordLost(to *roster.Entry, err error) {
+func (x *exchange) recordLostAttempt(to *roster.Entry, err error) {
 	if !endpoint.ConnectionBroken(err) {
 		return
 	}
 	lost := &lostAttempt{
 		request: x.request.meta.ID, fingerprint: x.fingerprint(), account: x.request.accountID(),
-		began: x.began, ended: clock.Now(),
+		began: x.attemptStarted, ended: clock.Now(),
 	}
 	go x.forwarder.quarantine.recordCrash(to, lost)
 }
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -52,7 +52,7 @@
 	writeVerdict(w, h.protocol, q.id(), &verdict)
 	h.metrics.Count("ryeford_refused_total", verdict.Reason)
 	_ = h.log.Log("decision", "refuse", "request", q.id(), "method", r.Method, "host", r.Host, "path", r.URL.Path,
-		"version", h.configuration.version(), "lease", h.configuration.leaseLeft(), "status", verdict.Status, "reason", verdict.Reason, "took", roundTime(clock.Since(q.arrived)), "err", err)
+		"version", h.configuration.version(), "lease", h.configuration.leaseRemaining(), "status", verdict.Status, "reason", verdict.Reason, "took", roundTime(clock.Since(q.arrived)), "err", err)
 }
 
 // headerShouldRetry keeps common clients of model APIs from retrying a request automatically.
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -9,17 +9,17 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// A start is the startup phase of a process, in which it may receive the configuration and the list of
+// A startup is the startup phase of a process, in which it may receive the configuration and the list of
 // endpoints from peers instead of reading the store.
-type start struct {
+type startup struct {
 	began    time.Time
 	hasPeers bool          // the router exchanges gossip
 	delay    time.Duration // until the store is read if no peer has sent the data
 }
 
-// newStart returns a start that begins now.
-func newStart(s *settings.Gateway) *start {
-	result := &start{began: clock.Now(), hasPeers: s.Peers.IsValid()}
+// newStartup returns a start that begins now.
+func newStartup(s *settings.Gateway) *startup {
+	result := &startup{began: clock.Now(), hasPeers: s.Peers.IsValid()}
 	if len(seedAddresses(s)) > 0 {
 		result.delay = replica.StartDelay(s.Routing.StartSpread, rand.Float64())
 	}
@@ -27,10 +27,10 @@
 }
 
 // untilStoreRead returns how much longer to wait for peers before the store is read.
-func (s *start) untilStoreRead(now time.Time) time.Duration { return s.delay - now.Sub(s.began) }
+func (s *startup) untilStoreRead(now time.Time) time.Duration { return s.delay - now.Sub(s.began) }
 
 // joining reports whether the router may not have received the other routers' addresses yet, and so
 // can't compute its rank among them.
-func (s *start) joining(now time.Time) bool {
+func (s *startup) joining(now time.Time) bool {
 	return s.hasPeers && now.Sub(s.began) < replica.JoinDuration
 }
