--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -168,7 +168,7 @@
 		vms, err := a.vms.VMs(ctx)
 		if err != nil {
 			if ctx.Err() == nil {
-				_ = a.log.Log("msg", "could not read the list of VMs from the platform; retrying at the next poll", "err", err)
+				_ = a.log.Log("msg", "cannot read the platform's list of VMs; whether this VM is leaving is checked again at the next poll", "err", err)
 			}
 			return
 		}
--- a/agentfleet/agent/execute.go
+++ b/agentfleet/agent/execute.go
@@ -86,7 +86,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	if err := r.backend.engine.Cancel(ctx, d.Attempt); err != nil {
-		_ = a.log.Log("msg", "could not cancel a failed run at its engine; it may run to its end there", "attempt", d.Attempt, "engine", d.Engine, "err", err)
+		_ = a.log.Log("msg", "cannot cancel a failed run at its engine; it may run to its end there", "attempt", d.Attempt, "engine", d.Engine, "err", err)
 	}
 }
 
--- a/agentfleet/agent/export.go
+++ b/agentfleet/agent/export.go
@@ -27,12 +27,12 @@
 	defer cancel()
 	routers := a.randomPeers(1)
 	if len(routers) == 0 {
-		_ = a.log.Log("msg", "could not export KV caches to other VMs; draining continues without the export", "err", "no router is connected")
+		_ = a.log.Log("msg", "cannot export KV caches to other VMs; draining continues without the export", "err", "no router is connected")
 		return
 	}
 	dialer, err := transport.NewDialer(a.settings.Listen.Addr(), a.tls, &a.settings.Transport)
 	if err != nil {
-		_ = a.log.Log("msg", "could not export KV caches to other VMs; draining continues without the export", "err", err)
+		_ = a.log.Log("msg", "cannot export KV caches to other VMs; draining continues without the export", "err", err)
 		return
 	}
 	defer func() { _ = dialer.Close() }() // all exports have been confirmed
@@ -127,7 +127,7 @@
 		return
 	}
 	if err := b.engine.ImportCache(ctx, cacheKey(m.Chat), m.Cache); err != nil {
-		_ = a.log.Log("msg", "could not import a chat's KV cache into the engine; the chat's next request needs a full prefill", "engine", m.Engine, "err", err)
+		_ = a.log.Log("msg", "cannot import a chat's KV cache into the engine; the chat's next request needs a full prefill", "engine", m.Engine, "err", err)
 		return
 	}
 	b.mu.Lock()
