--- a/gateway/admit/admit.go
+++ b/gateway/admit/admit.go
@@ -80,7 +80,7 @@
 }
 
 // CheckSend returns why a request must not be sent, or nil. The error is a
-// *ryeford.NotRunError. It is final unless OfEndpoint returns true for its reason.
+// *ryeford.NotRunError. It is final unless ConcernsEndpoint returns true for its reason.
 func CheckSend(s SendState) error {
 	switch {
 	case s.ExclusionReason != "":
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// ConcernsEndpoint reports whether a reason returned by CheckSend concerns only one endpoint, so that another
-// endpoint may serve the request.
+// ConcernsEndpoint reports whether a reason returned by CheckSend concerns only one endpoint, so
+// that another endpoint may serve the request.
 func ConcernsEndpoint(reason ryeford.Reason) bool {
 	return reason == ryeford.ReasonLeaving || reason == ryeford.ReasonEvacuated || reason == ryeford.ReasonResting
 }
--- a/gateway/backoff/backoff.go
+++ b/gateway/backoff/backoff.go
@@ -42,24 +42,24 @@
 // New returns an empty Table.
 func New() *Table { return &Table{periods: make(map[ryeford.EndpointID]Period)} }
 
-// Start records that an endpoint has refused a request and backs off for duration from now. It returns true
-// if the endpoint was not backing off before.
+// Start records that an endpoint has refused a request and backs off for duration from now. It returns
+// true if the endpoint was not backing off before.
 func (t *Table) Start(now time.Time, id ryeford.EndpointID, duration time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r, known := t.periods[id]
-	started := !known || !now.Before(r.Until)
+	p, known := t.periods[id]
+	started := !known || !now.Before(p.Until)
 	if started {
-		r = Period{Endpoint: id, Began: now}
+		p = Period{Endpoint: id, Began: now}
 	}
-	if until := now.Add(duration); until.After(r.Until) {
-		r.Until = until
+	if until := now.Add(duration); until.After(p.Until) {
+		p.Until = until
 	}
-	r.Refused++
+	p.Refused++
 	if !known && len(t.periods) >= maxPeriods {
 		t.evictEarliest()
 	}
-	t.periods[id] = r
+	t.periods[id] = p
 	t.size.Store(int64(len(t.periods)))
 	return started
 }
@@ -67,9 +67,9 @@
 // evictEarliest evicts the back-off that ends first.
 func (t *Table) evictEarliest() {
 	var first *Period
-	for _, r := range t.periods {
-		if first == nil || r.Until.Before(first.Until) {
-			first = &r
+	for _, p := range t.periods {
+		if first == nil || p.Until.Before(first.Until) {
+			first = &p
 		}
 	}
 	delete(t.periods, first.Endpoint)
@@ -78,7 +78,7 @@
 // Remaining returns how long an endpoint still backs off; zero if it doesn't.
 func (t *Table) Remaining(now time.Time, id ryeford.EndpointID) time.Duration {
 	if t.size.Load() == 0 {
-		return 0 // common case; a choice calls Left for each endpoint
+		return 0 // common case; a choice calls Remaining for each endpoint
 	}
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -90,9 +90,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var ended []Period
-	for id, r := range t.periods {
-		if !now.Before(r.Until) {
-			ended = append(ended, r)
+	for id, p := range t.periods {
+		if !now.Before(p.Until) {
+			ended = append(ended, p)
 			delete(t.periods, id)
 		}
 	}
--- a/gateway/choice/choice.go
+++ b/gateway/choice/choice.go
@@ -104,19 +104,19 @@
 // Means are mean loads in requests.
 type Means struct {
 	// NotDraining is the mean over all endpoints that are not draining; the cap is derived from it.
-	// Sendable is the mean over those that are not excluded either.
+	// Available is the mean over those that are not excluded either.
 	NotDraining, Available float64
 }
 
 func meansOf(candidates []Candidate) Means {
-	return Means{NotDraining: meanLoad(candidates, (*Candidate).counted), Available: meanLoad(candidates, (*Candidate).sendable)}
+	return Means{NotDraining: meanLoad(candidates, (*Candidate).notDraining), Available: meanLoad(candidates, (*Candidate).available)}
 }
 
-// counted reports whether the candidate's load counts for the mean that the cap is derived from.
-func (c *Candidate) counted() bool { return !c.Draining }
+// notDraining reports whether the candidate's load counts for the mean that the cap is derived from.
+func (c *Candidate) notDraining() bool { return !c.Draining }
 
-// sendable reports whether the candidate accepts requests and is not excluded.
-func (c *Candidate) sendable() bool { return !c.Draining && !c.Excluded }
+// available reports whether the candidate accepts requests and is not excluded.
+func (c *Candidate) available() bool { return !c.Draining && !c.Excluded }
 
 // meanLoad returns the mean load, in requests, of the candidates for which counts returns true, or
 // 0 if there are none.
--- a/gateway/choice/rules_test.go
+++ b/gateway/choice/rules_test.go
@@ -161,9 +161,9 @@
 	}
 }
 
-// TestFromAlternate checks when the chosen endpoint fetches missing tokens of a prompt with two
+// TestFetchFromAlternate checks when the chosen endpoint fetches missing tokens of a prompt with two
 // shared parts from the alternate.
-func TestFromAlternate(t *testing.T) {
+func TestFetchFromAlternate(t *testing.T) {
 	home := Choice{Reason: ReasonHome, Alternate: 1}
 	for _, test := range []struct {
 		name    string
--- a/gateway/choice/spread.go
+++ b/gateway/choice/spread.go
@@ -15,7 +15,7 @@
 // mean load and the cap. If some are full, further ones are added until the open ones outnumber the
 // full ones by overflowMargin. The less loaded of two random endpoints is chosen.
 //
-// Why: routers learn with a delay that an endpoint is full. If all of them moved on to the first
+// Why: routers are notified with a delay that an endpoint is full. If all of them moved on to the first
 // endpoint that is not full, it would exceed the cap before any of them is notified, and so would
 // the next one. The number of requests in flight with a prompt is known without this delay.
 
@@ -30,8 +30,8 @@
 
 // endpointsNeeded returns how many endpoints a prompt needs, given its requests in flight and the room
 // at each endpoint, in requests.
-func endpointsNeeded(underWay, room float64) int {
-	needed := math.Ceil(underWay / max(1, spreadFill*room))
+func endpointsNeeded(inFlight, room float64) int {
+	needed := math.Ceil(inFlight / max(1, spreadFill*room))
 	return int(max(1, min(needed, maxOrdered)))
 }
 
--- a/gateway/choice/spread_test.go
+++ b/gateway/choice/spread_test.go
@@ -13,7 +13,7 @@
 // TestEndpointsNeeded checks the number of endpoints for a prompt's requests.
 func TestEndpointsNeeded(t *testing.T) {
 	for _, test := range []struct {
-		underWay, room float64
+		inFlight, room float64
 		want           int
 	}{
 		{0, 0, 1},
@@ -23,7 +23,7 @@
 		{3, 1, 3}, // room for at least one request is assumed
 		{1e9, 8, maxOrdered},
 	} {
-		assert.Equal(t, endpointsNeeded(test.underWay, test.room), test.want, "%+v", test)
+		assert.Equal(t, endpointsNeeded(test.inFlight, test.room), test.want, "%+v", test)
 	}
 }
 
@@ -32,7 +32,7 @@
 func TestSpread(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		underWay float64
+		inFlight float64
 		full     int // how many of the first endpoints are full
 		want     int // number of endpoints that get requests
 		first    int // rendezvous position of the first of these
@@ -60,7 +60,7 @@
 		got := make(map[int]int)
 		reasons := make(map[Reason]int)
 		for random := range uint64(2000) {
-			chosen := ByAffinity(candidates, Prompt{Key: testKey, InFlight: test.underWay}, limits, route.KeyHash(random))
+			chosen := ByAffinity(candidates, Prompt{Key: testKey, InFlight: test.inFlight}, limits, route.KeyHash(random))
 			got[chosen.Index]++
 			reasons[chosen.Reason]++
 		}
--- a/gateway/drain_test.go
+++ b/gateway/drain_test.go
@@ -20,19 +20,19 @@
 		d.countFailedProbe()
 		d.countFailedProbe()
 		d.stopping.Store(true)
-		ordered := time.Now()
-		d.awaitFailedProbes(ordered, ordered.Add(time.Minute))
-		assert.Equal(t, time.Since(ordered), 3400*time.Millisecond)
+		requested := time.Now()
+		d.awaitFailedProbes(requested, requested.Add(time.Minute))
+		assert.Equal(t, time.Since(requested), 3400*time.Millisecond)
 
-		ordered = time.Now()
-		d.awaitFailedProbes(ordered, ordered.Add(2*time.Second))
-		assert.Equal(t, time.Since(ordered), 2*time.Second, "the grace period is short")
+		requested = time.Now()
+		d.awaitFailedProbes(requested, requested.Add(2*time.Second))
+		assert.Equal(t, time.Since(requested), 2*time.Second, "the grace period is short")
 
 		d.countFailedProbe()
-		ordered = time.Now()
+		requested = time.Now()
 		time.AfterFunc(time.Second, d.countFailedProbe)
-		d.awaitFailedProbes(ordered, ordered.Add(time.Minute))
-		took := time.Since(ordered)
+		d.awaitFailedProbes(requested, requested.Add(time.Minute))
+		took := time.Since(requested)
 		assert.Assert(t, took >= 1400*time.Millisecond && took <= 1450*time.Millisecond, "%s", took)
 	})
 }
@@ -70,18 +70,18 @@
 	})
 }
 
-// TestDrainLeavesTimeFor checks that a request's remaining time ends when the gateway closes
+// TestDrainHasTimeFor checks that a request's remaining time ends when the gateway closes
 // connections, 0.7 s before it is killed, minus the margin for the last bytes.
-func TestDrainLeavesTimeFor(t *testing.T) {
+func TestDrainHasTimeFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDrain(8*time.Second, log.NewNopLogger())
-		ordered := time.Now()
-		d.requestedAt.Store(&ordered)
+		requested := time.Now()
+		d.requestedAt.Store(&requested)
 		time.Sleep(3 * time.Second)
 		q := &request{rule: &ryeford.RouteRule{Kind: ryeford.RouteStream}}
-		q.deadline = ordered.Add(7 * time.Second)
+		q.deadline = requested.Add(7 * time.Second)
 		assert.Assert(t, d.hasTimeFor(q, 0))
-		q.deadline = ordered.Add(7*time.Second + 1)
+		q.deadline = requested.Add(7*time.Second + 1)
 		assert.Assert(t, !d.hasTimeFor(q, 0), "the stream could be aborted")
 		q.rule = &ryeford.RouteRule{Kind: ryeford.RouteAtMostOnce}
 		assert.Assert(t, d.hasTimeFor(q, 2*time.Second), "the request is expected to complete")
--- a/gateway/endpoint/disconnect_test.go
+++ b/gateway/endpoint/disconnect_test.go
@@ -14,8 +14,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestRefuses checks that a port counts as refused only while nothing listens there.
-func TestRefuses(t *testing.T) {
+// TestRefusesConnections checks that a port counts as refused only while nothing listens there.
+func TestRefusesConnections(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := netip.MustParseAddrPort(listener.Addr().String())
@@ -24,8 +24,8 @@
 	assert.Assert(t, RefusesConnections(t.Context(), address))
 }
 
-// TestBrokeOff checks which errors mean that the endpoint closed or reset the connection.
-func TestBrokeOff(t *testing.T) {
+// TestConnectionBroken checks which errors mean that the endpoint closed or reset the connection.
+func TestConnectionBroken(t *testing.T) {
 	reset := &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 	for _, test := range []struct {
 		name string
--- a/gateway/endpoint/endpoint_test.go
+++ b/gateway/endpoint/endpoint_test.go
@@ -78,9 +78,9 @@
 	body, err := send(t.Context(), pool, to)
 	assert.NilError(t, err)
 	assert.Equal(t, body, "ok")
-	time.Sleep(beyondOnceMaxIdle)
-	once := &endpoint.Request{ID: "r", Method: "POST", Target: "/", Host: "h", Header: http.Header{}, NotRepeatable: true}
-	got, err := pool.Send(t.Context(), to, once, func() error { return nil })
+	time.Sleep(beyondNotRepeatableMaxIdle)
+	request := &endpoint.Request{ID: "r", Method: "POST", Target: "/", Host: "h", Header: http.Header{}, NotRepeatable: true}
+	got, err := pool.Send(t.Context(), to, request, func() error { return nil })
 	assert.NilError(t, err)
 	_, err = got.ReadAll(100)
 	assert.NilError(t, err)
@@ -94,8 +94,8 @@
 	assert.Equal(t, count.Load(), int64(2))
 }
 
-// beyondOnceMaxIdle exceeds the idle time that is allowed before a request that must not be repeated.
-const beyondOnceMaxIdle = 250 * time.Millisecond
+// beyondNotRepeatableMaxIdle exceeds the idle time that is allowed before a request that must not be repeated.
+const beyondNotRepeatableMaxIdle = 250 * time.Millisecond
 
 // TestReuse checks that a connection is reused, and replaced without losing a request if the endpoint has closed it.
 func TestReuse(t *testing.T) {
--- a/gateway/endpoint/pool.go
+++ b/gateway/endpoint/pool.go
@@ -31,10 +31,10 @@
 	// idleMargin is subtracted from the idle time that the endpoint states, so that no request is sent
 	// while the endpoint closes the connection. Endpoints round that time to seconds.
 	idleMargin = 700 * time.Millisecond
-	// onceMaxIdle is how long a connection may be idle before it is no longer used for a request that
+	// notRepeatableMaxIdle is how long a connection may be idle before it is no longer used for a request that
 	// must not be sent again, and how long it is kept after one. A connection that was idle longer may
 	// be broken without notice. A shorter limit would cost such requests a handshake each.
-	onceMaxIdle = 100 * time.Millisecond
+	notRepeatableMaxIdle = 100 * time.Millisecond
 	// maxIdlePerEndpoint is the maximum number of idle connections to one endpoint.
 	maxIdlePerEndpoint = 16
 )
@@ -56,13 +56,13 @@
 }
 
 // idleConnection takes the most recently used idle connection to an endpoint that has not expired and has no
-// pending input, or returns nil. It closes unusable connections that it finds. once reports that the connection
-// is for a request that must not be sent again; it must then have been used within onceMaxIdle.
-func (p *Pool) idleConnection(id ryeford.EndpointID, once bool) *connection {
+// pending input, or returns nil. It closes unusable connections that it finds. notRepeatable reports that the connection
+// is for a request that must not be sent again; it must then have been used within notRepeatableMaxIdle.
+func (p *Pool) idleConnection(id ryeford.EndpointID, notRepeatable bool) *connection {
 	now, resumed := clock.Now(), clock.Woke()
 	usedSince := time.Time{}
-	if once {
-		usedSince = now.Add(-onceMaxIdle)
+	if notRepeatable {
+		usedSince = now.Add(-notRepeatableMaxIdle)
 	}
 	for c := p.pop(id, usedSince); c != nil; c = p.pop(id, usedSince) {
 		// A connection from before a suspension of the VM may be broken without notice.
--- a/gateway/endpoint/reuse_test.go
+++ b/gateway/endpoint/reuse_test.go
@@ -105,13 +105,13 @@
 	assert.Equal(t, pool.idle["e"][0].idleUntil, idleUntil)
 }
 
-// TestConnectionForOnce checks that a request that must not be sent again uses only a recently used connection, and
-// leaves others in the pool.
-func TestConnectionForOnce(t *testing.T) {
+// TestConnectionForNotRepeatable checks that a request that must not be sent again uses only a recently
+// used connection, and leaves others in the pool.
+func TestConnectionForNotRepeatable(t *testing.T) {
 	for _, test := range []struct {
-		name         string
-		used         time.Duration // from now; large compared to the duration of the test
-		once, repeat bool          // whether a request with or without Once uses it
+		name                  string
+		used                  time.Duration // from now; large compared to the duration of the test
+		notRepeatable, repeat bool          // whether a request with or without NotRepeatable uses it
 	}{
 		{"used just now", time.Hour, true, true},
 		{"used long ago", -time.Hour, false, true},
@@ -121,7 +121,7 @@
 		c := &connection{Conn: near, endpoint: "e", usedAt: time.Now().Add(test.used), idleUntil: time.Now().Add(2 * time.Hour)}
 		pool.putBack(c)
 		got := pool.idleConnection("e", true)
-		assert.Equal(t, got != nil, test.once, test.name)
+		assert.Equal(t, got != nil, test.notRepeatable, test.name)
 		if got != nil {
 			pool.putBack(got)
 		}
@@ -131,23 +131,24 @@
 	}
 }
 
-// TestConnectionAfterOnce checks that a connection is kept only briefly after a request that must not be sent again.
-func TestConnectionAfterOnce(t *testing.T) {
-	for _, once := range []bool{false, true} {
+// TestConnectionAfterNotRepeatable checks that a connection is kept only briefly after a request that must
+// not be sent again.
+func TestConnectionAfterNotRepeatable(t *testing.T) {
+	for _, notRepeatable := range []bool{false, true} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Ryeford-Request-Id", r.Header.Get("Ryeford-Request-Id"))
 			w.Header().Set("Ryeford-Server-Stamp", "s")
 		}))
 		to := &ryeford.Endpoint{ID: "e", Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
 		pool := New(platform.Protocol{})
-		request := &Request{ID: "r", Method: "GET", Target: "/", Host: "h", Header: http.Header{"Ryeford-Request-Id": {"r"}}, NotRepeatable: once}
+		request := &Request{ID: "r", Method: "GET", Target: "/", Host: "h", Header: http.Header{"Ryeford-Request-Id": {"r"}}, NotRepeatable: notRepeatable}
 		got, err := pool.Send(t.Context(), to, request, func() error { return nil })
 		assert.NilError(t, err)
 		_, err = got.ReadAll(100)
 		assert.NilError(t, err)
 		got.Close()
 		c := pool.idle["e"][0]
-		assert.Equal(t, c.idleUntil.Sub(c.usedAt), map[bool]time.Duration{false: defaultMaxIdle, true: onceMaxIdle}[once])
+		assert.Equal(t, c.idleUntil.Sub(c.usedAt), map[bool]time.Duration{false: defaultMaxIdle, true: notRepeatableMaxIdle}[notRepeatable])
 		pool.CloseIdle("e")
 		server.Close()
 	}
--- a/gateway/endpoint/send.go
+++ b/gateway/endpoint/send.go
@@ -36,7 +36,7 @@
 	// HasBody reports whether the caller sent a body, which may be empty.
 	HasBody bool
 	// NotRepeatable reports that the request must not be sent again if it gets no response. It uses a connection
-	// that was idle for at most onceMaxIdle, or a new one, whose handshake proves that the endpoint is
+	// that was idle for at most notRepeatableMaxIdle, or a new one, whose handshake proves that the endpoint is
 	// reachable.
 	NotRepeatable bool
 }
@@ -81,15 +81,15 @@
 	response.stop = stop
 	if request.NotRepeatable {
 		// Idle connections of many routers could exceed an endpoint's connection limit, so that it resets others.
-		c.maxIdle = min(c.maxIdle, onceMaxIdle)
+		c.maxIdle = min(c.maxIdle, notRepeatableMaxIdle)
 	}
 	return response, nil
 }
 
-// connection returns an idle connection to an endpoint, or a new one. once reports that it is for a request that
+// connection returns an idle connection to an endpoint, or a new one. notRepeatable reports that it is for a request that
 // must not be sent again. The error is an *UnsentError.
-func (p *Pool) connection(ctx context.Context, to *ryeford.Endpoint, once bool) (*connection, error) {
-	if c := p.idleConnection(to.ID, once); c != nil {
+func (p *Pool) connection(ctx context.Context, to *ryeford.Endpoint, notRepeatable bool) (*connection, error) {
+	if c := p.idleConnection(to.ID, notRepeatable); c != nil {
 		return c, nil
 	}
 	return dial(ctx, to)
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -75,10 +75,10 @@
 	// lastFailedRead is when the last failed read of the source was sent.
 	lastFailedRead time.Time
 	malformed      map[ryeford.EndpointID]bool // names of malformed entries that have been logged
-	// wholeReadAt is when this router last read the whole list. The revision of the newest change in
+	// fullReadAt is when this router last read the whole list. The revision of the newest change in
 	// such a copy is unknown: it may be any up to the copy's own. It is zero once that revision is
 	// known, or enough time has passed.
-	wholeReadAt time.Time
+	fullReadAt time.Time
 }
 
 // run follows the list of endpoints until ctx is done.
@@ -149,9 +149,9 @@
 	l.mu.Lock()
 	switch {
 	case update.Snapshot:
-		l.wholeReadAt = sent
-	case !changes.Empty() || sent.Sub(l.wholeReadAt) > replica.JoinDuration:
-		l.wholeReadAt = time.Time{}
+		l.fullReadAt = sent
+	case !changes.Empty() || sent.Sub(l.fullReadAt) > replica.JoinDuration:
+		l.fullReadAt = time.Time{}
 	}
 	l.markOutageEnd(clock.Now(), update.Revision.Era())
 	l.mu.Unlock()
@@ -213,8 +213,8 @@
 func (l *endpointList) apply(changes *replica.Changes, from string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if verdict := l.copy.Apply(changes); verdict != replica.Applied {
-		_ = l.log.Log("decision", "endpoints", "applied", false, "from", from, "since", changes.Since, "revision", changes.Range.To, "known", l.copy.Range().To, "gap", verdict == replica.Gap)
+	if result := l.copy.Apply(changes); result != replica.Applied {
+		_ = l.log.Log("decision", "endpoints", "applied", false, "from", from, "since", changes.Since, "revision", changes.Range.To, "known", l.copy.Range().To, "gap", result == replica.Gap)
 		return false
 	}
 	now := clock.Now()
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -43,12 +43,12 @@
 
 func (*stoppingError) Error() string { return "gateway is shutting down" }
 
-// serveUntil answers the request, at the latest when ending is done. A stream that has begun
+// serveUntil answers the request, at the latest when aborting is done. A stream that has begun
 // by then continues, because no other response can be sent to its caller any more.
-func (x *exchange) serveUntil(ctx, ending context.Context) {
+func (x *exchange) serveUntil(ctx, aborting context.Context) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stop := context.AfterFunc(ending, func() {
+	stop := context.AfterFunc(aborting, func() {
 		if !x.relay.headerSent.Load() {
 			cancel(&stoppingError{})
 		}
@@ -58,13 +58,13 @@
 }
 
 func (x *exchange) serve(ctx context.Context) {
-	step := retry.Decision{Retry: true}
-	for step.Retry {
+	decision := retry.Decision{Retry: true}
+	for decision.Retry {
 		if err := x.checkServable(); err != nil {
 			x.giveUp(err)
 			return
 		}
-		to, source := x.chooseFor(step)
+		to, source := x.chooseFor(decision)
 		if to == nil {
 			x.giveUp(giveup.NotRun(ryeford.ReasonNoCandidate))
 			return
@@ -74,7 +74,7 @@
 			return
 		}
 		x.lastErr = err
-		step = x.next(ctx, end)
+		decision = x.next(ctx, end)
 	}
 	x.giveUp(x.lastErr)
 }
@@ -88,8 +88,8 @@
 		return err
 	}
 	// A quarantined request that callers repeat could otherwise end one endpoint after another.
-	if verdict := x.checkQuarantine(now); verdict.Held {
-		return giveup.Quarantined(verdict.RetryAfter)
+	if decision := x.checkQuarantine(now); decision.Held {
+		return giveup.Quarantined(decision.RetryAfter)
 	}
 	if x.history.Sent == 0 && x.forwarder.occupancy.Full(now, q.service) {
 		return giveup.NotRun(ryeford.ReasonOverload)
@@ -99,9 +99,9 @@
 
 // chooseFor chooses the endpoint of an attempt, and the endpoint from which it may fetch cached
 // parts of the prompt. Either may be nil.
-func (x *exchange) chooseFor(step retry.Decision) (to, source *roster.Entry) {
+func (x *exchange) chooseFor(decision retry.Decision) (to, source *roster.Entry) {
 	to, source = x.choose()
-	if to == nil && step.AllowTried {
+	if to == nil && decision.AllowTried {
 		clear(x.tried)
 		to, source = x.choose()
 	}
@@ -114,11 +114,11 @@
 	if end == retry.EndUnsent && !ctxDone { // otherwise the end of ctx may have caused it
 		x.history.Unsent++
 	}
-	step := x.policy.Next(end, x.history, ctxDone)
-	if step.Budgeted && !x.retryCharged && !x.takeRetry() {
+	decision := x.policy.Next(end, x.history, ctxDone)
+	if decision.Budgeted && !x.retryCharged && !x.takeRetry() {
 		return retry.Decision{}
 	}
-	return step
+	return decision
 }
 
 // takeRetry charges a retry to the service's retry budget. It returns false if the budget is
@@ -153,23 +153,23 @@
 // giveUp ends the request without a complete response from an endpoint.
 func (x *exchange) giveUp(err error) {
 	f, q, now := x.forwarder, x.request, clock.Now()
-	verdict := giveup.Decide(giveup.Request{
+	outcome := giveup.Decide(giveup.Request{
 		Err: err, Last: x.lastErr, MayHaveRun: x.mayHaveRun, ResponseStarted: x.relay.headerSent.Load(),
 		UnavailableFor: f.unavailableFor(now, q.service), BackingOffFor: f.backingOffFor(now, q.service), Unlisted: f.roster.Accepting(q.service) == 0, Caller: q.caller(), Recent: f.refusals.get(now, q.service),
 		OverloadedFor: f.overloads.duration(now, q.service),
 	})
-	f.refusals.add(now, q.service, verdict.Counts())
-	if verdict.Reason == string(ryeford.ReasonOverload) {
+	f.refusals.add(now, q.service, outcome.Counts())
+	if outcome.Reason == string(ryeford.ReasonOverload) {
 		f.overloads.add(now, q.service)
 	}
-	f.metrics.Count("ryeford_given_up_total", verdict.Reason)
+	f.metrics.Count("ryeford_given_up_total", outcome.Reason)
 	_ = f.log.Log("decision", "give_up", "request", q.meta.ID, "route", q.rule.Name, "account", q.accountID(), "service", q.service,
 		"sent", x.history.Sent, "unsent", x.history.Unsent, "may_have_run", x.mayHaveRun, "begun", x.relay.headerSent.Load(), "events", x.relay.sentEvents,
-		"version", q.catalog.Version(), "status", verdict.Status, "reason", verdict.Reason, "took", roundTime(clock.Since(q.arrived)), "err", verdict.Err)
-	if verdict.Abort {
+		"version", q.catalog.Version(), "status", outcome.Status, "reason", outcome.Reason, "took", roundTime(clock.Since(q.arrived)), "err", outcome.Err)
+	if outcome.Abort {
 		panic(http.ErrAbortHandler) // makes net/http close the connection
 	}
-	writeVerdict(x.relay.writer, f.protocol, q.meta.ID, &verdict)
+	writeOutcome(x.relay.writer, f.protocol, q.meta.ID, &outcome)
 }
 
 // recordFailed logs and counts an attempt that did not answer the caller.
--- a/gateway/fleetlist_test.go
+++ b/gateway/fleetlist_test.go
@@ -39,7 +39,7 @@
 		f.events = gossipEvents(f)
 		for _, r := range f.routers {
 			r.gossip.endpoints.applySource(&ryeford.EndpointUpdate{Snapshot: true, Revision: 5, Begun: time.Now()}, 0, time.Now())
-			r.gossip.endpoints.setWholeReadAt(time.Time{})
+			r.gossip.endpoints.setFullReadAt(time.Time{})
 		}
 		var half, all time.Duration
 		changed := f.began.Add(simulatedWarmUp)
--- a/gateway/fleetrest_test.go
+++ b/gateway/fleetrest_test.go
@@ -26,7 +26,7 @@
 	ids          map[ryeford.EndpointID]bool
 	// backOffEnds are the ends of each engine's back-off at each router.
 	backOffEnds   map[*simulatedRouter]map[ryeford.EndpointID]time.Time
-	duringBackOff int // requests during a back-off, later than half of simulatedFirst after its start
+	duringBackOff int // requests during a back-off, later than half of simulatedResponseDelay after its start
 	refused       int
 	arrivals      map[ryeford.EndpointID]map[time.Duration]int // requests in each slice after the shedding ended
 	recovered     map[ryeford.EndpointID]time.Time             // when an engine first had its share of the load again
--- a/gateway/freshness/confirm_test.go
+++ b/gateway/freshness/confirm_test.go
@@ -22,8 +22,8 @@
 	assert.Assert(t, PeerReportExpired(time.Second))
 }
 
-// TestAfterPeer checks the reaction to a peer's confirmation.
-func TestAfterPeer(t *testing.T) {
+// TestPeerActionFor checks the reaction to a peer's confirmation.
+func TestPeerActionFor(t *testing.T) {
 	for _, test := range []struct {
 		name            string
 		configured      bool
--- a/gateway/freshness/lease.go
+++ b/gateway/freshness/lease.go
@@ -68,15 +68,15 @@
 // read at least confirmed. It reports whether the confirmation was newer than the last one. It
 // does nothing while there is no bound on the source's clock.
 func (l *Lease) RenewFromPeer(now time.Time, confirmed time.Duration) bool {
-	latest, ok := l.clock.UpperBound(now)
+	upperBound, ok := l.clock.UpperBound(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	restarted := l.confirmed > latest // the source's clock was reset: earlier readings are not comparable
-	if !ok || confirmed > latest || confirmed <= l.confirmed && !restarted {
+	restarted := l.confirmed > upperBound // the source's clock was reset: earlier readings are not comparable
+	if !ok || confirmed > upperBound || confirmed <= l.confirmed && !restarted {
 		return false
 	}
 	l.confirmed, l.known = confirmed, true
-	l.renew(now.Add(confirmed - latest))
+	l.renew(now.Add(confirmed - upperBound))
 	return true
 }
 
--- a/gateway/freshness/sourceclock_test.go
+++ b/gateway/freshness/sourceclock_test.go
@@ -76,8 +76,8 @@
 		now := start.Add(elapsed)
 		reading := time.Duration(clockRate * float64(elapsed))
 		c.Observe(now, reading)
-		latest, _ := c.UpperBound(now)
-		worst = max(worst, reading-latest)
+		upperBound, _ := c.UpperBound(now)
+		worst = max(worst, reading-upperBound)
 	}
 	assert.Assert(t, worst <= leaseMargin/8, "%s", worst)
 }
@@ -88,14 +88,14 @@
 	var c SourceClock
 	c.Observe(start, 50*time.Second)
 	c.Observe(start.Add(time.Second), 52*time.Second) // the response took a second
-	latest, _ := c.UpperBound(start.Add(time.Second))
-	assert.Assert(t, latest < 51001*time.Millisecond)
+	upperBound, _ := c.UpperBound(start.Add(time.Second))
+	assert.Assert(t, upperBound < 51001*time.Millisecond)
 	c.Observe(start.Add(2*time.Second), time.Second) // reset backward
-	latest, _ = c.UpperBound(start.Add(2 * time.Second))
-	assert.Equal(t, latest, time.Second)
+	upperBound, _ = c.UpperBound(start.Add(2 * time.Second))
+	assert.Equal(t, upperBound, time.Second)
 	c.Observe(start.Add(3*time.Second), time.Hour) // reset forward
-	latest, _ = c.UpperBound(start.Add(3 * time.Second))
-	assert.Equal(t, latest, time.Hour)
+	upperBound, _ = c.UpperBound(start.Add(3 * time.Second))
+	assert.Equal(t, upperBound, time.Hour)
 }
 
 // TestClockReset checks that peers' confirmations renew a lease after the source's clock was reset, so
--- a/gateway/freshness/transfer.go
+++ b/gateway/freshness/transfer.go
@@ -30,6 +30,6 @@
 
 // UseComparison reports whether a read asks the source to transfer the configuration only if it has
 // changed.
-func UseComparison(k ReadState) bool {
-	return k.Size >= minComparedSize && k.FailedReads%(fullReadAfter+1) < fullReadAfter && !k.Outdated
+func UseComparison(s ReadState) bool {
+	return s.Size >= minComparedSize && s.FailedReads%(fullReadAfter+1) < fullReadAfter && !s.Outdated
 }
--- a/gateway/freshness/transfer_test.go
+++ b/gateway/freshness/transfer_test.go
@@ -6,11 +6,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCompares checks which reads compare the configuration instead of transferring it.
-func TestCompares(t *testing.T) {
+// TestUseComparison checks which reads compare the configuration instead of transferring it.
+func TestUseComparison(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		known ReadState
+		state ReadState
 		want  bool
 	}{
 		{"none is known", ReadState{}, false},
@@ -23,6 +23,6 @@
 		{"large, and two more reads failed", ReadState{Size: 64 << 10, FailedReads: 5}, false},
 		{"large, and a newer version is known", ReadState{Size: 64 << 10, Outdated: true}, false},
 	} {
-		assert.Equal(t, UseComparison(test.known), test.want, test.name)
+		assert.Equal(t, UseComparison(test.state), test.want, test.name)
 	}
 }
--- a/gateway/giveup/giveup.go
+++ b/gateway/giveup/giveup.go
@@ -62,7 +62,7 @@
 	Recent        RecentCounts
 }
 
-// A Outcome is how a request ends.
+// An Outcome is how a request ends.
 type Outcome struct {
 	// Err is the error to log. It is a *MayHaveRunError if the request may have run.
 	Err error
@@ -87,24 +87,24 @@
 		// The last attempt has not run, but an earlier one may have.
 		err = &ryeford.MayHaveRunError{Reason: notRun.Reason, Err: r.Last}
 	}
-	verdict := Outcome{Err: err, Status: statusOf(err), Reason: reasonOf(err), Abort: r.ResponseStarted}
-	verdict.Final = verdict.Reason == string(ryeford.ReasonQuarantined)
+	outcome := Outcome{Err: err, Status: statusOf(err), Reason: reasonOf(err), Abort: r.ResponseStarted}
+	outcome.Final = outcome.Reason == string(ryeford.ReasonQuarantined)
 	switch {
-	case verdict.Status != http.StatusServiceUnavailable:
-	case verdict.Final: // quarantined, not overloaded: there are no simultaneous retries to spread
-		verdict.RetryAfter = RetryInterval{From: r.earliestRetry(), To: r.earliestRetry()}
+	case outcome.Status != http.StatusServiceUnavailable:
+	case outcome.Final: // quarantined, not overloaded: there are no simultaneous retries to spread
+		outcome.RetryAfter = RetryInterval{From: r.earliestRetry(), To: r.earliestRetry()}
 	default:
-		verdict.RetryAfter = retryBand(r.earliestRetry(), r.OverloadedFor, r.Caller, r.Recent)
+		outcome.RetryAfter = retryInterval(r.earliestRetry(), r.OverloadedFor, r.Caller, r.Recent)
 	}
-	return verdict
+	return outcome
 }
 
 // ClosesConnection reports whether the connection of a caller whose request was not
 // admitted is closed after the response: the unread data may not be a request, or another
 // router may have a configuration that is not stale.
-func ClosesConnection(v *Outcome) bool {
-	return v.Status == http.StatusRequestEntityTooLarge || v.Status == http.StatusBadRequest ||
-		v.Reason == string(ryeford.ReasonStaleConfiguration)
+func ClosesConnection(o *Outcome) bool {
+	return o.Status == http.StatusRequestEntityTooLarge || o.Status == http.StatusBadRequest ||
+		o.Reason == string(ryeford.ReasonStaleConfiguration)
 }
 
 // statusOf returns the HTTP status of a failure. MayHaveRunError is checked first, since it may
--- a/gateway/giveup/giveup_test.go
+++ b/gateway/giveup/giveup_test.go
@@ -120,7 +120,7 @@
 		{"no other router would admit it", &ryeford.InputError{Status: 404}, false},
 		{"the next request may be admitted", NotRun(ryeford.ReasonOverload), false},
 	} {
-		verdict := Decide(Request{Err: row.err})
-		assert.Equal(t, ClosesConnection(&verdict), row.want, row.rule)
+		outcome := Decide(Request{Err: row.err})
+		assert.Equal(t, ClosesConnection(&outcome), row.want, row.rule)
 	}
 }
--- a/gateway/giveup/retryafter.go
+++ b/gateway/giveup/retryafter.go
@@ -103,10 +103,10 @@
 	Refused, Answered int
 }
 
-// Counts returns what a request with this verdict adds to the recent counts. It counts as refused if
+// Counts returns what a request with this outcome adds to the recent counts. It counts as refused if
 // the caller is notified that it has not run, except if it is quarantined.
-func (v *Outcome) Counts() RecentCounts {
-	if v.Status == http.StatusServiceUnavailable && !v.Final {
+func (o *Outcome) Counts() RecentCounts {
+	if o.Status == http.StatusServiceUnavailable && !o.Final {
 		return RecentCounts{Refused: 1}
 	}
 	return RecentCounts{}
@@ -119,13 +119,13 @@
 	return float64(refused) / float64(refused+r.Answered+assumedAnswers)
 }
 
-// A RetryInterval is the interval, from now, in which a caller should retry. The zero Band gives no
-// retry time.
+// A RetryInterval is the interval, from now, in which a caller should retry. The zero RetryInterval
+// gives no retry time.
 type RetryInterval struct {
 	From, To time.Duration
 }
 
-// retryBand returns the interval in which a caller should retry, given the earliest time
+// retryInterval returns the interval in which a caller should retry, given the earliest time
 // for a retry.
 //
 // Rule: retries are spread from the earliest time on over a share of the time in which callers
@@ -139,7 +139,7 @@
 // In an overload the interval begins no sooner than after the time for which the overload has
 // lasted, up to the latest retry time. A long overload is likely to go on, and callers that
 // retry during it take capacity from first requests.
-func retryBand(earliest, overloaded time.Duration, caller Caller, recent RecentCounts) RetryInterval {
+func retryInterval(earliest, overloaded time.Duration, caller Caller, recent RecentCounts) RetryInterval {
 	last := min(time.Duration(retryShare*float64(caller.Left)), maxRetryAfter)
 	if last <= 0 {
 		return RetryInterval{}
--- a/gateway/giveup/retryafter_test.go
+++ b/gateway/giveup/retryafter_test.go
@@ -12,40 +12,40 @@
 // allPriorities holds all priorities, the highest first.
 var allPriorities = []ryeford.Priority{9, 8, 7, 6, 5, 4, 3, 2, 1, 0}
 
-// TestRetryBand guards against retry intervals that overlap between priorities, that begin after the
+// TestRetryInterval guards against retry intervals that overlap between priorities, that begin after the
 // time in which callers honor them, and against any interval for a caller without time left.
-func TestRetryBand(t *testing.T) {
+func TestRetryInterval(t *testing.T) {
 	for _, recent := range []RecentCounts{{}, {Refused: 1}, {Answered: 1000}, {Refused: 1000}} {
 		for _, earliest := range []time.Duration{0, 100 * time.Millisecond, time.Second, time.Hour} {
 			for _, left := range []time.Duration{time.Millisecond, 100 * time.Millisecond, time.Second, 6 * time.Second, time.Minute, NoLimit} {
 				previous := RetryInterval{}
 				for i, priority := range allPriorities {
-					band := retryBand(earliest, 0, Caller{Priority: priority, InUse: allPriorities, Left: left}, recent)
-					assert.Assert(t, band.From <= band.To)
-					assert.Assert(t, band.From >= previous.To, "%v %v: bands overlap", earliest, left)
-					assert.Assert(t, band.To <= left/3, "%v %v: later than callers honor", earliest, left)
-					assert.Assert(t, band.To <= maxRetryAfter)
-					assert.Assert(t, i > 0 || band.From == earliest || band.From > left/10 || band.From == maxRetryAfter/2, "%v %v: %v", earliest, left, band)
-					previous = band
+					interval := retryInterval(earliest, 0, Caller{Priority: priority, InUse: allPriorities, Left: left}, recent)
+					assert.Assert(t, interval.From <= interval.To)
+					assert.Assert(t, interval.From >= previous.To, "%v %v: intervals overlap", earliest, left)
+					assert.Assert(t, interval.To <= left/3, "%v %v: later than callers honor", earliest, left)
+					assert.Assert(t, interval.To <= maxRetryAfter)
+					assert.Assert(t, i > 0 || interval.From == earliest || interval.From > left/10 || interval.From == maxRetryAfter/2, "%v %v: %v", earliest, left, interval)
+					previous = interval
 				}
 			}
 		}
 	}
 	for _, left := range []time.Duration{0, -time.Second} {
-		assert.Equal(t, retryBand(time.Second, 0, Caller{Left: left}, RecentCounts{Refused: 9}), RetryInterval{})
+		assert.Equal(t, retryInterval(time.Second, 0, Caller{Left: left}, RecentCounts{Refused: 9}), RetryInterval{})
 	}
 }
 
-// TestOverloadBand guards against callers that retry sooner than after the time for which an overload
+// TestOverloadInterval guards against callers that retry sooner than after the time for which an overload
 // has lasted, or later than they honor.
-func TestOverloadBand(t *testing.T) {
+func TestOverloadInterval(t *testing.T) {
 	caller := Caller{Left: 10 * time.Second}
 	last := time.Duration(retryShare * float64(caller.Left))
 	for _, overloaded := range []time.Duration{0, time.Second, 2 * time.Second, time.Minute} {
 		for _, recent := range []RecentCounts{{}, {Refused: 1000}} {
-			band := retryBand(100*time.Millisecond, overloaded, caller, recent)
-			assert.Equal(t, band.From, min(last, max(overloaded, 100*time.Millisecond)))
-			assert.Assert(t, band.From <= band.To && band.To <= last)
+			interval := retryInterval(100*time.Millisecond, overloaded, caller, recent)
+			assert.Equal(t, interval.From, min(last, max(overloaded, 100*time.Millisecond)))
+			assert.Assert(t, interval.From <= interval.To && interval.To <= last)
 		}
 	}
 }
@@ -55,13 +55,13 @@
 func TestRetrySpread(t *testing.T) {
 	caller := Caller{Left: 4 * time.Second}
 	const first, last = 100 * time.Millisecond, 1200 * time.Millisecond
-	single := retryBand(first, 0, caller, RecentCounts{Answered: 100})
+	single := retryInterval(first, 0, caller, RecentCounts{Answered: 100})
 	assert.Equal(t, single.From, first)
 	assert.Assert(t, single.To < first+20*time.Millisecond, "%v", single)
-	many := retryBand(first, 0, caller, RecentCounts{Refused: 10000})
+	many := retryInterval(first, 0, caller, RecentCounts{Refused: 10000})
 	assert.Equal(t, many.From, first)
 	assert.Assert(t, many.To > last-time.Millisecond && many.To <= last, "%v", many)
-	half := retryBand(first, 0, caller, RecentCounts{Refused: 10000, Answered: 10000})
+	half := retryInterval(first, 0, caller, RecentCounts{Refused: 10000, Answered: 10000})
 	assert.Assert(t, half.To > 640*time.Millisecond && half.To < 660*time.Millisecond, "%v", half)
 }
 
@@ -69,7 +69,7 @@
 // that a priority that is not in use is ranked among them.
 func TestRetryPriority(t *testing.T) {
 	at := func(p ryeford.Priority) RetryInterval {
-		return retryBand(0, 0, Caller{Priority: p, InUse: []ryeford.Priority{9, 7}, Left: 10 * time.Second}, RecentCounts{Refused: 1 << 20})
+		return retryInterval(0, 0, Caller{Priority: p, InUse: []ryeford.Priority{9, 7}, Left: 10 * time.Second}, RecentCounts{Refused: 1 << 20})
 	}
 	second := func(b RetryInterval) RetryInterval {
 		return RetryInterval{From: b.From.Round(10 * time.Millisecond), To: b.To.Round(10 * time.Millisecond)}
@@ -89,13 +89,13 @@
 		ryeford.ReasonUnreachable: 700 * time.Millisecond,
 		ryeford.ReasonOverload:    100 * time.Millisecond,
 	} {
-		verdict := Decide(Request{Err: NotRun(reason), UnavailableFor: 700 * time.Millisecond, Caller: caller})
-		assert.Equal(t, verdict.RetryAfter.From, want, string(reason))
+		outcome := Decide(Request{Err: NotRun(reason), UnavailableFor: 700 * time.Millisecond, Caller: caller})
+		assert.Equal(t, outcome.RetryAfter.From, want, string(reason))
 	}
-	verdict := Decide(Request{Err: NotRun(ryeford.ReasonOverload), UnavailableFor: 700 * time.Millisecond, BackingOffFor: 600 * time.Millisecond, Caller: caller})
-	assert.Equal(t, verdict.RetryAfter.From, 600*time.Millisecond, "all back off: none serves sooner")
-	verdict = Decide(Request{Err: NotRun(ryeford.ReasonNoCandidate), UnavailableFor: time.Millisecond, Caller: caller})
-	assert.Equal(t, verdict.RetryAfter.From, retryNoEndpoint)
-	verdict = Decide(Request{Err: NotRun(ryeford.ReasonNoCandidate), Unlisted: true, Caller: caller})
-	assert.Equal(t, verdict.RetryAfter.From, retryUnlisted)
+	outcome := Decide(Request{Err: NotRun(ryeford.ReasonOverload), UnavailableFor: 700 * time.Millisecond, BackingOffFor: 600 * time.Millisecond, Caller: caller})
+	assert.Equal(t, outcome.RetryAfter.From, 600*time.Millisecond, "all back off: none serves sooner")
+	outcome = Decide(Request{Err: NotRun(ryeford.ReasonNoCandidate), UnavailableFor: time.Millisecond, Caller: caller})
+	assert.Equal(t, outcome.RetryAfter.From, retryNoEndpoint)
+	outcome = Decide(Request{Err: NotRun(ryeford.ReasonNoCandidate), Unlisted: true, Caller: caller})
+	assert.Equal(t, outcome.RetryAfter.From, retryUnlisted)
 }
--- a/gateway/giveup/simulation_test.go
+++ b/gateway/giveup/simulation_test.go
@@ -140,11 +140,11 @@
 			s.results <- outcome{class: kind, served: reason == "" && left >= 0, took: took}
 			return
 		}
-		band := s.rule(Request{
+		interval := s.rule(Request{
 			Err: NotRun(reason), UnavailableFor: ejected, Recent: s.count(reason),
 			Caller: Caller{Priority: classes[kind].priority, InUse: inUse, Left: left},
 		})
-		wait := band.From + time.Duration(random.Float64()*float64(band.To-band.From))
+		wait := interval.From + time.Duration(random.Float64()*float64(interval.To-interval.From))
 		time.Sleep(min(wait, left/3))
 		s.countRetry()
 	}
--- a/gateway/handler_test.go
+++ b/gateway/handler_test.go
@@ -56,8 +56,8 @@
 	fresh := func(h *handler) { h.configuration.lease.RenewRead(time.Now(), time.Now(), 0) }
 	stop := func(h *handler) {
 		fresh(h)
-		ordered := time.Now().Add(-h.drain.grace)
-		h.drain.requestedAt.Store(&ordered)
+		requested := time.Now().Add(-h.drain.grace)
+		h.drain.requestedAt.Store(&requested)
 		h.drain.stopping.Store(true)
 	}
 	for _, row := range []struct {
--- a/gateway/loads/loads_test.go
+++ b/gateway/loads/loads_test.go
@@ -167,9 +167,9 @@
 	assert.Equal(t, table.LocalPrompt(2), 0)
 }
 
-// TestTotal guards against a wrong total of a service if an endpoint is removed while it has requests
+// TestLocalTotal guards against a wrong total of a service if an endpoint is removed while it has requests
 // in flight.
-func TestTotal(t *testing.T) {
+func TestLocalTotal(t *testing.T) {
 	table := New()
 	for range 3 {
 		table.Begin("a", "s")
--- a/gateway/outage.go
+++ b/gateway/outage.go
@@ -11,12 +11,12 @@
 )
 
 // newOutage returns an outage of a dependency that is counted when it begins, and logged when it
-// begins and ends. leaseLeft returns how much longer the configuration may be used.
-func newOutage(dependency string, leaseLeft func() time.Duration, logger log.Logger, metrics *telemetry.Set) *watch.Outage {
+// begins and ends. leaseRemaining returns how much longer the configuration may be used.
+func newOutage(dependency string, leaseRemaining func() time.Duration, logger log.Logger, metrics *telemetry.Set) *watch.Outage {
 	return &watch.Outage{
 		OnLost: func(err error) {
 			metrics.Count("ryeford_dependency_lost_total", dependency)
-			_ = logger.Log("msg", "dependency lost", "dependency", dependency, "lease", leaseLeft(), "err", err)
+			_ = logger.Log("msg", "dependency lost", "dependency", dependency, "lease", leaseRemaining(), "err", err)
 		},
 		OnRegained: func(downtime ryeford.Downtime) {
 			_ = logger.Log("msg", "dependency regained", "dependency", dependency, "after", roundTime(downtime.Length()))
--- a/gateway/peerconfiguration.go
+++ b/gateway/peerconfiguration.go
@@ -58,10 +58,10 @@
 	// The confirmation is read before the configuration and the evacuations, as in
 	// gossip.briefMessage.
 	confirmed, known := c.lease.Confirmed()
-	latest, bounded := c.clock.UpperBound(now)
+	upperBound, bounded := c.clock.UpperBound(now)
 	current := c.current()
 	if !known || !bounded || current == nil || !c.reliable(now) {
 		return nil
 	}
-	return &configurationResponse{Configuration: current.Configuration(), ConfirmedAt: confirmed, Latest: latest, Evacuations: c.evacuations.known()}
+	return &configurationResponse{Configuration: current.Configuration(), ConfirmedAt: confirmed, Latest: upperBound, Evacuations: c.evacuations.known()}
 }
--- a/gateway/peerlist.go
+++ b/gateway/peerlist.go
@@ -31,7 +31,7 @@
 	if !known || !at.IsSet() {
 		return nil
 	}
-	return peers.NewList(at.From, at.To, !l.wholeReadAt.IsZero(), confirmed)
+	return peers.NewList(at.From, at.To, !l.fullReadAt.IsZero(), confirmed)
 }
 
 // mergeDigest compares a peer's copy with this router's. It reads a newer copy, and renews the lease
@@ -54,7 +54,7 @@
 		}
 	case replica.Same:
 		if !list.Full {
-			l.setWholeReadAt(time.Time{})
+			l.setFullReadAt(time.Time{})
 		}
 		l.renewFromPeer(list.ConfirmedAt, to.Era(), func() bool { return true })
 	}
@@ -85,12 +85,12 @@
 	}
 }
 
-// setWholeReadAt sets when the copy was read whole; zero if the revision of its newest change is
+// setFullReadAt sets when the copy was read whole; zero if the revision of its newest change is
 // known.
-func (l *endpointList) setWholeReadAt(at time.Time) {
+func (l *endpointList) setFullReadAt(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.wholeReadAt = at
+	l.fullReadAt = at
 }
 
 // triggerPeerRead makes readPeers read a peer's copy.
@@ -133,7 +133,7 @@
 		if response.Whole {
 			readAt = sent
 		}
-		l.setWholeReadAt(readAt)
+		l.setFullReadAt(readAt)
 		return true
 	})
 }
@@ -154,11 +154,11 @@
 	// The confirmation is read before the changes, so that they are at least as new as the
 	// confirmation.
 	confirmed, known := l.lease.Confirmed()
-	latest, bounded := l.clock.UpperBound(clock.Now())
+	upperBound, bounded := l.clock.UpperBound(clock.Now())
 	if !known || !bounded || !l.copy.Range().IsSet() {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return &listResponse{Whole: !l.wholeReadAt.IsZero(), Changes: l.copy.Since(since), ConfirmedAt: confirmed, Latest: latest}
+	return &listResponse{Whole: !l.fullReadAt.IsZero(), Changes: l.copy.Since(since), ConfirmedAt: confirmed, Latest: upperBound}
 }
--- a/gateway/peers/schedule.go
+++ b/gateway/peers/schedule.go
@@ -74,7 +74,7 @@
 	Registered        bool
 	SinceRegistration time.Duration // since the last registration
 	ReceivedRecently  bool          // a message was received recently
-	FirstInSlot       bool          // the router is the first in the time slot of LookupShift
+	FirstInSlot       bool          // the router is the first in the time slot of LookupTimeSlot
 }
 
 // Due reports whether a registration and lookup is due. For a router that receives no messages it is
--- a/gateway/peers/sums.go
+++ b/gateway/peers/sums.go
@@ -59,8 +59,8 @@
 	Requests int // requests in flight of the counted peers at the service
 }
 
-// KnownFraction returns the fraction of the live peers whose requests at an endpoint are known. reports says
-// whether the endpoint reports its load.
+// KnownFraction returns the fraction of the live peers whose requests at an endpoint are known.
+// reports states whether the endpoint reports its load.
 func (s *Sample) KnownFraction(reports bool) float64 {
 	known := s.Counted
 	if reports {
--- a/gateway/prefixcache/index_test.go
+++ b/gateway/prefixcache/index_test.go
@@ -20,15 +20,15 @@
 	return result
 }
 
-// longest calls Longest without some endpoints.
-func longest(index *Index, now time.Time, prompt []ryeford.PromptPart, without ...ryeford.EndpointID) (ryeford.EndpointID, int) {
+// longestPrefix calls LongestPrefix without some endpoints.
+func longestPrefix(index *Index, now time.Time, prompt []ryeford.PromptPart, without ...ryeford.EndpointID) (ryeford.EndpointID, int) {
 	return index.LongestPrefix(now, prompt, func(id ryeford.EndpointID) bool { return !slices.Contains(without, id) })
 }
 
-// TestLongest checks that the most recent holder of the longest prefix of a prompt is found.
-func TestLongest(t *testing.T) {
+// TestLongestPrefix checks that the most recent holder of the longest prefix of a prompt is found.
+func TestLongestPrefix(t *testing.T) {
 	index := New()
-	id, depth := longest(index, start, parts(1, 2))
+	id, depth := longestPrefix(index, start, parts(1, 2))
 	assert.Equal(t, id, ryeford.EndpointID(""))
 	assert.Equal(t, depth, 0)
 	index.Add(start, "a", parts(1, 2))
@@ -45,7 +45,7 @@
 		{parts(1, 2), "a", "b", 1},
 		{parts(5, 6), "", "", 0},
 	} {
-		id, depth := longest(index, start, test.prompt, test.without)
+		id, depth := longestPrefix(index, start, test.prompt, test.without)
 		assert.Equal(t, id, test.id)
 		assert.Equal(t, depth, test.depth)
 	}
@@ -55,17 +55,17 @@
 func TestEviction(t *testing.T) {
 	index := New()
 	index.Add(start, "a", parts(1))
-	_, depth := longest(index, start.Add(holderTTL+1), parts(1))
+	_, depth := longestPrefix(index, start.Add(holderTTL+1), parts(1))
 	assert.Equal(t, depth, 0)
 	later := []ryeford.EndpointID{"b", "c", "d", "e"}
 	assert.Equal(t, len(later), maxHolders)
 	for _, id := range later {
 		index.Add(start, id, parts(1)) // the last one evicts a, the oldest
 	}
-	id, _ := longest(index, start, parts(1), later...)
+	id, _ := longestPrefix(index, start, parts(1), later...)
 	assert.Equal(t, id, ryeford.EndpointID(""))
 	index.Remove("e")
-	id, _ = longest(index, start, parts(1))
+	id, _ = longestPrefix(index, start, parts(1))
 	assert.Equal(t, id, ryeford.EndpointID("d"))
 	for i := range uint64(maxParts + 100) {
 		index.Add(start, "d", parts(i))
@@ -73,15 +73,15 @@
 	assert.Assert(t, len(index.parts) <= maxParts)
 }
 
-// TestHeldTokens checks that the tokens of the longest prefix are returned for each endpoint.
-func TestHeldTokens(t *testing.T) {
+// TestCachedTokens checks that the tokens of the longest prefix are returned for each endpoint.
+func TestCachedTokens(t *testing.T) {
 	index := New()
 	prompt := []ryeford.PromptPart{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 20}}
 	index.Add(start, "a", prompt[:1])
 	index.Add(start, "b", prompt)
-	held := index.CachedTokens(start, prompt)
-	assert.Equal(t, held["a"], 100)
-	assert.Equal(t, held["b"], 120)
-	assert.Equal(t, held["c"], 0)
+	cached := index.CachedTokens(start, prompt)
+	assert.Equal(t, cached["a"], 100)
+	assert.Equal(t, cached["b"], 120)
+	assert.Equal(t, cached["c"], 0)
 	assert.Equal(t, len(index.CachedTokens(start.Add(holderTTL+1), prompt)), 0, "holders have expired")
 }
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -19,7 +19,7 @@
 const trialSlot = 10 * time.Second
 
 // A quarantineState quarantines poison requests (package quarantine), based on the crashes that this
-// router and its peers have seen. It is safe for concurrent use.
+// router and its peers have detected. It is safe for concurrent use.
 type quarantineState struct {
 	// disabled is set by the operators' settings: no requests are held.
 	disabled     bool
@@ -140,12 +140,12 @@
 		return quarantine.Decision{}
 	}
 	h := x.forwarder.quarantine
-	verdict := h.table.Check(now, x.fingerprint(), h.mayTry(now))
-	if verdict.Trial {
-		h.heldRequests.enqueueWrite(&verdict.Record)
+	decision := h.table.Check(now, x.fingerprint(), h.mayTry(now))
+	if decision.Trial {
+		h.heldRequests.enqueueWrite(&decision.Record)
 		_ = h.log.Log("decision", "quarantine_trial", "request", x.request.meta.ID, "fingerprint", x.fingerprint())
 	}
-	return verdict
+	return decision
 }
 
 // clearQuarantine records that the request was answered successfully and so is not a poison request.
--- a/gateway/quarantine/record.go
+++ b/gateway/quarantine/record.go
@@ -27,9 +27,9 @@
 	// held after the hold or the last trial.
 	crashTTL = time.Hour
 	holdTTL  = 24 * time.Hour
-	// answeredTTL is how long a success is recorded, so that late reports of earlier crashes are
+	// successTTL is how long a success is recorded, so that late reports of earlier crashes are
 	// ignored.
-	answeredTTL = time.Minute
+	successTTL = time.Minute
 )
 
 // A Crash records that an endpoint ended while it ran a request.
@@ -49,7 +49,7 @@
 	LastSuccess time.Time
 	// HeldSince is when the requests were held, or zero if they are not.
 	HeldSince time.Time
-	// Trials is the number of trials since Held, and Tried is when the last one began.
+	// Trials is the number of trials since HeldSince, and LastTrial is when the last one began.
 	Trials    int
 	LastTrial time.Time
 }
@@ -97,9 +97,9 @@
 	return count
 }
 
-// recordAnswer records a success. It removes the crashes and the hold that precede it, and reports whether
+// recordSuccess records a success. It removes the crashes and the hold that precede it, and reports whether
 // anything changed.
-func (r *Record) recordAnswer(at time.Time) bool {
+func (r *Record) recordSuccess(at time.Time) bool {
 	if !at.After(r.LastSuccess) {
 		return false
 	}
@@ -113,7 +113,7 @@
 
 // merge adds a peer's record, and reports whether anything changed.
 func (r *Record) merge(other *Record) (changed bool) {
-	changed = !other.LastSuccess.IsZero() && r.mergeAnswer(other.LastSuccess)
+	changed = !other.LastSuccess.IsZero() && r.mergeSuccess(other.LastSuccess)
 	for _, crash := range other.Crashes {
 		changed = r.add(crash) || changed
 	}
@@ -130,12 +130,12 @@
 // ages in whole milliseconds, and their transmission times differ.
 const timeTolerance = time.Second
 
-// mergeAnswer is recordAnswer for a success from a peer's record, which may already be recorded.
-func (r *Record) mergeAnswer(at time.Time) bool {
+// mergeSuccess is recordAnswer for a success from a peer's record, which may already be recorded.
+func (r *Record) mergeSuccess(at time.Time) bool {
 	if !r.LastSuccess.IsZero() && at.Sub(r.LastSuccess) < timeTolerance {
 		return false
 	}
-	return r.recordAnswer(at)
+	return r.recordSuccess(at)
 }
 
 // trialDue returns when the next trial of a held request is due, and false if there are no more trials.
@@ -152,7 +152,7 @@
 
 // expires returns when the record can be removed unless it changes.
 func (r *Record) expires() time.Time {
-	last := r.LastSuccess.Add(answeredTTL)
+	last := r.LastSuccess.Add(successTTL)
 	if n := len(r.Crashes); n > 0 {
 		last = later(last, r.Crashes[n-1].Ended.Add(crashTTL))
 	}
--- a/gateway/quarantine/record_test.go
+++ b/gateway/quarantine/record_test.go
@@ -59,10 +59,10 @@
 	assert.Assert(t, !record.HeldSince.IsZero())
 }
 
-// TestAnswer checks that a success removes earlier crashes and the hold, and that late reports of these are ignored.
-func TestAnswer(t *testing.T) {
+// TestSuccess checks that a success removes earlier crashes and the hold, and that late reports of these are ignored.
+func TestSuccess(t *testing.T) {
 	record := crashed([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5})
-	assert.Assert(t, record.recordAnswer(at(6)))
+	assert.Assert(t, record.recordSuccess(at(6)))
 	assert.Assert(t, record.HeldSince.IsZero() && len(record.Crashes) == 0)
 	late := crashed([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5.5})
 	assert.Assert(t, !record.merge(late))
--- a/gateway/quarantine/table.go
+++ b/gateway/quarantine/table.go
@@ -67,7 +67,7 @@
 	}
 	wasHeld = !e.HeldSince.IsZero()
 	if len(e.Crashes) > 0 || wasHeld {
-		e.recordAnswer(now)
+		e.recordSuccess(now)
 		e.sendsLeft = sendsPerChange
 	}
 	return wasHeld
@@ -84,7 +84,7 @@
 	Record Record
 }
 
-// Check returns the verdict on a request. mayTry reports whether this router may start a trial now.
+// Check returns the decision on a request. mayTry reports whether this router may start a trial now.
 func (t *Table) Check(now time.Time, fingerprint Fingerprint, mayTry bool) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -45,27 +45,27 @@
 func (h *handler) refuse(w http.ResponseWriter, r *http.Request, q *request, err error) {
 	// Another router may be able to serve the request. So the Retry-After is that of a single
 	// refusal and doesn't depend on recent refusals.
-	verdict := giveup.Decide(giveup.Request{Err: err, Caller: q.caller()})
-	if giveup.ClosesConnection(&verdict) {
+	outcome := giveup.Decide(giveup.Request{Err: err, Caller: q.caller()})
+	if giveup.ClosesConnection(&outcome) {
 		w.Header().Set("Connection", "close")
 	}
-	writeVerdict(w, h.protocol, q.id(), &verdict)
-	h.metrics.Count("ryeford_refused_total", verdict.Reason)
+	writeOutcome(w, h.protocol, q.id(), &outcome)
+	h.metrics.Count("ryeford_refused_total", outcome.Reason)
 	_ = h.log.Log("decision", "refuse", "request", q.id(), "method", r.Method, "host", r.Host, "path", r.URL.Path,
-		"version", h.configuration.version(), "lease", h.configuration.leaseRemaining(), "status", verdict.Status, "reason", verdict.Reason, "took", roundTime(clock.Since(q.arrived)), "err", err)
+		"version", h.configuration.version(), "lease", h.configuration.leaseRemaining(), "status", outcome.Status, "reason", outcome.Reason, "took", roundTime(clock.Since(q.arrived)), "err", err)
 }
 
 // headerShouldRetry keeps common clients of model APIs from retrying a request automatically.
 const headerShouldRetry = "X-Should-Retry"
 
-// writeVerdict writes a response that the gateway generates itself.
-func writeVerdict(w http.ResponseWriter, protocol ryeford.Protocol, id ryeford.RequestID, verdict *giveup.Outcome) {
+// writeOutcome writes a response that the gateway generates itself.
+func writeOutcome(w http.ResponseWriter, protocol ryeford.Protocol, id ryeford.RequestID, outcome *giveup.Outcome) {
 	header := w.Header()
-	protocol.ErrorHeader(header, id, retry.RandomBetween(verdict.RetryAfter.From, verdict.RetryAfter.To))
-	if verdict.Final {
+	protocol.ErrorHeader(header, id, retry.RandomBetween(outcome.RetryAfter.From, outcome.RetryAfter.To))
+	if outcome.Final {
 		header.Set(headerShouldRetry, "false")
 	}
 	header["Content-Type"] = nil // suppresses net/http's default
 	header.Set("Content-Length", "0")
-	w.WriteHeader(verdict.Status)
+	w.WriteHeader(outcome.Status)
 }
--- a/gateway/replica/replica.go
+++ b/gateway/replica/replica.go
@@ -57,7 +57,7 @@
 // Empty reports whether c changes only the range.
 func (c *Changes) Empty() bool { return !c.Snapshot && len(c.Present)+len(c.Removed) == 0 }
 
-// A ApplyResult is the result of applying Changes.
+// An ApplyResult is the result of applying Changes.
 type ApplyResult int
 
 // The verdicts.
--- a/gateway/replica/replica_test.go
+++ b/gateway/replica/replica_test.go
@@ -39,7 +39,7 @@
 	for _, test := range []struct {
 		name    string
 		changes Changes
-		verdict ApplyResult
+		result  ApplyResult
 		at      Range
 		listed  string
 	}{
@@ -55,7 +55,7 @@
 		{"a snapshot, older", FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a"), Revision: 9}, 0), Outdated, Range{10, 10}, "abc"},
 	} {
 		r := newSynced(t)
-		assert.Equal(t, r.Apply(&test.changes), test.verdict, test.name)
+		assert.Equal(t, r.Apply(&test.changes), test.result, test.name)
 		assert.Equal(t, r.Range(), test.at, test.name)
 		text := ""
 		for _, id := range r.listed() {
@@ -107,9 +107,9 @@
 	assert.Assert(t, len(r.removed) <= maxRemoved)
 }
 
-// TestMeet checks the relation of a peer's copy to the local one, and the range of the local one
+// TestMergeRange checks the relation of a peer's copy to the local one, and the range of the local one
 // afterwards.
-func TestMeet(t *testing.T) {
+func TestMergeRange(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		local, peer Range
--- a/gateway/replica/start.go
+++ b/gateway/replica/start.go
@@ -8,7 +8,7 @@
 // When a router without a copy reads the source.
 //
 // Rule: it reads after a random delay, unless a peer has sent it the list by then. Few routers draw a
-// short delay and many a long one. For JoinTime after its start a router ranks itself behind the
+// short delay and many a long one. For JoinDuration after its start a router ranks itself behind the
 // first routers of the time slot, because it may not have received messages from all others.
 //
 // Why: when a whole fleet starts, no router has the list or knows the size of the fleet. The few
--- a/gateway/replica/turns.go
+++ b/gateway/replica/turns.go
@@ -69,7 +69,7 @@
 // FirstFallbackRank is the lowest rank of the routers that read only if the first two have failed.
 const FirstFallbackRank = 2
 
-// Schedule returns the Turn of a router. rank is its rank in the time slot, from 0, and peers is the number
+// Schedule returns the ReadSchedule of a router. rank is its rank in the time slot, from 0, and peers is the number
 // of other live routers.
 func (l *Limits) Schedule(rank, peers int) ReadSchedule {
 	switch {
--- a/gateway/roster/leaving_test.go
+++ b/gateway/roster/leaving_test.go
@@ -10,9 +10,9 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestLeave checks that an endpoint that has reported in a response that it is leaving gets no requests for the
+// TestMarkLeaving checks that an endpoint that has reported in a response that it is leaving gets no requests for the
 // rest of that incarnation, whatever the list or peers state later, and that its next incarnation gets them.
-func TestLeave(t *testing.T) {
+func TestMarkLeaving(t *testing.T) {
 	first, second := string(ryeford.NewEndpointID("a", 1000)), string(ryeford.NewEndpointID("a", 2000))
 	for _, test := range []struct {
 		name  string
@@ -73,17 +73,17 @@
 	}
 }
 
-// TestLeaveUnlisted checks that the report of an endpoint that is not listed yet applies once it is listed.
-func TestLeaveUnlisted(t *testing.T) {
+// TestMarkLeavingUnlisted checks that the report of an endpoint that is not listed yet applies once it is listed.
+func TestMarkLeavingUnlisted(t *testing.T) {
 	r := New()
 	r.MarkLeaving(start, "a")
 	r.Apply(start, snapshot(1, ready("a"), ready("b")), noSuspects)
 	assert.Equal(t, serving(r), "b")
 }
 
-// TestLeaveBound checks that the number of records is bounded, and that the oldest records of unlisted
+// TestMarkLeavingBound checks that the number of records is bounded, and that the oldest records of unlisted
 // endpoints are evicted first.
-func TestLeaveBound(t *testing.T) {
+func TestMarkLeavingBound(t *testing.T) {
 	r := New()
 	r.Apply(start, snapshot(1, ready("a"), ready("b")), noSuspects)
 	r.MarkLeaving(start, "a")
--- a/gateway/roster/status.go
+++ b/gateway/roster/status.go
@@ -13,9 +13,9 @@
 	// suspectMargin is the margin between the end of the suspect period and the time from which the
 	// router's freshness bounds apply again. It covers the request path to the endpoint.
 	suspectMargin = 100 * time.Millisecond
-	// minOutageForLapse is the shortest observed outage in which entries may have lapsed. It is shorter
+	// minOutageForExpiry is the shortest observed outage in which entries may have lapsed. It is shorter
 	// than the lapse time, since the router may notice an outage late. It excludes single failed calls.
-	minOutageForLapse = 500 * time.Millisecond
+	minOutageForExpiry = 500 * time.Millisecond
 	// departedTTL is how long an endpoint that was removed from the list without draining may still
 	// serve cached prefixes to others: it shuts down no faster than one that announced draining, and
 	// its address is not reassigned sooner.
@@ -29,7 +29,7 @@
 //
 // The time is fixed once for each downtime. It applies to all endpoints that the list loses until then.
 func SuspectUntil(downtime *ryeford.Downtime, contact time.Duration) time.Time {
-	if downtime.Length() < minOutageForLapse {
+	if downtime.Length() < minOutageForExpiry {
 		return time.Time{}
 	}
 	return SuspectUntilAfterRestore(downtime, contact)
--- a/gateway/roster/status_test.go
+++ b/gateway/roster/status_test.go
@@ -57,8 +57,8 @@
 		want              time.Duration // since began, zero for none
 	}{
 		{"a rejected call", 0, 60 * time.Millisecond, 0},
-		{"slightly too short", 300 * time.Millisecond, minOutageForLapse - 1, 0},
-		{"long enough", 300 * time.Millisecond, minOutageForLapse, minOutageForLapse + suspectDuration},
+		{"slightly too short", 300 * time.Millisecond, minOutageForExpiry - 1, 0},
+		{"long enough", 300 * time.Millisecond, minOutageForExpiry, minOutageForExpiry + suspectDuration},
 		{"an outage", 5 * time.Second, 5400 * time.Millisecond, 7400 * time.Millisecond},
 		{"answered in time", 5 * time.Second, 5900 * time.Millisecond, 7900 * time.Millisecond},
 		{"answered late", 5 * time.Second, 6200 * time.Millisecond, 7900 * time.Millisecond},
--- a/gateway/shutdown/shutdown.go
+++ b/gateway/shutdown/shutdown.go
@@ -20,7 +20,7 @@
 	// minFailedProbes is how many consecutive readiness probes must fail before the load balancer
 	// sends no new connections.
 	minFailedProbes = 2
-	// NoticeMargin is how long the load balancer may take to act after Noticed.
+	// NoticeMargin is how long the load balancer may take to act after BalancerNoticed.
 	NoticeMargin = 400 * time.Millisecond
 	// maxNoticeWait limits the wait for the probes, which arrive once a second, in case the load
 	// balancer can't reach the process.
--- a/gateway/shutdown/shutdown_test.go
+++ b/gateway/shutdown/shutdown_test.go
@@ -14,8 +14,8 @@
 	assert.Equal(t, CloseBy(signaled, 8*time.Second), signaled.Add(7300*time.Millisecond))
 }
 
-// TestNoticed checks when the load balancer counts as having noticed the shutdown.
-func TestNoticed(t *testing.T) {
+// TestBalancerNoticed checks when the load balancer counts as having noticed the shutdown.
+func TestBalancerNoticed(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		sinceSignal  time.Duration
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestQuiet checks when callers have stopped connecting.
-func TestQuiet(t *testing.T) {
+// TestNoNewConnections checks when callers have stopped connecting.
+func TestNoNewConnections(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		last time.Time
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestLeavesTimeFor guards against accepting requests that can't end in time, at their deadline or as
+// TestHasTimeFor guards against accepting requests that can't end in time, at their deadline or as
 // expected, and streams that are only expected to end in time after estimateWindow.
-func TestLeavesTimeFor(t *testing.T) {
+func TestHasTimeFor(t *testing.T) {
 	const early, late = 2500*time.Millisecond - 1, 2500 * time.Millisecond
 	const long = 15 * time.Second
 	for _, test := range []struct {
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -17,7 +17,7 @@
 	delay    time.Duration // until the store is read if no peer has sent the data
 }
 
-// newStartup returns a start that begins now.
+// newStartup returns a startup that begins now.
 func newStartup(s *settings.Gateway) *startup {
 	result := &startup{began: clock.Now(), hasPeers: s.Peers.IsValid()}
 	if len(seedAddresses(s)) > 0 {
--- a/gateway/watch/next.go
+++ b/gateway/watch/next.go
@@ -13,7 +13,7 @@
 // Rule, by the outcome of the poll:
 //
 //	current      apply the update, then ask for changes after its revision;
-//	             pause for Settle first if it contains a change
+//	             pause for SettleDelay first if it contains a change
 //	stale        ignore the update, which is older than the known revision and
 //	             confirms nothing; ask again as after a failure
 //	historyLost  read the full list at once
--- a/gateway/watch/watch.go
+++ b/gateway/watch/watch.go
@@ -27,7 +27,7 @@
 	// each failure in a row, up to MaxPause. It is also the pause after a stale response.
 	MinPause time.Duration
 	MaxPause func() time.Duration
-	// OnSend is called before each poll, and Failed after each failed poll with the time at which it was
+	// OnSend is called before each poll, and OnFailure after each failed poll with the time at which it was
 	// sent.
 	OnSend    func(full bool)
 	OnFailure func(sent time.Time)
@@ -86,7 +86,7 @@
 
 // An Outage tracks whether a source responds. The zero Outage is of a source that does.
 type Outage struct {
-	// OnLost is called at the first failure after a success, Regained at the first success after a
+	// OnLost is called at the first failure after a success, OnRegained at the first success after a
 	// failure.
 	OnLost     func(err error)
 	OnRegained func(downtime ryeford.Downtime)
--- a/retry/after.go
+++ b/retry/after.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// maxRetryAfter limits the time that Rest returns, so that an implausible number stays within the range
+// maxRetryAfter limits the time that RetryAfter returns, so that an implausible number stays within the range
 // of time.Duration.
 const maxRetryAfter = 24 * time.Hour
 
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -90,7 +90,7 @@
 	Unsent int // attempts that ended before anything was sent
 }
 
-// A Decision is what follows an attempt. The zero Step means that the request is given up.
+// A Decision is what follows an attempt. The zero Decision means that the request is given up.
 type Decision struct {
 	// Retry reports that the request may be sent to an endpoint not yet tried.
 	Retry bool
@@ -125,7 +125,7 @@
 	return Decision{}
 }
 
-// resend returns the Step that sends the request again, if MaxAttempts allows it.
+// resend returns the Decision that sends the request again, if MaxAttempts allows it.
 func (p Policy) resend(h History, allowTried bool) Decision {
 	if h.Sent >= p.MaxAttempts {
 		return Decision{}
--- a/retry/policy_test.go
+++ b/retry/policy_test.go
@@ -32,7 +32,7 @@
 		{"unsent: another endpoint even after MaxAttempts", once, EndUnsent, History{Sent: 3, Unsent: 1}, false, another},
 		{"unsent: another endpoint below the limit", once, EndUnsent, History{Unsent: maxUnsent - 1}, false, another},
 		{"unsent: not beyond the limit", once, EndUnsent, History{Unsent: maxUnsent}, false, stop},
-		{"barred: it may not run anywhere", idempotent, EndForbidden, History{}, false, stop},
+		{"forbidden: it may not run anywhere", idempotent, EndForbidden, History{}, false, stop},
 		{"refused: another endpoint, though not idempotent", once, EndRefused, History{Sent: 2}, false, budgeted},
 		{"refused: at most MaxAttempts", once, EndRefused, History{Sent: 3}, false, stop},
 		{"lost, may have run: not repeated", once, EndLost, History{Sent: 1}, false, stop},
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestTries guards against trying an unusable endpoint after another one could not be reached.
-func TestTries(t *testing.T) {
+// TestMayTry guards against trying an unusable endpoint after another one could not be reached.
+func TestMayTry(t *testing.T) {
 	for _, row := range []struct {
 		rule     string
 		history  History
--- a/retry/share_test.go
+++ b/retry/share_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSharers checks by how many routers the reserve is divided.
-func TestSharers(t *testing.T) {
+// TestReserveDivisor checks by how many routers the reserve is divided.
+func TestReserveDivisor(t *testing.T) {
 	for _, row := range []struct {
 		rule             string
 		configured, live int
--- a/retry/spread.go
+++ b/retry/spread.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// defaultSpread replaces a base of zero or less.
-const defaultSpread = time.Second
+// defaultJitterBase replaces a base of zero or less.
+const defaultJitterBase = time.Second
 
 // Jitter returns a random time between base and twice base, so that callers that were refused
 // together do not retry together.
 func Jitter(base time.Duration) time.Duration {
 	if base <= 0 {
-		base = defaultSpread
+		base = defaultJitterBase
 	}
 	return RandomBetween(base, 2*base)
 }
--- a/retry/spread_test.go
+++ b/retry/spread_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSpread guards against equal retry times, and against times outside of the base and twice the
+// TestJitter guards against equal retry times, and against times outside of the base and twice the
 // base.
-func TestSpread(t *testing.T) {
+func TestJitter(t *testing.T) {
 	seen := make(map[time.Duration]bool)
 	for range 100 {
 		d := Jitter(time.Second)
@@ -19,9 +19,9 @@
 	assert.Assert(t, len(seen) > 50)
 }
 
-// TestBetween checks that times are drawn from the interval, and that an empty interval yields its
+// TestRandomBetween checks that times are drawn from the interval, and that an empty interval yields its
 // start.
-func TestBetween(t *testing.T) {
+func TestRandomBetween(t *testing.T) {
 	seen := make(map[time.Duration]bool)
 	for range 100 {
 		d := RandomBetween(time.Second, 3*time.Second)
--- a/retry/window.go
+++ b/retry/window.go
@@ -61,7 +61,7 @@
 }
 
 // TakeRetry reports whether one more retry is within the budget, and if so counts it. routers
-// is the number of routers among which the Reserve is divided (Sharers).
+// is the number of routers among which the Reserve is divided (ReserveDivisor).
 func (w *Window) TakeRetry(now time.Time, routers int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
