--- a/gateway/replica/replica.go
+++ b/gateway/replica/replica.go
@@ -4,7 +4,7 @@
 // It owns the contents of the list for a range of the source's revisions. It relies on the source to
 // increase the revision with each change and each restore, and on its user to carry messages, which
 // may be lost, delayed or duplicated. It does no I/O. A router's view of the endpoints is in package
-// roster. The rule of which router reads is in turns.go.
+// roster. The rule of which router reads is in schedule.go.
 package replica
 
 import (
