--- a/agentfleet/agent/backend.go
+++ b/agentfleet/agent/backend.go
@@ -29,7 +29,7 @@
 	chats        *chatLRU
 	lastOrder    issuedOrder // used by applyPlan only
 	overflow     overflows
-	backOffUntil time.Time // requested by the engine or service
+	backoffUntil time.Time // requested by the engine or service
 }
 
 func newBackend(id ryeford.EngineID, limits admission.Limits, chats int) *backend {
@@ -75,7 +75,7 @@
 	if !b.serves(d) {
 		return admission.Decision{Reason: ryeford.ReasonNotServing, Load: float64(b.gate.Load())}, false
 	}
-	if remaining := b.backOffUntil.Sub(now); remaining > 0 {
+	if remaining := b.backoffUntil.Sub(now); remaining > 0 {
 		return admission.Decision{Reason: ryeford.ReasonResting, Load: float64(b.gate.Load()), RetryAfter: remaining}, false
 	}
 	decision = b.gate.Admit(now, &admission.Request{
@@ -133,7 +133,7 @@
 		ID:      b.id,
 		Service: b.serviceName,
 		Load:    float64(b.gate.Load()),
-		Resting: time.Now().Before(b.backOffUntil),
+		Resting: time.Now().Before(b.backoffUntil),
 	}
 	if b.alive {
 		s.Pools = b.pools
--- a/agentfleet/agent/backoff_test.go
+++ b/agentfleet/agent/backoff_test.go
@@ -18,9 +18,9 @@
 	"github.com/ryeford/ryeford/agentfleet/wire"
 )
 
-// A backOffTest is an agent with a backend whose server refuses all requests and asks for
+// A backoffTest is an agent with a backend whose server refuses all requests and asks for
 // a back-off of one minute.
-type backOffTest struct {
+type backoffTest struct {
 	t       *testing.T
 	agent   *Agent
 	backend *backend
@@ -28,8 +28,8 @@
 	calls   atomic.Int64   // received by the server
 }
 
-func newBackOffTest(t *testing.T) *backOffTest {
-	b := &backOffTest{t: t, backend: newBackend("endpoint-1.1", admission.Limits{Floor: 8, Capacity: 8, ShareFrom: 8}, 10)}
+func newBackoffTest(t *testing.T) *backoffTest {
+	b := &backoffTest{t: t, backend: newBackend("endpoint-1.1", admission.Limits{Floor: 8, Capacity: 8, ShareFrom: 8}, 10)}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		b.calls.Add(1)
 		w.Header().Set("Retry-After", "60")
@@ -44,7 +44,7 @@
 
 // dispatch dispatches an attempt of a completion or a call. If it is admitted, dispatch
 // waits until its answer has ended.
-func (b *backOffTest) dispatch(attempt string, completion *ryeford.Completion, call *ryeford.Call) (*run, *wire.Refused) {
+func (b *backoffTest) dispatch(attempt string, completion *ryeford.Completion, call *ryeford.Call) (*run, *wire.Refused) {
 	admitted, refused := b.agent.admit(&wire.Dispatch{
 		Attempt: ryeford.AttemptID(attempt), Account: "bank", Chat: "c1", Engine: b.backend.id, Incarnation: b.agent.incarnation, Share: 1,
 		Completion: completion, Call: call,
@@ -58,10 +58,10 @@
 	return admitted, refused
 }
 
-// TestEngineBackOff checks that an agent sends no request to an engine that is backing
+// TestEngineBackoff checks that an agent sends no request to an engine that is backing
 // off, and refuses dispatches with the remaining time.
-func TestEngineBackOff(t *testing.T) {
-	b := newBackOffTest(t)
+func TestEngineBackoff(t *testing.T) {
+	b := newBackoffTest(t)
 	pool := ryeford.Pool{Model: "lira"}
 	b.backend.engine = engine.New(b.address)
 	b.backend.setServing(true, []ryeford.Pool{pool})
@@ -77,10 +77,10 @@
 	assert.Equal(t, b.calls.Load(), int64(1))
 }
 
-// TestServiceBackOff checks the same for a plain service, whose refusal is returned to the
+// TestServiceBackoff checks the same for a plain service, whose refusal is returned to the
 // caller.
-func TestServiceBackOff(t *testing.T) {
-	b := newBackOffTest(t)
+func TestServiceBackoff(t *testing.T) {
+	b := newBackoffTest(t)
 	b.backend.service = engine.NewService(b.address)
 	call := &ryeford.Call{Attempt: "a0", Method: http.MethodGet, Path: "/"}
 	first, refused := b.dispatch("a0", nil, call)
--- a/agentfleet/agent/execute.go
+++ b/agentfleet/agent/execute.go
@@ -34,7 +34,7 @@
 		return
 	}
 	if duration := engine.RetryAfter(failure.err); duration > 0 {
-		a.backOff(r.backend, duration)
+		a.startBackoff(r.backend, duration)
 	}
 	a.fail(r, asm.Next(), failure)
 }
@@ -112,7 +112,7 @@
 	}
 	defer func() { _ = reader.Close() }() // the answer is complete or has failed already
 	if duration := engine.ResponseRetryAfter(reader); duration > 0 {
-		a.backOff(r.backend, duration)
+		a.startBackoff(r.backend, duration)
 	}
 	for !asm.Finished() {
 		chunk, err := reader.Next()
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -186,8 +186,8 @@
 	// The body is drained so that the connection can be reused. If that fails, the connection
 	// is closed.
 	_, _ = response.ReadAll(maxBufferedBody)
-	backOff := response.Meta.Report.Rest > 0
-	rateAttempt(attemptEnd{end: retry.EndRefused, status: response.Status, full: x.isFull(to, response), backOff: backOff}).report(x.forwarder.detector, to.ID)
+	backoff := response.Meta.Report.Rest > 0
+	rateAttempt(attemptEnd{end: retry.EndRefused, status: response.Status, full: x.isFull(to, response), backoff: backoff}).report(x.forwarder.detector, to.ID)
 	err := giveup.NotRun(ryeford.ReasonOverload)
 	x.recordFailed(to, retry.EndRefused, err)
 	return retry.EndRefused, err
--- a/gateway/backoffsend_test.go
+++ b/gateway/backoffsend_test.go
@@ -47,10 +47,10 @@
 func TestAllBackingOff(t *testing.T) {
 	e := newExchangeTest(t)
 	var addresses []string
-	for i, backOff := range []string{"2", "30"} {
+	for i, backoff := range []string{"2", "30"} {
 		server := &appserver.Server{ID: "e" + strconv.Itoa(i+1)}
 		server.SetFault(appserver.FaultShed, -1)
-		server.SetRest(backOff)
+		server.SetRest(backoff)
 		addresses = append(addresses, startEndpoint(t, server, func() {}))
 	}
 	e.setEndpoints(addresses...)
--- a/gateway/fleetbackoff_test.go
+++ b/gateway/fleetbackoff_test.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	simulatedBackOff  = time.Second             // Retry-After of each refusal
+	simulatedBackoff  = time.Second             // Retry-After of each refusal
 	simulatedShedTime = 1500 * time.Millisecond // how long engines refuse all requests, from the onset
 	simulatedSlice    = 100 * time.Millisecond
 )
@@ -22,22 +22,22 @@
 // Retry-After, and the requests that they receive.
 type shedding struct {
 	began, ended time.Time
-	backOff      time.Duration
+	backoff      time.Duration
 	ids          map[ryeford.EndpointID]bool
-	// backOffEnds are the ends of each engine's back-off at each router.
-	backOffEnds   map[*simulatedRouter]map[ryeford.EndpointID]time.Time
-	duringBackOff int // requests during a back-off, later than half of simulatedResponseDelay after its start
+	// backoffEnds are the ends of each engine's back-off at each router.
+	backoffEnds   map[*simulatedRouter]map[ryeford.EndpointID]time.Time
+	duringBackoff int // requests during a back-off, later than half of simulatedResponseDelay after its start
 	refused       int
 	arrivals      map[ryeford.EndpointID]map[time.Duration]int // requests in each slice after the shedding ended
 	recovered     map[ryeford.EndpointID]time.Time             // when an engine first had its share of the load again
 }
 
 // shed makes a third of the engines refuse all requests from the onset.
-func (f *simulatedFleet) shed(length, backOff time.Duration) *shedding {
+func (f *simulatedFleet) shed(length, backoff time.Duration) *shedding {
 	s := &shedding{
-		began: f.began.Add(simulatedWarmUp), ended: f.began.Add(simulatedWarmUp + length), backOff: backOff,
+		began: f.began.Add(simulatedWarmUp), ended: f.began.Add(simulatedWarmUp + length), backoff: backoff,
 		ids:         make(map[ryeford.EndpointID]bool),
-		backOffEnds: make(map[*simulatedRouter]map[ryeford.EndpointID]time.Time),
+		backoffEnds: make(map[*simulatedRouter]map[ryeford.EndpointID]time.Time),
 		arrivals:    make(map[ryeford.EndpointID]map[time.Duration]int),
 		recovered:   make(map[ryeford.EndpointID]time.Time),
 	}
@@ -47,7 +47,7 @@
 		}
 	}
 	for _, r := range f.routers {
-		s.backOffEnds[r] = make(map[ryeford.EndpointID]time.Time)
+		s.backoffEnds[r] = make(map[ryeford.EndpointID]time.Time)
 	}
 	f.shedding = s
 	return s
@@ -58,13 +58,13 @@
 	if s == nil || !s.ids[id] || now.Before(s.began) {
 		return false
 	}
-	if end := s.backOffEnds[r][id]; now.Before(end) && now.After(end.Add(simulatedResponseDelay/2-s.backOff)) {
-		s.duringBackOff++
+	if end := s.backoffEnds[r][id]; now.Before(end) && now.After(end.Add(simulatedResponseDelay/2-s.backoff)) {
+		s.duringBackoff++
 	}
 	if now.Before(s.ended) {
 		s.refused++
-		s.backOffEnds[r][id] = now.Add(s.backOff)
-		f.schedule(now.Add(simulatedDelay), func(now time.Time) { r.backoffs.Start(now, id, s.backOff) })
+		s.backoffEnds[r][id] = now.Add(s.backoff)
+		f.schedule(now.Add(simulatedDelay), func(now time.Time) { r.backoffs.Start(now, id, s.backoff) })
 		return true
 	}
 	s.arrivals[id][now.Sub(s.ended)/simulatedSlice]++
@@ -112,18 +112,18 @@
 // fraction of its slots that the load bound allows at the mean load.
 const maxBurst = simulatedSlots / 4
 
-// TestFleetBackOff guards against requests to engines that are backing off, and against a burst of requests
+// TestFleetBackoff guards against requests to engines that are backing off, and against a burst of requests
 // when the back-off ends, for fleets of several sizes.
-func TestFleetBackOff(t *testing.T) {
+func TestFleetBackoff(t *testing.T) {
 	t.Parallel()
 	for _, routers := range fleetSizes() {
 		f := newSimulatedFleet(routers, 0, 1)
-		s := f.shed(simulatedShedTime, simulatedBackOff)
+		s := f.shed(simulatedShedTime, simulatedBackoff)
 		f.run(simulatedWarmUp + simulatedShedTime + 2500*time.Millisecond)
 		share := simulatedRate / simulatedEngines * simulatedSlice.Seconds()
 		t.Logf("%3d routers: %d of %d requests refused, %d during a back-off, at most %d in 100 ms at an engine (its share is %.1f), half have their share again after %s",
-			routers, s.refused, f.sent, s.duringBackOff, s.maxArrivals(), share, s.recoveryTime())
-		assert.Check(t, s.duringBackOff == 0)
+			routers, s.refused, f.sent, s.duringBackoff, s.maxArrivals(), share, s.recoveryTime())
+		assert.Check(t, s.duringBackoff == 0)
 		assert.Check(t, s.maxArrivals() <= maxBurst)
 	}
 }
--- a/gateway/rating.go
+++ b/gateway/rating.go
@@ -26,8 +26,8 @@
 	status int // of the response, or zero without one
 	// full says that the endpoint has at least one request for each of its slots.
 	full bool
-	// backOff says that the endpoint refused the request with a Retry-After.
-	backOff bool
+	// backoff says that the endpoint refused the request with a Retry-After.
+	backoff bool
 	// blocked says that the gateway did not send the request, because the endpoint was excluded
 	// or the request must not be sent any more.
 	blocked bool
@@ -45,7 +45,7 @@
 		return ratingGood
 	case e.end == retry.EndRefused && e.status == http.StatusMisdirectedRequest:
 		return ratingMisdirected
-	case e.end == retry.EndRefused && (e.full || e.backOff):
+	case e.end == retry.EndRefused && (e.full || e.backoff):
 		return ratingNone
 	case e.end == retry.EndRefused:
 		return ratingFailure
--- a/gateway/rating_test.go
+++ b/gateway/rating_test.go
@@ -28,7 +28,7 @@
 		{"the key was revoked before the request was sent", attemptEnd{end: retry.EndForbidden, blocked: true}, ratingNone},
 		{"it sheds load", attemptEnd{end: retry.EndRefused, status: 503}, ratingFailure},
 		{"it is full, and sheds load", attemptEnd{end: retry.EndRefused, status: 503, full: true}, ratingNone},
-		{"it sheds load with a Retry-After", attemptEnd{end: retry.EndRefused, status: 503, backOff: true}, ratingNone},
+		{"it sheds load with a Retry-After", attemptEnd{end: retry.EndRefused, status: 503, backoff: true}, ratingNone},
 		{"it is full, and another endpoint has its address", attemptEnd{end: retry.EndRefused, status: 421, full: true}, ratingMisdirected},
 		{"it sheds load, and the caller disconnected", attemptEnd{end: retry.EndRefused, status: 503, ctxDone: true}, ratingFailure},
 		{"another endpoint has its address", attemptEnd{end: retry.EndRefused, status: 421}, ratingMisdirected},
