--- a/gateway/admit/admit.go
+++ b/gateway/admit/admit.go
@@ -23,9 +23,9 @@
 
 // A State is what a router knows when it admits a request.
 type State struct {
-	// Configured and Listed report that a configuration and a list of endpoints have been read
+	// Configured and EndpointsLoaded report that a configuration and a list of endpoints have been read
 	// since the process started.
-	Configured, Listed bool
+	Configured, EndpointsLoaded bool
 	// Superseded reports that a newer configuration exists that should be in force here.
 	Superseded bool
 	// Reliable reports that the configuration lease is valid: the configuration was confirmed
@@ -48,7 +48,7 @@
 // *ryeford.InputError.
 func Check(s State) error {
 	switch {
-	case !s.Configured || !s.Listed:
+	case !s.Configured || !s.EndpointsLoaded:
 		return giveup.NotRun(ryeford.ReasonNotReady)
 	case s.Superseded, !s.RouteFound && !s.Reliable:
 		return giveup.NotRun(ryeford.ReasonStaleConfiguration)
--- a/gateway/admit/admit_test.go
+++ b/gateway/admit/admit_test.go
@@ -40,15 +40,15 @@
 
 // TestCheck checks which requests are refused, and with what error.
 func TestCheck(t *testing.T) {
-	ready := State{Configured: true, Listed: true, Reliable: true, ServesKeys: true, RouteFound: true, NeedsKey: true, KeyFound: true}
+	ready := State{Configured: true, EndpointsLoaded: true, Reliable: true, ServesKeys: true, RouteFound: true, NeedsKey: true, KeyFound: true}
 	for _, row := range []struct {
 		rule   string
 		change func(*State)
 		want   failure
 	}{
 		{"everything is known", func(*State) {}, failure{}},
-		{"no configuration yet", func(s *State) { *s = State{Listed: true} }, failure{503, "not_ready"}},
-		{"no list of endpoints yet", func(s *State) { s.Listed = false }, failure{503, "not_ready"}},
+		{"no configuration yet", func(s *State) { *s = State{EndpointsLoaded: true} }, failure{503, "not_ready"}},
+		{"no list of endpoints yet", func(s *State) { s.EndpointsLoaded = false }, failure{503, "not_ready"}},
 		{"unknown route", func(s *State) { s.RouteFound = false }, failure{404, ""}},
 		{"unknown route, but the configuration may be stale", func(s *State) { s.RouteFound, s.Reliable, s.ServesKeys = false, false, false }, failure{503, "stale_configuration"}},
 		{"known route, but the configuration is superseded", func(s *State) { s.Superseded, s.NeedsKey, s.KeyFound = true, false, false }, failure{503, "stale_configuration"}},
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -15,8 +15,8 @@
 	"github.com/ryeford/ryeford/retry"
 )
 
-// attempt sends the request to one endpoint and passes the response on. The error says why the
-// attempt did not answer the caller.
+// attempt sends the request to one endpoint and passes the response on. The error states why
+// the attempt did not answer the caller.
 func (x *exchange) attempt(ctx context.Context, to, source *roster.Entry) (retry.End, error) {
 	f := x.forwarder
 	x.tried[to.ID] = true
--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -36,7 +36,7 @@
 
 	slowStart *slowstart.Table
 	clock     *freshness.SourceClock // time base of the time slots
-	start     *startup
+	startup   *startup
 	// minRouters is the minimum number of routers among which the request rate of a cold endpoint
 	// is divided.
 	minRouters int
@@ -57,7 +57,7 @@
 
 		slowStart:  slowstart.New(),
 		clock:      &freshness.SourceClock{},
-		start:      newStartup(s),
+		startup:    newStartup(s),
 		minRouters: s.Routing.Routers,
 	}
 }
@@ -155,12 +155,12 @@
 		if !entry.Accepts() {
 			continue
 		}
-		left := of(entry.ID)
-		if left == 0 {
+		remaining := of(entry.ID)
+		if remaining == 0 {
 			return 0
 		}
-		if first || left < shortest {
-			shortest, first = left, false
+		if first || remaining < shortest {
+			shortest, first = remaining, false
 		}
 	}
 	return shortest
--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -9,8 +9,8 @@
 )
 
 // coldUntil returns until when an endpoint counts as cold: by its status report, and, since that may
-// arrive late, for the service's ColdTime after the endpoint's failure domain returned from an
-// evacuation and after the endpoint was last unreachable, since it may have restarted.
+// arrive late, for the service's ColdTime after the last evacuation of the endpoint's failure
+// domain ended and after the endpoint was last unreachable, since it may have restarted.
 func (b *balancer) coldUntil(entry *roster.Entry, service *ryeford.ServiceRule) time.Time {
 	until := entry.ColdUntil
 	for _, since := range []time.Time{entry.EvacuationEnded, b.detector.ReachableSince(entry.ID)} {
@@ -28,7 +28,7 @@
 // router doesn't know its rank among them.
 func (b *balancer) fleet(now time.Time) slowstart.Fleet {
 	clock, known := b.clock.UpperBound(now)
-	if !known || b.start.joining(now) {
+	if !known || b.startup.joining(now) {
 		return slowstart.Fleet{}
 	}
 	const order = 0 // constant, so that no time slot is assigned twice when the order changes
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -16,13 +16,14 @@
 // of the source's clock, and a service with a ColdTime of 3 s and a ColdRate of four requests a second.
 func newColdBalancer(now time.Time) (*balancer, *ryeford.ServiceRule) {
 	b := newTestBalancer(now)
-	b.slowStart, b.clock, b.start, b.minRouters = slowstart.New(), &freshness.SourceClock{}, &startup{}, 1
+	b.slowStart, b.clock, b.startup, b.minRouters = slowstart.New(), &freshness.SourceClock{}, &startup{}, 1
 	b.clock.Observe(now, time.Minute)
 	return b, &ryeford.ServiceRule{Name: "s", ColdTime: 3 * time.Second, ColdRate: 4}
 }
 
 // TestColdUntil checks until when an endpoint counts as cold: by its first status report, and for the
-// service's ColdTime after its failure domain returned or the endpoint was unreachable.
+// service's ColdTime after the evacuation of its failure domain ended or the endpoint was
+// unreachable.
 func TestColdUntil(t *testing.T) {
 	now := time.Unix(1000, 0)
 	reportCold := func(cold time.Duration) *ryeford.EndpointUpdate {
@@ -43,7 +44,7 @@
 			b.roster.Apply(now, reportCold(0), time.Time{})
 			b.roster.Apply(now.Add(time.Second), reportCold(2*time.Second), time.Time{})
 		}, now.Add(3 * time.Second)},
-		{"its failure domain returned", func(b *balancer) {
+		{"the evacuation of its failure domain ended", func(b *balancer) {
 			b.roster.SetEvacuated(now, ryeford.Evacuations{Revision: 1, Orders: []ryeford.Evacuation{{State: 1}}})
 			b.roster.SetEvacuated(now.Add(time.Second), ryeford.Evacuations{Revision: 2})
 		}, now.Add(4 * time.Second)},
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -50,8 +50,8 @@
 	// for unreachableAfter counts as unreachable.
 	changeTimeout, unreachableAfter time.Duration
 	// peers determines which router reads next.
-	peers *peers.Table
-	start *startup
+	peers   *peers.Table
+	startup *startup
 	// clock tracks the source's clock.
 	clock *freshness.SourceClock
 	// revision is the newest revision of the store, across all of its tables.
@@ -68,8 +68,8 @@
 	if options.clock == nil {
 		options.clock = &freshness.SourceClock{}
 	}
-	if options.start == nil {
-		options.start = &startup{}
+	if options.startup == nil {
+		options.startup = &startup{}
 	}
 	if options.evacuations == nil {
 		options.evacuations = newEvacuations(roster.New(), options.log, options.metrics)
@@ -97,8 +97,8 @@
 		return false
 	}
 	confirmed, _ := c.lease.Age(now)
-	answered, ever := c.revision.sinceContact(now)
-	return ever && freshness.Superseded(confirmed, answered, c.changeTimeout, c.unreachableAfter)
+	sinceContact, ever := c.revision.sinceContact(now)
+	return ever && freshness.Superseded(confirmed, sinceContact, c.changeTimeout, c.unreachableAfter)
 }
 
 // reliable reports whether the lease of the configuration in force is valid.
@@ -146,11 +146,11 @@
 func (c *configuration) untilNextRead(now time.Time) time.Duration {
 	age, known := c.lease.Age(now)
 	if !known || c.current() == nil {
-		return c.start.untilStoreRead(now)
+		return c.startup.untilStoreRead(now)
 	}
 	confirmed, _ := c.lease.Confirmed()
 	rank, alive := c.peers.Rank(now, freshness.TimeSlot(confirmed))
-	if c.start.joining(now) {
+	if c.startup.joining(now) {
 		rank = max(rank, replica.FirstFallbackRank)
 	}
 	return freshness.ReadAge(c.refresh, rank, alive) - age
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -27,8 +27,8 @@
 	failedProbes   atomic.Int32              // since the shutdown signal
 	lastConnection atomic.Pointer[time.Time] // when a caller last connected, or nil
 
-	// aborting is done shortly before connections are closed. Requests that are still unanswered then
-	// are aborted with a response to their callers.
+	// aborting is done shortly before connections are closed. Requests that are still unanswered
+	// then are aborted with a response to their callers.
 	aborting context.Context
 	abort    context.CancelFunc
 }
--- a/gateway/endpoint/disconnect_test.go
+++ b/gateway/endpoint/disconnect_test.go
@@ -14,7 +14,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestRefusesConnections checks that a port counts as refused only while nothing listens there.
+// TestRefusesConnections checks that a port counts as refused only while nothing listens
+// there.
 func TestRefusesConnections(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -24,7 +25,8 @@
 	assert.Assert(t, RefusesConnections(t.Context(), address))
 }
 
-// TestConnectionBroken checks which errors mean that the endpoint closed or reset the connection.
+// TestConnectionBroken checks which errors mean that the endpoint closed or reset the
+// connection.
 func TestConnectionBroken(t *testing.T) {
 	reset := &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 	for _, test := range []struct {
--- a/gateway/endpoint/pool.go
+++ b/gateway/endpoint/pool.go
@@ -56,8 +56,9 @@
 }
 
 // idleConnection takes the most recently used idle connection to an endpoint that has not expired and has no
-// pending input, or returns nil. It closes unusable connections that it finds. notRepeatable reports that the connection
-// is for a request that must not be sent again; it must then have been used within notRepeatableMaxIdle.
+// pending input, or returns nil. It closes unusable connections that it finds. notRepeatable reports that the
+// connection is for a request that must not be sent again; it must then have been used within
+// notRepeatableMaxIdle.
 func (p *Pool) idleConnection(id ryeford.EndpointID, notRepeatable bool) *connection {
 	now, resumed := clock.Now(), clock.Woke()
 	usedSince := time.Time{}
--- a/gateway/endpoint/send.go
+++ b/gateway/endpoint/send.go
@@ -86,8 +86,8 @@
 	return response, nil
 }
 
-// connection returns an idle connection to an endpoint, or a new one. notRepeatable reports that it is for a request that
-// must not be sent again. The error is an *UnsentError.
+// connection returns an idle connection to an endpoint, or a new one. notRepeatable reports that it is for a
+// request that must not be sent again. The error is an *UnsentError.
 func (p *Pool) connection(ctx context.Context, to *ryeford.Endpoint, notRepeatable bool) (*connection, error) {
 	if c := p.idleConnection(to.ID, notRepeatable); c != nil {
 		return c, nil
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -51,7 +51,7 @@
 	clock           *freshness.SourceClock
 	peers           *peers.Table
 	reader          *peerReader
-	start           *startup
+	startup         *startup
 
 	revision *storeRevision // the newest revision of the store, across all of its tables
 	roster   *roster.Roster
@@ -75,8 +75,8 @@
 	// lastFailedRead is when the last failed read of the source was sent.
 	lastFailedRead time.Time
 	malformed      map[ryeford.EndpointID]bool // names of malformed entries that have been logged
-	// fullReadAt is when this router last read the whole list. The revision of the newest change in
-	// such a copy is unknown: it may be any up to the copy's own. It is zero once that revision is
+	// fullReadAt is when this router last read the full list. The revision of the newest change in
+	// such a copy is unknown: it may be any up to that of the copy. It is zero once that revision is
 	// known, or enough time has passed.
 	fullReadAt time.Time
 }
@@ -89,7 +89,7 @@
 		SettleDelay:   l.settle,
 		MinPause:      minRetryPause,
 		MaxPause:      func() time.Duration { return replica.MaxPause(maxRetryPause, l.peers.Alive(clock.Now())) },
-		OnSend:        func(whole bool) { l.metrics.Count("ryeford_store_calls_total", causeOf(whole)) },
+		OnSend:        func(full bool) { l.metrics.Count("ryeford_store_calls_total", causeOf(full)) },
 		OnFailure:     l.recordSourceFailure,
 	}, l.applySource, l.outage)
 	return nil
@@ -99,12 +99,12 @@
 const (
 	causeConfiguration = "configuration"
 	causeEndpoints     = "endpoints"       // changes to the list of endpoints
-	causeAllEndpoints  = "endpoints_whole" // the whole list of endpoints
+	causeAllEndpoints  = "endpoints_whole" // the full list of endpoints
 	causeRouters       = "routers"         // the list of routers, and this router's entry in it
 )
 
-func causeOf(whole bool) string {
-	if whole {
+func causeOf(full bool) string {
+	if full {
 		return causeAllEndpoints
 	}
 	return causeEndpoints
@@ -116,13 +116,13 @@
 	age, known := l.lease.Age(now)
 	switch {
 	case !known:
-		return l.start.untilStoreRead(now), 0
+		return l.startup.untilStoreRead(now), 0
 	case !l.copy.Range().IsSet():
 		return maxRetryPause - age, 0 // the source has never been written to
 	}
 	confirmed, _ := l.lease.Confirmed()
 	rank, alive := l.peers.Rank(now, freshness.TimeSlot(confirmed))
-	if l.start.joining(now) {
+	if l.startup.joining(now) {
 		rank = max(rank, replica.FirstFallbackRank)
 	}
 	slot := l.limits.Schedule(rank, alive)
@@ -165,7 +165,7 @@
 
 // markOutageEnd sets suspectUntil at the end of an outage. It must be called before the lease is
 // renewed and before the changes, which are of the given era, are applied. After an outage the list
-// may lack endpoints that are alive. It counts as an outage only if this router's own read failed:
+// may lack endpoints that are alive. It counts as an outage only if a local read failed:
 // otherwise the source may have been answering other routers. A restore of the store counts as well.
 // l.mu is held.
 func (l *endpointList) markOutageEnd(now time.Time, era int64) {
--- a/gateway/endpointlist_test.go
+++ b/gateway/endpointlist_test.go
@@ -85,7 +85,7 @@
 		clock:           clock,
 		peers:           peers.New(netip.AddrPort{}, peers.DefaultLimits()),
 		reader:          newPeerReader(),
-		start:           &startup{},
+		startup:         &startup{},
 		newerCopy:       make(chan peerCopy, 1),
 		metrics:         telemetry.NewSet(),
 		revision:        &storeRevision{},
@@ -290,7 +290,7 @@
 }
 
 // TestSourceFailureMarksSuspect checks that endpoints that are missing after a gap become suspect only
-// if this router's own read failed in between.
+// if a local read failed in between.
 func TestSourceFailureMarksSuspect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := settings.DefaultGateway()
@@ -308,7 +308,7 @@
 		time.Sleep(2 * time.Second)
 		now = time.Now()
 		l.applySource(&ryeford.EndpointUpdate{Revision: 12, Removed: []ryeford.EndpointID{"a"}, Clock: 4 * time.Second, Begun: now}, 9, now)
-		assert.Assert(t, l.roster.Entry("a").Accepts(), "the router's own read failed: the entry may have expired")
+		assert.Assert(t, l.roster.Entry("a").Accepts(), "a local read failed: the entry may have expired")
 	})
 }
 
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -46,5 +46,5 @@
 	_ = e.log.Log("decision", "evacuation", "from", from, "revision", read.Revision, "began", strings.Join(began, ","), "ended", strings.Join(ended, ","))
 }
 
-// known returns the newest evacuations that were read.
-func (e *evacuations) known() ryeford.Evacuations { return e.table.LastRead() }
+// lastRead returns the newest evacuations that were read.
+func (e *evacuations) lastRead() ryeford.Evacuations { return e.table.LastRead() }
--- a/gateway/exchange_test.go
+++ b/gateway/exchange_test.go
@@ -83,7 +83,7 @@
 	}
 	balancer := newTestBalancer(time.Now())
 	balancer.roster.Apply(time.Now(), &ryeford.EndpointUpdate{Snapshot: true, Revision: 1}, time.Time{})
-	balancer.clock, balancer.start = &freshness.SourceClock{}, &startup{}
+	balancer.clock, balancer.startup = &freshness.SourceClock{}, &startup{}
 	logger, metrics := log.NewLogfmtLogger(&e.log), telemetry.NewSet()
 	e.forwarder = &forwarder{
 		protocol:         platform.Protocol{},
@@ -187,14 +187,14 @@
 }
 
 // TestUnservable checks that a request that can't be served any more is answered at once, is not
-// sent, and gets a response that says that it has not run.
+// sent, and gets a response that states that it has not run.
 func TestUnservable(t *testing.T) {
 	for _, row := range []struct {
-		name   string
-		change func(*exchangeTest)
-		status int
-		reason string
-		again  bool // the caller may retry
+		name     string
+		change   func(*exchangeTest)
+		status   int
+		reason   string
+		mayRetry bool // the caller may retry
 	}{
 		{"the deadline has passed", func(e *exchangeTest) { e.request.deadline = time.Now().Add(-time.Millisecond) }, 503, "deadline", true},
 		{"its caller's deadline has passed too", func(e *exchangeTest) {
@@ -226,7 +226,7 @@
 			row.change(e)
 			w := e.serve()
 			assert.Equal(t, w.Code, row.status)
-			assert.Equal(t, w.Header().Get("Retry-After") != "", row.again)
+			assert.Equal(t, w.Header().Get("Retry-After") != "", row.mayRetry)
 			assert.Equal(t, e.sends(), 0)
 			assert.Assert(t, strings.Contains(e.log.String(), "reason="+row.reason+" "), e.log.String())
 		})
--- a/gateway/fastest.go
+++ b/gateway/fastest.go
@@ -6,9 +6,9 @@
 // endpoint that was slow only for a time, such as a cold one, is soon tried again.
 const minResponseTimesWindow = 5 * time.Second
 
-// newMinResponseTimes returns the minimum response time of each service: the time from the sending of a
-// request to the first event of a stream or the complete response, at any endpoint. It is zero
-// if there was none. A request with less time left can't be answered.
+// newMinResponseTimes returns the minimum response time of each service: the time from the
+// sending of a request to the first event of a stream or the complete response, at any
+// endpoint. It is zero if there was none. A request with less time left can't be answered.
 func newMinResponseTimes() *slidingWindow[time.Duration] {
 	return newSlidingWindow(minResponseTimesWindow, minNonZero)
 }
--- a/gateway/fleetleaving_test.go
+++ b/gateway/fleetleaving_test.go
@@ -9,8 +9,8 @@
 	"github.com/ryeford/ryeford"
 )
 
-// leavingEngines are a third of the engines of a simulated fleet, which report in their responses that they
-// are leaving while the list has them as ready.
+// leavingEngines are a third of the engines of a simulated fleet, which report in their responses
+// that they are leaving while the list has them as ready.
 type leavingEngines struct {
 	began time.Time
 	ids   map[ryeford.EndpointID]bool
--- a/gateway/fleetlist_test.go
+++ b/gateway/fleetlist_test.go
@@ -24,7 +24,7 @@
 	simulateListChange(t, &ryeford.EndpointUpdate{Present: []ryeford.Endpoint{{ID: "new"}}, Revision: 9, Changed: 9})
 }
 
-// TestFleetRestored is TestFleetList for the whole list of a restored store, which has a lower number
+// TestFleetRestored is TestFleetList for the full list of a restored store, which has a lower number
 // in a later era.
 func TestFleetRestored(t *testing.T) {
 	revision, err := ryeford.NewRevision(1, 2)
--- a/gateway/fleetload_test.go
+++ b/gateway/fleetload_test.go
@@ -160,13 +160,13 @@
 // sendGossip sends a router's messages and schedules the next ones.
 func (f *simulatedFleet) sendGossip(now time.Time, r *simulatedRouter, sequence uint64) {
 	alive := r.peers.Alive(now)
-	whole, brief := r.schedule.Next(now, alive)
-	targets := r.peers.Targets(now, whole+brief)
-	if whole = min(whole, len(targets)); whole > 0 {
-		f.sendTo(now, r, r.gossip.message(now, sequence, r.schedule.Complete(alive)), targets[:whole])
+	full, brief := r.schedule.Next(now, alive)
+	targets := r.peers.Targets(now, full+brief)
+	if full = min(full, len(targets)); full > 0 {
+		f.sendTo(now, r, r.gossip.message(now, sequence, r.schedule.Complete(alive)), targets[:full])
 	}
-	if len(targets) > whole {
-		f.sendTo(now, r, r.gossip.briefMessage(now, sequence), targets[whole:])
+	if len(targets) > full {
+		f.sendTo(now, r, r.gossip.briefMessage(now, sequence), targets[full:])
 	}
 	f.schedule(now.Add(peers.Interval), func(now time.Time) { f.sendGossip(now, r, sequence+1) })
 }
--- a/gateway/freshness/confirm.go
+++ b/gateway/freshness/confirm.go
@@ -63,6 +63,6 @@
 	return PeerIgnored
 }
 
-// PeerReportExpired reports whether a version reported by peers is dropped when the source contradicts
-// it. age is the time since the last report.
+// PeerReportExpired reports whether a version reported by peers is dropped when the source
+// contradicts it. age is the time since the last report.
 func PeerReportExpired(age time.Duration) bool { return age >= peerReportTTL }
--- a/gateway/freshness/refresh.go
+++ b/gateway/freshness/refresh.go
@@ -33,8 +33,8 @@
 	slowReadPause = 400 * time.Millisecond
 )
 
-// TimeSlot returns the number of the time slot of a confirmation, given the reading of the source's
-// clock at that confirmation.
+// TimeSlot returns the number of the time slot of a confirmation, given the reading of the
+// source's clock at that confirmation.
 func TimeSlot(confirmed time.Duration) uint64 { return uint64(confirmed / timeSlotDuration) }
 
 // ReadAge returns the age of a confirmation at which a router reads the configuration again.
--- a/gateway/freshness/sourceclock.go
+++ b/gateway/freshness/sourceclock.go
@@ -47,8 +47,8 @@
 	c.reading, c.at, c.known = reading, sent, true
 }
 
-// UpperBound returns the upper bound on the clock's reading at now, and false if nothing has been
-// observed.
+// UpperBound returns the upper bound on the clock's reading at now, and false if nothing has
+// been observed.
 func (c *SourceClock) UpperBound(now time.Time) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/freshness/superseded.go
+++ b/gateway/freshness/superseded.go
@@ -14,9 +14,9 @@
 // routers are affected too, and serving by the last known configuration is better than refusing.
 
 // Superseded reports whether a configuration that is known to be superseded must no longer be
-// used. confirmed is the time since it was last confirmed, and answered the time since the source
-// last responded. bound is the time within which a change must take effect, and silence the time
-// without a response after which the source counts as unreachable.
-func Superseded(confirmed, answered, bound, silence time.Duration) bool {
-	return confirmed >= bound && answered < silence
+// used. confirmed is the time since it was last confirmed, and sinceContact the time since the
+// last contact with the source. changeTimeout is the time within which a change must take effect,
+// and unreachableAfter the time without contact after which the source counts as unreachable.
+func Superseded(confirmed, sinceContact, changeTimeout, unreachableAfter time.Duration) bool {
+	return confirmed >= changeTimeout && sinceContact < unreachableAfter
 }
--- a/gateway/freshness/transfer.go
+++ b/gateway/freshness/transfer.go
@@ -16,7 +16,7 @@
 // minComparedSize is the minimum size in bytes of a configuration that is compared.
 const minComparedSize = 64 << 10
 
-// fullReadAfter is the number of consecutive failures after which one read transfers the whole
+// fullReadAfter is the number of consecutive failures after which one read transfers the full
 // configuration. If that read fails too, the count starts over. A single failure may be a lost
 // response.
 const fullReadAfter = 2
--- a/gateway/freshness/transfer_test.go
+++ b/gateway/freshness/transfer_test.go
@@ -6,7 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestUseComparison checks which reads compare the configuration instead of transferring it.
+// TestUseComparison checks which reads compare the configuration instead of transferring
+// it.
 func TestUseComparison(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -112,7 +112,7 @@
 		unreachableAfter:  g.settings.StoreSilence(),
 		peers:             g.peers,
 		clock:             g.clock,
-		start:             g.start,
+		startup:           g.startup,
 		revision:          g.revision,
 		evacuations:       newEvacuations(g.roster, g.log, g.metrics),
 		onUpdate:          g.checkSynced,
@@ -132,7 +132,7 @@
 		clock:           g.clock,
 		peers:           g.peers,
 		reader:          newPeerReader(),
-		start:           g.start,
+		startup:         g.startup,
 		revision:        g.revision,
 		roster:          g.roster,
 		backoffs:        g.backoffs,
@@ -232,7 +232,7 @@
 	g.metrics.Gauge("ryeford_in_flight", func() float64 { return float64(g.drain.inFlight.Load()) })
 	g.metrics.Gauge("ryeford_endpoints", func() float64 { return float64(g.roster.Len()) })
 	g.metrics.Gauge("ryeford_resting_endpoints", func() float64 { return float64(g.backoffs.Len()) })
-	g.metrics.Gauge("ryeford_evacuated_domains", func() float64 { return float64(len(g.configuration.evacuations.known().Orders)) })
+	g.metrics.Gauge("ryeford_evacuated_domains", func() float64 { return float64(len(g.configuration.evacuations.lastRead().Orders)) })
 	g.metrics.Gauge("ryeford_quarantined_requests", func() float64 { return float64(len(g.quarantine.table.Held())) })
 	g.metrics.Gauge("ryeford_peers", func() float64 { return float64(g.peers.Alive(clock.Now())) })
 	g.metrics.Gauge("ryeford_lease_seconds", func() float64 { return g.configuration.lease.Remaining(clock.Now()).Seconds() })
--- a/gateway/giveup/retryafter_test.go
+++ b/gateway/giveup/retryafter_test.go
@@ -12,8 +12,8 @@
 // allPriorities holds all priorities, the highest first.
 var allPriorities = []ryeford.Priority{9, 8, 7, 6, 5, 4, 3, 2, 1, 0}
 
-// TestRetryInterval guards against retry intervals that overlap between priorities, that begin after the
-// time in which callers honor them, and against any interval for a caller without time left.
+// TestRetryInterval guards against retry intervals that overlap between priorities, that begin after
+// the time in which callers honor them, and against any interval for a caller without time left.
 func TestRetryInterval(t *testing.T) {
 	for _, recent := range []RecentCounts{{}, {Refused: 1}, {Answered: 1000}, {Refused: 1000}} {
 		for _, earliest := range []time.Duration{0, 100 * time.Millisecond, time.Second, time.Hour} {
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestOverloadInterval guards against callers that retry sooner than after the time for which an overload
-// has lasted, or later than they honor.
+// TestOverloadInterval guards against callers that retry sooner than after the time for which an
+// overload has lasted, or later than they honor.
 func TestOverloadInterval(t *testing.T) {
 	caller := Caller{Left: 10 * time.Second}
 	last := time.Duration(retryShare * float64(caller.Left))
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -178,13 +178,13 @@
 			_ = g.log.Log("decision", "peers", "alive", alive, "before", previous)
 			previous = alive
 		}
-		whole, brief := schedule.Next(now, alive)
-		targets := g.table.Targets(now, whole+brief)
-		if whole = min(whole, len(targets)); whole > 0 {
-			g.sendTo(conn, targets[:whole], g.message(now, sequence, schedule.Complete(alive)), schedule)
+		full, brief := schedule.Next(now, alive)
+		targets := g.table.Targets(now, full+brief)
+		if full = min(full, len(targets)); full > 0 {
+			g.sendTo(conn, targets[:full], g.message(now, sequence, schedule.Complete(alive)), schedule)
 		}
-		if len(targets) > whole {
-			g.sendTo(conn, targets[whole:], g.briefMessage(now, sequence), schedule)
+		if len(targets) > full {
+			g.sendTo(conn, targets[full:], g.briefMessage(now, sequence), schedule)
 		}
 		sequence = g.sendJoinReplies(ctx, conn, ticker.C, sequence, schedule)
 	}
@@ -235,7 +235,7 @@
 		ConfirmedAt:      confirmedAt,
 		Confirmed:        confirmed,
 		Version:          g.configuration.version(),
-		Evacuations:      peers.EncodeEvacuations(g.configuration.evacuations.known()),
+		Evacuations:      peers.EncodeEvacuations(g.configuration.evacuations.lastRead()),
 		Quarantined:      g.quarantine.outgoing(now),
 		HeldRequestsRead: g.quarantine.heldRequests.loaded.Load(),
 		Sender:           g.self,
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -138,11 +138,11 @@
 // sets the request's deadline if its route is known.
 func (h *handler) admissionState(q *request) admit.State {
 	state := admit.State{
-		Configured: q.catalog != nil,
-		Superseded: h.configuration.superseded(clock.Now()),
-		Listed:     h.roster.Loaded(),
-		Reliable:   h.configuration.reliable(clock.Now()),
-		ServesKeys: h.configuration.servesKeys(clock.Now()),
+		Configured:      q.catalog != nil,
+		Superseded:      h.configuration.superseded(clock.Now()),
+		EndpointsLoaded: h.roster.Loaded(),
+		Reliable:        h.configuration.reliable(clock.Now()),
+		ServesKeys:      h.configuration.servesKeys(clock.Now()),
 	}
 	if q.rule == nil {
 		return state
--- a/gateway/loads/loads_test.go
+++ b/gateway/loads/loads_test.go
@@ -167,8 +167,8 @@
 	assert.Equal(t, table.LocalPrompt(2), 0)
 }
 
-// TestLocalTotal guards against a wrong total of a service if an endpoint is removed while it has requests
-// in flight.
+// TestLocalTotal guards against a wrong total of a service if an endpoint is removed while it has
+// requests in flight.
 func TestLocalTotal(t *testing.T) {
 	table := New()
 	for range 3 {
--- a/gateway/outlier/outlier.go
+++ b/gateway/outlier/outlier.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// RecordSuccess records a response that is not a failure. The next ejection lasts baseEjection again if
-// the last one ended more than maxEjection ago.
+// RecordSuccess records a response that is not a failure. The next ejection lasts baseEjection again
+// if the last one ended more than maxEjection ago.
 func (d *Detector) RecordSuccess(now time.Time, id ryeford.EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -80,8 +80,8 @@
 	}
 }
 
-// RecordFailure records a failure, and ejects the endpoint if its record exceeds the limits (limits.go).
-// Failures of an ejected endpoint do not extend its ejection.
+// RecordFailure records a failure, and ejects the endpoint if its record exceeds the limits
+// (limits.go). Failures of an ejected endpoint do not extend its ejection.
 func (d *Detector) RecordFailure(now time.Time, id ryeford.EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/gateway/peerconfiguration.go
+++ b/gateway/peerconfiguration.go
@@ -63,5 +63,5 @@
 	if !known || !bounded || current == nil || !c.reliable(now) {
 		return nil
 	}
-	return &configurationResponse{Configuration: current.Configuration(), ConfirmedAt: confirmed, Latest: upperBound, Evacuations: c.evacuations.known()}
+	return &configurationResponse{Configuration: current.Configuration(), ConfirmedAt: confirmed, Latest: upperBound, Evacuations: c.evacuations.lastRead()}
 }
--- a/gateway/peerconfiguration_test.go
+++ b/gateway/peerconfiguration_test.go
@@ -73,8 +73,8 @@
 		"refuses": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 		"garbles": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) },
 		"closes the connection": func(w http.ResponseWriter, _ *http.Request) {
-			whole, _ := cbor.Marshal(&configurationResponse{Configuration: &ryeford.Configuration{Version: 3, Routes: make([]ryeford.RouteRule, 100)}})
-			_, _ = w.Write(whole[:len(whole)/2])
+			full, _ := cbor.Marshal(&configurationResponse{Configuration: &ryeford.Configuration{Version: 3, Routes: make([]ryeford.RouteRule, 100)}})
+			_, _ = w.Write(full[:len(full)/2])
 		},
 		"silent": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 	} {
--- a/gateway/peerlist.go
+++ b/gateway/peerlist.go
@@ -47,7 +47,7 @@
 	peerRange := replica.Range{From: from, To: to}
 	switch l.copy.MergeRange(peerRange) {
 	case replica.Newer:
-		// Within one era, a copy that was read whole may only appear to be newer.
+		// Within one era, a copy that was read in full may only appear to be newer.
 		localRange := l.copy.Range()
 		if !list.Full || !localRange.IsSet() || peerRange.To.Era() > localRange.To.Era() {
 			l.triggerPeerRead(peerCopy{peer: peer, contents: peerRange})
@@ -62,8 +62,8 @@
 
 // mergeWithheld merges the endpoints that a peer reports as leaving though the list has them as ready.
 func (l *endpointList) mergeWithheld(message *peers.Message) {
-	endpoints, left := message.WithheldEndpoints()
-	added := l.roster.Withhold(clock.Now(), endpoints, left)
+	endpoints, remaining := message.WithheldEndpoints()
+	added := l.roster.Withhold(clock.Now(), endpoints, remaining)
 	if len(added) == 0 {
 		return
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-// setFullReadAt sets when the copy was read whole; zero if the revision of its newest change is
+// setFullReadAt sets when the copy was read in full; zero if the revision of its newest change is
 // known.
 func (l *endpointList) setFullReadAt(at time.Time) {
 	l.mu.Lock()
--- a/gateway/peers/evacuations.go
+++ b/gateway/peers/evacuations.go
@@ -14,8 +14,8 @@
 	return result
 }
 
-// Decode returns the evacuations of a message. The result is empty, with revision zero, if e is nil
-// or holds an invalid revision.
+// Decode returns the evacuations of a message. The result is empty, with revision zero, if e is
+// nil or holds an invalid revision.
 func (e *Evacuations) Decode() ryeford.Evacuations {
 	if e == nil {
 		return ryeford.Evacuations{}
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -59,8 +59,8 @@
 	// Quarantined are records of poison requests: those that changed recently at the sender, and
 	// the others in rotation.
 	Quarantined []Quarantined `cbor:"21,keyasint,omitempty"`
-	// HeldRequestsRead reports whether the sender or one of its peers has read the held requests from the
-	// platform's store, so that gossip carries them.
+	// HeldRequestsRead reports whether the sender or one of its peers has read the held requests
+	// from the platform's store, so that gossip carries them.
 	HeldRequestsRead bool `cbor:"22,keyasint,omitempty"`
 	// Withheld are endpoints that receive no requests although they are listed as ready.
 	// WithheldFor is the remaining duration when the message was sent.
--- a/gateway/peers/quarantine.go
+++ b/gateway/peers/quarantine.go
@@ -17,10 +17,10 @@
 	Fingerprint quarantine.Fingerprint
 	Account     uint32
 	Crashes     []Crash
-	Answered    *Age
-	Held        *Age
+	LastSuccess *Age
+	HeldSince   *Age
 	Trials      int
-	Tried       *Age
+	LastTrial   *Age
 }
 
 // A Crash is the message form of a quarantine.Crash.
@@ -38,7 +38,7 @@
 		record := &records[i]
 		q := Quarantined{
 			Fingerprint: record.Fingerprint, Account: record.Account, Trials: record.Trials,
-			Answered: ageAt(now, record.LastSuccess), Held: ageAt(now, record.HeldSince), Tried: ageAt(now, record.LastTrial),
+			LastSuccess: ageAt(now, record.LastSuccess), HeldSince: ageAt(now, record.HeldSince), LastTrial: ageAt(now, record.LastTrial),
 		}
 		for _, crash := range record.Crashes {
 			q.Crashes = append(q.Crashes, Crash{Endpoint: crash.Endpoint, Began: AgeOf(now.Sub(crash.Began)), Ended: AgeOf(now.Sub(crash.Ended))})
@@ -48,15 +48,15 @@
 	return result
 }
 
-// DecodeRecords returns the records of a message received at now. Entries beyond the limits of a message
-// are dropped.
+// DecodeRecords returns the records of a message received at now. Entries beyond the limits of a
+// message are dropped.
 func DecodeRecords(now time.Time, received []Quarantined) []quarantine.Record {
 	var result []quarantine.Record
 	for i := range received[:min(len(received), MaxQuarantined)] {
 		q := &received[i]
 		record := quarantine.Record{
 			Fingerprint: q.Fingerprint, Account: q.Account, Trials: q.Trials,
-			LastSuccess: timeOf(now, q.Answered), HeldSince: timeOf(now, q.Held), LastTrial: timeOf(now, q.Tried),
+			LastSuccess: timeOf(now, q.LastSuccess), HeldSince: timeOf(now, q.HeldSince), LastTrial: timeOf(now, q.LastTrial),
 		}
 		for _, crash := range q.Crashes[:min(len(q.Crashes), quarantine.MaxCrashes)] {
 			record.Crashes = append(record.Crashes, quarantine.Crash{
--- a/gateway/peers/sums.go
+++ b/gateway/peers/sums.go
@@ -72,9 +72,9 @@
 	return min(1, float64(known)/float64(s.Alive))
 }
 
-// ExtrapolateDemand estimates the number of requests with a prompt that all peers have in flight, from the
-// number at the counted peers. If not all live peers are counted, one request is subtracted first,
-// because most prompts have few requests and a single one must not be extrapolated.
+// ExtrapolateDemand estimates the number of requests with a prompt that all peers have in flight,
+// from the number at the counted peers. If not all live peers are counted, one request is subtracted
+// first, because most prompts have few requests and a single one must not be extrapolated.
 func (s *Sample) ExtrapolateDemand(requests int) float64 {
 	if s.Counted < s.Alive {
 		requests = max(0, requests-1)
@@ -91,8 +91,8 @@
 	return float64(requests) * float64(s.Alive) / float64(s.Counted)
 }
 
-// MeanPerEndpoint estimates the mean number of requests of all peers at each of the service's endpoints. It
-// returns zero if no peer's loads count.
+// MeanPerEndpoint estimates the mean number of requests of all peers at each of the service's
+// endpoints. It returns zero if no peer's loads count.
 func (s *Sample) MeanPerEndpoint(endpoints int) float64 {
 	if endpoints == 0 {
 		return 0
--- a/gateway/poisonrequest_test.go
+++ b/gateway/poisonrequest_test.go
@@ -66,8 +66,8 @@
 	assert.Equal(t, f.do(f.request("POST", "/stream/a", "key-3", crashBody)).status, 200)
 }
 
-// TestQuarantineOff checks that a router with the quarantine disabled holds no requests: neither its
-// own, nor those received from peers, nor those stored on the platform.
+// TestQuarantineOff checks that a router with the quarantine disabled holds no requests: neither
+// local ones, nor those received from peers, nor those stored on the platform.
 func TestQuarantineOff(t *testing.T) {
 	gateways := newPeers(t, 2, time.Hour, func(i int, s *settings.Gateway) { s.Routing.Quarantine = i == 0 })
 	on, off := gateways[0], gateways[1]
--- a/gateway/prefixcache/index.go
+++ b/gateway/prefixcache/index.go
@@ -78,9 +78,9 @@
 // holds reports whether the endpoint is still assumed to hold the part.
 func (h holder) holds(now time.Time) bool { return now.Sub(h.sentAt) <= holderTTL }
 
-// LongestPrefix returns the endpoint that is likely to hold the longest prefix of a prompt, and the number of parts of
-// that prefix. Among several holders it returns the most recent one. It considers only endpoints for which
-// allowed returns true, and returns "" and 0 if there is none. allowed must not call the Index.
+// LongestPrefix returns the endpoint that is likely to hold the longest prefix of a prompt, and the number of
+// parts of that prefix. Among several holders it returns the most recent one. It considers only endpoints for
+// which allowed returns true, and returns "" and 0 if there is none. allowed must not call the Index.
 func (x *Index) LongestPrefix(now time.Time, parts []ryeford.PromptPart, allowed func(ryeford.EndpointID) bool) (ryeford.EndpointID, int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -94,22 +94,22 @@
 	return "", 0
 }
 
-// CachedTokens returns the endpoints that are likely to hold a prefix of a prompt, with the number of tokens of the
-// longest one.
+// CachedTokens returns the endpoints that are likely to hold a prefix of a prompt, with the number of tokens of
+// the longest one.
 func (x *Index) CachedTokens(now time.Time, parts []ryeford.PromptPart) map[ryeford.EndpointID]int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	held := make(map[ryeford.EndpointID]int)
+	cached := make(map[ryeford.EndpointID]int)
 	tokens := 0
 	for i := range parts {
 		tokens += parts[i].Tokens
 		for _, h := range x.parts[parts[i].ID] {
 			if h.holds(now) {
-				held[h.id] = tokens
+				cached[h.id] = tokens
 			}
 		}
 	}
-	return held
+	return cached
 }
 
 // Remove removes an endpoint that is gone.
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -33,7 +33,7 @@
 	}
 	now := clock.Now()
 	state := h.state(now)
-	h.logServesExpired(state.Keyed && state.ServesKeys && !h.configuration.reliable(now))
+	h.logServesExpired(state.RequiresKey && state.ServesKeys && !h.configuration.reliable(now))
 	reason := readiness.Check(state)
 	ready := reason == readiness.Ready
 	if h.wasReady.Swap(ready) != ready {
@@ -51,12 +51,12 @@
 func (h *probeHandler) state(now time.Time) readiness.State {
 	current := h.configuration.current()
 	return readiness.State{
-		Stopping:       h.drain.stopping.Load(),
-		Configured:     current != nil,
-		EndpointsKnown: h.roster.Loaded(),
-		Keyed:          current != nil && current.RequiresKey(),
-		ServesKeys:     h.configuration.servesKeys(now),
-		Superseded:     h.configuration.superseded(now),
+		Stopping:        h.drain.stopping.Load(),
+		Configured:      current != nil,
+		EndpointsLoaded: h.roster.Loaded(),
+		RequiresKey:     current != nil && current.RequiresKey(),
+		ServesKeys:      h.configuration.servesKeys(now),
+		Superseded:      h.configuration.superseded(now),
 	}
 }
 
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -15,7 +15,7 @@
 	"github.com/ryeford/ryeford/route"
 )
 
-// trialSlot is the length of the time slot in which one router may retry held requests.
+// trialSlot is the length of the time slot in which one router may try held requests.
 const trialSlot = 10 * time.Second
 
 // A quarantineState quarantines poison requests (package quarantine), based on the crashes that this
@@ -76,11 +76,11 @@
 	_ = h.log.Log("decision", "quarantine", "fingerprint", record.Fingerprint, "crashes", len(record.Crashes), "from", from)
 }
 
-// mayTry reports whether this router may retry held requests now. Routers take time slots of length
-// trialSlot by the store's clock.
+// mayTry reports whether this router may start a trial of a held request now. Routers take time
+// slots of length trialSlot by the store's clock.
 func (h *quarantineState) mayTry(now time.Time) bool {
 	storeTime, known := h.balancer.clock.UpperBound(now)
-	if !known || h.balancer.start.joining(now) {
+	if !known || h.balancer.startup.joining(now) {
 		return false
 	}
 	rank, _ := h.balancer.peers.Rank(now, uint64(storeTime/trialSlot))
@@ -160,8 +160,8 @@
 	}
 }
 
-// recordLostAttempt records, in the background, that the request's attempt was lost if err shows that the
-// endpoint has closed the connection.
+// recordLostAttempt records, in the background, that the request's attempt was lost if err shows
+// that the endpoint has closed the connection.
 func (x *exchange) recordLostAttempt(to *roster.Entry, err error) {
 	if !endpoint.ConnectionBroken(err) {
 		return
--- a/gateway/quarantine/record_test.go
+++ b/gateway/quarantine/record_test.go
@@ -59,7 +59,8 @@
 	assert.Assert(t, !record.HeldSince.IsZero())
 }
 
-// TestSuccess checks that a success removes earlier crashes and the hold, and that late reports of these are ignored.
+// TestSuccess checks that a success removes earlier crashes and the hold, and that late reports of these are
+// ignored.
 func TestSuccess(t *testing.T) {
 	record := crashed([2]float64{0, 1}, [2]float64{2, 3}, [2]float64{4, 5})
 	assert.Assert(t, record.recordSuccess(at(6)))
--- a/gateway/quarantine/table_test.go
+++ b/gateway/quarantine/table_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// TestCheck checks the verdicts on a request from its first crash to a successful trial.
+// TestCheck checks the decisions on a request from its first crash to a successful trial.
 func TestCheck(t *testing.T) {
 	table := New()
 	assert.Assert(t, !table.MayMatch(poison.Filter()))
--- a/gateway/rating.go
+++ b/gateway/rating.go
@@ -24,14 +24,14 @@
 type attemptEnd struct {
 	end    retry.End
 	status int // of the response, or zero without one
-	// full says that the endpoint has at least one request for each of its slots.
+	// full reports that the endpoint has at least one request for each of its slots.
 	full bool
-	// backoff says that the endpoint refused the request with a Retry-After.
+	// backoff reports that the endpoint refused the request with a Retry-After.
 	backoff bool
-	// blocked says that the gateway did not send the request, because the endpoint was excluded
-	// or the request must not be sent any more.
+	// blocked reports that the gateway did not send the request, because the endpoint was
+	// excluded or the request must not be sent any more.
 	blocked bool
-	// ctxDone says that the caller has disconnected or the request's deadline has passed.
+	// ctxDone reports that the caller has disconnected or the request's deadline has passed.
 	ctxDone bool
 }
 
--- a/gateway/readiness/readiness.go
+++ b/gateway/readiness/readiness.go
@@ -12,12 +12,12 @@
 
 // State is the current state of a router.
 type State struct {
-	Stopping       bool // shutdown was requested
-	Configured     bool // a configuration is in force
-	EndpointsKnown bool // the list of endpoints has been read
-	Keyed          bool // requests carry keys
-	ServesKeys     bool // requests that carry keys are served
-	Superseded     bool // a newer configuration should be in force here
+	Stopping        bool // shutdown was requested
+	Configured      bool // a configuration is in force
+	EndpointsLoaded bool // the list of endpoints has been read
+	RequiresKey     bool // requests need keys
+	ServesKeys      bool // requests that need a key are served
+	Superseded      bool // a newer configuration should be in force here
 }
 
 // A Reason tells in the logs why a router is not ready.
@@ -39,9 +39,9 @@
 		return Stopping
 	case !s.Configured:
 		return NoConfiguration
-	case !s.EndpointsKnown:
+	case !s.EndpointsLoaded:
 		return NoEndpoints
-	case s.Superseded, s.Keyed && !s.ServesKeys:
+	case s.Superseded, s.RequiresKey && !s.ServesKeys:
 		return StaleConfiguration
 	}
 	return Ready
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -27,7 +27,7 @@
 )
 
 // A relay passes endpoints' responses on to one caller. It forwards a stream event by event and
-// buffers any other response. A stream that breaks off may be continued by the response to a
+// buffers any other response. A stream that is interrupted may be continued by the response to a
 // later attempt.
 type relay struct {
 	writer   http.ResponseWriter
@@ -51,13 +51,13 @@
 	if isSuccess(response.Status) && isEventStream(response.Header) {
 		return r.forwardEvents(ctx, response)
 	}
-	return r.forwardWhole(response, withheld)
+	return r.forwardBuffered(response, withheld)
 }
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// forwardWhole reads the complete response and then passes it on.
-func (r *relay) forwardWhole(response *endpoint.Response, withheld bool) (retry.End, error) {
+// forwardBuffered reads the complete response and then passes it on.
+func (r *relay) forwardBuffered(response *endpoint.Response, withheld bool) (retry.End, error) {
 	body, err := response.ReadAll(maxBufferedBody)
 	if err != nil {
 		return retry.EndLost, &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: err}
--- a/gateway/replica/replica.go
+++ b/gateway/replica/replica.go
@@ -60,7 +60,7 @@
 // An ApplyResult is the result of applying Changes.
 type ApplyResult int
 
-// The verdicts.
+// The results.
 const (
 	// Applied means that the changes were applied.
 	Applied ApplyResult = iota
@@ -219,8 +219,8 @@
 	return Same
 }
 
-// MergeRange compares the range of a peer's copy with that of r. If both copies have the same contents, the
-// range of r is extended by the peer's.
+// MergeRange compares the range of a peer's copy with that of r. If both copies have the same
+// contents, the range of r is extended by the peer's.
 func (r *Replica) MergeRange(peer Range) Relation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gateway/replica/schedule.go
+++ b/gateway/replica/schedule.go
@@ -69,8 +69,8 @@
 // FirstFallbackRank is the lowest rank of the routers that read only if the first two have failed.
 const FirstFallbackRank = 2
 
-// Schedule returns the ReadSchedule of a router. rank is its rank in the time slot, from 0, and peers is the number
-// of other live routers.
+// Schedule returns the ReadSchedule of a router. rank is its rank in the time slot, from 0, and peers
+// is the number of other live routers.
 func (l *Limits) Schedule(rank, peers int) ReadSchedule {
 	switch {
 	case rank == 0:
--- a/gateway/restoredstore_test.go
+++ b/gateway/restoredstore_test.go
@@ -103,7 +103,7 @@
 	assert.Equal(t, len(seed.endpoints["p1"].Received()), before)
 }
 
-// TestRestoredListReads checks that only some routers of a fleet read the whole list from a restored
+// TestRestoredListReads checks that only some routers of a fleet read the full list from a restored
 // store: the others read it from a peer.
 func TestRestoredListReads(t *testing.T) {
 	gateways := newPeers(t, 8, time.Hour, func(_ int, s *settings.Gateway) {
@@ -228,7 +228,7 @@
 }
 
 // TestRestoredPeers checks that routers without access to the store read the list of a restored store
-// from a peer, though a copy that was read whole is not trusted to be newer within an era.
+// from a peer, though a copy that was read in full is not trusted to be newer within an era.
 func TestRestoredPeers(t *testing.T) {
 	gateways := newPeers(t, 3, time.Hour, nil)
 	reader := gateways[0]
--- a/gateway/retries_test.go
+++ b/gateway/retries_test.go
@@ -18,7 +18,7 @@
 
 // TestAtMostOnce checks, for each fault of an endpoint, that a request that isn't idempotent runs at
 // most once, and that its response neither is a success that the endpoint didn't send nor has a status
-// that says that it has not run.
+// that states that it has not run.
 func TestAtMostOnce(t *testing.T) {
 	for _, fault := range []appserver.Fault{
 		appserver.FaultErrors, appserver.FaultBusy, appserver.FaultReset, appserver.FaultCut,
--- a/gateway/roster/entry.go
+++ b/gateway/roster/entry.go
@@ -31,8 +31,8 @@
 	expires time.Time
 }
 
-// ExclusionReason returns the reason for which the endpoint accepts no new requests, or "" if it accepts them.
-// A nil entry stands for an unknown endpoint, which counts as leaving.
+// ExclusionReason returns the reason for which the endpoint accepts no new requests, or "" if it accepts
+// them. A nil entry stands for an unknown endpoint, which counts as leaving.
 func (e *Entry) ExclusionReason() ryeford.Reason {
 	switch {
 	case e == nil || !e.Serving():
--- a/gateway/roster/leaving.go
+++ b/gateway/roster/leaving.go
@@ -26,8 +26,8 @@
 	leavingGossipWindow = 3 * time.Second
 )
 
-// MarkLeaving records that an endpoint has reported, in a response to this router or to a peer, that it is
-// leaving. It reports whether that is new.
+// MarkLeaving records that an endpoint has reported, in a response to this router or to a peer, that it
+// is leaving. It reports whether that is new.
 func (r *Roster) MarkLeaving(now time.Time, id ryeford.EndpointID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gateway/roster/leaving_test.go
+++ b/gateway/roster/leaving_test.go
@@ -10,8 +10,9 @@
 	"github.com/ryeford/ryeford"
 )
 
-// TestMarkLeaving checks that an endpoint that has reported in a response that it is leaving gets no requests for the
-// rest of that incarnation, whatever the list or peers state later, and that its next incarnation gets them.
+// TestMarkLeaving checks that an endpoint that has reported in a response that it is leaving gets no requests
+// for the rest of that incarnation, whatever the list or peers state later, and that its next incarnation gets
+// them.
 func TestMarkLeaving(t *testing.T) {
 	first, second := string(ryeford.NewEndpointID("a", 1000)), string(ryeford.NewEndpointID("a", 2000))
 	for _, test := range []struct {
@@ -44,7 +45,7 @@
 		{"a peer withholds it for a limited time", func(r *Roster) {
 			r.Withhold(start, []ryeford.WithheldEndpoint{{ID: ryeford.EndpointID(first), Gone: true}}, time.Second)
 		}, 2 * withholdDuration, "b"},
-		{"its entry lapses in an outage and is written again", func(r *Roster) {
+		{"its entry expires in an outage and is written again", func(r *Roster) {
 			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 3), Removed: []ryeford.EndpointID{"a"}}, start.Add(time.Second))
 			r.Apply(start, &ryeford.EndpointUpdate{Revision: revisionOf(1, 4), Present: []ryeford.Endpoint{withSequence(ready(first), 12)}}, noSuspects)
 		}, 0, "b"},
@@ -73,7 +74,8 @@
 	}
 }
 
-// TestMarkLeavingUnlisted checks that the report of an endpoint that is not listed yet applies once it is listed.
+// TestMarkLeavingUnlisted checks that the report of an endpoint that is not listed yet applies once it is
+// listed.
 func TestMarkLeavingUnlisted(t *testing.T) {
 	r := New()
 	r.MarkLeaving(start, "a")
--- a/gateway/roster/status.go
+++ b/gateway/roster/status.go
@@ -8,13 +8,13 @@
 
 const (
 	// suspectDuration is how long after an outage of the source an endpoint may be suspect: endpoints
-	// whose entries lapsed write them again within this time.
+	// whose entries have expired write them again within this time.
 	suspectDuration = 2 * time.Second
 	// suspectMargin is the margin between the end of the suspect period and the time from which the
 	// router's freshness bounds apply again. It covers the request path to the endpoint.
 	suspectMargin = 100 * time.Millisecond
-	// minOutageForExpiry is the shortest observed outage in which entries may have lapsed. It is shorter
-	// than the lapse time, since the router may notice an outage late. It excludes single failed calls.
+	// minOutageForExpiry is the shortest observed outage in which entries may have expired. It is shorter
+	// than the TTL of an entry, since the router may notice an outage late. It excludes single failed calls.
 	minOutageForExpiry = 500 * time.Millisecond
 	// departedTTL is how long an endpoint that was removed from the list without draining may still
 	// serve cached prefixes to others: it shuts down no faster than one that announced draining, and
@@ -23,9 +23,9 @@
 )
 
 // SuspectUntil returns when endpoints that are missing from the list after a downtime of its source stop
-// being suspect. It returns the zero time if the downtime was too short for entries to lapse. contact is how
-// long after the last failed read the router's freshness bounds apply again (bounds.contact); no endpoint
-// is suspect from then on.
+// being suspect. It returns the zero time if the downtime was too short for entries to expire. contact is
+// how long after the last failed read the router's freshness bounds apply again (bounds.contact); no
+// endpoint is suspect from then on.
 //
 // The time is fixed once for each downtime. It applies to all endpoints that the list loses until then.
 func SuspectUntil(downtime *ryeford.Downtime, contact time.Duration) time.Time {
@@ -35,9 +35,9 @@
 	return SuspectUntilAfterRestore(downtime, contact)
 }
 
-// SuspectUntilAfterRestore is like SuspectUntil, for a source that was restored from a backup. It has no minimum
-// downtime: the backup lacks endpoints that registered after it was made, until they write their entries
-// again.
+// SuspectUntilAfterRestore is like SuspectUntil, for a source that was restored from a backup. It has no
+// minimum downtime: the backup lacks endpoints that registered after it was made, until they write their
+// entries again.
 func SuspectUntilAfterRestore(downtime *ryeford.Downtime, contact time.Duration) time.Time {
 	until := downtime.Ended.Add(suspectDuration)
 	if latest := downtime.LastFailed.Add(contact - suspectMargin); latest.Before(until) {
@@ -77,17 +77,17 @@
 	return StatusReady
 }
 
-// droppedStatus returns the status of an endpoint that is no longer listed. mayHaveLapsed reports that its
+// droppedStatus returns the status of an endpoint that is no longer listed. mayHaveExpired reports that its
 // entry may be missing because of an outage (SuspectUntil).
 //
 // An endpoint that announced draining is gone with its entry. A ready one becomes suspect shortly after an
 // outage, and departed at any other time. A suspect one is gone if it is removed again after the suspect
 // period.
-func droppedStatus(status Status, mayHaveLapsed bool) Status {
+func droppedStatus(status Status, mayHaveExpired bool) Status {
 	switch {
 	case status == StatusDraining || status == StatusDeparted:
 		return StatusGone
-	case mayHaveLapsed:
+	case mayHaveExpired:
 		return StatusSuspect
 	case status == StatusSuspect:
 		return StatusGone
--- a/gateway/roster/status_test.go
+++ b/gateway/roster/status_test.go
@@ -12,9 +12,9 @@
 // TestDroppedStatus checks the status of an endpoint that is no longer listed.
 func TestDroppedStatus(t *testing.T) {
 	for _, test := range []struct {
-		status        Status
-		mayHaveLapsed bool
-		want          Status
+		status         Status
+		mayHaveExpired bool
+		want           Status
 	}{
 		{StatusReady, false, StatusDeparted},
 		{StatusReady, true, StatusSuspect},
@@ -25,7 +25,7 @@
 		{StatusDeparted, false, StatusGone},
 		{StatusDeparted, true, StatusGone},
 	} {
-		assert.Equal(t, droppedStatus(test.status, test.mayHaveLapsed), test.want, "%+v", test)
+		assert.Equal(t, droppedStatus(test.status, test.mayHaveExpired), test.want, "%+v", test)
 	}
 }
 
@@ -47,7 +47,7 @@
 }
 
 // TestSuspectUntil checks that the suspect period ends before the router's freshness bounds apply again, and
-// that there is none if the downtime was too short for an entry to lapse.
+// that there is none if the downtime was too short for an entry to expire.
 func TestSuspectUntil(t *testing.T) {
 	const contact = 3 * time.Second
 	began := time.Unix(1000, 0)
--- a/gateway/roster/withheld.go
+++ b/gateway/roster/withheld.go
@@ -16,11 +16,11 @@
 // after the router noticed the restore.
 //
 // Why: the backup is older than the endpoint's announcement or removal. A live endpoint writes its entry again
-// with its next heartbeat, and the entry of a dead one lapses. After that the list is right again, so that no
+// with its next heartbeat, and the entry of a dead one expires. After that the list is right again, so that no
 // endpoint is withheld for good.
 
 const (
-	// withholdDuration covers three heartbeats, after which the entry of a dead endpoint has lapsed, and
+	// withholdDuration covers three heartbeats, after which the entry of a dead endpoint has expired, and
 	// the time to read that.
 	withholdDuration = 5 * time.Second
 	// departureRecordTTL is how long departures are recorded. It exceeds the usual age of a backup.
@@ -94,7 +94,7 @@
 }
 
 // acceptsPeerReport reports whether a peer's report of withheld endpoints is accepted now. remaining is the
-// rest of the peer's withholding period. A peer's report starts a period at most once in an era:
+// remaining time of the peer's withholding period. A peer's report starts a period at most once in an era:
 // delayed or reordered messages would otherwise extend it without end.
 func (r *Roster) acceptsPeerReport(now time.Time, remaining time.Duration) bool {
 	starts := r.withholdUntil.IsZero() || r.loaded && r.revision.Era() > r.withholdEra
--- a/gateway/shutdown/shutdown.go
+++ b/gateway/shutdown/shutdown.go
@@ -56,8 +56,8 @@
 	return failedProbes >= minFailedProbes || sinceSignal >= maxNoticeWait
 }
 
-// NoNewConnections reports whether no caller has connected for quietPeriod. lastConnection is the time of the
-// last new connection, or zero if there was none.
+// NoNewConnections reports whether no caller has connected for quietPeriod. lastConnection is the time
+// of the last new connection, or zero if there was none.
 func NoNewConnections(now, lastConnection time.Time) bool {
 	return lastConnection.IsZero() || now.Sub(lastConnection) > quietPeriod
 }
@@ -73,12 +73,12 @@
 
 // HasTimeFor reports whether a process that is shutting down accepts a request.
 func HasTimeFor(r Request) bool {
-	left := r.UntilClose - EndMargin
-	if left > 0 && r.UntilDeadline <= left {
+	remaining := r.UntilClose - EndMargin
+	if remaining > 0 && r.UntilDeadline <= remaining {
 		return true
 	}
 	if r.Stream && r.SinceSignal >= estimateWindow {
 		return false
 	}
-	return left > time.Duration(finishFactor*float64(r.Slowest))
+	return remaining > time.Duration(finishFactor*float64(r.Slowest))
 }
--- a/gateway/shutdown/shutdown_test.go
+++ b/gateway/shutdown/shutdown_test.go
@@ -55,7 +55,7 @@
 	const long = 15 * time.Second
 	for _, test := range []struct {
 		name                                string
-		sinceSignal, left, slowest, longest time.Duration
+		sinceSignal, untilClose, slowest, untilDeadline time.Duration
 		stream, other                       bool
 	}{
 		{"early, expected to end", early, 7 * time.Second, 4 * time.Second, long, true, true},
@@ -71,7 +71,7 @@
 		{"late, ends at its deadline, and not in time for its last bytes", late, 4800 * time.Millisecond, long, 4500*time.Millisecond + 1, false, false},
 		{"late, no time is left", late, 0, 0, 0, false, false},
 	} {
-		request := Request{SinceSignal: test.sinceSignal, UntilClose: test.left, Slowest: test.slowest, UntilDeadline: test.longest}
+		request := Request{SinceSignal: test.sinceSignal, UntilClose: test.untilClose, Slowest: test.slowest, UntilDeadline: test.untilDeadline}
 		assert.Equal(t, HasTimeFor(request), test.other, test.name)
 		request.Stream = true
 		assert.Equal(t, HasTimeFor(request), test.stream, "%s, a stream", test.name)
--- a/gateway/slowstart/replay_test.go
+++ b/gateway/slowstart/replay_test.go
@@ -52,7 +52,7 @@
 		return place < holders && r.spend(endpoint, now, simRate/holders)
 	}},
 	{"shares by demand", func(r *simRouter, endpoint int, _ uint64, now time.Duration) bool {
-		// Each router takes its own demand for the mean, since it doesn't know the others'.
+		// Each router takes its local demand for the mean, since it doesn't know the others'.
 		r.demand[endpoint]++
 		need := r.demand[endpoint] / max(0.5, now.Seconds())
 		return r.spend(endpoint, now, min(need, 2*simRate/float64(r.fleet.Routers)))
--- a/gateway/slowstart/slowstart.go
+++ b/gateway/slowstart/slowstart.go
@@ -44,8 +44,8 @@
 	Rank, Routers int
 }
 
-// TimeSlot returns the number of this router's latest time slot at an endpoint, and reports whether it is
-// still valid. hash is the uniform hash of the endpoint's ID, and rate its requests a second.
+// TimeSlot returns the number of this router's latest time slot at an endpoint, and reports whether
+// it is still valid. hash is the uniform hash of the endpoint's ID, and rate its requests a second.
 func (f *Fleet) TimeSlot(hash uint64, rate float64) (number int64, valid bool) {
 	if f.Routers <= 0 || !(rate > 0) { // also false for NaN
 		return 0, false
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -9,8 +9,8 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// A startup is the startup phase of a process, in which it may receive the configuration and the list of
-// endpoints from peers instead of reading the store.
+// A startup is the startup phase of a process, in which it may receive the configuration and the list
+// of endpoints from peers instead of reading the store.
 type startup struct {
 	began    time.Time
 	hasPeers bool          // the router exchanges gossip
--- a/retry/after.go
+++ b/retry/after.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// maxRetryAfter limits the time that RetryAfter returns, so that an implausible number stays within the range
-// of time.Duration.
+// maxRetryAfter limits the time that RetryAfter returns, so that an implausible number stays within the
+// range of time.Duration.
 const maxRetryAfter = 24 * time.Hour
 
 // RetryAfter returns how long a response asks its client to send no requests. Only 503 and 429 responses
--- a/retry/policy.go
+++ b/retry/policy.go
@@ -133,10 +133,11 @@
 	return Decision{Retry: true, Budgeted: true, AllowTried: allowTried}
 }
 
-// MayTry reports whether an attempt may go to an endpoint. unusable reports that the endpoint recently
-// accepted no connection or responded as another endpoint. Such an endpoint is chosen only if no
-// other is left, and is tried once in case it has recovered. It is not tried after an unsent attempt:
-// each costs the caller up to the connection timeout, which is then missing for its own retry.
+// MayTry reports whether an attempt may go to an endpoint. unusable reports that the endpoint
+// recently accepted no connection or responded as another endpoint. Such an endpoint is chosen only
+// if no other is left, and is tried once in case it has recovered. It is not tried after an unsent
+// attempt: each costs the caller up to the connection timeout, which is then missing for its own
+// retry.
 func (h History) MayTry(unusable bool) bool { return !unusable || h.Unsent == 0 }
 
 // PerTryTimeout returns how long the next attempt may wait for the first event of a stream, or for
--- a/retry/spread_test.go
+++ b/retry/spread_test.go
@@ -19,8 +19,8 @@
 	assert.Assert(t, len(seen) > 50)
 }
 
-// TestRandomBetween checks that times are drawn from the interval, and that an empty interval yields its
-// start.
+// TestRandomBetween checks that times are drawn from the interval, and that an empty interval
+// yields its start.
 func TestRandomBetween(t *testing.T) {
 	seen := make(map[time.Duration]bool)
 	for range 100 {
--- a/retry/window.go
+++ b/retry/window.go
@@ -94,10 +94,9 @@
 	return s
 }
 
-// ReserveDivisor returns the number of routers among which the Reserve of a Window is divided, so that all
-// of them together keep to it without coordination: the live routers and a quarter more, but at
-// least the configured number, since a router that is isolated from its peers must not take the
-// whole reserve.
+// ReserveDivisor returns the number of routers among which the Reserve of a Window is divided, so that
+// all of them together keep to it without coordination: the live routers and a quarter more, but at least
+// the configured number, since a router that is isolated from its peers must not take the whole reserve.
 //
 // live counts this router and the peers from which it has recently received a message.
 func ReserveDivisor(configured, live int) int {
