--- a/gateway/shutdown/shutdown_test.go
+++ b/gateway/shutdown/shutdown_test.go
@@ -54,9 +54,9 @@
 	const early, late = 2500*time.Millisecond - 1, 2500 * time.Millisecond
 	const long = 15 * time.Second
 	for _, test := range []struct {
-		name                                string
+		name                                            string
 		sinceSignal, untilClose, slowest, untilDeadline time.Duration
-		stream, other                       bool
+		stream, other                                   bool
 	}{
 		{"early, expected to end", early, 7 * time.Second, 4 * time.Second, long, true, true},
 		{"early, not expected to end", early, 6 * time.Second, 4 * time.Second, long, false, false},
