--- a/gateway/admit/admit_test.go
+++ b/gateway/admit/admit_test.go
@@ -107,21 +107,21 @@
 
 // TestCheckTime checks which requests have too little time left to be answered.
 func TestCheckTime(t *testing.T) {
-	const fastest = 50 * time.Millisecond
+	const minResponseTime = 50 * time.Millisecond
 	late := failure{503, "deadline"}
 	for _, row := range []struct {
-		rule          string
-		left, fastest time.Duration
-		want          failure
+		rule                  string
+		left, minResponseTime time.Duration
+		want                  failure
 	}{
-		{"enough time", time.Second, fastest, failure{}},
-		{"as much as the fastest response took", fastest, fastest, failure{}},
-		{"less than that", fastest - 1, fastest, late},
+		{"enough time", time.Second, minResponseTime, failure{}},
+		{"as much as the fastest response took", minResponseTime, minResponseTime, failure{}},
+		{"less than that", minResponseTime - 1, minResponseTime, late},
 		{"no response is known", 1, 0, failure{}},
 		{"the deadline has passed", 0, 0, late},
 		{"the deadline passed some time ago", -time.Second, 0, late},
 	} {
-		assert.Equal(t, failureOf(t, CheckTime(row.left, row.fastest)), row.want, row.rule)
+		assert.Equal(t, failureOf(t, CheckTime(row.left, row.minResponseTime)), row.want, row.rule)
 	}
 }
 
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -84,7 +84,7 @@
 // run follows the list of endpoints until ctx is done.
 func (l *endpointList) run(ctx context.Context) error {
 	watch.Run(ctx, l.source, watch.Options{
-		NextPoll:      l.timeSlot,
+		NextPoll:      l.nextPoll,
 		KnownRevision: func() ryeford.Revision { return l.copy.Range().To },
 		SettleDelay:   l.settle,
 		MinPause:      minRetryPause,
@@ -110,9 +110,9 @@
 	return causeEndpoints
 }
 
-// timeSlot returns the time until this router reads the source, and how long the source may hold the
+// nextPoll returns the time until this router reads the source, and how long the source may hold the
 // read.
-func (l *endpointList) timeSlot(now time.Time) (untilRead, hold time.Duration) {
+func (l *endpointList) nextPoll(now time.Time) (untilRead, hold time.Duration) {
 	age, known := l.lease.Age(now)
 	switch {
 	case !known:
@@ -125,11 +125,11 @@
 	if l.startup.joining(now) {
 		rank = max(rank, replica.FirstFallbackRank)
 	}
-	slot := l.limits.Schedule(rank, alive)
+	schedule := l.limits.Schedule(rank, alive)
 	if age >= l.limits.Hold {
-		return slot.Age - age, 0
+		return schedule.Age - age, 0
 	}
-	return slot.Age - age, slot.Hold
+	return schedule.Age - age, schedule.Hold
 }
 
 // recordSourceFailure records the failure of a read of the source that was sent at sent.
--- a/gateway/peers/limits_test.go
+++ b/gateway/peers/limits_test.go
@@ -35,7 +35,7 @@
 	for _, test := range []struct {
 		name      string
 		sample    Sample
-		share     float64 // at an endpoint that doesn't report its load
+		fraction  float64 // at an endpoint that doesn't report its load
 		reporting float64 // at an endpoint that reports its load
 		mean      float64 // at each of 3 endpoints
 		demand    float64 // of a prompt with 2 requests
@@ -46,7 +46,7 @@
 		{"some have reported all endpoints", Sample{Alive: 4, Counted: 2, Complete: 2, Requests: 6}, 0.5, 0.5, 4, 2},
 		{"some have reported some endpoints", Sample{Alive: 10, Counted: 2, Complete: 1, Requests: 6}, 0.2, 0.1, 10, 5},
 	} {
-		assert.Equal(t, test.sample.KnownFraction(false), test.share, test.name)
+		assert.Equal(t, test.sample.KnownFraction(false), test.fraction, test.name)
 		assert.Equal(t, test.sample.KnownFraction(true), test.reporting, test.name)
 		assert.Equal(t, test.sample.MeanPerEndpoint(3), test.mean, test.name)
 		assert.Equal(t, test.sample.MeanPerEndpoint(0), 0.0, test.name)
