--- a/gateway/admit/admit.go
+++ b/gateway/admit/admit.go
@@ -110,9 +110,9 @@
 }
 
 // CheckTime returns an error if a request can't be answered in the time left: its deadline
-// has passed, or no endpoint of its service has recently answered within that time. minResponseTime is
-// the shortest recent response time of the service, zero if unknown. The error is a
-// *ryeford.NotRunError.
+// has passed, or no endpoint of its service has recently answered within that time.
+// minResponseTime is the shortest recent response time of the service, zero if unknown. The error is
+// a *ryeford.NotRunError.
 func CheckTime(left, minResponseTime time.Duration) error {
 	if left <= 0 || left < minResponseTime {
 		return giveup.NotRun(ryeford.ReasonDeadline)
