--- a/configuration.go
+++ b/configuration.go
@@ -2,18 +2,17 @@
 
 import "time"
 
-// A RouteKind says how often a caller's request on a route may run, and how it is
-// answered.
+// A RouteKind determines how often a request on a route may run, and how it is answered.
 type RouteKind int
 
 // The kinds of routes.
 const (
-	// RouteAtMostOnce marks requests that run at most once.
+	// RouteAtMostOnce is for requests that must run at most once.
 	RouteAtMostOnce RouteKind = iota
-	// RouteIdempotent marks requests that may run more than once.
+	// RouteIdempotent is for requests that may run more than once.
 	RouteIdempotent
-	// RouteStream marks requests that are answered with a stream of events. They run
-	// at most once, unless the route is resumable.
+	// RouteStream is for requests that are answered with an event stream. They run at most
+	// once, unless the route is resumable.
 	RouteStream
 )
 
@@ -21,26 +20,25 @@
 type RouteRule struct {
 	Name string
 	Host string
-	// Prefix is that of the paths; it begins and ends with a slash.
+	// Prefix is the path prefix that the route matches. It begins and ends with a slash.
 	Prefix string
 	Kind   RouteKind
-	// Timeout is the longest time that a request is held. Zero leaves the router's own
-	// default.
+	// Timeout is the maximum time to answer a request. Zero uses the router's default.
 	Timeout time.Duration
 	// Goal is the latency objective: the time within which a response, or a stream's
-	// first event, is to come. Zero stands for none.
+	// first event, should arrive. Zero means that the route has none.
 	Goal time.Duration
-	// MaxAttempts is the greatest number of endpoints that one request may be sent
-	// to, including the first; it is 1 or more.
+	// MaxAttempts is the maximum number of endpoints that one request may be sent to,
+	// including the first. It is at least 1.
 	MaxAttempts int
-	// Priority is that of requests whose account has none of its own.
+	// Priority applies to requests whose account sets no priority.
 	Priority Priority
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
 	// Resumable streams may be continued at another endpoint.
 	Resumable bool
-	// Split names the services that serve the route, with their weights; it has one
-	// or more.
+	// Split lists the services that serve the route, with their weights. It has at least
+	// one element.
 	Split []WeightedService
 }
 
@@ -49,8 +47,8 @@
 	return r.Kind == RouteIdempotent || (r.Kind == RouteStream && r.Resumable)
 }
 
-// A WeightedService is one of the services that serve a route. Its share of the
-// requests is its weight among the sum of all.
+// A WeightedService is one of the services that serve a route. Its share of the route's
+// requests is its weight divided by the sum of all weights.
 type WeightedService struct {
 	Service string
 	Weight  int
@@ -59,34 +57,36 @@
 // An AccountRule is one client account of the operators' configuration.
 type AccountRule struct {
 	Account AccountID
-	// Keys are all keys of the account; a key that is no longer listed is revoked.
+	// Keys are all valid keys of the account. A key that is no longer listed is revoked.
 	Keys []string
-	// Priority replaces the route's, unless it is nil.
+	// Priority overrides the route's priority, unless it is nil.
 	Priority *Priority
 }
 
-// A ServiceRule is what the operators say of a service's endpoints.
+// A ServiceRule configures the endpoints of one service.
 type ServiceRule struct {
 	Name string
-	// ColdTime is how long an endpoint is cold after its start, and ColdRate how many requests a
-	// second, of all routers, it bears meanwhile. Zero stands for no such bound.
+	// ColdTime is how long an endpoint is cold after its start. ColdRate is the maximum
+	// rate of requests, in requests per second from all routers together, that it accepts
+	// during that time. Zero means no limit.
 	ColdTime time.Duration
 	ColdRate float64
 }
 
-// RequestLimits bound what a caller may send. Zero stands for the router's default.
+// RequestLimits limits what a caller may send. A zero field uses the router's default.
 type RequestLimits struct {
 	MaxBody       int // bytes
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration // between two requests of a connection
 }
 
-// A Configuration is all that operators have set, as of one version.
+// A Configuration is one version of the operators' complete configuration. Routers send it to
+// each other as CBOR under the names of its fields.
 type Configuration struct {
-	// Version rises with each configuration, in uneven steps.
+	// Version increases with each configuration, not necessarily by one.
 	Version int64
 	Routes  []RouteRule
-	// Accounts is nil if requests carry no keys. If it is empty, no key is valid.
+	// Accounts is nil if requests need no keys. If it is empty but not nil, no key is valid.
 	Accounts []AccountRule
 	Services []ServiceRule
 	Limits   RequestLimits
--- a/endpoint.go
+++ b/endpoint.go
@@ -7,87 +7,92 @@
 	"time"
 )
 
-// An EndpointID names one life of an endpoint. It is the name under which the endpoint is listed,
-// and, if the endpoint says when it was started, that moment. So all that is known of a life, here
-// or at a peer, is of that life alone.
+// An EndpointID identifies one incarnation of an endpoint. It consists of the name under which the
+// endpoint is listed and, if the endpoint reports it, its start time. State that is kept under an
+// EndpointID, here or at a peer, therefore never applies to a restarted endpoint.
 type EndpointID string
 
-// lifeMark stands between the name and the moment in an EndpointID.
-const lifeMark = "#"
+// incarnationSeparator separates the name from the start time in an EndpointID.
+const incarnationSeparator = "#"
 
-// NewEndpointID returns the ID of an endpoint's life, given the name under which the endpoint is
-// listed and the Unix time of its start in milliseconds, or zero if it doesn't say that.
+// NewEndpointID returns the ID of an incarnation. name is the name under which the endpoint is
+// listed. started is the Unix time of its start in milliseconds, or zero if the endpoint doesn't
+// report it.
 func NewEndpointID(name string, started int64) EndpointID {
-	if started == 0 && !strings.Contains(name, lifeMark) {
+	if started == 0 && !strings.Contains(name, incarnationSeparator) {
 		return EndpointID(name)
 	}
-	return EndpointID(name + lifeMark + strconv.FormatInt(started, 36))
+	return EndpointID(name + incarnationSeparator + strconv.FormatInt(started, 36))
 }
 
-// Name returns the ID without the moment: it is the same for all lives of an endpoint.
+// Name returns the ID without the start time. It is the same for all incarnations of an endpoint.
 func (id EndpointID) Name() EndpointID {
-	if i := strings.LastIndex(string(id), lifeMark); i >= 0 {
+	if i := strings.LastIndex(string(id), incarnationSeparator); i >= 0 {
 		return id[:i]
 	}
 	return id
 }
 
-// An EndpointState is what an endpoint says of itself in the list of endpoints.
+// An EndpointState is the state that an endpoint reports in the list of endpoints.
 type EndpointState int
 
 // The states of endpoints.
 const (
 	EndpointReady EndpointState = iota
-	// EndpointDraining is that of an endpoint that will end soon, and serves until
-	// then.
+	// EndpointDraining means that the endpoint will stop soon, and serves requests until then.
 	EndpointDraining
 )
 
-// An Endpoint is one server of a service: a model engine or a plain service.
+// An Endpoint is one server of a service: a model engine or a plain service. Routers send it to
+// each other as CBOR, with untagged fields under their own names.
 type Endpoint struct {
 	ID            EndpointID
 	Service       string
 	Address       netip.AddrPort
 	FailureDomain string
-	// Slots is how many requests it runs at once; more wait in its queue.
+	// Slots is the number of requests that it runs concurrently. Further requests wait in its
+	// queue.
 	Slots int
 	State EndpointState
-	// Cold is for how much longer it bears only few requests, as of when it said so.
+	// Cold is how much longer it accepts requests only at a limited rate, counted from when it
+	// wrote its entry.
 	Cold time.Duration
-	// Sequence rises with each heartbeat of this life, and Written is the revision at which the entry was
-	// written. Both may be of an earlier entry that says the same.
+	// Sequence increases with each heartbeat of this incarnation. Written is the revision at which
+	// the entry was written. Both may be those of an earlier entry that is otherwise equal.
 	Sequence int64    `cbor:"q,omitempty"`
 	Written  Revision `cbor:"w,omitempty"`
 }
 
-// SaysSame reports whether two entries say the same, whenever they were written.
+// SaysSame reports whether two entries are equal, apart from Sequence and Written.
 func (e *Endpoint) SaysSame(other *Endpoint) bool {
 	same := *other
 	same.Sequence, same.Written = e.Sequence, e.Written
 	return *e == same
 }
 
-// A WithheldEndpoint is sent no requests though the list has it as ready: it is known to leave, and the
-// list's source has come back from an older copy.
+// A WithheldEndpoint is an endpoint that is sent no requests although it is listed as ready: it has
+// announced that it is leaving, and the store of the list was then restored from an older backup.
 type WithheldEndpoint struct {
 	ID EndpointID
-	// Sequence is that of its announcement, unless its entry was Gone.
+	// Sequence is that of the entry that announced the departure. It has no meaning if Gone.
 	Sequence int64
-	Gone     bool
+	// Gone means that the entry had been removed.
+	Gone bool
 }
 
-// An EndpointReport is what an endpoint says of itself with a response.
+// An EndpointReport is the status that an endpoint reports about itself in a response.
 type EndpointReport struct {
 	// Load is nil if the endpoint doesn't report it.
 	Load *EndpointLoad
-	// Leaving says that this life of the endpoint ends soon, and is to be sent no more requests.
+	// Leaving means that this incarnation of the endpoint stops soon and must be sent no more
+	// requests.
 	Leaving bool
-	// Rest is for how long, from the response on, the endpoint wants no requests of this router; zero if
-	// it doesn't ask for that.
+	// Rest is the back-off that the endpoint asks this router for, counted from the response. Zero
+	// means none.
 	Rest time.Duration
 }
 
-// An EndpointLoad is the load that an endpoint reports with a response, in requests.
+// An EndpointLoad is the load that an endpoint reports in a response, in requests.
 type EndpointLoad struct {
 	Running int
 	Waiting int
--- a/errors.go
+++ b/errors.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// A NotRunError says that a request provably did not run.
+// A NotRunError reports that a request failed and provably did not run.
 type NotRunError struct {
 	Reason Reason
-	// RetryAfter is when the caller should try again; zero leaves it to the caller.
+	// RetryAfter is how long the caller should wait before it retries. Zero gives no advice.
 	RetryAfter time.Duration
 }
 
@@ -17,12 +17,12 @@
 	return fmt.Sprintf("not run: %s", e.Reason)
 }
 
-// A MayHaveRunError says that a request may have run, whole or in part.
+// A MayHaveRunError reports that a request failed and may have run, completely or in part.
 type MayHaveRunError struct {
 	Reason Reason
-	// RetryAfter is when the caller should try again; zero leaves it to the caller.
+	// RetryAfter is how long the caller should wait before it retries. Zero gives no advice.
 	RetryAfter time.Duration
-	// Err is the cause; nil if Reason says all.
+	// Err is the cause. It may be nil.
 	Err error
 }
 
@@ -35,12 +35,11 @@
 
 func (e *MayHaveRunError) Unwrap() error { return e.Err }
 
-// An InputError says what is wrong with something that a caller or an operator
-// sent.
+// An InputError reports invalid input from a caller or an operator.
 type InputError struct {
-	Field   string // the header, setting or part of the body that is wrong
+	Field   string // the header, the setting or the part of the body that is invalid
 	Problem string
-	// Status is the HTTP status of the response; zero stands for 400.
+	// Status is the HTTP status of the response. Zero means 400.
 	Status int
 }
 
@@ -48,8 +47,8 @@
 	return e.Field + ": " + e.Problem
 }
 
-// A ConflictError says that a conditional write found other versions, and wrote
-// nothing.
+// A ConflictError reports that a conditional write did not find the expected versions. Nothing
+// was written.
 type ConflictError struct {
 	Keys []string // of the rows whose versions differ
 }
@@ -58,11 +57,11 @@
 	return "conflict on " + strings.Join(e.Keys, ", ")
 }
 
-// An UnavailableError says that a service of the platform did not answer, or not as
-// it should.
+// An UnavailableError reports that a service of the platform did not answer, or answered
+// with an error.
 type UnavailableError struct {
 	Service string // its name or path
-	// MayHaveApplied says that a write may have taken effect, now or soon.
+	// MayHaveApplied means that a write may have taken effect or may still do so.
 	MayHaveApplied bool
 	Err            error
 }
@@ -73,17 +72,17 @@
 
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// A StatusError says that a service of the platform or an endpoint answered with an
-// HTTP status other than a success.
+// A StatusError reports that a service of the platform or an endpoint answered with an HTTP
+// status that is not a success.
 type StatusError struct {
 	Status int
 }
 
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
-// A NotFoundError says that a named thing does not exist.
+// A NotFoundError reports that a named object does not exist.
 type NotFoundError struct {
-	Kind string // of thing, such as "VM"
+	Kind string // of object, such as "VM"
 	Name string
 }
 
@@ -91,7 +90,8 @@
 	return fmt.Sprintf("%s %q not found", e.Kind, e.Name)
 }
 
-// A FenceError says that an order was older than one that the engine has seen.
+// A FenceError reports that an engine refused an Order because it has received one of a newer
+// epoch.
 type FenceError struct{}
 
-func (e *FenceError) Error() string { return "order refused: one of a newer epoch was seen" }
+func (e *FenceError) Error() string { return "order refused: the engine has seen a newer epoch" }
--- a/evacuation.go
+++ b/evacuation.go
@@ -1,21 +1,22 @@
 package ryeford
 
-// An Evacuation is the operators' order that the endpoints of a failure domain be sent no
-// requests until it is withdrawn.
+// An Evacuation is an order by the operators to send no requests to the endpoints of a failure
+// domain until the order is withdrawn.
 type Evacuation struct {
 	FailureDomain string
-	// State tells the orders for one failure domain apart.
+	// State is the revision of the order. It distinguishes successive orders for one failure
+	// domain.
 	State Revision
 }
 
-// Evacuations are all such orders as of a revision of the operators' source.
+// Evacuations are all evacuations in force as of a revision of the operators' source.
 type Evacuations struct {
 	Revision Revision
-	// Orders are sorted by failure domain.
+	// Orders is sorted by failure domain.
 	Orders []Evacuation
 }
 
-// Has reports whether there is an order for a failure domain.
+// Has reports whether a failure domain is evacuated.
 func (e *Evacuations) Has(domain string) bool {
 	for i := range e.Orders {
 		if e.Orders[i].FailureDomain == domain {
--- a/ids.go
+++ b/ids.go
@@ -1,25 +1,25 @@
 package ryeford
 
-// An AccountID names a client account.
+// An AccountID identifies a client account.
 type AccountID string
 
-// A ChatID names a chat within its client account.
+// A ChatID identifies a chat within its client account.
 type ChatID string
 
-// A RequestID names one request. In the fleet with agents the router that received
-// the request chooses it. On the platform the caller does, anew for each of its own
+// A RequestID identifies one request. In the fleet with agents, the router that receives the
+// request generates it. On the platform the caller does, with a new ID for each of its
 // retries.
 type RequestID string
 
-// An AttemptID names one attempt to run a request on an engine. An engine runs an
+// An AttemptID identifies one attempt to run a request on an engine. An engine runs an
 // attempt at most once.
 type AttemptID string
 
-// A VMID names a VM of the fleet.
+// A VMID identifies a VM of the fleet.
 type VMID string
 
-// An EngineID names an engine or a plain service that runs beside an agent.
+// An EngineID identifies an engine or a plain service that runs beside an agent.
 type EngineID string
 
-// An Incarnation names one life of an agent process. It changes at each start.
+// An Incarnation identifies one run of an agent process. It changes at each start.
 type Incarnation string
--- a/priority.go
+++ b/priority.go
@@ -1,6 +1,7 @@
 package ryeford
 
-// A Priority orders requests: a higher one is served first and refused last.
+// A Priority is the priority of a request. Requests of a higher priority are served first and
+// refused last.
 type Priority int
 
 // The priorities that templates and callers may ask for.
--- a/revision.go
+++ b/revision.go
@@ -2,21 +2,22 @@
 
 import "fmt"
 
-// A Revision is a state of a source, such as the store, that numbers its changes. A later state has a
-// greater Revision: the source's era counts first, and the number of its newest change within it.
-// A source that is back from a copy of an earlier state begins another era and gives numbers out
-// again, so that numbers of two eras say nothing of each other. Zero stands for no state.
+// A Revision identifies a state of a source that numbers its changes, such as the store. It consists
+// of the source's era and the number of its newest change. Revisions are ordered by era, then by
+// number. A source that is restored from a backup starts a new era and reuses change numbers, so
+// numbers of different eras can't be compared. Zero means no state.
 type Revision int64
 
 const (
-	// numberBits are for the number of a change within an era: 80 years of 400 changes a second.
+	// numberBits is the size of the change number. It suffices for 80 years at 400 changes per
+	// second.
 	numberBits = 40
 	maxNumber  = 1<<numberBits - 1
 	maxEra     = 1<<(63-numberBits) - 1
 )
 
-// NewRevision returns the Revision of a change's number within an era. A source without eras has
-// the era zero. The error is a *RevisionError.
+// NewRevision returns the Revision for a change number within an era. A source without eras uses
+// era zero. It returns a *RevisionError if a value is out of range.
 func NewRevision(era, number int64) (Revision, error) {
 	if era < 0 || era > maxEra || number < 0 || number > maxNumber {
 		return 0, &RevisionError{Era: era, Number: number}
@@ -27,16 +28,16 @@
 // Era returns the source's era.
 func (r Revision) Era() int64 { return int64(r) >> numberBits }
 
-// Number returns the number of the newest change, as the source gave it out.
+// Number returns the number of the newest change, as assigned by the source.
 func (r Revision) Number() int64 { return int64(r) & maxNumber }
 
-// String returns the era and the number.
+// String returns ERA.NUMBER.
 func (r Revision) String() string { return fmt.Sprintf("%d.%d", r.Era(), r.Number()) }
 
-// A RevisionError says that an era or a number is out of range.
+// A RevisionError reports an era or a number that is out of range.
 type RevisionError struct{ Era, Number int64 }
 
-// Error returns the text of e.
+// Error implements error.
 func (e *RevisionError) Error() string {
 	return fmt.Sprintf("era %d or number %d out of range", e.Era, e.Number)
 }
--- a/revision_test.go
+++ b/revision_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRevision checks that states of a later era are later, whatever their numbers, and that an era or
-// a number that would run into each other is no revision.
+// TestRevision checks that revisions are ordered by era before number, and that an era or a number
+// that doesn't fit its bits is rejected.
 func TestRevision(t *testing.T) {
 	var revisions []Revision
 	for _, state := range []struct{ era, number int64 }{{0, 0}, {0, 1}, {0, maxNumber}, {1, 0}, {1, 44}, {2, 5}, {maxEra, maxNumber}} {
--- a/source.go
+++ b/source.go
@@ -6,154 +6,161 @@
 	"time"
 )
 
-// A ConfigurationState tells the configurations of a source apart: while it is the same,
-// the configuration is. Zero stands for no configuration.
+// A ConfigurationState identifies one configuration of a source. The configuration is unchanged
+// as long as its ConfigurationState is. Zero means no configuration.
 type ConfigurationState Revision
 
-// A KnownConfiguration is what the caller of a ConfigurationSource knows of the
-// configuration. Its zero value is that of a caller which knows none.
+// A KnownConfiguration is the configuration that the caller of a ConfigurationSource already
+// has. The zero value means that the caller has none.
 type KnownConfiguration struct {
 	State ConfigurationState
 	Size  int // at the source, in bytes
-	// OnChange, unless it is nil, is called once the answer shows that the source has
-	// another configuration, if it does so before it has come whole.
+	// OnChange, if it is not nil, is called as soon as the response shows that the source has a
+	// different configuration, if that is before the response has been received completely.
 	OnChange func()
 }
 
-// Changed calls OnChange.
+// Changed calls OnChange, if it is set.
 func (k *KnownConfiguration) Changed() {
 	if k.OnChange != nil {
 		k.OnChange()
 	}
 }
 
-// A ConfigurationUpdate is what a ConfigurationSource returns.
+// A ConfigurationUpdate is the result of reading a ConfigurationSource.
 type ConfigurationUpdate struct {
-	// Configuration is nil if there is none yet, and if it is Unchanged.
+	// Configuration is nil if the source has none yet, or if Unchanged is set.
 	Configuration *Configuration
-	// Unchanged says that the source still holds the state that the caller named.
+	// Unchanged means that the source still has the configuration that the caller has.
 	Unchanged bool
-	// State is that of Configuration, and Size its size at the source in bytes.
+	// State identifies Configuration. Size is its size at the source in bytes.
 	State ConfigurationState
 	Size  int
-	// Ignored are values of Configuration that can't be used: it is as if they were missing.
+	// Ignored lists invalid values of Configuration. They are treated as missing.
 	Ignored []IgnoredValue
-	// Revision is the newest of the source. It rises with every change there, also of
-	// other things than the configuration.
+	// Revision is the newest revision of the source. It also increases with changes to other
+	// data than the configuration.
 	Revision Revision
-	// Evacuations are those in force, whether or not the configuration is Unchanged.
+	// Evacuations are the evacuations in force. They are set even if the configuration is
+	// Unchanged.
 	Evacuations Evacuations
-	// Clock is the source's monotonic clock when it answered, which was no later than
-	// Begun, when its answer began to come. Its zero means nothing.
+	// Clock is a reading of the source's monotonic clock, taken when the source answered. Begun
+	// is when the response started to arrive, which is no earlier. The origin of Clock is
+	// arbitrary.
 	Clock time.Duration
 	Begun time.Time
 }
 
-// An IgnoredValue is a value that is out of bounds, with the key under which it was written.
+// An IgnoredValue is a value that is out of range, with the key under which it was written.
 type IgnoredValue struct {
 	Key, Value string
 }
 
-// A ConfigurationSource is where the operators' accepted configuration is kept.
+// A ConfigurationSource is the store of the operators' accepted configuration. Package platform
+// implements it.
 //
-// A failure is an *UnavailableError, or the error of a configuration that cannot be
-// read.
+// A method fails with an *UnavailableError, or with another error if the configuration can't be
+// decoded.
 type ConfigurationSource interface {
-	// Configuration returns the configuration, whole. That it is another one than the
-	// known one shows early only if it is larger.
+	// Configuration returns the complete configuration. It calls known.OnChange before the
+	// transfer is complete only if the new configuration is larger than the known one.
 	Configuration(ctx context.Context, known KnownConfiguration) (ConfigurationUpdate, error)
-	// ConfigurationIfChanged returns the configuration, unless its state is still the
-	// known one, which is not zero. It may fail where Configuration does not. That it is
-	// another one shows before its transfer.
+	// ConfigurationIfChanged returns the configuration, or Unchanged if its state is still
+	// known.State, which must not be zero. It calls known.OnChange before the transfer. It may
+	// fail where Configuration succeeds.
 	ConfigurationIfChanged(ctx context.Context, known KnownConfiguration) (ConfigurationUpdate, error)
 }
 
-// An EndpointUpdate is what an EndpointSource returns.
+// An EndpointUpdate is the result of reading an EndpointSource.
 type EndpointUpdate struct {
-	// Snapshot says that Present is the whole list. Otherwise Present holds the
-	// endpoints that are new or have changed, and Removed the names of those that have left.
+	// Snapshot means that Present is the complete list. Otherwise Present holds the new and
+	// changed endpoints, and Removed the names of the removed ones.
 	Snapshot bool
 	Present  []Endpoint
 	Removed  []EndpointID
-	// Malformed are entries that name no endpoint to use; what they named before has left.
+	// Malformed lists entries that can't be used. An endpoint that was listed under the name of
+	// such an entry counts as removed.
 	Malformed []MalformedEntry
-	// Revision is the newest of the source, and what the next call asks from.
+	// Revision is the newest revision of the source, and the argument for the next call of
+	// EndpointsSince.
 	Revision Revision
-	// Changed is the revision of the newest change of what Present and Removed name, or zero
-	// if the source does not tell.
+	// Changed is the revision of the newest change to Present and Removed, or zero if the source
+	// doesn't report it.
 	Changed Revision
-	// Clock is the source's monotonic clock when it answered, which was no later than
-	// Begun, when its answer began to come.
+	// Clock is a reading of the source's monotonic clock, taken when the source answered. Begun
+	// is when the response started to arrive, which is no earlier.
 	Clock time.Duration
 	Begun time.Time
 }
 
-// A MalformedEntry is an entry of the list of endpoints that can't be read or used.
+// A MalformedEntry is an entry of the list of endpoints that can't be decoded or used.
 type MalformedEntry struct {
-	Name EndpointID // without the moment of a start
+	Name EndpointID // without a start time
 	Err  error
 }
 
-// An EndpointSource is the list of endpoints. It lags behind the truth.
+// An EndpointSource is the list of endpoints. It lags behind the actual state of the endpoints.
+// Package platform implements it.
 //
-// A failure is an *UnavailableError.
+// Its methods fail with an *UnavailableError.
 type EndpointSource interface {
-	// Endpoints returns the whole list.
+	// Endpoints returns the complete list.
 	Endpoints(ctx context.Context) (EndpointUpdate, error)
-	// EndpointsSince returns as soon as something has changed since a revision, or,
-	// without a change, once wait is over. If the source no longer keeps the changes
-	// since then, or is in another era, the error is a *HistoryLostError.
+	// EndpointsSince returns the changes since a revision. It waits up to wait for the first
+	// one. The error is a *HistoryLostError if the source no longer has the changes since the
+	// revision, or if it is in another era.
 	EndpointsSince(ctx context.Context, revision Revision, wait time.Duration) (EndpointUpdate, error)
 }
 
-// A Downtime is a time in which a source did not answer, and which is over.
+// A Downtime is a past period in which a source did not answer.
 type Downtime struct {
-	// Began is the earliest time at which the source may have stopped to answer.
+	// Began is the earliest time at which the source may have stopped answering.
 	Began time.Time
-	// LastFailed is when the last read that failed was sent: the source was back after
+	// LastFailed is when the last failed read was sent. The source was available again after
 	// that.
 	LastFailed time.Time
-	// Ended is when a read was answered again.
+	// Ended is when a read succeeded again.
 	Ended time.Time
 }
 
-// Length returns how long the source may have been away.
+// Length returns the maximum duration of the downtime.
 func (d *Downtime) Length() time.Duration { return d.Ended.Sub(d.Began) }
 
-// A RouterList is where the routers of a fleet find each other.
+// A RouterList is the list by which the routers of a fleet discover each other. Package platform
+// implements it.
 type RouterList interface {
-	// Register enters a router, or renews its entry, and returns the addresses of
-	// the others. Those may be stale or down. If at least enough others are entered, it may
-	// leave out the entry: they tell of the router. If the list could be read and only the
-	// entry not be written, it returns both the addresses and an error.
-	Register(ctx context.Context, vm VMID, address netip.AddrPort, enough int) ([]netip.AddrPort, error)
+	// Register adds a router, or renews its entry, and returns the addresses of the other
+	// routers, which may be stale or down. If at least minOthers other routers are listed, it may
+	// skip writing the entry, as those routers announce this one to their peers. If only the write
+	// of the entry fails, Register returns both the addresses and an error.
+	Register(ctx context.Context, vm VMID, address netip.AddrPort, minOthers int) ([]netip.AddrPort, error)
 }
 
-// A HistoryLostError says that a source doesn't have the changes since a revision: the whole is to
-// be read again.
+// A HistoryLostError reports that a source doesn't have the changes since a revision. The
+// complete list must be read again.
 type HistoryLostError struct{}
 
-func (e *HistoryLostError) Error() string { return "history lost: read the whole again" }
+func (e *HistoryLostError) Error() string { return "history lost: read the complete list again" }
 
-// A HeldRequest is what the platform keeps of requests that are sent to no endpoint, since those
-// that were the same have ended what ran them.
+// A HeldRequest is the stored record of a poison request that is quarantined: identical requests
+// crashed the endpoints that ran them, so it is sent to no endpoint.
 type HeldRequest struct {
 	Fingerprint [16]byte // quarantine.Fingerprint
 	Account     uint32   // a hash of the client account's ID
-	// Held is for how long they have been held.
+	// Held is the time since the quarantine began.
 	Held time.Duration
-	// Trials counts the trials since then, and Tried is how long ago the last one began.
+	// Trials is the number of trials since then. Tried is the time since the last one began.
 	Trials int
 	Tried  time.Duration
 }
 
-// A QuarantineStore is where the platform keeps the held requests, for routers that start when no
-// other one runs. Failures are *UnavailableErrors.
+// A QuarantineStore keeps the held requests on the platform, for routers that start while no other
+// router is running. Package platform implements it. Its methods fail with an *UnavailableError.
 type QuarantineStore interface {
 	// HeldRequests returns all held requests.
 	HeldRequests(ctx context.Context) ([]HeldRequest, error)
-	// HoldRequest keeps a held request, unless one of as many trials is kept.
+	// HoldRequest stores a held request, unless the stored record has as many trials or more.
 	HoldRequest(ctx context.Context, request HeldRequest) error
-	// ReleaseRequest removes a held request, if it is kept.
+	// ReleaseRequest removes a held request, if it is stored.
 	ReleaseRequest(ctx context.Context, fingerprint [16]byte) error
 }
--- a/table.go
+++ b/table.go
@@ -5,8 +5,8 @@
 	"errors"
 )
 
-// A Row is one row of the platform's table. Version is zero if the row is absent. A
-// row that is removed and written again never has an old version.
+// A Row is one row of the platform's table. Version is zero if the row does not exist. A row
+// that is deleted and written again gets a version that it never had before.
 type Row struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value,omitempty"`
@@ -16,8 +16,8 @@
 // AnyVersion as a Write's IfVersion makes the write unconditional.
 const AnyVersion int64 = -1
 
-// A Write changes one row if its version is still IfVersion. Zero asks that the
-// row be absent.
+// A Write writes or deletes one row if its version is IfVersion. Zero requires that the row
+// does not exist.
 type Write struct {
 	Key       string `json:"key"`
 	Value     []byte `json:"value,omitempty"`
@@ -25,32 +25,34 @@
 	Delete    bool   `json:"delete,omitempty"`
 }
 
-// A Table is the platform's transactional table service.
+// A Table is the platform's transactional table service. Package agentfleet/tableservice
+// implements it as a client, and package internal/memtable in memory.
 //
-// A failure is a *ConflictError (nothing was written), or an
-// *UnavailableError, which says whether the write may have taken effect.
+// Its methods fail with a *ConflictError, after which nothing was written, or an
+// *UnavailableError, which reports whether the write may have taken effect.
 type Table interface {
-	// Get returns the rows of the keys, in their order, as of one moment.
+	// Get returns a consistent snapshot of the rows with the keys, in the order of the arguments.
 	Get(ctx context.Context, keys ...string) ([]Row, error)
-	// List returns the rows whose key has the prefix, in the order of keys.
+	// List returns the rows whose keys begin with prefix, sorted by key.
 	List(ctx context.Context, prefix string) ([]Row, error)
-	// Transact makes all writes or none. It returns the new version of the rows.
+	// Transact applies all writes or none. It returns the new version of the rows.
 	Transact(ctx context.Context, writes ...Write) (int64, error)
 }
 
-// NeedsReadBack reports whether the rows of a write that failed with err must be read
-// to learn what they hold now: another write came first, or it is not known whether
-// this one took effect. After any other error nothing was written.
+// NeedsReadBack reports whether the rows of a write that failed with err must be read to find
+// out their current values: the write was preceded by another one, or it may have taken effect.
+// After any other error nothing was written.
 func NeedsReadBack(err error) bool {
 	var conflict *ConflictError
 	var unavailable *UnavailableError
 	return errors.As(err, &conflict) || errors.As(err, &unavailable) && unavailable.MayHaveApplied
 }
 
-// An ObjectStore is the platform's object store. A failure is an *UnavailableError.
+// An ObjectStore is the platform's object store. Package agentfleet/tableservice implements it.
+// Its methods fail with an *UnavailableError.
 type ObjectStore interface {
 	// GetObject returns an object's content, or a *NotFoundError.
 	GetObject(ctx context.Context, name string) ([]byte, error)
-	// PutObject writes an object whole.
+	// PutObject creates or replaces an object.
 	PutObject(ctx context.Context, name string, content []byte) error
 }
--- a/vm.go
+++ b/vm.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// A Role is what a VM does in the fleet.
+// A Role is the role of a VM in the fleet.
 type Role string
 
 // The roles of VMs.
@@ -14,7 +14,7 @@
 	RoleAgent  Role = "agent"
 )
 
-// A VMState is what the platform says of a VM.
+// A VMState is the state of a VM as listed by the platform.
 type VMState string
 
 // The states of VMs.
@@ -33,11 +33,11 @@
 	State         VMState        `json:"state"`
 }
 
-// A VMList is the platform's list of VMs. It lags behind the truth. A failure is an
-// *UnavailableError.
+// A VMList is the platform's list of VMs. It lags behind their actual state. Package
+// agentfleet/tableservice implements it. Its methods fail with an *UnavailableError.
 type VMList interface {
-	// VMs returns the VMs that the platform knows.
+	// VMs returns the listed VMs.
 	VMs(ctx context.Context) ([]VM, error)
-	// PutVM adds a VM, or changes its entry.
+	// PutVM adds a VM, or replaces its entry.
 	PutVM(ctx context.Context, vm VM) error
 }
