--- a/imports_test.go
+++ b/imports_test.go
@@ -15,38 +15,38 @@
 // modulePath is the path of this module.
 const modulePath = "github.com/ryeford/ryeford"
 
-// A layer is a height in the tree: a package imports packages of its own layer or
-// of lower ones.
+// A layer is a level of the dependency order. A package may import packages of its own layer
+// and of lower ones.
 type layer int
 
 const (
 	values   layer = iota // types and interfaces; no behavior
-	rules                 // decisions: values in, values out, no I/O
+	rules                 // decision logic without I/O
 	plumbing              // clients, codecs, stores, settings, logs
-	roles                 // what runs: the gateway, the router, the agent
+	roles                 // the running processes: the gateway, the router, the agent
 	tools                 // stand-ins, clients, traces and their replay
-	commands              // the command line, which wires the rest
+	commands              // the command line, which connects the rest
 )
 
-// A side says which fleet a package belongs to.
+// A side is the fleet that a package belongs to.
 type side string
 
 const (
-	both     side = "both"     // used by both fleets, so it may use neither
+	both     side = "both"     // used by both fleets; may import neither
 	platform side = "platform" // the gateway on the platform
 	agents   side = "agents"   // the fleet with agents
-	either   side = "either"   // may use both fleets
+	either   side = "either"   // may import both fleets
 )
 
-// A position is where a folder stands in the tree.
+// A position is the layer and the side of a folder.
 type position struct {
 	layer layer
 	side  side
 }
 
-// tree places each folder of the module. A folder without a row of its own belongs
-// to the row of the nearest folder above it, unless that is the module's root: a
-// package in a new place fails until it is entered here.
+// tree maps each folder of the module to its position. A folder that is not listed has the
+// position of its nearest listed parent. The module's root is no such parent, so that a new
+// top-level folder fails the tests until it is listed.
 var tree = map[string]position{
 	".":     {values, both},
 	"retry": {rules, both},
@@ -104,24 +104,24 @@
 	"cmd":           {commands, either},
 }
 
-// doingIO are the imports that no rule may have. net/http is left out: its names of
-// methods and statuses are values.
-var doingIO = []string{"net", "os", "os/exec", "log", "github.com/go-kit/log", "github.com/valyala/fasthttp", "github.com/quic-go/quic-go"}
+// ioImports are the packages that the layers values and rules may not import. net/http is
+// allowed for its constants.
+var ioImports = []string{"net", "os", "os/exec", "log", "github.com/go-kit/log", "github.com/valyala/fasthttp", "github.com/quic-go/quic-go"}
 
-// A goPackage is what `go list` says of a package.
+// A goPackage is a package in the output of `go list`.
 type goPackage struct {
 	ImportPath string
 	Imports    []string
 }
 
-// TestImports checks that every package imports only downwards, that neither fleet
-// uses the other, and that rules do no I/O.
+// TestImports checks that no package imports a package of a higher layer, that neither fleet
+// imports the other, and that packages of the layers values and rules do no I/O.
 func TestImports(t *testing.T) {
 	for _, p := range listPackages(t) {
 		from := folderOf(p.ImportPath)
 		for _, path := range p.Imports {
 			if !strings.HasPrefix(path, modulePath) {
-				assert.Check(t, place(t, from).layer > rules || !slices.Contains(doingIO, path), "%s is a rule and imports %s", from, path)
+				assert.Check(t, positionOf(t, from).layer > rules || !slices.Contains(ioImports, path), "%s must do no I/O but imports %s", from, path)
 				continue
 			}
 			checkImport(t, from, folderOf(path))
@@ -132,25 +132,25 @@
 // checkImport checks one import within the module.
 func checkImport(t *testing.T, from, to string) {
 	t.Helper()
-	upper, lower := place(t, from), place(t, to)
-	assert.Check(t, upper.layer >= lower.layer, "%s imports %s, which lies above it", from, to)
-	known := lower.side == both || lower.side == upper.side || upper.side == either
-	assert.Check(t, known, "%s (%s) imports %s (%s)", from, upper.side, to, lower.side)
+	importer, imported := positionOf(t, from), positionOf(t, to)
+	assert.Check(t, importer.layer >= imported.layer, "%s imports %s, which is in a higher layer", from, to)
+	allowed := imported.side == both || imported.side == importer.side || importer.side == either
+	assert.Check(t, allowed, "%s (%s) imports %s (%s)", from, importer.side, to, imported.side)
 }
 
-// TestPlatformWords checks that only the adapter, the stand-ins and tests use the
-// platform's spelling of its headers, tables and rows.
-func TestPlatformWords(t *testing.T) {
-	const words = modulePath + "/platform/wire"
+// TestPlatformWireImports checks that only the adapter, the stand-ins and tests import the
+// names of the platform's headers, tables and rows.
+func TestPlatformWireImports(t *testing.T) {
+	const wirePath = modulePath + "/platform/wire"
 	for _, p := range listPackages(t) {
 		from := folderOf(p.ImportPath)
 		mayImport := from == "platform" || strings.HasPrefix(from, "standin/")
-		assert.Check(t, mayImport || !slices.Contains(p.Imports, words), "%s imports platform/wire", from)
+		assert.Check(t, mayImport || !slices.Contains(p.Imports, wirePath), "%s imports platform/wire", from)
 	}
 }
 
-// place returns the row of a folder.
-func place(t *testing.T, folder string) position {
+// positionOf returns the position of a folder.
+func positionOf(t *testing.T, folder string) position {
 	t.Helper()
 	for name, found := folder, true; found; {
 		if row, ok := tree[name]; ok {
@@ -160,11 +160,11 @@
 		found = slash >= 0
 		name = name[:max(0, slash)]
 	}
-	t.Fatalf("%s has no place in the tree of imports_test.go", folder)
+	t.Fatalf("%s is not listed in the variable tree of imports_test.go", folder)
 	return position{}
 }
 
-// folderOf returns the folder of a package of the module.
+// folderOf returns the folder of the package with an import path.
 func folderOf(path string) string {
 	folder := strings.TrimPrefix(strings.TrimPrefix(path, modulePath), "/")
 	if folder == "" {
--- a/steadyclock_test.go
+++ b/monotonicclock_test.go
@@ -21,55 +21,53 @@
 	"gotest.tools/v3/assert"
 )
 
-// steadyMethods are the methods of time.Time that go by the steady clock if their times
-// were read in this process. All others look at the time of day, or drop the reading of
-// the steady clock.
-var steadyMethods = []string{"Add", "Sub", "Before", "After", "Compare", "Equal", "IsZero"}
+// monotonicMethods are the methods of time.Time that use the monotonic clock reading, if their
+// times have one. All others use the wall clock reading, or drop the monotonic one.
+var monotonicMethods = []string{"Add", "Sub", "Before", "After", "Compare", "Equal", "IsZero"}
 
-// wallFunctions return times without a reading of the steady clock.
+// wallFunctions return times without a monotonic clock reading.
 var wallFunctions = []string{
 	"time.Unix", "time.UnixMilli", "time.UnixMicro", "time.Date", "time.Parse", "time.ParseInLocation", "net/http.ParseTime",
 }
 
-// runtimeFunctions read the runtime's clock, which stands still while the machine is suspended:
-// ages and deadlines go by those of internal/clock.
+// runtimeFunctions read the runtime's clock, which stops while the machine is suspended. Ages and
+// deadlines use the functions of internal/clock instead.
 var runtimeFunctions = []string{"time.Now", "time.Since", "time.Until"}
 
-// timeInTaggedStruct is the use of a time in a struct that is written or read as a whole.
+// timeInTaggedStruct is the use of a time in a struct that is encoded or decoded as a whole.
 const timeInTaggedStruct = "a time in a struct with tags"
 
-// connectionDeadline is why a deadline of a connection goes by the runtime's clock.
-const connectionDeadline = "a connection's deadline is one of the runtime's clock"
+// connectionDeadline is why a connection's deadline may use the runtime's clock.
+const connectionDeadline = "connection deadlines use the runtime's clock"
 
-// wallExceptions are the uses of the time of day, and of the runtime's clock, by which the gateway
-// decides nothing that a suspension would change, with the reason.
+// wallExceptions are the permitted uses of the wall clock and of the runtime's clock, with the
+// reason why a clock step or a suspension does no harm there.
 var wallExceptions = map[wallUse]string{
-	{"internal/clock/now.go", "(time.Time).UnixNano"}: "says when the kernel's clocks are compared, which decide",
-	{"internal/clock/now.go", "time.Now"}:             "is what suspensions are added to",
+	{"internal/clock/now.go", "(time.Time).UnixNano"}: "determines when the kernel's clocks are compared, not their result",
+	{"internal/clock/now.go", "time.Now"}:             "the reading to which suspensions are added",
 	{"gateway/callerconn.go", "time.Now"}:             connectionDeadline,
 	{"gateway/callerconn.go", "time.Until"}:           connectionDeadline,
 	{"gateway/handler.go", "time.Now"}:                connectionDeadline,
 	{"gateway/refuse.go", "time.Now"}:                 connectionDeadline,
 	{"gateway/relay.go", "time.Now"}:                  connectionDeadline,
-	{"internal/transfer/transfer.go", "time.Now"}:     "the progress of a call is watched by a timer of the runtime's clock",
-	{"internal/transfer/transfer.go", "time.Since"}:   "for the log",
-	{"gateway/endpoint/send.go", "time.Unix"}:         "a deadline that has passed by any clock ends what waits on a connection",
-	{"retry/after.go", "net/http.ParseTime"}:          "the difference of two dates of one response, by the endpoint's clock",
-	{"engine.go", timeInTaggedStruct}:                 "of the fleet with agents",
-	{"plan.go", timeInTaggedStruct}:                   "of the fleet with agents",
-	{"template.go", timeInTaggedStruct}:               "of the fleet with agents",
-	{"settings/template.go", timeInTaggedStruct}:      "of the fleet with agents",
+	{"internal/transfer/transfer.go", "time.Now"}:     "a timer of the runtime's clock monitors the progress of a call",
+	{"internal/transfer/transfer.go", "time.Since"}:   "only logged",
+	{"gateway/endpoint/send.go", "time.Unix"}:         "a deadline in the past by any clock, which unblocks a connection",
+	{"retry/after.go", "net/http.ParseTime"}:          "only the difference of two dates of one response, both by the endpoint's clock",
+	{"engine.go", timeInTaggedStruct}:                 "used by the fleet with agents only",
+	{"plan.go", timeInTaggedStruct}:                   "used by the fleet with agents only",
+	{"template.go", timeInTaggedStruct}:               "used by the fleet with agents only",
+	{"settings/template.go", timeInTaggedStruct}:      "used by the fleet with agents only",
 }
 
-// TestSteadyClock checks that no code of the gateway goes by the time of day, which may
-// step: its times keep their reading of the steady clock, and none of them crosses
-// processes, in a message, a row or a setting; nor by the runtime's clock, which doesn't count
-// suspensions. The clocks can't be set in a test, so that this is read from the code.
+// TestMonotonicClock checks that the gateway depends neither on the wall clock, which may step, nor
+// on the runtime's clock, which doesn't count suspensions. A test can't set these clocks, so this
+// test analyses the source code.
 //
-// It fails if a package that runs on the platform, commands apart, makes a time from a
-// text or a number, uses another method of time.Time than those of steadyMethods, or has
-// a time in a struct with tags.
-func TestSteadyClock(t *testing.T) {
+// It fails if a package that runs on the platform, commands excepted, makes a time from a string or
+// a number, calls a method of time.Time that is not in monotonicMethods, reads the runtime's clock,
+// or has a time in a struct with tags, unless the use is in wallExceptions.
+func TestMonotonicClock(t *testing.T) {
 	set := token.NewFileSet()
 	compiled := compilePackages(t)
 	from := importer.ForCompiler(set, "gc", func(name string) (io.ReadCloser, error) { return os.Open(compiled[name].Export) })
@@ -80,31 +78,31 @@
 		}
 		checked++
 		for _, use := range wallUses(t, set, from, p) {
-			assert.Check(t, wallExceptions[use] != "", "%s: %s", use.file, use.what)
+			assert.Check(t, wallExceptions[use] != "", "%s uses the wall clock or the runtime's clock: %s", use.file, use.what)
 			found[use] = true
 		}
 	}
 	assert.Assert(t, checked > 20, "only %d packages were found", checked)
 	for use := range wallExceptions {
-		assert.Check(t, found[use], "%s: %s is an exception for nothing", use.file, use.what)
+		assert.Check(t, found[use], "%s no longer uses %s: remove the exception", use.file, use.what)
 	}
 }
 
 // runsOnPlatform reports whether a folder's code is part of the gateway.
 func runsOnPlatform(t *testing.T, folder string) bool {
-	row := place(t, folder)
+	row := positionOf(t, folder)
 	return row.layer <= roles && (row.side == both || row.side == platform)
 }
 
-// A compiledPackage is what `go list -export` says of a package.
+// A compiledPackage is a package in the output of `go list -export`.
 type compiledPackage struct {
 	ImportPath string
 	Dir        string
 	GoFiles    []string
-	Export     string // the file of its types
+	Export     string // the file with its export data
 }
 
-// compilePackages returns the packages of the module and all that they import, by path.
+// compilePackages returns the packages of the module and their dependencies, by import path.
 func compilePackages(t *testing.T) map[string]compiledPackage {
 	t.Helper()
 	list := exec.Command("go", "list", "-export", "-deps", "-json=ImportPath,Dir,GoFiles,Export", "./...")
@@ -124,13 +122,13 @@
 	}
 }
 
-// A wallUse is a use of the time of day: the file, from the module's root, and what is
-// used.
+// A wallUse is a use of the wall clock or of the runtime's clock. file is relative to the module's
+// root.
 type wallUse struct {
 	file, what string
 }
 
-// wallUses returns the uses of the time of day in a package.
+// wallUses returns the uses of the wall clock and of the runtime's clock in a package.
 func wallUses(t *testing.T, set *token.FileSet, from types.Importer, p compiledPackage) []wallUse {
 	t.Helper()
 	var files []*ast.File
@@ -161,8 +159,8 @@
 	return uses
 }
 
-// wallCall returns the name of a function or method that goes by the time of day, and
-// whether the object is one.
+// wallCall reports whether an object is a function or method that uses the wall clock or the
+// runtime's clock, and returns its name.
 func wallCall(object types.Object) (string, bool) {
 	function, ok := object.(*types.Func)
 	if !ok || function.Pkg() == nil {
@@ -174,11 +172,11 @@
 		return name, slices.Contains(wallFunctions, name) || slices.Contains(runtimeFunctions, name)
 	}
 	name := fmt.Sprintf("(%s).%s", receiver.Type(), function.Name())
-	return name, isTime(receiver.Type()) && !slices.Contains(steadyMethods, function.Name())
+	return name, isTime(receiver.Type()) && !slices.Contains(monotonicMethods, function.Name())
 }
 
-// sendsTime reports whether a struct that has tags, so that it is written or read as a
-// whole, has a time in it.
+// sendsTime reports whether a struct has both a field with a tag, so that it is encoded or decoded,
+// and a time.
 func sendsTime(structure *types.Struct) bool {
 	tagged, timed := false, false
 	for i := range structure.NumFields() {
