--- a/caller/answer.go
+++ b/caller/answer.go
@@ -15,7 +15,7 @@
 	"github.com/ryeford/ryeford/internal/eventstream"
 )
 
-// An Answer is what a router has sent, whole or in part.
+// An Answer is a router's answer to a request. It may be incomplete.
 type Answer struct {
 	Request   string               `json:"request"`
 	Engine    string               `json:"engine"`
@@ -27,18 +27,18 @@
 	Tries     int                  `json:"tries"`
 	Failure   *Failure             `json:"failure,omitempty"`
 
-	// FirstToken is the time from the request to the first text, Between the times
+	// FirstToken is the time from the request to the first text. Between holds the times
 	// from each text to the next.
 	FirstToken time.Duration   `json:"first_token_ns"`
 	Between    []time.Duration `json:"-"`
 }
 
-// NotRun reports whether the router says that the request has not run.
+// NotRun reports whether the router states that the request did not run.
 func (a *Answer) NotRun() bool { return a.Failure != nil && a.Failure.Ran == RunNot }
 
-// newAnswer returns the Answer that a response's headers begin.
+// newAnswer returns an Answer with the fields that a response's header sets.
 func newAnswer(response *http.Response) *Answer {
-	// A failure of a router without attempts has no such header: zero attempts.
+	// A failure before the first attempt has no such header.
 	tries, _ := strconv.Atoi(response.Header.Get(router.HeaderTries))
 	return &Answer{
 		Request: response.Header.Get(router.HeaderRequest),
@@ -53,7 +53,7 @@
 	RunUnknown = "unknown" // it may have run
 )
 
-// A Failure is why an answer is not complete, as the router says in JSON.
+// A Failure is the reason why an answer is not complete, as reported by the router in JSON.
 type Failure struct {
 	Status     int    `json:"status,omitempty"`
 	Code       string `json:"code"`
@@ -64,12 +64,13 @@
 
 func (f *Failure) Error() string { return f.Code + " (" + f.Ran + "): " + f.Message }
 
-// isFailure reports whether a response is the router's own failure.
+// isFailure reports whether a response is a failure of the router, as opposed to an error
+// response of the service that it called.
 func isFailure(response *http.Response, content []byte) bool {
 	return response.StatusCode >= 400 && bytes.HasPrefix(content, []byte(`{"error":{`))
 }
 
-// newFailure returns the Failure of a response that is none of success.
+// newFailure returns the Failure of an error response.
 func newFailure(status int, content []byte) *Failure {
 	failure := DecodeFailure(content)
 	if failure == nil {
@@ -79,8 +80,8 @@
 	return failure
 }
 
-// DecodeFailure returns the Failure of a router's JSON body, or nil if there is
-// none in it, as in an answer that something between caller and router has made.
+// DecodeFailure returns the Failure in a router's JSON body. It returns nil if there is none,
+// as in the response of a proxy between the caller and the router.
 func DecodeFailure(content []byte) *Failure {
 	var body struct {
 		Error Failure `json:"error"`
@@ -93,13 +94,13 @@
 
 // An eventReader reads server-sent events into an Answer.
 type eventReader struct {
-	client *Client
-	answer *Answer
-	last   time.Time
-	text   strings.Builder
+	client   *Client
+	answer   *Answer
+	lastText time.Time // of the request, before the first text
+	text     strings.Builder
 }
 
-// An eventBody is the data of one event: what an engine's has, or the router's failure.
+// An eventBody is the data of one event: a chunk of a completion, or the router's failure.
 type eventBody struct {
 	engine.CompletionChunk
 	Error *Failure `json:"error"`
@@ -109,7 +110,7 @@
 	defer func() { r.answer.Text = r.text.String() }()
 	events := eventstream.NewReader(body)
 	for events.Next() {
-		if err := r.take(events.ID, events.Data); err != nil {
+		if err := r.add(events.ID, events.Data); err != nil {
 			return err
 		}
 	}
@@ -117,8 +118,8 @@
 	return events.Err()
 }
 
-// take adds the data of one event to the answer.
-func (r *eventReader) take(id, data string) error {
+// add adds the data of one event to the answer.
+func (r *eventReader) add(id, data string) error {
 	var body eventBody
 	if err := json.Unmarshal([]byte(data), &body); err != nil {
 		return err
@@ -143,18 +144,18 @@
 	return nil
 }
 
-// addText adds a text, and the time that it took.
+// addText adds a text and the time since the previous one.
 func (r *eventReader) addText(text string) {
 	if text == "" {
 		return
 	}
 	now := time.Now()
 	if r.text.Len() == 0 {
-		r.answer.FirstToken = now.Sub(r.last)
+		r.answer.FirstToken = now.Sub(r.lastText)
 	} else {
-		r.answer.Between = append(r.answer.Between, now.Sub(r.last))
+		r.answer.Between = append(r.answer.Between, now.Sub(r.lastText))
 	}
-	r.last = now
+	r.lastText = now
 	r.text.WriteString(text)
 	if r.client.OnText != nil {
 		r.client.OnText(text)
--- a/caller/client.go
+++ b/caller/client.go
@@ -1,8 +1,8 @@
-// Package caller is a client of the routers' interface for callers, as the command
-// line and trace replay use it.
+// Package caller is a client for the routers' API for callers. The command line and the replay
+// of traces use it.
 //
-// It owns the reading of answers and of their failures; it retries nothing. It
-// relies on package router for the paths and headers of the interface.
+// It decodes answers and failures, and doesn't retry. Package router defines the paths and
+// headers of the API.
 package caller
 
 import (
@@ -18,16 +18,16 @@
 	"github.com/ryeford/ryeford/agentfleet/router"
 )
 
-// maxIdlePerRouter is how many idle connections are kept to each router, so that a
-// replay's turns don't wait for new ones.
+// maxIdlePerRouter is the maximum number of idle connections to each router. It is large enough
+// that the concurrent turns of a replay rarely need a new connection.
 const maxIdlePerRouter = 256
 
 // A Client calls routers.
 type Client struct {
 	http *http.Client
-	// OnText is called with each text as it arrives, if it is set.
+	// OnText, if it is set, is called with each text as it arrives.
 	OnText func(text string)
-	// OnEvent is called with the id of each event, if it is set.
+	// OnEvent, if it is set, is called with the ID of each event.
 	OnEvent func(id string)
 }
 
@@ -36,9 +36,9 @@
 	return &Client{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePerRouter}}}
 }
 
-// Complete asks a router for a streamed completion. A failure that the router
-// states is in the Answer; the error is one of the connection, and then the
-// Answer holds what came before it.
+// Complete requests a streamed completion from a router. A failure that the router reports is
+// in the Answer. The error is one of the connection or of decoding; the Answer then holds what
+// was received before it.
 func (c *Client) Complete(ctx context.Context, address netip.AddrPort, t *Turn) (*Answer, error) {
 	body, err := json.Marshal(&completionBody{
 		MaxTokens: t.MaxTokens,
@@ -56,7 +56,7 @@
 	return c.stream(request)
 }
 
-// Resume asks a router for the rest of an answer after an event.
+// Resume requests the rest of an answer, after an event, from a router.
 func (c *Client) Resume(ctx context.Context, address netip.AddrPort, key, lastEvent string) (*Answer, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+router.PathAnswers, nil)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return c.stream(request)
 }
 
-// CallService calls a plain service with a body and returns its answer's body.
+// CallService calls a plain service. The body of its response is the Text of the Answer.
 func (c *Client) CallService(ctx context.Context, address netip.AddrPort, path string, t *Turn, body []byte) (*Answer, error) {
 	request, err := t.post(ctx, address, router.PathServices+path, body)
 	if err != nil {
@@ -92,9 +92,9 @@
 	return answer, nil
 }
 
-// stream makes a request and reads the answer's events.
+// stream sends a request and reads the answer's events.
 func (c *Client) stream(request *http.Request) (*Answer, error) {
-	began := time.Now()
+	start := time.Now()
 	response, err := c.http.Do(request)
 	if err != nil {
 		return &Answer{}, err
@@ -106,12 +106,12 @@
 		answer.Failure = newFailure(response.StatusCode, content)
 		return answer, err
 	}
-	r := &eventReader{client: c, answer: answer, last: began}
+	r := &eventReader{client: c, answer: answer, lastText: start}
 	return answer, r.read(response.Body)
 }
 
-// A Turn is one request of a caller: the next turn of a chat, or, without its
-// chat's fields, a call of a plain service. What is left out, the router decides.
+// A Turn is one request of a caller: the next turn of a chat or, without the fields of a chat, a
+// call of a plain service. The router chooses defaults for empty fields.
 type Turn struct {
 	Key           string // of the client account
 	Chat          ryeford.ChatID
@@ -119,7 +119,7 @@
 	Messages      []ryeford.Message
 	MaxTokens     int
 	NotRepeatable bool   // the request must not run more than once
-	Idempotency   string // the key under which it runs once, however often it is sent
+	Idempotency   string // the idempotency key: the request runs once even if it is sent again
 	Deadline      time.Duration
 	Priority      string // 0 (lowest) to 9
 }
@@ -132,13 +132,13 @@
 	Stream    bool              `json:"stream"`
 }
 
-// post returns the request that sends a body of the turn to a router.
+// post returns a POST request with the turn's headers and a body.
 func (t *Turn) post(ctx context.Context, address netip.AddrPort, path string, body []byte) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address.String()+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	request.GetBody = nil // or net/http might send it again by itself
+	request.GetBody = nil // prevents net/http from resending the request
 	request.Header.Set("Authorization", "Bearer "+t.Key)
 	request.Header.Set("Content-Type", "application/json")
 	optional := map[string]string{
