--- a/cmd/ryeford/main.go
+++ b/cmd/ryeford/main.go
@@ -1,4 +1,4 @@
-// Command ryeford is the router fleet's one program.
+// Command ryeford runs and operates a fleet of routers.
 package main
 
 import (
--- a/operator/client.go
+++ b/operator/client.go
@@ -1,8 +1,7 @@
-// Package operator is a client of the routers' interface for operators.
+// Package operator is a client for the routers' API for operators.
 //
-// It owns the calls and their errors; it retries nothing. It relies on package
-// router for the paths and the forms of the interface, and on package caller for
-// the form of a failure, which is the same for callers.
+// It doesn't retry. Package router defines the paths and types of the API. Package caller
+// defines the format of a failure, which both APIs share.
 package operator
 
 import (
@@ -21,10 +20,10 @@
 )
 
 const (
-	// callTimeout is how long a router may take to answer: longer than a publish
-	// takes whose writes are repeated while the table is busy.
+	// callTimeout limits the time of a call. It exceeds the time of a publish whose writes are
+	// repeated because the table is busy.
 	callTimeout = 15 * time.Second
-	// maxAnswer is the largest answer, in bytes.
+	// maxAnswer is the maximum size of an answer in bytes.
 	maxAnswer = 64 << 20
 )
 
@@ -35,13 +34,12 @@
 	http    *http.Client
 }
 
-// New returns a Client of the router whose interface for operators is at an
-// address.
+// New returns a Client of the router that serves the API for operators at an address.
 func New(address netip.AddrPort, key string) *Client {
 	return &Client{address: address, key: key, http: &http.Client{Timeout: callTimeout}}
 }
 
-// Publish publishes a template.
+// Publish publishes a template and returns it as accepted.
 func (c *Client) Publish(ctx context.Context, t *ryeford.Template) (*ryeford.Template, error) {
 	return call[*ryeford.Template](ctx, c, http.MethodPost, router.PathTemplates, t)
 }
@@ -51,32 +49,33 @@
 	return call[[]ryeford.Template](ctx, c, http.MethodGet, router.PathTemplates, nil)
 }
 
-// Template returns one template, ACCOUNT/NAME.
+// Template returns one template. Its name has the form ACCOUNT/NAME.
 func (c *Client) Template(ctx context.Context, name string) (*ryeford.Template, error) {
 	return call[*ryeford.Template](ctx, c, http.MethodGet, router.PathTemplates+"/"+name, nil)
 }
 
-// History returns the versions of a template, the oldest first.
+// History returns the versions of a template, oldest first.
 func (c *Client) History(ctx context.Context, name string) ([]ryeford.Template, error) {
 	return call[[]ryeford.Template](ctx, c, http.MethodGet, router.PathHistory+name, nil)
 }
 
-// StopVM begins a planned stop of a VM.
+// StopVM starts a planned stop of a VM and returns the VM's entry.
 func (c *Client) StopVM(ctx context.Context, vm ryeford.VMID) (*ryeford.VM, error) {
 	return call[*ryeford.VM](ctx, c, http.MethodPost, router.PathVMs+string(vm)+"/stop", nil)
 }
 
-// Status returns the router's own state and the agents that it reaches.
+// Status returns the router's state and the agents that it is connected to.
 func (c *Client) Status(ctx context.Context) (*router.Status, error) {
 	return call[*router.Status](ctx, c, http.MethodGet, router.PathStatus, nil)
 }
 
-// Explain returns the decisions on a request.
+// Explain returns the decisions that were made on a request.
 func (c *Client) Explain(ctx context.Context, request ryeford.RequestID) (*router.Explanation, error) {
 	return call[*router.Explanation](ctx, c, http.MethodGet, router.PathExplain+string(request), nil)
 }
 
-// call makes one call and decodes its answer. A nil request has no body.
+// call sends one request and decodes its answer. A nil request is sent without a body. The error
+// is an *Error.
 func call[T any](ctx context.Context, c *Client, method, path string, request any) (T, error) {
 	var answer T
 	var body []byte
@@ -109,13 +108,13 @@
 	return answer, nil
 }
 
-// An Error is a call that failed.
+// An Error reports a failed call.
 type Error struct {
 	Address netip.AddrPort
-	Status  int    // of the answer, or zero if there was none
-	Code    string // what is wrong, as docs/interfaces.md lists it
+	Status  int    // of the answer; zero if there was none
+	Code    string // one of the codes listed in docs/interfaces.md
 	Message string
-	Ran     string // caller.RunNot, caller.RunUnknown, or empty if the answer doesn't say
+	Ran     string // caller.RunNot, caller.RunUnknown, or empty if not stated
 	Err     error
 }
 
