--- a/trace/make.go
+++ b/trace/make.go
@@ -9,32 +9,32 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Workload is the shape of a drawn trace.
+// A Workload holds the parameters of a generated trace.
 type Workload struct {
-	Seed      uint64 // the same one draws the same trace
-	Accounts  int    // client accounts
-	Chats     int    // from which the turns are drawn
-	FirstChat int    // the number in the first chat's id
+	Seed      uint64 // of the random generator; equal workloads generate equal traces
+	Accounts  int    // the number of client accounts
+	Chats     int    // the number of chats, to which turns are assigned at random
+	FirstChat int    // the number in the first chat's ID
 	Turns     int
 	Seconds   float64 // the length of the trace
-	// EventAt is when an event begins, in seconds, and EventPart the part of the
-	// turns that come in the rush after it. The others are spread evenly.
+	// EventAt is when an event begins, in seconds. EventPart is the fraction of the turns that
+	// arrive in the rush after it. The others are distributed uniformly.
 	EventAt   float64
 	EventPart float64
-	// PromptTokens and AnswerTokens are the means of the tokens that a turn adds
-	// and of those of its answer, both exponentially distributed.
+	// PromptTokens and AnswerTokens are the mean numbers of tokens that a turn adds and that
+	// its answer has. Both are exponentially distributed.
 	PromptTokens float64
 	AnswerTokens float64
-	// NotRepeatable is the part of the turns that must not run more than once.
+	// NotRepeatable is the fraction of the turns that must not run more than once.
 	NotRepeatable float64
-	// Zipf is the exponent by which accounts' shares of the chats fall; zero makes
-	// all accounts alike.
+	// Zipf is the exponent of the Zipf distribution of chats over accounts. Zero distributes
+	// them uniformly.
 	Zipf  float64
 	Model string
 }
 
-// Skriptorij returns the workload of calls: short prompts, shifts, a campaign
-// at a fixed time, a few large accounts.
+// Skriptorij returns a workload of calls: short prompts, a campaign at a fixed time, a few
+// large accounts.
 func Skriptorij(seed uint64, turns int) Workload {
 	return Workload{
 		Seed: seed, Accounts: 10, Chats: max(1, turns/5), Turns: turns, Seconds: 60, EventAt: 20, EventPart: 0.4,
@@ -42,8 +42,8 @@
 	}
 }
 
-// Nordlytt returns the workload of listeners and editors: long transcripts, a
-// broadcast's end.
+// Nordlytt returns a workload of listeners and editors: long transcripts, a rush at the end of a
+// broadcast.
 func Nordlytt(seed uint64, turns int) Workload {
 	return Workload{
 		Seed: seed, Accounts: 10, Chats: max(1, turns/4), Turns: turns, Seconds: 60, EventAt: 30, EventPart: 0.5,
@@ -51,21 +51,21 @@
 	}
 }
 
-// rushSeconds is the mean time from an event's begin to a turn of its rush, which
-// is exponentially distributed.
+// rushSeconds is the mean time from the start of an event to a turn of its rush. The time is
+// exponentially distributed.
 const rushSeconds = 3
 
-// sharedTokens are the tokens that all chats of an account begin with.
+// sharedTokens is the number of tokens that the prompts of all chats of an account begin with.
 const sharedTokens = 20
 
-// seedMix makes the second half of the generator's seed differ from the first: the
-// fraction of the golden ratio, in 64 bits.
+// seedMix derives the second half of the generator's seed from the first. It is the fractional
+// part of the golden ratio in 64 bits.
 const seedMix = 0x9e3779b97f4a7c15
 
-// Make draws a trace: turns in the order of their times.
+// Make generates a trace. Its turns are sorted by time.
 func Make(w *Workload) []Entry {
 	random := rand.New(rand.NewPCG(w.Seed, w.Seed^seedMix))
-	owners := drawOwners(random, w)
+	owners := drawAccounts(random, w)
 	entries := make([]Entry, 0, w.Turns)
 	for i := range w.Turns {
 		chat := random.IntN(w.Chats)
@@ -89,23 +89,23 @@
 	return entries
 }
 
-// drawOwners returns the account of each chat; the first accounts have the most.
-func drawOwners(random *rand.Rand, w *Workload) []ryeford.AccountID {
-	upTo := make([]float64, w.Accounts) // the weights of the accounts up to each one
+// drawAccounts returns the account of each chat. Accounts with lower numbers get more chats.
+func drawAccounts(random *rand.Rand, w *Workload) []ryeford.AccountID {
+	cumulative := make([]float64, w.Accounts) // weights
 	total := 0.0
-	for i := range upTo {
+	for i := range cumulative {
 		total += math.Pow(float64(i+1), -w.Zipf)
-		upTo[i] = total
+		cumulative[i] = total
 	}
 	owners := make([]ryeford.AccountID, w.Chats)
 	for c := range owners {
-		account, _ := slices.BinarySearch(upTo, random.Float64()*total)
+		account, _ := slices.BinarySearch(cumulative, random.Float64()*total)
 		owners[c] = ryeford.AccountID(fmt.Sprintf("account-%d", account))
 	}
 	return owners
 }
 
-// drawTime returns when a turn comes, in milliseconds.
+// drawTime returns the time of a turn, in milliseconds from the start of the trace.
 func drawTime(random *rand.Rand, w *Workload) int64 {
 	if random.Float64() < w.EventPart {
 		at := w.EventAt + random.ExpFloat64()*rushSeconds
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -1,9 +1,8 @@
-// Package trace is the format of recorded traces: the turns of chats with their
-// times, what happens to the fleet meanwhile, and the outcomes that are expected.
+// Package trace defines the format of traces: the turns of chats with their times, the events
+// in the fleet meanwhile, and the expected outcomes.
 //
-// It owns the format (JSON lines, docs/interfaces.md) and draws traces of the two
-// users' workloads (make.go). It relies on the root package's types only; package
-// replay plays traces.
+// A trace is a file of JSON lines, as described in docs/interfaces.md. The package also generates
+// traces of the two users' workloads (make.go). Package replay replays traces.
 package trace
 
 import (
@@ -15,64 +14,64 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Kind says what an entry is.
+// A Kind is the kind of an entry.
 type Kind string
 
 // The kinds of entries.
 const (
 	KindTurn    Kind = "turn"         // a request of a caller
 	KindPublish Kind = "publish"      // an operator publishes a template
-	KindStopVM  Kind = "stop_vm"      // an operator begins a planned stop
-	KindFault   Kind = "fault"        // a stand-in gets a fault
-	KindJoin    Kind = "engine_join"  // read, but not played against a running fleet
-	KindLeave   Kind = "engine_leave" // the same
-	KindOutcome Kind = "outcome"      // what the whole replay is to reach
+	KindStopVM  Kind = "stop_vm"      // an operator starts a planned stop
+	KindFault   Kind = "fault"        // a fault is set in a stand-in
+	KindJoin    Kind = "engine_join"  // an engine is added; can't be replayed
+	KindLeave   Kind = "engine_leave" // an engine is removed; can't be replayed
+	KindOutcome Kind = "outcome"      // an expected result of the whole replay
 )
 
-// maxLine is the longest line of a trace, in bytes.
+// maxLine is the maximum length of a line of a trace, in bytes.
 const maxLine = 1 << 20
 
-// An Entry is one line of a trace. Entries are in the order of their times;
-// outcomes, which have none, may stand anywhere.
+// An Entry is one line of a trace. Entries are sorted by time. Outcomes have no time and may
+// appear anywhere.
 type Entry struct {
 	Kind Kind `json:"kind"`
-	// AtMS is when it happens, in milliseconds from the begin of the trace.
+	// AtMS is the time in milliseconds from the start of the trace.
 	AtMS int64 `json:"at_ms,omitempty"`
 
-	// Of a turn.
+	// Fields of a turn.
 	Account       ryeford.AccountID `json:"account,omitempty"`
 	Chat          ryeford.ChatID    `json:"chat,omitempty"`
 	Model         string            `json:"model,omitempty"`
-	PromptTokens  int               `json:"prompt_tokens,omitempty"` // that the turn adds
-	SharedTokens  int               `json:"shared_tokens,omitempty"` // that begin all chats of the account
+	PromptTokens  int               `json:"prompt_tokens,omitempty"` // added by the turn
+	SharedTokens  int               `json:"shared_tokens,omitempty"` // at the beginning of all chats of the account
 	AnswerTokens  int               `json:"answer_tokens,omitempty"`
 	NotRepeatable bool              `json:"not_repeatable,omitempty"`
 	Idempotency   string            `json:"idempotency_key,omitempty"`
 	Priority      *int              `json:"priority,omitempty"`
 
-	// Of the other kinds.
+	// Fields of the other kinds.
 	Template *ryeford.Template `json:"template,omitempty"`
 	VM       ryeford.VMID      `json:"vm,omitempty"`
 	Engine   ryeford.EngineID  `json:"engine,omitempty"`
 	Domain   string            `json:"failure_domain,omitempty"`
-	Target   string            `json:"target,omitempty"` // a stand-in's name
+	Target   string            `json:"target,omitempty"` // the name of a stand-in
 	Fault    json.RawMessage   `json:"fault,omitempty"`
 
-	// Of an outcome: the metric is within the bounds.
+	// Fields of an outcome: the inclusive bounds of a metric. A nil bound is not checked.
 	Metric string   `json:"metric,omitempty"`
 	Min    *float64 `json:"min,omitempty"`
 	Max    *float64 `json:"max,omitempty"`
 }
 
-// An EntryError says what is wrong with an entry.
+// An EntryError reports an invalid entry.
 type EntryError struct {
 	Problem string
 }
 
 func (e *EntryError) Error() string { return e.Problem }
 
-// Read reads a trace. Its errors are of type *ryeford.InputError, with the number of the
-// wrong line, or those of r.
+// Read reads a trace. The error is a *ryeford.InputError with the number of the invalid line, an
+// error of r, or bufio.ErrTooLong.
 func Read(r io.Reader) ([]Entry, error) {
 	var entries []Entry
 	scanner := bufio.NewScanner(r)
@@ -96,7 +95,7 @@
 	return entries, scanner.Err()
 }
 
-// check checks an entry that follows one at last, in milliseconds.
+// check validates an entry. last is the time of the entry before it, in milliseconds.
 func check(e *Entry, last int64) error {
 	switch {
 	case e.Kind == KindTurn && (e.Account == "" || e.Chat == "" || e.Model == ""):
@@ -106,7 +105,7 @@
 	case e.Kind == KindOutcome:
 		return nil
 	case e.AtMS < last:
-		return &EntryError{Problem: "at_ms goes back"}
+		return &EntryError{Problem: "at_ms is lower than in an earlier entry"}
 	}
 	switch e.Kind {
 	case KindTurn, KindPublish, KindStopVM, KindFault, KindJoin, KindLeave:
