--- a/replay/balancer.go
+++ b/replay/balancer.go
@@ -10,14 +10,14 @@
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
-// Readiness probes, about as often as a load balancer sends them.
+// The interval and the timeout of readiness probes.
 const (
 	probeInterval = 100 * time.Millisecond
 	probeTimeout  = time.Second
 )
 
-// A balancer names, round robin, the routers whose readiness probe succeeds, as
-// the load balancer before a fleet does.
+// A balancer plays the load balancer in front of a fleet: it selects, round robin, among the
+// routers whose readiness probe succeeds.
 type balancer struct {
 	routers []netip.AddrPort
 
@@ -26,7 +26,7 @@
 	ready []netip.AddrPort
 }
 
-// newBalancer returns a balancer that probes the routers until ctx ends.
+// newBalancer returns a balancer that probes the routers until ctx is done.
 func newBalancer(ctx context.Context, routers []netip.AddrPort) *balancer {
 	b := &balancer{routers: routers}
 	b.probe()
@@ -38,8 +38,7 @@
 	return b
 }
 
-// probe sends each router a readiness probe. One that fails is the finding itself:
-// the router isn't ready.
+// probe sends each router a readiness probe. A router whose probe fails is not ready.
 func (b *balancer) probe() {
 	client := &http.Client{Timeout: probeTimeout}
 	var ready []netip.AddrPort
@@ -62,10 +61,10 @@
 func (b *balancer) router() netip.AddrPort {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	from := b.ready
-	if len(from) == 0 {
-		from = b.routers
+	candidates := b.ready
+	if len(candidates) == 0 {
+		candidates = b.routers
 	}
 	b.next++
-	return from[b.next%len(from)]
+	return candidates[b.next%len(candidates)]
 }
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -1,11 +1,9 @@
-// Package replay plays a recorded trace against a running fleet with agents and
-// reports how its turns ended.
+// Package replay replays a trace against a running fleet with agents and reports the results of
+// its turns.
 //
-// It owns the player (this file), the order of routers that a load balancer would give
-// (balancer.go), the report (report.go) and its comparison with what the engines say that
-// they ran (runs.go). It relies on package trace for the entries, on packages caller and
-// operator for the calls, and on package standin for the answers that its engines give:
-// against real engines every answer counts as wrong.
+// It contains the player (replay.go), a load balancer (balancer.go), the report (report.go) and
+// its comparison with the runs that the engines recorded (runs.go). It verifies answers against
+// those of package standin, so that answers of real engines count as wrong.
 package replay
 
 import (
@@ -25,32 +23,32 @@
 )
 
 const (
-	// retryPause is the pause before a turn is sent again whose failure gives no
-	// Retry-After.
+	// retryPause is the pause before a turn is retried whose failure has no Retry-After.
 	retryPause = 50 * time.Millisecond
-	// resumesPerRouter times the routers is how often a broken answer is resumed:
-	// a router may be lost, and the next one too.
+	// resumesPerRouter times the number of routers is the maximum number of attempts to resume a
+	// truncated answer. More than one router may fail in succession.
 	resumesPerRouter = 2
 )
 
-// Options say how a trace is played.
+// Options configure a replay.
 type Options struct {
-	Routers   []netip.AddrPort // for callers
-	Operators []*operator.Client
+	Routers   []netip.AddrPort   // the addresses for callers
+	Operators []*operator.Client // only the first one is used
 	// Key returns the key of a client account.
 	Key func(account ryeford.AccountID) string
-	// SetFault sets a fault of a named stand-in.
+	// SetFault sets a fault in the stand-in with a name. If it is nil, a trace with faults fails.
 	SetFault func(ctx context.Context, target string, fault []byte) error
-	// Speed is how many seconds of the trace pass in one second.
+	// Speed is the number of seconds of the trace that are replayed per second.
 	Speed float64
-	// Retries is how often a turn is sent again that failed and may be repeated.
+	// Retries is the maximum number of retries of a failed turn that may be repeated.
 	Retries int
-	// Deadline is how long each turn may take; zero leaves it to the router.
+	// Deadline limits the time of each turn. Zero uses the router's default.
 	Deadline time.Duration
-	// Runs, if it is set, returns what each engine has run. The report then says
-	// whether refused turns have run, and how the load was spread.
+	// Runs, if it is set, returns the runs of each engine. The report then includes whether
+	// refused turns have run, and the distribution of the load.
 	Runs func(ctx context.Context) ([][]standin.RunRecord, error)
-	// Progress, if it is set, is called each second.
+	// Progress, if it is set, is called every second with the number of finished turns and of
+	// all turns.
 	Progress func(done, total int)
 }
 
@@ -59,10 +57,11 @@
 	client  *caller.Client
 	report  *Report
 	balance *balancer
-	chats   sync.Map // of *chat, by chatKey
+	chats   sync.Map // from chatKey to *chat
 }
 
-// Run plays a trace to its end.
+// Run replays a trace to its end. It returns the error of ctx, an *ActionError, or the error of
+// Options.Runs. Failed turns are not errors: the report counts them.
 func Run(ctx context.Context, entries []trace.Entry, o *Options) (*Report, error) {
 	p := &player{
 		options: o,
@@ -91,7 +90,7 @@
 	return p.report, nil
 }
 
-// playAll plays each entry at its time and returns once all turns have ended.
+// playAll plays each entry at its time and returns when all turns have finished.
 func (p *player) playAll(ctx context.Context, entries []trace.Entry, began time.Time) error {
 	var turns sync.WaitGroup
 	defer turns.Wait()
@@ -115,14 +114,14 @@
 	return nil
 }
 
-// showProgress calls Progress each second until ctx ends.
+// showProgress calls Progress every second until ctx is done.
 func (p *player) showProgress(ctx context.Context) {
 	for clock.Sleep(ctx, time.Second) {
 		p.options.Progress(p.report.done(), p.report.Turns)
 	}
 }
 
-// An ActionError says that an entry other than a turn can't be played.
+// An ActionError reports that an entry other than a turn could not be played.
 type ActionError struct {
 	Kind trace.Kind
 	Err  error
@@ -132,7 +131,8 @@
 
 func (e *ActionError) Unwrap() error { return e.Err }
 
-// act plays an entry that isn't a turn: a fault, a publish, a planned stop.
+// act plays an entry that isn't a turn: a fault, a publish or a planned stop. The error is an
+// *ActionError.
 func (p *player) act(ctx context.Context, e *trace.Entry) error {
 	var err error
 	switch {
@@ -143,7 +143,7 @@
 	case e.Kind == trace.KindStopVM && len(p.options.Operators) > 0:
 		_, err = p.options.Operators[0].StopVM(ctx, e.VM)
 	default:
-		err = &trace.EntryError{Problem: "can't be played against this fleet"}
+		err = &trace.EntryError{Problem: "not supported when replaying against this fleet"}
 	}
 	if err != nil {
 		return &ActionError{Kind: e.Kind, Err: err}
@@ -151,14 +151,14 @@
 	return nil
 }
 
-// A chat is the state of one chat; its turns are played one after the other.
+// A chat is the state of one chat. mu serializes its turns.
 type chat struct {
 	mu       sync.Mutex
 	messages []ryeford.Message
 	answered int
 }
 
-// play plays one turn, after the chat's earlier ones, and reports how it ended.
+// play plays one turn after the chat's earlier ones have finished, and records its result.
 func (p *player) play(ctx context.Context, e *trace.Entry) {
 	key := chatKey(e)
 	value, _ := p.chats.LoadOrStore(key, &chat{})
@@ -180,8 +180,8 @@
 		t.Priority = fmt.Sprint(*e.Priority)
 	}
 	answer, notRun := p.send(ctx, t)
-	right := answer.Text == standin.Answer(key, messages, max(e.AnswerTokens, 1))
-	p.report.addTurn(e.Account, answer, right, c.answered > 0)
+	correct := answer.Text == standin.Answer(key, messages, max(e.AnswerTokens, 1))
+	p.report.addTurn(e.Account, answer, correct, c.answered > 0)
 	p.report.addChat(key, e.NotRepeatable, notRun)
 	if answer.Complete {
 		c.messages = append(messages, ryeford.Message{Role: "assistant", Content: answer.Text})
@@ -189,9 +189,8 @@
 	}
 }
 
-// send sends a turn until it is answered, must not be sent again, or its retries
-// are spent. It returns the last answer, and whether every answer said that the turn had
-// not run.
+// send sends a turn until it is answered, may not be retried, or has used up its retries. It
+// returns the last answer, and whether every answer stated that the turn had not run.
 func (p *player) send(ctx context.Context, t *caller.Turn) (answer *caller.Answer, notRun bool) {
 	notRun = true
 	for range p.options.Retries + 1 {
@@ -205,7 +204,7 @@
 			return answer, notRun
 		}
 		p.report.addFailedAttempt(answer)
-		if !maySendAgain(t, answer) {
+		if !mayRetry(t, answer) {
 			return answer, notRun
 		}
 		wait := retryPause
@@ -219,18 +218,19 @@
 	return answer, notRun
 }
 
-// maySendAgain reports whether a turn may be sent again: it did not run, or it
-// may run twice, or its key keeps it from running twice.
-func maySendAgain(t *caller.Turn, answer *caller.Answer) bool {
+// mayRetry reports whether a turn may be sent again: it did not run, it may run more than once,
+// or its idempotency key prevents a second run.
+func mayRetry(t *caller.Turn, answer *caller.Answer) bool {
 	return answer.NotRun() || !t.NotRepeatable || t.Idempotency != ""
 }
 
-// resume reads the rest of an answer through other routers.
+// resume reads the rest of a truncated answer through other routers. It returns the complete
+// answer, or the part that was received before it gave up.
 func (p *player) resume(ctx context.Context, t *caller.Turn, part *caller.Answer) *caller.Answer {
 	for range resumesPerRouter * len(p.options.Routers) {
 		rest, err := p.client.Resume(ctx, p.balance.router(), t.Key, part.LastEvent)
 		if err != nil && rest.LastEvent == "" {
-			continue // a router that is lost, or that can't resume: another one may
+			continue // this router is down or can't resume; try the next one
 		}
 		rest.Text = part.Text + rest.Text
 		rest.FirstToken = part.FirstToken
@@ -244,13 +244,13 @@
 	return part
 }
 
-// chatKey returns the name that an engine has for an entry's chat.
+// chatKey returns the ID by which engines identify an entry's chat.
 func chatKey(e *trace.Entry) ryeford.ChatID {
 	return ryeford.ChatID(string(e.Account) + "/" + string(e.Chat))
 }
 
-// prompt returns the text of a turn. A chat's first one begins with the words that
-// all chats of the account share.
+// prompt returns the text of a turn. A chat's first prompt begins with words that all chats of
+// the account share.
 func prompt(e *trace.Entry, turn int) string {
 	var b strings.Builder
 	if turn == 0 {
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -20,9 +20,9 @@
 	lost    = &caller.Answer{Failure: &caller.Failure{Ran: caller.RunUnknown}}
 )
 
-// TestMaySendAgain checks that a turn which may have run is sent again only if that
-// can't make it run twice, or it may run twice.
-func TestMaySendAgain(t *testing.T) {
+// TestMayRetry checks that a turn which may have run is retried only if it may run more than
+// once or if a key prevents a second run.
+func TestMayRetry(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		turn   caller.Turn
@@ -32,19 +32,19 @@
 		{"repeatable, may have run", caller.Turn{}, lost, true},
 		{"not repeatable, refused", caller.Turn{NotRepeatable: true}, refused, true},
 		{"not repeatable, may have run", caller.Turn{NotRepeatable: true}, lost, false},
-		{"not repeatable, broken off", caller.Turn{NotRepeatable: true}, &caller.Answer{}, false},
+		{"not repeatable, truncated", caller.Turn{NotRepeatable: true}, &caller.Answer{}, false},
 		{"not repeatable, may have run, with a key", caller.Turn{NotRepeatable: true, Idempotency: "k"}, lost, true},
 	} {
-		assert.Equal(t, maySendAgain(&test.turn, test.answer), test.want, test.name)
+		assert.Equal(t, mayRetry(&test.turn, test.answer), test.want, test.name)
 	}
 }
 
-// TestSendNotRun checks that a turn counts as not run only if every answer to it said so:
-// one that was sent again after an unknown end may have run the first time.
+// TestSendNotRun checks that a turn counts as not run only if every answer to it stated so. A
+// turn that was refused on a retry may have run on an earlier attempt.
 func TestSendNotRun(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		runs []string // what each answer says
+		runs []string // Failure.Ran of each answer
 		want bool
 	}{
 		{"refused twice", []string{caller.RunNot, caller.RunNot}, true},
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestRuns checks that a run of a refused turn, a second run of one that must not
-// be repeated, and an engine loaded above the mean are found in the engines' records.
+// TestRuns checks that the report detects runs of refused turns, second runs of turns that must
+// not be repeated, and engines loaded above the mean.
 func TestRuns(t *testing.T) {
 	at := time.Unix(0, 0)
 	run := func(chat string, begin, end int) standin.RunRecord {
@@ -96,15 +96,15 @@
 	assert.Equal(t, r.AdmitSkew, 9/4.5)
 }
 
-// TestRunsBegan checks that runs of an earlier trace, of which some engines are not
-// compared now, count in no load, unless they still run.
-func TestRunsBegan(t *testing.T) {
+// TestRunsOfEarlierTrace checks that runs of an earlier trace, which may have used other engines,
+// don't count in the loads unless they are still running.
+func TestRunsOfEarlierTrace(t *testing.T) {
 	began := time.Unix(0, 0)
 	run := func(begin int) standin.RunRecord {
 		return standin.RunRecord{At: began.Add(time.Duration(begin))}
 	}
 	var first, second []standin.RunRecord
-	for i := range 9 { // 9 and 0: twice the mean
+	for i := range 9 { // loads 9 and 0: twice the mean
 		earlier := run(i - 100)
 		earlier.End = began.Add(-50)
 		first = append(first, earlier)
@@ -113,7 +113,7 @@
 		first = append(first, run(i))
 		second = append(second, run(i))
 	}
-	second = append(second, run(-1), run(50)) // 6 and 8
+	second = append(second, run(-1), run(50)) // loads 6 and 8
 	r := newReport(nil)
 	r.addRuns([][]standin.RunRecord{first, second}, began)
 	assert.Equal(t, r.Peak, 8)
@@ -121,9 +121,8 @@
 	assert.Equal(t, r.AdmitSkew, 8/7.)
 }
 
-// TestRunsAdmitted checks at which moment a run is judged: at its admission, also if it
-// came after other engines had ended their runs, or as it came if no admission is known
-// or the one that is named lies later. Runs on their way count.
+// TestRunsAdmitted checks that the skew of a run is evaluated at its admission, even if it arrived
+// later, or at its arrival if the admission is unknown or later. Runs in transit count as load.
 func TestRunsAdmitted(t *testing.T) {
 	began := time.Unix(0, 0)
 	at := func(ns int) time.Time { return began.Add(time.Duration(ns)) }
@@ -136,14 +135,14 @@
 	}
 	for _, test := range []struct {
 		name  string
-		late  standin.RunRecord // one more run, of the first engine
+		late  standin.RunRecord // an additional run of the first engine
 		extra []standin.RunRecord
 		want  float64
 	}{
-		{"judged at its admission", standin.RunRecord{Admitted: at(10), At: at(30)}, nil, 9 / 8.5},
-		{"or as it came", standin.RunRecord{At: at(30)}, nil, 9 / 5.},
-		{"which no admission is after", standin.RunRecord{Admitted: at(40), At: at(30)}, nil, 9 / 5.},
-		{"a burst on its way counts", standin.RunRecord{Admitted: at(10), At: at(30)},
+		{"admitted before its arrival", standin.RunRecord{Admitted: at(10), At: at(30)}, nil, 9 / 8.5},
+		{"unknown admission", standin.RunRecord{At: at(30)}, nil, 9 / 5.},
+		{"admission after its arrival", standin.RunRecord{Admitted: at(40), At: at(30)}, nil, 9 / 5.},
+		{"a burst in transit", standin.RunRecord{Admitted: at(10), At: at(30)},
 			[]standin.RunRecord{{Admitted: at(11), At: at(50)}, {Admitted: at(12), At: at(50)}, {Admitted: at(13), At: at(50)}}, 12 / 10.},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -157,7 +156,8 @@
 	}
 }
 
-// TestMissed checks which outcomes count as missed.
+// TestMissed checks that Missed lists exactly the outcomes whose bounds are not met, and those of
+// unknown metrics.
 func TestMissed(t *testing.T) {
 	low, high := 0.5, 1.5
 	outcome := func(metric string, minimum, maximum *float64) trace.Entry {
@@ -173,8 +173,8 @@
 		{"within its bounds", outcome("answered", &low, &high), nil},
 		{"below its minimum", outcome("answered", &high, nil), []string{"answered is 1, below 1.5"}},
 		{"above its maximum", outcome("answered", nil, &low), []string{"answered is 1, above 0.5"}},
-		{"not measured", outcome("speed", &low, nil), []string{"speed: no such metric"}},
-		{"of one account", outcome("answered:a", &low, nil), nil},
+		{"unknown metric", outcome("speed", &low, nil), []string{"speed: no such metric"}},
+		{"metric of one account", outcome("answered:a", &low, nil), nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			assert.DeepEqual(t, r.Missed([]trace.Entry{test.outcome}), test.want)
--- a/replay/report.go
+++ b/replay/report.go
@@ -15,32 +15,31 @@
 	"github.com/ryeford/ryeford/trace"
 )
 
-// The histograms hold times in microseconds up to maxMicros, longer than any turn
-// takes, with significantDigits digits.
+// The range and the precision of the histograms. maxMicros is longer than any turn takes.
 const (
 	maxMicros         = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 )
 
-// A Report is how the turns of a trace ended.
+// A Report holds the results of a replay.
 type Report struct {
-	Turns      int // of the trace
-	Answered   int // whole and right
-	Wrong      int // complete, but not the answer to the request
-	Incomplete int // broke off without a failure
-	Refused    int // failed, and provably not run
-	Unknown    int // failed, and may have run
-	Returning  int // answered turns of chats that were answered before
-	Reused     int // of those, with their earlier prompt cached
-	Resumed    int // parts of answers that were read on through another router
-	AskedAgain int // attempts of callers that were not answered whole
-	Tries      int // attempts of routers at engines, of answered turns
-	RanRefused int // runs of chats whose every turn was refused
-	DoubleRuns int // runs of turns that must not be repeated, beyond one each
-
-	// Skew is the busiest engine's load over the mean, the highest at any time;
-	// AdmitSkew that of the engine that a run is admitted at, the highest, and
-	// AdmitSkewP99 its 99th percentile. They count above skewFloor only.
+	Turns      int // turns of the trace
+	Answered   int // turns with a complete and correct answer
+	Wrong      int // turns with a complete but incorrect answer
+	Incomplete int // turns whose answer was truncated without a failure
+	Refused    int // turns that failed and provably did not run
+	Unknown    int // turns that failed and may have run
+	Returning  int // answered turns of chats with an earlier answered turn
+	Reused     int // Returning turns whose prompt was found in an engine's cache
+	Resumed    int // parts of answers that were received through another router
+	AskedAgain int // attempts of callers without a complete answer
+	Tries      int // attempts of routers at engines, for answered turns
+	RanRefused int // runs of chats whose turns were all refused
+	DoubleRuns int // additional runs of turns that must not run more than once
+
+	// Skew is the highest ratio of the busiest engine's load to the mean load. AdmitSkew is the
+	// highest ratio for the engine that admits a run, at the time of admission, and AdmitSkewP99
+	// the 99th percentile of these ratios. Times with a mean load below skewFloor are ignored.
 	Skew, AdmitSkew, AdmitSkewP99 float64
 	Peak                          int // the highest load of any engine, in requests
 	Took                          time.Duration
@@ -48,7 +47,7 @@
 	mu       sync.Mutex
 	chats    map[ryeford.ChatID]chatOutcome // by chatKey
 	accounts map[ryeford.AccountID]*accountOutcome
-	refusals map[string]int // by code, each time
+	failures map[string]int // failed attempts by code
 	first    *hdrhistogram.Histogram
 	between  *hdrhistogram.Histogram
 }
@@ -58,12 +57,12 @@
 	return hdrhistogram.New(1, maxMicros, significantDigits)
 }
 
-// record adds a time to a histogram. One above maxMicros is left out.
+// record adds a duration to a histogram. Durations above maxMicros are ignored.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(d.Microseconds())
 }
 
-// An accountOutcome is how an account's turns ended.
+// An accountOutcome holds the results of an account's turns.
 type accountOutcome struct {
 	turns    int
 	answered int
@@ -74,7 +73,7 @@
 	r := &Report{
 		chats:    make(map[ryeford.ChatID]chatOutcome),
 		accounts: make(map[ryeford.AccountID]*accountOutcome),
-		refusals: make(map[string]int),
+		failures: make(map[string]int),
 		first:    newHistogram(),
 		between:  newHistogram(),
 	}
@@ -91,18 +90,18 @@
 	return r
 }
 
-// addTurn adds how a turn of the trace ended.
-func (r *Report) addTurn(id ryeford.AccountID, answer *caller.Answer, right, returning bool) {
+// addTurn adds the result of a turn. returning means that the chat has an earlier answered turn.
+func (r *Report) addTurn(id ryeford.AccountID, answer *caller.Answer, correct, returning bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	account := r.accounts[id]
 	account.turns++
-	if answer.Complete && right {
+	if answer.Complete && correct {
 		account.answered++
 		record(account.first, answer.FirstToken)
 	}
 	switch {
-	case answer.Complete && right:
+	case answer.Complete && correct:
 		r.Answered++
 		r.addAnswered(answer, returning)
 	case answer.Complete:
@@ -116,7 +115,7 @@
 	}
 }
 
-// addAnswered adds the times and the reuse of a right answer.
+// addAnswered adds the times and the cache use of a correct answer.
 func (r *Report) addAnswered(answer *caller.Answer, returning bool) {
 	r.Tries += max(1, answer.Tries)
 	record(r.first, answer.FirstToken)
@@ -131,7 +130,7 @@
 	}
 }
 
-// addFailedAttempt adds an attempt of a caller that was not answered whole.
+// addFailedAttempt adds an attempt of a caller without a complete answer.
 func (r *Report) addFailedAttempt(answer *caller.Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,25 +138,25 @@
 	if answer.Failure != nil {
 		code = answer.Failure.Code
 	}
-	r.refusals[code]++
+	r.failures[code]++
 	r.AskedAgain++
 }
 
-// addResumed adds an answer that went on through another router.
+// addResumed adds a part of an answer that was received through another router.
 func (r *Report) addResumed() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Resumed++
 }
 
-// done returns how many turns have ended.
+// done returns the number of finished turns.
 func (r *Report) done() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Answered + r.Wrong + r.Incomplete + r.Refused + r.Unknown
 }
 
-// Metrics returns the metrics that outcomes may name.
+// Metrics returns the metrics that outcomes may refer to, by name.
 func (r *Report) Metrics() map[string]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -190,15 +189,15 @@
 	return m
 }
 
-// ratio returns part / whole, or zero if there is no whole.
-func ratio(part, whole int) float64 {
-	if whole == 0 {
+// ratio returns part / total, or zero if total is zero.
+func ratio(part, total int) float64 {
+	if total == 0 {
 		return 0
 	}
-	return float64(part) / float64(whole)
+	return float64(part) / float64(total)
 }
 
-// Missed returns what the trace's outcomes ask for and the report misses.
+// Missed returns a description of each outcome of the trace that the report does not meet.
 func (r *Report) Missed(entries []trace.Entry) []string {
 	metrics := r.Metrics()
 	var missed []string
@@ -228,8 +227,8 @@
 			return err
 		}
 	}
-	for _, code := range slices.Sorted(maps.Keys(r.refusals)) {
-		if _, err := fmt.Fprintf(w, "%-22s %s=%d\n", "not answered", code, r.refusals[code]); err != nil {
+	for _, code := range slices.Sorted(maps.Keys(r.failures)) {
+		if _, err := fmt.Fprintf(w, "%-22s %s=%d\n", "not answered", code, r.failures[code]); err != nil {
 			return err
 		}
 	}
--- a/replay/runs.go
+++ b/replay/runs.go
@@ -8,20 +8,20 @@
 	"github.com/ryeford/ryeford/standin"
 )
 
-// skewFloor is the mean load, in requests, from which the skew counts: below it,
-// one request more or less is a large part of the mean. It equals the default of the
-// agents' floor, up to which they take requests however low the mean.
+// skewFloor is the minimum mean load, in requests, at which the skew is evaluated. Below it, a
+// single request is a large part of the mean. It equals the default of the agents' floor: up to
+// that load, agents admit requests at any skew.
 const skewFloor = 4
 
 // A chatOutcome counts the turns of a chat.
 type chatOutcome struct {
 	turns         int
-	notRun        int // whose every answer says that they have not run
-	notRepeatable int // that must not run more than once
+	notRun        int // turns that every answer reported as not run
+	notRepeatable int // turns that must not run more than once
 }
 
-// addChat adds how a turn of a chat ended. notRun says that every answer to it stated
-// that it had not run: after one that did not, it may have run all the same.
+// addChat adds the result of a turn of a chat. notRun means that every answer to it stated that
+// it had not run. A turn with any other answer may have run.
 func (r *Report) addChat(chat ryeford.ChatID, notRepeatable, notRun bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,8 +36,8 @@
 	r.chats[chat] = o
 }
 
-// addRuns compares what the engines ran with what callers were answered. The engines
-// may have run earlier traces, before began: those count in no load.
+// addRuns compares the runs of the engines with the answers that callers received. The engines
+// may have runs of earlier traces, before began. Those don't count in the loads.
 func (r *Report) addRuns(engines [][]standin.RunRecord, began time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,14 +61,13 @@
 // A change is the admission or the end of a run at an engine.
 type change struct {
 	at     time.Time
-	engine int // its index
+	engine int // index of the engine
 	by     int // 1 or -1
 }
 
-// admittedAt returns when a run began to count in the load of its engine: as its agent
-// admitted it, or as it came if that is not known. The bound is kept at the admission, and
-// a run may come much later on a busy machine, when other engines have ended theirs. A run
-// that was on its way counts, as it does at the agent.
+// admittedAt returns the time from which a run counts in the load of its engine: its admission by
+// the agent, or its arrival at the engine if the admission is unknown. Agents enforce the load
+// limit at admission and count runs in transit. On a busy machine the run may arrive much later.
 func admittedAt(run *standin.RunRecord) time.Time {
 	if run.Admitted.IsZero() || run.Admitted.After(run.At) {
 		return run.At
@@ -76,9 +75,9 @@
 	return run.Admitted
 }
 
-// addLoads adds the loads of the engines from began on, and their skews while the mean
-// is at or above the floor. An earlier trace may have been played to more engines, and
-// its skews over the mean of these would say nothing.
+// addLoads adds the peak load since began, and the skews at times when the mean load is at least
+// skewFloor. Loads before began are ignored: an earlier trace may have used more engines, so that
+// the mean of these engines would be wrong.
 func (r *Report) addLoads(engines [][]standin.RunRecord, began time.Time) {
 	var changes []change
 	for engine, runs := range engines {
@@ -90,7 +89,7 @@
 		}
 	}
 	slices.SortStableFunc(changes, func(a, b change) int { return a.at.Compare(b.at) })
-	var admitted []float64 // load over mean, as runs were admitted
+	var admitted []float64 // ratio of load to mean load at each admission
 	loads := make([]int, len(engines))
 	total := 0
 	for _, c := range changes {
