--- a/standin/answers.go
+++ b/standin/answers.go
@@ -9,12 +9,12 @@
 	"github.com/ryeford/ryeford"
 )
 
-// defaultTokens is how many tokens an answer has if its request does not say.
+// defaultTokens is the number of tokens of an answer whose request sets no maximum.
 const defaultTokens = 16
 
-// Answer returns the answer that every engine stand-in gives to the messages
-// of a chat. It names the chat and the messages, so that a caller can tell
-// whether an answer is whole and its own.
+// Answer returns the answer that every engine stand-in gives to the messages of a chat. Each of its
+// tokens contains a hash of the chat and the messages and its index, so that a caller can verify
+// that an answer is complete and belongs to its request.
 func Answer(chat ryeford.ChatID, messages []ryeford.Message, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
@@ -23,7 +23,7 @@
 	return b.String()
 }
 
-// answerTag returns what all tokens of an answer begin with.
+// answerTag returns the prefix of all tokens of an answer, a hash of the chat and the messages.
 func answerTag(chat ryeford.ChatID, messages []ryeford.Message) string {
 	return fmt.Sprintf("%08x", uint32(xxhash.Sum64String(string(chat)+"\n"+promptText(messages))))
 }
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%s.%d ", tag, index)
 }
 
-// promptText returns the text that messages make as a prompt.
+// promptText returns the prompt that consists of messages.
 func promptText(messages []ryeford.Message) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -41,7 +41,7 @@
 	return b.String()
 }
 
-// countTokens returns the number of tokens of a text: its words.
+// countTokens returns the number of tokens of a text. Each word is one token.
 func countTokens(text string) int {
 	return len(strings.Fields(text))
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -15,33 +15,31 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// What an engine is like unless its settings say otherwise. The figures set the scale
-// of trials.
+// The defaults of an engine's settings.
 const (
-	defaultStep       = 5200 * time.Microsecond // for one token of an answer
-	defaultSlots      = 16                      // requests that run at once
-	defaultCacheChats = 1000                    // chats whose prompts are cached
-	// prefillPerStep is how many tokens of a prompt one step takes in.
+	defaultStep       = 5200 * time.Microsecond // per token of an answer
+	defaultSlots      = 16                      // concurrent requests
+	defaultCacheChats = 1000                    // chats with a cached prompt
+	// prefillPerStep is the number of prompt tokens that are processed per step.
 	prefillPerStep = 64
 )
 
-// An engineServer plays a model engine: completions as event streams that may be
-// joined again and cancelled, a cache of prompts with its events, and orders to load
-// pools. Its answers are computed from the prompt (see Answer), so that a caller can
-// tell its own.
+// An engineServer plays a model engine: completions as event streams that can be resumed and
+// cancelled, a prompt cache with its events, and orders to load pools. Its answers are computed
+// from the prompt (see Answer), so that callers can verify them.
 //
-// It plays time by the step: a token takes one, a prompt one for each prefillPerStep
-// tokens that are not cached, whatever the load. It does not play a model, memory,
-// or batches that slow each other down; and nothing of it outlives its process.
+// Time passes in steps: generating a token takes one step, and so does processing
+// prefillPerStep uncached tokens of a prompt, regardless of the load. It plays no model, no memory,
+// and no slowdown by concurrent requests. Its state is lost when the process ends.
 type engineServer struct {
 	step     time.Duration
-	loadTime time.Duration // from an order to load pools until they serve
-	fences   bool          // refuses orders of an epoch that is past
+	loadTime time.Duration // from an order to load pools until they are served
+	fences   bool          // refuses orders of an older epoch
 	slots    slots
 
 	mu       sync.Mutex
 	fault    EngineFault
-	affected int // runs that the fault has affected
+	affected int // number of runs that the fault has affected
 	cache    *promptCache
 	runs     map[ryeford.AttemptID]*run
 	counts   EngineCounts
@@ -70,7 +68,7 @@
 	case path == engine.PathEvents:
 		e.cacheEvents(ctx)
 	case path == engine.PathServing:
-		e.order(ctx)
+		e.serveOrder(ctx)
 	case strings.HasPrefix(path, engine.PathCache):
 		e.cacheContent(ctx, ryeford.ChatID(strings.TrimPrefix(path, engine.PathCache)))
 	case path == engine.PathCompletions && ctx.IsPost():
@@ -82,7 +80,7 @@
 	}
 }
 
-// setFault takes a fault. It replaces the whole fault.
+// setFault replaces the fault.
 func (e *engineServer) setFault(ctx *fasthttp.RequestCtx) {
 	var fault EngineFault
 	if !readJSON(ctx, &fault) {
@@ -99,34 +97,35 @@
 	writeJSON(ctx, &e.counts)
 }
 
-// An EngineFault is what is wrong with an engine. Its zero value is no fault. Counts
-// of tokens are those of an answer from its beginning, whichever engine made them.
+// An EngineFault is a simulated malfunction of an engine. The zero value means none. Numbers of
+// tokens count from the beginning of an answer, including tokens that another engine generated.
 type EngineFault struct {
-	// Times is how many runs the fault affects; zero is all until it is
-	// cleared.
+	// Times is the number of runs that the fault affects. Zero means all runs until the fault
+	// is replaced.
 	Times int `json:"times"`
-	// StallAfter sends nothing more after so many tokens, and leaves the run open.
+	// StallAfter is the number of tokens after which nothing more is sent, while the run stays
+	// open.
 	StallAfter int `json:"stall_after"`
-	// DieAfter cuts the connection after so many tokens, and loses the run, as an
-	// engine does that crashes.
+	// DieAfter is the number of tokens after which the connection is closed and the run is lost,
+	// as when the engine crashes.
 	DieAfter int `json:"die_after"`
-	// ErrorAfter sends an error event after so many tokens.
+	// ErrorAfter is the number of tokens after which an error event is sent.
 	ErrorAfter int `json:"error_after"`
-	// Finish ends an answer after FinishAfter tokens with another finish reason.
+	// Finish is a finish reason that ends an answer after FinishAfter tokens.
 	Finish      ryeford.FinishReason `json:"finish"`
 	FinishAfter int                  `json:"finish_after"`
-	// Disorder sends events out of order, repeated, and of other attempts.
+	// Disorder sends events out of order, repeatedly, and with events of other attempts.
 	Disorder bool `json:"disorder"`
-	// Refuse answers 503 to completions.
+	// Refuse answers completions with 503.
 	Refuse bool `json:"refuse"`
-	// RetryAfterS is the Retry-After of those answers, in seconds; none if it is zero.
+	// RetryAfterS is the Retry-After of these answers in seconds. Zero sends none.
 	RetryAfterS int `json:"retry_after_s"`
 	// DelayMS delays the start of each run, in milliseconds.
 	DelayMS int `json:"delay_ms"`
 }
 
-// order answers with what is served, or takes an order to load pools.
-func (e *engineServer) order(ctx *fasthttp.RequestCtx) {
+// serveOrder answers with the pools that are served, or accepts an order to load pools.
+func (e *engineServer) serveOrder(ctx *fasthttp.RequestCtx) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !ctx.IsPost() {
@@ -142,11 +141,12 @@
 		return
 	}
 	e.serving.Epoch = order.Epoch
-	time.AfterFunc(e.loadTime, func() { e.loaded(order) })
+	time.AfterFunc(e.loadTime, func() { e.finishLoad(order) })
 }
 
-// loaded makes the pools of an order serve, unless a later order took its place.
-func (e *engineServer) loaded(order ryeford.Order) {
+// finishLoad starts to serve the pools of an order, unless an order of another epoch has
+// replaced it.
+func (e *engineServer) finishLoad(order ryeford.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.serving.Epoch == order.Epoch {
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -11,13 +11,13 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// TestEngineAdmitted checks that a run's record has the admission that the request names,
-// none if it names none, and that a malformed one is refused.
+// TestEngineAdmitted checks that a run's record has the admission time of the request's header,
+// that it has none without the header, and that a malformed header is refused.
 func TestEngineAdmitted(t *testing.T) {
 	for _, test := range []struct {
-		start  string // of HeaderStart
+		start  string // the value of HeaderStart
 		status int
-		micros int64 // of the record; zero: none
+		micros int64 // of RunRecord.Admitted; zero if it is not set
 	}{
 		{"", fasthttp.StatusOK, 0},
 		{"t=1796229370914653", fasthttp.StatusOK, 1_796_229_370_914_653},
--- a/standin/enginecompletion.go
+++ b/standin/enginecompletion.go
@@ -19,7 +19,7 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	status, retryAfter := e.begin(r)
+	status, retryAfter := e.start(r)
 	if status != fasthttp.StatusOK {
 		ctx.Error("refused", status)
 		if retryAfter > 0 {
@@ -31,9 +31,9 @@
 	e.stream(ctx, r, 0)
 }
 
-// begin records a run, and returns 200 or the status of its refusal, with the seconds after which it may come
-// again, if the refusal says so.
-func (e *engineServer) begin(r *run) (status, retryAfter int) {
+// start records a run and returns 200, or the status of its refusal. retryAfter is the Retry-After
+// of a refusal in seconds, or zero for none.
+func (e *engineServer) start(r *run) (status, retryAfter int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.fault.Refuse {
@@ -60,22 +60,22 @@
 	return fasthttp.StatusOK, 0
 }
 
-// stream sends a run's events from an index on.
+// stream sends a run's events, starting at an index.
 func (e *engineServer) stream(ctx *fasthttp.RequestCtx, r *run, index int) {
 	ctx.SetContentType("text/event-stream")
-	ctx.SetBodyStream(&eventStream{engine: e, run: r, fault: e.faultOf(r), index: index}, -1)
+	ctx.SetBodyStream(&eventStream{engine: e, run: r, fault: e.faultFor(r), index: index}, -1)
 }
 
-// lose forgets a run, as an engine does that restarts.
-func (e *engineServer) lose(r *run) {
+// drop cancels and removes a run, as a crash of the engine does.
+func (e *engineServer) drop(r *run) {
 	r.cancel()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.runs, r.attempt)
 }
 
-// attempt joins a run that was started before, after its last event that the
-// caller has, or cancels it.
+// attempt resumes the stream of a run after the last event that the caller has, or cancels the
+// run.
 func (e *engineServer) attempt(ctx *fasthttp.RequestCtx, id ryeford.AttemptID) {
 	e.mu.Lock()
 	r := e.runs[id]
@@ -96,7 +96,7 @@
 	e.stream(ctx, r, int(offset+1))
 }
 
-// errCut makes fasthttp cut a connection amid an answer.
+// errCut makes fasthttp close a connection in the middle of an answer.
 var errCut = &Error{Op: "stream", Err: context.Canceled}
 
 // An eventStream is the body of a streamed answer.
@@ -114,16 +114,16 @@
 	return s.buf.ReadOrFill(p, s.fill)
 }
 
-// fill writes the next events to the buffer, or waits for some. It returns io.EOF
+// fill writes the next events to the buffer, or waits until there are some. It returns io.EOF
 // after the last one.
 func (s *eventStream) fill() error {
 	if s.ended {
 		return io.EOF
 	}
-	events, done, changed := s.run.from(s.index)
+	events, done, changed := s.run.eventsFrom(s.index)
 	for _, event := range events {
 		if s.fault.DieAfter > 0 && s.index >= s.fault.DieAfter {
-			s.engine.lose(s.run)
+			s.engine.drop(s.run)
 			return errCut
 		}
 		if err := s.writeEvent(event); err != nil {
@@ -147,8 +147,8 @@
 	}
 }
 
-// writeEvent writes one event, in disorder if the fault says so: each second event is
-// sent after its successor.
+// writeEvent writes one event. With the fault Disorder, every second event is sent after its
+// successor, which is sent twice, and each event is preceded by an event of another attempt.
 func (s *eventStream) writeEvent(event engine.CompletionChunk) error {
 	if !s.fault.Disorder {
 		return s.write(s.run.attempt, s.index, event)
@@ -167,7 +167,7 @@
 	if s.index == 0 {
 		return nil
 	}
-	earlier, _, _ := s.run.from(s.index - 1)
+	earlier, _, _ := s.run.eventsFrom(s.index - 1)
 	return s.write(s.run.attempt, s.index-1, earlier[0])
 }
 
--- a/standin/enginerun.go
+++ b/standin/enginerun.go
@@ -16,7 +16,7 @@
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
-// generate runs a request in the batch.
+// generate runs a request once a slot is free.
 func (e *engineServer) generate(r *run) {
 	defer e.recordEnd(r)
 	if !e.slots.acquire(r.ctx, r.request.Priority) {
@@ -24,7 +24,7 @@
 		return
 	}
 	defer e.slots.release()
-	fault := e.faultOf(r)
+	fault := e.faultFor(r)
 	clock.Sleep(r.ctx, time.Duration(fault.DelayMS)*time.Millisecond)
 	prompt := promptText(r.request.Messages)
 	usage := e.prefill(r, prompt)
@@ -37,8 +37,8 @@
 	e.counts.Runs[r.record].End = time.Now()
 }
 
-// faultOf returns the fault that affects a run.
-func (e *engineServer) faultOf(r *run) EngineFault {
+// faultFor returns the fault that affects a run.
+func (e *engineServer) faultFor(r *run) EngineFault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !r.affected {
@@ -47,7 +47,7 @@
 	return e.fault
 }
 
-// prefill takes the prompt in; its cached tokens take no time.
+// prefill plays the processing of the prompt. Cached tokens take no time.
 func (e *engineServer) prefill(r *run, prompt string) *ryeford.Usage {
 	e.mu.Lock()
 	cached := e.cache.cached(r.chat, prompt)
@@ -58,14 +58,14 @@
 	return usage
 }
 
-// decode makes the answer, a token a step, and ends it as the fault says.
+// decode generates the answer, one token per step, and ends it early if the fault requires it.
 func (e *engineServer) decode(r *run, prompt string, fault *EngineFault, usage *ryeford.Usage) {
 	tokens := cmp.Or(r.request.MaxTokens, defaultTokens)
 	tag := answerTag(r.chat, r.request.Messages)
 	text := r.request.Prefix
 	for i := countTokens(text); i < tokens; i++ {
 		clock.Sleep(r.ctx, e.step)
-		if endsEarly(r, i, fault, usage) {
+		if endEarly(r, i, fault, usage) {
 			return
 		}
 		token := answerToken(tag, i)
@@ -79,9 +79,9 @@
 	r.finish(ryeford.FinishStop, usage)
 }
 
-// endsEarly ends a run that is cancelled, or that its fault ends before the i-th
-// token, and reports whether it did.
-func endsEarly(r *run, i int, fault *EngineFault, usage *ryeford.Usage) bool {
+// endEarly ends a run that is cancelled or that its fault ends before the i-th token. It reports
+// whether it ended the run.
+func endEarly(r *run, i int, fault *EngineFault, usage *ryeford.Usage) bool {
 	switch {
 	case r.ctx.Err() != nil:
 		r.fail("cancelled")
@@ -97,25 +97,25 @@
 	return true
 }
 
-// A run is one attempt that an engine was given, with all events of its answer, so that
-// the answer can be read from any event on.
+// A run is one attempt that an engine accepted. It keeps all events of its answer, so that the
+// answer can be read starting at any event.
 type run struct {
 	attempt  ryeford.AttemptID
 	chat     ryeford.ChatID
 	request  engine.CompletionRequest
 	cancel   context.CancelFunc
 	ctx      context.Context
-	admitted time.Time // by an agent; zero if it does not say
+	admitted time.Time // by an agent; zero if unknown
 	affected bool      // by the fault
-	record   int       // its index in EngineCounts.Runs
+	record   int       // index in EngineCounts.Runs
 
 	mu      sync.Mutex
 	events  []engine.CompletionChunk
 	done    bool
-	changed chan struct{}
+	changed chan struct{} // closed and replaced when an event is appended
 }
 
-// newRun returns the run that a request asks for.
+// newRun parses a completion request.
 func newRun(ctx *fasthttp.RequestCtx) (*run, error) {
 	header := &ctx.Request.Header
 	r := &run{
@@ -160,16 +160,16 @@
 	r.changed = make(chan struct{})
 }
 
-// from returns the events from an index on, whether they are the last, and
-// what to wait on for more.
-func (r *run) from(index int) ([]engine.CompletionChunk, bool, <-chan struct{}) {
+// eventsFrom returns the events starting at an index, whether the run is done, and a channel that
+// is closed when there are more events.
+func (r *run) eventsFrom(index int) ([]engine.CompletionChunk, bool, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.events[min(index, len(r.events)):], r.done, r.changed
 }
 
-// slots bounds how many requests run at once; of those that wait, the one of
-// the highest priority is next.
+// slots limits the number of concurrent requests. A free slot goes to the waiting request with the
+// highest priority.
 type slots struct {
 	mu      sync.Mutex
 	free    int
@@ -178,47 +178,47 @@
 
 type waiter struct {
 	priority int
-	ready    chan struct{} // closed once the slot is its own
+	ready    chan struct{} // closed when the waiter has a slot
 }
 
-// acquire waits for a slot, and reports false if ctx ended before.
+// acquire waits for a slot. It reports false if ctx is done before.
 func (s *slots) acquire(ctx context.Context, priority int) bool {
 	w := &waiter{priority: priority, ready: make(chan struct{})}
 	s.mu.Lock()
-	behind := func(i int) bool { return s.waiting[i].priority < priority }
-	s.waiting = slices.Insert(s.waiting, sort.Search(len(s.waiting), behind), w)
-	s.handOver()
+	lower := func(i int) bool { return s.waiting[i].priority < priority }
+	s.waiting = slices.Insert(s.waiting, sort.Search(len(s.waiting), lower), w)
+	s.grant()
 	s.mu.Unlock()
 	select {
 	case <-w.ready:
 		return true
 	case <-ctx.Done():
-		s.leave(w)
+		s.abandon(w)
 		return false
 	}
 }
 
-// leave takes out a waiter, or gives back the slot that it has got meanwhile.
-func (s *slots) leave(w *waiter) {
+// abandon removes a waiter, or releases the slot that it was granted in the meantime.
+func (s *slots) abandon(w *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if at := slices.Index(s.waiting, w); at >= 0 {
-		s.waiting = slices.Delete(s.waiting, at, at+1)
+	if i := slices.Index(s.waiting, w); i >= 0 {
+		s.waiting = slices.Delete(s.waiting, i, i+1)
 		return
 	}
 	s.free++
-	s.handOver()
+	s.grant()
 }
 
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.free++
-	s.handOver()
+	s.grant()
 }
 
-// handOver passes free slots to the first waiters.
-func (s *slots) handOver() {
+// grant gives free slots to the first waiters. s.mu is held.
+func (s *slots) grant() {
 	for s.free > 0 && len(s.waiting) > 0 {
 		s.free--
 		close(s.waiting[0].ready)
--- a/standin/link.go
+++ b/standin/link.go
@@ -15,21 +15,20 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// maxDatagram is the greatest size of a UDP datagram, in bytes, rounded up.
+// maxDatagram is the maximum size of a UDP datagram in bytes, rounded up.
 const maxDatagram = 64 << 10
 
-// A LinkFault is what is wrong with a link.
+// A LinkFault is a simulated fault of a link.
 type LinkFault struct {
-	Cut     bool    `json:"cut"`      // both ways
-	DelayMS int     `json:"delay_ms"` // each way, in milliseconds
-	Lose    float64 `json:"lose"`     // part of the datagrams, 0 to 1
-	Repeat  float64 `json:"repeat"`   // part of the datagrams, 0 to 1
+	Cut     bool    `json:"cut"`      // drops all datagrams, in both directions
+	DelayMS int     `json:"delay_ms"` // in each direction, in milliseconds
+	Lose    float64 `json:"lose"`     // fraction of the datagrams that are lost, 0 to 1
+	Repeat  float64 `json:"repeat"`   // fraction of the datagrams that are sent twice, 0 to 1
 }
 
-// A link plays the network between routers and one agent: it relays UDP datagrams to
-// one address and back, and loses, repeats, delays or cuts them. Delays of unequal
-// length, which would change the order of datagrams, and a limit of bandwidth are not
-// played.
+// A link plays the network between routers and one agent. It relays UDP datagrams to one address
+// and back, and loses, repeats, delays or drops them. It doesn't play jitter, which would reorder
+// datagrams, or a limited bandwidth.
 type link struct {
 	socket *net.UDPConn
 	to     netip.AddrPort
@@ -51,8 +50,7 @@
 	}, nil
 }
 
-// serve takes a fault, which replaces the whole one before. A link has nothing else
-// to serve over HTTP.
+// serve replaces the fault. A link serves no other HTTP requests.
 func (l *link) serve(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) != PathFault {
 		ctx.Error("no such path", fasthttp.StatusNotFound)
@@ -73,14 +71,14 @@
 	receive(l.socket, func(data []byte, caller netip.AddrPort) {
 		out, err := l.upstream(caller)
 		if err != nil {
-			return // the datagram is lost, as on a network
+			return // the datagram is lost
 		}
-		l.pass(func() { _, _ = out.Write(data) })
+		l.relay(func() { _, _ = out.Write(data) })
 	})
 	return nil
 }
 
-// receive hands over what comes to a socket, until the socket is closed.
+// receive calls handle with each datagram that a socket receives, until the socket is closed.
 func receive(socket *net.UDPConn, handle func(data []byte, from netip.AddrPort)) {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -89,13 +87,13 @@
 			return
 		}
 		if err != nil {
-			continue // an error of one datagram, as when nothing listens at the far end
+			continue // an error of one datagram, such as when nothing listens at the remote address
 		}
 		handle(slices.Clone(buf[:n]), from)
 	}
 }
 
-// upstream returns the socket that stands for a caller.
+// upstream returns the socket from which a caller's datagrams are relayed.
 func (l *link) upstream(caller netip.AddrPort) (*net.UDPConn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,13 +106,13 @@
 	}
 	l.callers[caller] = out
 	go receive(out, func(data []byte, _ netip.AddrPort) {
-		l.pass(func() { _, _ = l.socket.WriteToUDPAddrPort(data, caller) })
+		l.relay(func() { _, _ = l.socket.WriteToUDPAddrPort(data, caller) })
 	})
 	return out, nil
 }
 
-// pass sends a datagram as the fault allows.
-func (l *link) pass(send func()) {
+// relay sends a datagram, subject to the fault.
+func (l *link) relay(send func()) {
 	l.mu.Lock()
 	fault := l.fault
 	l.mu.Unlock()
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -17,24 +17,23 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// A PlatformFault is what is wrong with the platform.
+// A PlatformFault is a simulated fault of the platform.
 type PlatformFault struct {
 	// Down refuses all calls of the table and the object store.
 	Down bool `json:"down"`
-	// LoseAnswers drops the answers of so many writes after they took effect.
+	// LoseAnswers is the number of writes that take effect but get no answer.
 	LoseAnswers int `json:"lose_answers"`
-	// DownAfterKey sets Down right after a write of the row with this key.
+	// DownAfterKey sets Down immediately after a write of the row with this key.
 	DownAfterKey string `json:"down_after_key"`
-	// FreezeList makes the named VMs read the list of VMs as it is now.
+	// FreezeList lists VMs that read the list of VMs as it was when the fault was set.
 	FreezeList []ryeford.VMID `json:"freeze_list"`
 }
 
-// A platformServer plays the platform's services: the transactional table and the
-// object store, each call within a rate, and the list of VMs.
+// A platformServer plays the platform's services: the transactional table and the object store,
+// with limited call rates, and the list of VMs.
 //
-// It does not play the cloud: VMs come and go by settings and by PutVM alone, and
-// objects and rows never expire. All that it holds is lost with its process,
-// unless a state file is set.
+// It doesn't start or stop VMs: only the settings and PutVM change their list. Objects and rows
+// never expire. Its state is lost when the process ends, unless a state file is set.
 type platformServer struct {
 	file   stateFile
 	reads  *rate.Limiter
@@ -46,10 +45,10 @@
 	objects  map[string][]byte
 	vms      map[ryeford.VMID]ryeford.VM
 	fault    PlatformFault
-	frozen   []ryeford.VM // the list of VMs as the last fault was set
+	frozen   []ryeford.VM // the list of VMs when the last fault was set
 }
 
-// newPlatform returns a platformServer, with the state of its last life.
+// newPlatform returns a platformServer with the state from its state file, if there is one.
 func newPlatform(s *settings.StandinPlatform, logger log.Logger) (*platformServer, error) {
 	p := &platformServer{
 		file:    stateFile{name: s.State, logger: logger},
@@ -75,7 +74,7 @@
 	return p, nil
 }
 
-// newLimiter returns a Limiter of so many calls a second, or of no bound.
+// newLimiter returns a Limiter for a rate in calls per second. Zero means no limit.
 func newLimiter(perSecond int) *rate.Limiter {
 	if perSecond == 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -83,7 +82,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), perSecond)
 }
 
-// setFault takes a fault. It changes the named fields of the fault.
+// setFault changes those fields of the fault that the request contains.
 func (p *platformServer) setFault(ctx *fasthttp.RequestCtx) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +91,7 @@
 	}
 }
 
-// serve serves a request of the table, the object store or the list of VMs.
+// serve serves a request to the table, the object store, the list of VMs or PathFault.
 func (p *platformServer) serve(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
@@ -121,7 +120,7 @@
 	return !p.fault.Down
 }
 
-// allow admits one call by a limiter, or answers 503.
+// allow reports whether a limiter admits a call. If not, it answers 503.
 func allow(ctx *fasthttp.RequestCtx, limiter *rate.Limiter) bool {
 	if !limiter.Allow() {
 		ctx.Error("rate exceeded", fasthttp.StatusServiceUnavailable)
@@ -130,7 +129,7 @@
 	return true
 }
 
-// answerWrite answers a write, unless the fault loses its answer.
+// answerWrite answers a write, unless the fault drops the answer.
 func (p *platformServer) answerWrite(ctx *fasthttp.RequestCtx, answer any) {
 	p.mu.Lock()
 	lost := p.fault.LoseAnswers > 0
@@ -173,7 +172,7 @@
 	writeJSON(ctx, &tableservice.RowsAnswer{Rows: rows})
 }
 
-// transact makes all writes of a request, or none if some conflict.
+// transact applies all writes of a request, or none if there is a conflict.
 func (p *platformServer) transact(ctx *fasthttp.RequestCtx) {
 	var request tableservice.TransactRequest
 	if !allow(ctx, p.writes) || !readJSON(ctx, &request) {
@@ -192,8 +191,8 @@
 	}
 }
 
-// write makes all writes or none. It returns the new version of the rows, and the state
-// to save. The fault sets the platform down after a write of the row that it names.
+// write applies all writes or none. It returns the new version of the rows, and the state to
+// save. It sets the fault Down after a write of the row DownAfterKey.
 func (p *platformServer) write(ctx context.Context, writes []ryeford.Write) (int64, *platformState, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -207,7 +206,7 @@
 	return version, p.state(), nil
 }
 
-// object serves a write or a read of the named object.
+// object serves a read or a write of an object.
 func (p *platformServer) object(ctx *fasthttp.RequestCtx, name string) {
 	if ctx.IsPut() {
 		p.putObject(ctx, name)
--- a/standin/platform_test.go
+++ b/standin/platform_test.go
@@ -17,8 +17,8 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// testLimit ends a test whose condition never comes true.
-const testLimit = 20 * time.Second
+// testTimeout limits how long a test waits for a condition.
+const testTimeout = 20 * time.Second
 
 // A testPlatform is a platformServer that is called without a network.
 type testPlatform struct {
@@ -34,7 +34,7 @@
 	return &testPlatform{platformServer: p, t: t, file: file}
 }
 
-// call makes one call, and returns the status of its answer.
+// call makes one call and returns the status of its answer.
 func (p *testPlatform) call(method, path string, body any) int {
 	content, err := json.Marshal(body)
 	assert.Check(p.t, err)
@@ -46,8 +46,7 @@
 	return ctx.Response.StatusCode()
 }
 
-// write starts a write of one row, and returns a channel that is closed once it is
-// answered.
+// write starts a write of one row and returns a channel that is closed when it is answered.
 func (p *testPlatform) write(key string) <-chan struct{} {
 	answered := make(chan struct{})
 	go func() {
@@ -58,18 +57,18 @@
 	return answered
 }
 
-// within waits until a channel is closed.
-func within(t *testing.T, done <-chan struct{}, what string) {
+// waitFor waits until a channel is closed.
+func waitFor(t *testing.T, done <-chan struct{}, what string) {
 	t.Helper()
 	select {
 	case <-done:
-	case <-time.After(testLimit):
-		t.Fatalf("%s: never came", what)
+	case <-time.After(testTimeout):
+		t.Fatalf("timed out waiting for %s", what)
 	}
 }
 
-// TestPlatformSlowDisk has the state's file take no byte, as a named pipe does that
-// nobody reads. Only writes wait for it, and they are answered once it has them.
+// TestPlatformSlowDisk checks that only writes wait for a slow state file, and that they are
+// answered after it is written. The file is a named pipe, which blocks until it is read.
 func TestPlatformSlowDisk(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "state.json")
 	next := file + ".next"
@@ -77,8 +76,8 @@
 	p := newTestPlatform(t, file)
 	first := p.write("a")
 	applied := func() bool { return len(p.table.Contents().Rows) == 1 }
-	for limit := time.Now().Add(testLimit); !applied(); time.Sleep(time.Millisecond) {
-		assert.Assert(t, time.Now().Before(limit), "the write was never applied")
+	for deadline := time.Now().Add(testTimeout); !applied(); time.Sleep(time.Millisecond) {
+		assert.Assert(t, time.Now().Before(deadline), "the write was not applied in time")
 	}
 
 	others := make(chan struct{})
@@ -89,7 +88,7 @@
 		assert.Check(t, p.call(fasthttp.MethodGet, tableservice.PathVMs, nil) == fasthttp.StatusOK)
 		assert.Check(t, p.call(fasthttp.MethodPost, PathFault, &PlatformFault{}) == fasthttp.StatusOK)
 	}()
-	within(t, others, "calls that save nothing")
+	waitFor(t, others, "calls that don't change the state")
 	second := p.write("b")
 	select {
 	case <-first:
@@ -99,16 +98,16 @@
 	default:
 	}
 
-	// The pipe becomes the file at its first whole write; the second makes a new one.
+	// The first complete write renames the pipe to the state file. The second creates a new file.
 	reader, err := os.Open(next)
 	assert.NilError(t, err)
 	defer func() { _ = reader.Close() }()
-	within(t, first, "the first write's answer")
-	within(t, second, "the second write's answer")
+	waitFor(t, first, "the first write's answer")
+	waitFor(t, second, "the second write's answer")
 }
 
-// TestPlatformState checks that a stand-in that is started again has what was written,
-// also by writes at once, of which a later one may be saved first.
+// TestPlatformState checks that a restarted stand-in has everything that was written, including
+// concurrent writes, whose states may be saved out of order.
 func TestPlatformState(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "state.json")
 	p := newTestPlatform(t, file)
@@ -118,14 +117,14 @@
 		answered = append(answered, p.write(key))
 	}
 	for _, done := range answered {
-		within(t, done, "a write's answer")
+		waitFor(t, done, "a write's answer")
 	}
 	assert.Equal(t, p.call(fasthttp.MethodPut, tableservice.PathObjects+"plan", "content"), fasthttp.StatusOK)
 	assert.Equal(t, p.call(fasthttp.MethodPost, tableservice.PathVMs, &ryeford.VM{ID: "vm-1"}), fasthttp.StatusOK)
 
-	again := newTestPlatform(t, file)
-	assert.DeepEqual(t, again.table.Contents(), p.table.Contents())
-	assert.Equal(t, len(again.table.Contents().Rows), len(keys))
-	assert.Equal(t, string(again.objects["plan"]), `"content"`)
-	assert.Equal(t, again.vms["vm-1"].ID, ryeford.VMID("vm-1"))
+	restarted := newTestPlatform(t, file)
+	assert.DeepEqual(t, restarted.table.Contents(), p.table.Contents())
+	assert.Equal(t, len(restarted.table.Contents().Rows), len(keys))
+	assert.Equal(t, string(restarted.objects["plan"]), `"content"`)
+	assert.Equal(t, restarted.vms["vm-1"].ID, ryeford.VMID("vm-1"))
 }
--- a/standin/platformstate.go
+++ b/standin/platformstate.go
@@ -12,17 +12,17 @@
 	"github.com/ryeford/ryeford/internal/memtable"
 )
 
-// A platformState is what outlives a restart of the stand-in, as its file holds it.
+// A platformState is the persistent state of a platformServer, in the format of its file.
 type platformState struct {
 	memtable.Contents
 	Objects map[string][]byte           `json:"objects"`
 	VMs     map[ryeford.VMID]ryeford.VM `json:"vms"`
 
-	revision int64 // counts the changes of one life
+	revision int64 // counts the changes since the process started; not saved
 }
 
-// load reads the state from its file, if there is one. VMs of the file are added to
-// those of the settings.
+// load reads the state from its file, if there is one. VMs in the file are added to those of
+// the settings, and override them.
 func (p *platformServer) load() error {
 	if p.file.name == "" {
 		return nil
@@ -43,17 +43,17 @@
 	return nil
 }
 
-// A stateFile is the file of a platformServer's state. It is written without the server's
-// lock, so that a slow disk delays only the writes that wait for it.
+// A stateFile is the file of a platformServer's state. It is written without holding the server's
+// lock, so that a slow disk delays only calls that write.
 type stateFile struct {
-	name   string // empty keeps no state
+	name   string // if empty, the state is not saved
 	logger log.Logger
 
 	mu    sync.Mutex
-	saved int64 // the newest revision that the file has
+	saved int64 // the newest revision in the file
 }
 
-// state returns a copy of the state with the next revision. The caller holds the lock.
+// state returns a copy of the state with the next revision. p.mu is held.
 func (p *platformServer) state() *platformState {
 	p.revision++
 	return &platformState{
@@ -64,8 +64,8 @@
 	}
 }
 
-// save returns once the file has the state, or a newer one. A state that can't be written
-// is logged: the stand-in goes on with what it has in memory.
+// save writes the state to the file, unless the file has a newer one. A failure is logged only: the
+// stand-in continues with its state in memory.
 func (f *stateFile) save(state *platformState) {
 	if f.name == "" {
 		return
@@ -82,7 +82,7 @@
 	f.saved = state.revision
 }
 
-// write replaces the file as a whole.
+// write replaces the file atomically.
 func (f *stateFile) write(state *platformState) error {
 	content, err := json.Marshal(state)
 	if err != nil {
--- a/standin/platformvms.go
+++ b/standin/platformvms.go
@@ -13,7 +13,7 @@
 	"github.com/ryeford/ryeford/agentfleet/tableservice"
 )
 
-// serveVMs serves the list of VMs: a read of it, or a change of one entry.
+// serveVMs serves a read of the list of VMs, or a change of one entry.
 func (p *platformServer) serveVMs(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsPost() {
 		writeTagged(ctx, p.vmsFor(ryeford.VMID(ctx.Request.Header.Peek(tableservice.HeaderVM))))
@@ -31,7 +31,7 @@
 	writeJSON(ctx, struct{}{})
 }
 
-// vmsFor returns the list that a VM reads.
+// vmsFor returns the list of VMs that is shown to a VM.
 func (p *platformServer) vmsFor(reader ryeford.VMID) []ryeford.VM {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,8 +41,8 @@
 	return p.listVMs()
 }
 
-// writeTagged answers with JSON and its entity tag, or with 304 if the reader has
-// that tag already.
+// writeTagged answers with JSON and its entity tag, or with 304 if the reader already has the
+// version with that tag.
 func writeTagged(ctx *fasthttp.RequestCtx, v any) {
 	writeJSON(ctx, v)
 	tag := fmt.Sprintf(`"%016x"`, xxhash.Sum64(ctx.Response.Body()))
@@ -53,9 +53,9 @@
 	}
 }
 
-// listVMs returns the VMs in the order of their ids.
+// listVMs returns the VMs, sorted by ID. p.mu is held.
 func (p *platformServer) listVMs() []ryeford.VM {
-	vms := slices.AppendSeq([]ryeford.VM{}, maps.Values(p.vms)) // not nil: JSON has an empty list
+	vms := slices.AppendSeq([]ryeford.VM{}, maps.Values(p.vms)) // not nil, which JSON encodes as null
 	slices.SortFunc(vms, func(a, b ryeford.VM) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return vms
 }
--- a/standin/promptcache.go
+++ b/standin/promptcache.go
@@ -7,11 +7,11 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A promptCache plays an engine's KV cache: it keeps the prompts of the chats that were
-// served last, as text, and the events of what was stored and evicted.
+// A promptCache plays an engine's KV cache. It keeps the prompts of the most recently served chats
+// as text, and records an event when it stores or evicts a prompt.
 type promptCache struct {
-	limit   int
-	prompts []cachedPrompt // the one used least recently first
+	limit   int            // maximum number of prompts
+	prompts []cachedPrompt // least recently stored first
 	events  []ryeford.CacheEvent
 }
 
@@ -21,11 +21,11 @@
 }
 
 func newPromptCache(limit int) *promptCache {
-	// Not nil, so that an engine without events answers with an empty list.
+	// events is not nil, which JSON would encode as null.
 	return &promptCache{limit: limit, events: []ryeford.CacheEvent{}}
 }
 
-// cached returns how many tokens of a chat's prompt are cached.
+// cached returns the number of cached tokens of a chat's prompt.
 func (c *promptCache) cached(chat ryeford.ChatID, prompt string) int {
 	text, ok := c.text(chat)
 	if !ok || !strings.HasPrefix(prompt, text) {
@@ -43,18 +43,18 @@
 	return "", false
 }
 
-// store keeps a chat's prompt and evicts the one used least recently.
+// store stores a chat's prompt, and evicts the least recently stored prompts beyond the limit.
 func (c *promptCache) store(chat ryeford.ChatID, text string) {
 	c.prompts = slices.DeleteFunc(c.prompts, func(p cachedPrompt) bool { return p.chat == chat })
 	c.prompts = append(c.prompts, cachedPrompt{chat: chat, text: text})
-	c.event(chat, false)
+	c.recordEvent(chat, false)
 	for len(c.prompts) > c.limit {
-		c.event(c.prompts[0].chat, true)
+		c.recordEvent(c.prompts[0].chat, true)
 		c.prompts = slices.Delete(c.prompts, 0, 1)
 	}
 }
 
-func (c *promptCache) event(chat ryeford.ChatID, evicted bool) {
+func (c *promptCache) recordEvent(chat ryeford.ChatID, evicted bool) {
 	c.events = append(c.events, ryeford.CacheEvent{
 		Sequence: int64(len(c.events) + 1),
 		Chat:     chat,
--- a/standin/service.go
+++ b/standin/service.go
@@ -9,25 +9,25 @@
 	"github.com/ryeford/ryeford/agentfleet/engine"
 )
 
-// A ServiceFault is what is wrong with a service.
+// A ServiceFault is a simulated malfunction of a service.
 type ServiceFault struct {
-	// DieAfterRun runs so many calls and cuts the connection in place of an
+	// DieAfterRun is the number of calls that run but whose connection is closed instead of an
 	// answer.
 	DieAfterRun int `json:"die_after_run"`
 	// DelayMS delays each answer, in milliseconds.
 	DelayMS int `json:"delay_ms"`
 }
 
-// A ServiceAnswer is the JSON that a service answers with: the call, and its number.
+// A ServiceAnswer is a service's answer in JSON: the call and its number, starting at 1.
 type ServiceAnswer struct {
 	Path string `json:"path"`
 	Body string `json:"body"`
 	Run  int    `json:"run"`
 }
 
-// A service plays a plain service that is called over HTTP through an agent: it answers
-// each call, whatever its path, with the call itself, and records it. It does not look
-// at methods or headers (but for the attempt's id), and keeps nothing over a restart.
+// A service plays a plain service that is called over HTTP through an agent. It records each call,
+// on any path, and answers with its contents. It ignores methods and headers except the attempt's
+// ID. Its state is lost when the process ends.
 type service struct {
 	delay time.Duration
 
@@ -41,7 +41,7 @@
 	case PathFault:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		readJSON(ctx, &s.fault) // changes the named fields
+		readJSON(ctx, &s.fault) // changes only the fields that the request contains
 	case PathRuns:
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -1,18 +1,17 @@
-// Package standin plays the systems around the fleet with agents, for tests, for
-// measurements and for `ryeford dev`. Each stand-in has faults that a test sets
-// while it runs, by PathFault; engines and services answer with their runs, by PathRuns.
+// Package standin provides stand-ins for the systems around the fleet with agents, for tests,
+// measurements and `ryeford dev`. Tests set faults of a running stand-in at PathFault, and
+// read the runs of engines and services at PathRuns.
 //
-//   - platform: the table, the object store and the list of VMs, by the protocol of
+//   - platform: the table, the object store and the list of VMs, with the protocol of
 //     agentfleet/tableservice.
-//   - engine: a model engine, by the protocol of agentfleet/engine.
+//   - engine: a model engine, with the protocol of agentfleet/engine.
 //   - service: a plain HTTP service.
-//   - link: a network path that loses, repeats, delays and cuts UDP datagrams.
+//   - link: a network path that loses, repeats, delays and drops UDP datagrams.
 //
-// The stand-in of the users' platform, which the gateway runs on, is
-// standin/emulator with rowstore and appserver; Run starts it as well.
+// The stand-in for the users' platform, on which the gateway runs, is standin/emulator with
+// rowstore and appserver. Run starts it as well.
 //
-// The package owns the state of what it plays, in memory, and a file for that of
-// the platform. It relies on the types of the protocols that it plays.
+// All state is in memory, except that of the platform, which can be saved in a file.
 package standin
 
 import (
@@ -26,7 +25,7 @@
 	"github.com/ryeford/ryeford/standin/emulator"
 )
 
-// Run runs all stand-ins of the settings until ctx ends.
+// Run runs all stand-ins of the settings until ctx is done or one of them fails.
 func Run(ctx context.Context, s *settings.Standin, logger log.Logger) error {
 	group, ctx := errgroup.WithContext(ctx)
 	if s.Platform != nil {
@@ -74,7 +73,7 @@
 	return emulator.New(s, configuration), nil
 }
 
-// An Error is a failure of a stand-in.
+// An Error reports a failed operation of a stand-in.
 type Error struct {
 	Op  string
 	Err error
