--- a/standin/emulator/emulator.go
+++ b/standin/emulator/emulator.go
@@ -1,10 +1,10 @@
-// Package emulator plays the users' platform in one process, for the soak, for tests
-// of the built program, and for `ryeford dev --platform`: its store of rows
-// (standin/rowstore) and any number of endpoints (standin/appserver), each at an
-// address of its own, and an admin address at which a test changes them over HTTP.
+// Package emulator plays the users' platform in one process, for the soak test, for tests of the
+// built program, and for `ryeford dev --platform`. It serves a row store (standin/rowstore) and any
+// number of endpoints (standin/appserver), each at its own address, and an admin address at which
+// tests control them over HTTP.
 //
-// It does not play the platform's load balancer, the operator, machines and their
-// links, or anything that the two stand-ins leave out.
+// It doesn't play the platform's load balancer, operators, machines or network, or anything that
+// rowstore and appserver don't play.
 package emulator
 
 import (
@@ -27,25 +27,25 @@
 	"github.com/ryeford/ryeford/standin/rowstore"
 )
 
-// An Emulator is the stand-in.
+// An Emulator plays the users' platform.
 type Emulator struct {
 	settings *settings.Emulator
 	store    *rowstore.Store
 	servers  []*appserver.Server
-	// date is the Date header of all answers; nil stands for the time of day.
+	// date is the Date header of all responses. If it is nil, they have the current time.
 	date atomic.Pointer[string]
-	// sequence counts what the endpoints have written.
+	// sequence counts the row updates of all endpoints.
 	sequence atomic.Int64
 
 	mu sync.Mutex
-	// born is the start of each endpoint, as its row says it last.
-	born   []int64
-	kept   *rowstore.Copy // the last one
-	newest *rowstore.Copy // what the store had when it was restored, until that is written again
+	// started is the start time in the last row of each endpoint, in Unix milliseconds.
+	started []int64
+	backup  *rowstore.Copy // the last one
+	lost    *rowstore.Copy // the state before the last restore, until WriteAgain has used it
 }
 
-// New returns an Emulator with the operators' first configuration, in the platform's
-// JSON; nil stands for none yet.
+// New returns an Emulator with the operators' first configuration, in the platform's JSON. A nil
+// configuration means that there is none yet.
 func New(s *settings.Emulator, configuration []byte) *Emulator {
 	e := &Emulator{settings: s, store: rowstore.New()}
 	if configuration != nil {
@@ -55,11 +55,11 @@
 		server := &s.Servers[i]
 		e.servers = append(e.servers, &appserver.Server{ID: server.ID, Events: server.Events, Step: server.Step})
 	}
-	e.born = make([]int64, len(e.servers))
+	e.started = make([]int64, len(e.servers))
 	return e
 }
 
-// Run runs the emulator until ctx ends.
+// Run runs the emulator until ctx is done or one of its servers fails.
 func (e *Emulator) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for i := range e.servers {
@@ -68,11 +68,11 @@
 			return err
 		}
 		group.Go(func() error { return e.runServer(ctx, i, listener) })
-		if err := e.enter(i, &Change{State: wire.StateReady}); err != nil {
+		if err := e.updateRow(i, &Change{State: wire.StateReady}); err != nil {
 			return err
 		}
 	}
-	if err := serve(ctx, group, e.settings.Store.AddrPort, e.dated(e.store)); err != nil {
+	if err := serve(ctx, group, e.settings.Store.AddrPort, e.withDate(e.store)); err != nil {
 		return err
 	}
 	admin := http.NewServeMux()
@@ -85,8 +85,8 @@
 	return group.Wait()
 }
 
-// dated returns a handler whose answers carry the Date header that a test has set.
-func (e *Emulator) dated(handler http.Handler) http.Handler {
+// withDate returns a handler whose responses have the Date header that a test has set.
+func (e *Emulator) withDate(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if date := e.date.Load(); date != nil {
 			w.Header().Set("Date", *date)
@@ -95,7 +95,7 @@
 	})
 }
 
-// serve starts an HTTP server, which group runs until ctx ends.
+// serve starts an HTTP server, which group runs until ctx is done.
 func serve(ctx context.Context, group *errgroup.Group, address netip.AddrPort, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// enter writes the row of the i-th endpoint as a change says, or removes it.
-func (e *Emulator) enter(i int, change *Change) error {
+// updateRow writes the row of the i-th endpoint with the fields of a change, or removes it.
+func (e *Emulator) updateRow(i int, change *Change) error {
 	server := &e.settings.Servers[i]
 	if change.State == stateGone {
 		e.store.Remove(wire.TableEndpoints, server.ID)
@@ -124,75 +124,76 @@
 		Slots:         appserver.ReportedSlots,
 		State:         change.State,
 		ColdMs:        change.ColdMs,
-		Born:          e.bornOf(i, change),
+		Born:          e.startOf(i, change),
 		Sequence:      e.sequence.Add(1),
 	})
 	return err
 }
 
-// bornOf returns the start of the i-th endpoint: that of a change, or else the last one.
-func (e *Emulator) bornOf(i int, change *Change) int64 {
+// startOf returns the start time of the i-th endpoint: that of the change, or else the last one.
+func (e *Emulator) startOf(i int, change *Change) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if change.Born != 0 {
-		e.born[i] = change.Born
+		e.started[i] = change.Born
 	}
-	return e.born[i]
+	return e.started[i]
 }
 
 // stateGone in a Change removes an endpoint's row.
 const stateGone = "gone"
 
-// A Change is what a test does to the emulator. Each field may be left out.
+// A Change is a change that a test makes to the emulator. All fields are optional.
 type Change struct {
-	// Store sets what is wrong with the store.
+	// Store replaces the store's fault.
 	Store *rowstore.Fault `json:"store"`
-	// ForgetHistory makes the store forget its changes up to now.
+	// ForgetHistory makes the store drop its change history.
 	ForgetHistory bool `json:"forget_history"`
-	// ClockStep makes the store's clock jump; ClockRate, unless zero, is how fast it runs
-	// from now on, as a part of time's own speed.
+	// ClockStep is added to the store's clock. ClockRate, unless it is zero, is the new rate of
+	// that clock, relative to real time.
 	ClockStep time.Duration `json:"clock_step"`
 	ClockRate float64       `json:"clock_rate"`
-	// Date is the Date header of all answers, of the store and the endpoints, from now on;
-	// empty stands for the time of day.
+	// Date is the Date header of all further responses of the store and the endpoints. If it is
+	// empty, they have the current time.
 	Date *string `json:"date"`
-	// KeepCopy keeps a copy of the store. Restore makes the store go on from the last one, and
-	// WriteAgain has operators and endpoints write what that has lost of theirs.
+	// KeepCopy makes a backup of the store. Restore restores the store from the last backup.
+	// WriteAgain makes operators and endpoints write again what the restore has lost of theirs.
 	KeepCopy   bool `json:"keep_copy"`
 	Restore    bool `json:"restore"`
 	WriteAgain bool `json:"write_again"`
-	// Lagging says whether reads of the store are answered as of this change now and then
-	// (rowstore.Store.SetLagging).
+	// Lagging sets whether every second read of the store gets its state at the time of this
+	// change (rowstore.Store.SetLagging).
 	Lagging *bool `json:"lagging"`
-	// Configuration is the operators' next configuration.
+	// Configuration replaces the operators' configuration.
 	Configuration json.RawMessage `json:"configuration"`
-	// Evacuate is a failure domain that operators evacuate, and Withdraw one whose evacuation they
-	// end.
+	// Evacuate is a failure domain to evacuate. Withdraw is one whose evacuation is withdrawn.
 	Evacuate string `json:"evacuate"`
 	Withdraw string `json:"withdraw"`
-	// Row is the key of an entry of the list of endpoints that another writer gives a Value.
+	// Row is the key of an entry in the list of endpoints that another writer sets to Value.
 	Row   string `json:"row"`
 	Value string `json:"value"`
-	// Server is the ID of an endpoint, or empty for all of them. Fault applies to its
-	// next Requests requests, or to all if negative; State is what its row says from
-	// now on.
+	// Server is the ID of the endpoint to change, or empty for all endpoints. Fault applies to its
+	// next Requests requests, or to all requests if Requests is negative. State is the new state
+	// in its row.
 	Server   string           `json:"server"`
 	Fault    *appserver.Fault `json:"fault"`
 	Requests int              `json:"requests"`
 	State    string           `json:"state"`
-	// Leaving says whether the endpoint's answers say that it leaves, whatever its row does, and Rest is
-	// the Retry-After of what the fault shed refuses; none if it is empty.
+	// Leaving sets whether the endpoint's responses report that it is leaving, regardless of its
+	// row. Rest is the Retry-After of requests refused by appserver.FaultShed; empty sends none.
 	Leaving *bool   `json:"leaving"`
 	Rest    *string `json:"rest"`
-	// CrashBody is a body that ends an endpoint which begins to run a request with it; empty for none.
-	// The endpoint is back a second later, as another life.
+	// CrashBody is a request body that makes the endpoint crash when it starts to run the request;
+	// empty for none. The endpoint restarts a second later, as a new incarnation.
 	CrashBody *string `json:"crash_body"`
-	// ColdMs and Born are what the row says beside State; without Born it is as before.
+	// ColdMs and Born are further fields of the row, written with State. ColdMs is how much longer
+	// the endpoint is cold, in milliseconds. Born is its start time in Unix milliseconds; zero
+	// keeps the previous one.
 	ColdMs float64 `json:"cold_ms"`
 	Born   int64   `json:"born"`
 }
 
-// serveChange makes the change that a test posts.
+// serveChange applies a posted Change.
 func (e *Emulator) serveChange(w http.ResponseWriter, r *http.Request) {
 	var change Change
 	decoder := json.NewDecoder(r.Body)
@@ -247,7 +248,7 @@
 			server.SetCrashBody(*change.CrashBody)
 		}
 		if change.State != "" {
-			if err := e.enter(i, change); err != nil {
+			if err := e.updateRow(i, change); err != nil {
 				return err
 			}
 		}
@@ -255,24 +256,24 @@
 	return nil
 }
 
-// applyRestore keeps a copy of the store, restores it from that, and has written again what it lost.
+// applyRestore makes a backup of the store, restores the store from it, and writes lost rows again.
 func (e *Emulator) applyRestore(change *Change) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if change.KeepCopy {
-		e.kept = e.store.Copy()
+		e.backup = e.store.Copy()
 	}
-	if change.Restore && e.kept != nil {
-		e.newest = e.store.Copy()
-		e.store.Restore(e.kept)
+	if change.Restore && e.backup != nil {
+		e.lost = e.store.Copy()
+		e.store.Restore(e.backup)
 	}
-	if change.WriteAgain && e.newest != nil {
-		e.store.WriteAgain(e.newest, wire.TableOperators, wire.TableEndpoints)
-		e.newest = nil
+	if change.WriteAgain && e.lost != nil {
+		e.store.WriteAgain(e.lost, wire.TableOperators, wire.TableEndpoints)
+		e.lost = nil
 	}
 }
 
-// applyClock changes what the answers say of the time.
+// applyClock changes the store's clock and the Date header of responses.
 func (e *Emulator) applyClock(change *Change) {
 	e.store.StepClock(change.ClockStep)
 	if change.ClockRate != 0 {
@@ -288,7 +289,7 @@
 	e.date.Store(change.Date)
 }
 
-// serveRuns answers with how often each request has run, on all endpoints together.
+// serveRuns answers with the number of runs of each request on all endpoints, by request ID.
 func (e *Emulator) serveRuns(w http.ResponseWriter, _ *http.Request) {
 	total := make(map[string]int)
 	for _, server := range e.servers {
@@ -297,20 +298,20 @@
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(total) // fails only if the test has gone
+	_ = json.NewEncoder(w).Encode(total) // fails only if the client has disconnected
 }
 
-// serveRefusals answers with the requests that were refused with a Retry-After, by endpoint.
+// serveRefusals answers with the requests that were refused with a Retry-After, by endpoint ID.
 func (e *Emulator) serveRefusals(w http.ResponseWriter, _ *http.Request) {
 	refusals := make(map[string][]appserver.Refusal)
 	for _, server := range e.servers {
 		refusals[server.ID] = server.Refusals()
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(refusals) // fails only if the test has gone
+	_ = json.NewEncoder(w).Encode(refusals) // fails only if the client has disconnected
 }
 
-// The demo's host and its services. The settings name their endpoints.
+// The host and the services of the demo configuration. The settings list their endpoints.
 const (
 	demoHost = "dev.example"
 	// DemoModel and DemoNotes are the services of the demo configuration.
@@ -318,8 +319,8 @@
 	DemoNotes = "notes"
 )
 
-// DemoConfiguration returns a small configuration for trials, in the platform's JSON,
-// with one client account and its key.
+// DemoConfiguration returns a small demo configuration in the platform's JSON. It has one client
+// account, with the key.
 func DemoConfiguration(key string) []byte {
 	return fmt.Appendf(nil, `{"version":1,
 "routes":[
@@ -330,8 +331,8 @@
 "tenants":[{"name":"demo","apiKeys":[%[4]q]}]}`, demoHost, DemoModel, DemoNotes, key)
 }
 
-// DemoCommand returns a shell command that sends a request with the demo account's
-// key to a router.
+// DemoCommand returns a shell command that sends a request with the demo account's key to the
+// router at an address.
 func DemoCommand(callers netip.AddrPort, key string) string {
 	return fmt.Sprintf("curl -sN http://%s/chat/1 -H 'Host: %s' -H '%s: 1' -H 'Authorization: Bearer %s' -d 'good morning'",
 		callers, demoHost, wire.HeaderRequestID, key)
