--- a/standin/rowstore/clock.go
+++ b/standin/rowstore/clock.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// A storeClock is the clock that the store shows in its answers.
+// A storeClock is the clock whose readings the store includes in its responses.
 type storeClock struct {
-	shown time.Duration // at the time since
-	since time.Time
-	rate  float64 // how fast it runs; time itself runs at 1
+	reading time.Duration // at the time since
+	since   time.Time
+	rate    float64 // relative to real time
 }
 
-// now returns what the clock shows.
+// now returns the clock's current reading.
 func (c *storeClock) now() time.Duration {
-	return c.shown + time.Duration(c.rate*float64(time.Since(c.since)))
+	return c.reading + time.Duration(c.rate*float64(time.Since(c.since)))
 }
 
-// StepClock makes the store's clock jump forward, or back if by is negative. The clock of
-// the platform's store is steady: it jumps only if it has started anew.
+// StepClock steps the store's clock forward, or backward if by is negative. The clock of the
+// platform's store is monotonic and steps only when the store has restarted.
 func (s *Store) StepClock(by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.clock = storeClock{shown: s.clock.now() + by, since: time.Now(), rate: s.clock.rate}
+	s.clock = storeClock{reading: s.clock.now() + by, since: time.Now(), rate: s.clock.rate}
 }
 
-// SetClockRate sets how fast the store's clock runs; time itself runs at 1.
+// SetClockRate sets the rate of the store's clock relative to real time.
 func (s *Store) SetClockRate(rate float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.clock = storeClock{shown: s.clock.now(), since: time.Now(), rate: rate}
+	s.clock = storeClock{reading: s.clock.now(), since: time.Now(), rate: rate}
 }
 
-// clockShows returns what the store's clock shows.
-func (s *Store) clockShows() time.Duration {
+// clockReading returns the current reading of the store's clock.
+func (s *Store) clockReading() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.clock.now()
--- a/standin/rowstore/fault.go
+++ b/standin/rowstore/fault.go
@@ -7,27 +7,27 @@
 	"github.com/ryeford/ryeford/internal/clock"
 )
 
-// A Fault is what is wrong with the store. The zero value is a store that works.
+// A Fault is a simulated fault of the store. The zero value means none.
 type Fault struct {
-	// Status, unless zero, answers each call, which does nothing.
+	// Status, unless it is zero, is the status of all responses. Calls have no effect.
 	Status int `json:"status"`
-	// Silent accepts calls and never answers.
+	// Silent accepts calls, which have no effect, and never answers.
 	Silent bool `json:"silent"`
-	// Reset ends each call by closing its connection.
+	// Reset closes the connection of each call without a response.
 	Reset bool `json:"reset"`
 	// Slow delays each response.
 	Slow time.Duration `json:"slow"`
-	// LoseAnswers makes each call, also a write, and never answers it.
+	// LoseAnswers executes each call, including writes, and never answers.
 	LoseAnswers bool `json:"lose_answers"`
-	// DeafFeed withholds changes from calls that wait for them.
+	// DeafFeed withholds changes from calls that wait for changes.
 	DeafFeed bool `json:"deaf_feed"`
-	// StaleReads answers reads as of when the fault was set.
+	// StaleReads answers reads with the state at the time when the fault was set.
 	StaleReads bool `json:"stale_reads"`
 }
 
-// serve applies the fault to a call, and reports whether that ended the call. It panics
-// with http.ErrAbortHandler to have net/http close the connection. A write whose answer is
-// to be lost is made first, by serveTransaction; for a read it makes no difference.
+// serve applies the fault to a call and reports whether that ended the call. It panics with
+// http.ErrAbortHandler to make net/http close the connection. With LoseAnswers it does not end a
+// write, which serveTransaction has to execute first. Reads have no effect, so serve ends them.
 func (f Fault) serve(w http.ResponseWriter, r *http.Request) bool {
 	if f.Slow > 0 {
 		if !clock.Sleep(r.Context(), f.Slow) {
--- a/standin/rowstore/fault_test.go
+++ b/standin/rowstore/fault_test.go
@@ -13,8 +13,8 @@
 	"github.com/ryeford/ryeford/platform/wire"
 )
 
-// TestLoseAnswers checks that a store that loses its answers makes a write all the same,
-// and that neither a write nor a read is answered while its caller waits.
+// TestLoseAnswers checks that the fault LoseAnswers executes a write, and that neither a write nor
+// a read is answered while its caller waits.
 func TestLoseAnswers(t *testing.T) {
 	const transaction = `{"put":[{"table":"t","key":"a","value":"MQ=="}]}`
 	calls := []*http.Request{
--- a/standin/rowstore/restore_test.go
+++ b/standin/rowstore/restore_test.go
@@ -11,19 +11,18 @@
 	"github.com/ryeford/ryeford/platform/wire"
 )
 
-// TestRestore checks that a store which is back from a copy lacks what was written since, gives its
-// versions out again, answers a read since a version that it doesn't have with 410, and sends the
-// next era with each answer, also with those of an earlier read that it held.
+// TestRestore checks that a restored store has lost later writes, reuses their versions, answers a
+// read of changes since a lost version with 410, and sends the next era with each response.
 func TestRestore(t *testing.T) {
 	store := New()
 	store.Put("t", "a", []byte("1"))
-	made := store.Copy()
+	backup := store.Copy()
 	lost := store.Put("t", "b", []byte("2"))
 	assert.Equal(t, get(store, wire.PathRows+"?table=t").Header().Get(wire.HeaderEra), "1")
 
-	store.Restore(made)
-	whole := get(store, wire.PathRows+"?table=t")
-	assert.Equal(t, whole.Header().Get(wire.HeaderEra), "2")
+	store.Restore(backup)
+	table := get(store, wire.PathRows+"?table=t")
+	assert.Equal(t, table.Header().Get(wire.HeaderEra), "2")
 	rows, version := store.read("c", "t", "")
 	assert.Equal(t, len(rows), 1)
 	assert.Equal(t, version, lost-1)
@@ -32,27 +31,27 @@
 	assert.Equal(t, gone.Code, http.StatusGone)
 	assert.Equal(t, gone.Header().Get(wire.HeaderEra), "2")
 
-	assert.Equal(t, store.Put("t", "c", []byte("3")), lost, "the version is given out again")
-	assert.Equal(t, get(store, since).Code, http.StatusOK, "from then on nobody can tell by the version")
+	assert.Equal(t, store.Put("t", "c", []byte("3")), lost, "the version is not reused")
+	assert.Equal(t, get(store, since).Code, http.StatusOK, "the reused version is not accepted")
 }
 
-// TestWriteAgain checks that what a restore has lost of some tables is written again, and that what was
-// written since stands.
+// TestWriteAgain checks that WriteAgain restores the rows that a restore has lost, in the named tables
+// only, and keeps rows that were written after the restore.
 func TestWriteAgain(t *testing.T) {
 	store := New()
 	for _, key := range []string{"changed", "removed", "both"} {
 		store.Put("t", key, []byte("old"))
 	}
-	made := store.Copy()
+	backup := store.Copy()
 	for _, key := range []string{"changed", "new", "both"} {
 		store.Put("t", key, []byte("lost"))
 	}
 	store.Remove("t", "removed")
 	store.Put("other", "a", []byte("lost"))
-	newest := store.Copy()
-	store.Restore(made)
+	latest := store.Copy()
+	store.Restore(backup)
 	store.Put("t", "both", []byte("later"))
-	store.WriteAgain(newest, "t")
+	store.WriteAgain(latest, "t")
 	values := make(map[string]string)
 	rows, _ := store.read("c", "t", "")
 	for _, row := range rows {
--- a/standin/rowstore/serve.go
+++ b/standin/rowstore/serve.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// serveRows answers with one page of a table.
+// serveRows answers with one page of a table, sorted by key.
 func (s *Store) serveRows(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	limit := wire.MaxPageRows
@@ -52,8 +52,8 @@
 	})
 }
 
-// read returns the rows of a table from a key on, in no order, and the version that
-// they are of, as a connection is shown them.
+// read returns the rows of a table whose keys are not less than from, unsorted, and their version.
+// The connection determines whether the rows are stale (see answersStale).
 func (s *Store) read(connection, table, from string) ([]wire.Row, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,8 +70,8 @@
 	return rows, version
 }
 
-// serveChanges answers with what has changed in a table, once something has or the
-// wait is over.
+// serveChanges answers with the changes of a table since a version. If there are none, it waits for
+// the first one or until the timeout of the request.
 func (s *Store) serveChanges(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since := number(query, wire.QuerySince)
@@ -79,14 +79,14 @@
 	defer timeout.Stop()
 	for {
 		s.mu.Lock()
-		rows, known := s.changesSince(query.Get(wire.QueryTable), since)
+		rows, complete := s.changesSince(query.Get(wire.QueryTable), since)
 		version, changed, fault := s.version, s.changed, s.fault
 		s.mu.Unlock()
 		if fault.serve(w, r) {
 			return
 		}
 		s.writeEra(w.Header())
-		if !known {
+		if !complete {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
@@ -97,7 +97,7 @@
 		select {
 		case <-changed:
 		case <-timeout.C:
-			// Withheld changes are counted off, or the caller would take them for read.
+			// Exclude withheld changes from the version, or the caller would never read them.
 			s.write(w, http.StatusOK, &wire.RowsResponse{Rows: []wire.Row{}, Version: max(since, version-int64(len(rows)))})
 			return
 		case <-r.Context().Done():
@@ -106,8 +106,8 @@
 	}
 }
 
-// serveTransaction makes a change, or answers 412 with the rows whose version is
-// not the expected one.
+// serveTransaction applies a transaction, or answers 412 with the rows whose version is not the
+// expected one.
 func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request) {
 	var transaction wire.Transaction
 	if r.Method != http.MethodPost || json.NewDecoder(r.Body).Decode(&transaction) != nil {
@@ -122,12 +122,13 @@
 	s.write(w, status, response)
 }
 
-// transact makes a change and returns the answer, and what was wrong with the store then.
+// transact applies a transaction. It returns the status and the response, and the store's fault at
+// that time.
 func (s *Store) transact(transaction *wire.Transaction) (int, *wire.RowsResponse, Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if differ := s.unexpected(transaction.Expected); len(differ) > 0 {
-		return http.StatusPreconditionFailed, &wire.RowsResponse{Rows: differ, Version: s.version}, s.fault
+	if mismatched := s.mismatched(transaction.Expected); len(mismatched) > 0 {
+		return http.StatusPreconditionFailed, &wire.RowsResponse{Rows: mismatched, Version: s.version}, s.fault
 	}
 	for _, row := range transaction.Put {
 		s.apply(row)
@@ -136,23 +137,22 @@
 		row.Removed = true
 		s.apply(row)
 	}
-	s.wake()
+	s.notifyWaiters()
 	return http.StatusOK, &wire.RowsResponse{Version: s.version}, s.fault
 }
 
-// unexpected returns the rows whose version is not the expected one, as they are.
-// s.mu is held.
-func (s *Store) unexpected(expected []wire.Row) []wire.Row {
-	var differ []wire.Row
+// mismatched returns the current rows whose version is not the expected one. s.mu is held.
+func (s *Store) mismatched(expected []wire.Row) []wire.Row {
+	var mismatched []wire.Row
 	for _, row := range expected {
-		if now := s.rows[rowName{table: row.Table, key: row.Key}]; now.Version != row.Version {
-			differ = append(differ, now)
+		if current := s.rows[rowName{table: row.Table, key: row.Key}]; current.Version != row.Version {
+			mismatched = append(mismatched, current)
 		}
 	}
-	return differ
+	return mismatched
 }
 
-// number returns a query parameter that is a number; one that is not counts as zero.
+// number returns a query parameter as a number, or zero if it isn't one.
 func number(query url.Values, name string) int64 {
 	n, err := strconv.ParseInt(query.Get(name), 10, 64)
 	if err != nil {
@@ -161,10 +161,10 @@
 	return n
 }
 
-// write writes a response with the store's clock. An error means that the caller
-// has closed the connection.
+// write writes a response with the reading of the store's clock. It ignores write errors, which mean
+// that the caller has closed the connection.
 func (s *Store) write(w http.ResponseWriter, status int, response *wire.RowsResponse) {
-	response.ClockMs = s.clockShows().Milliseconds()
+	response.ClockMs = s.clockReading().Milliseconds()
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(response)
--- a/standin/rowstore/store.go
+++ b/standin/rowstore/store.go
@@ -1,13 +1,12 @@
-// Package rowstore plays the platform's store of rows, for tests, for the soak and
-// for `ryeford dev --platform`.
+// Package rowstore plays the platform's row store, for tests, for the soak test and for
+// `ryeford dev --platform`.
 //
-// It answers the part of the store's HTTP protocol that ryeford uses: reading a
-// table page by page, waiting for changes, and transactions. Names and forms are
-// those of platform/wire. A Fault makes it misbehave as the platform's store may.
+// It implements the part of the store's HTTP protocol that ryeford uses: reading a table page by
+// page, waiting for changes, and transactions. Package platform/wire defines the names and types.
+// A Fault makes it fail as the platform's store may.
 //
-// It does not play partitions, row and call quotas, the time that calls take,
-// objects, rights (any caller may write any table), or storage: rows are lost when
-// the process ends.
+// It doesn't play partitions, quotas of rows and calls, latency, objects, permissions (any caller may
+// write any table) or persistence (rows are lost when the process ends).
 package rowstore
 
 import (
@@ -19,28 +18,28 @@
 	"github.com/ryeford/ryeford/platform/wire"
 )
 
-// A Store is the stand-in. It is an http.Handler, and may be used concurrently.
+// A Store plays the row store. It is an http.Handler and may be used concurrently.
 type Store struct {
 	mu      sync.Mutex
 	clock   storeClock
 	rows    map[rowName]wire.Row
-	changes []wire.Row    // all since oldest, in order
-	version int64         // of the newest transaction
-	oldest  int64         // changes up to this version are forgotten
-	changed chan struct{} // closed at the next change
+	changes []wire.Row    // all changes after version oldest, in order
+	version int64         // of the newest change
+	oldest  int64         // changes up to this version have been dropped
+	changed chan struct{} // closed and replaced at each change
 	fault   Fault
-	// era counts from 1 how often the store was restored from a copy; hidesEra leaves it out of
-	// the answers.
-	era      int64
-	hidesEra bool
-	restored int64 // the version from which the store went on after its last restore
-	// staleRows and staleVersion are as they were when the fault or the lag was set.
+	// era is 1 plus the number of restores. If eraHidden is set, responses omit it.
+	era       int64
+	eraHidden bool
+	restored  int64 // the version after the last restore
+	// staleRows and staleVersion are the state when the fault or the lag was last set, or the store
+	// was last restored.
 	staleRows    map[rowName]wire.Row
 	staleVersion int64
-	// lagging is as SetLagging says. ahead are the connections whose last read was answered
-	// by newer rows than those of stale reads.
-	lagging bool
-	ahead   map[string]bool
+	// lagging is set by SetLagging. sawNewer holds the connections whose last read was answered with
+	// a newer version than staleVersion.
+	lagging  bool
+	sawNewer map[string]bool
 }
 
 type rowName struct {
@@ -62,7 +61,7 @@
 	return s.change(&wire.Transaction{Put: []wire.Row{{Table: table, Key: key, Value: value}}})
 }
 
-// PutJSON writes a row whose value is the JSON of a value.
+// PutJSON writes a row with a value that it encodes as JSON, and returns the store's new version.
 func (s *Store) PutJSON(table, key string, value any) (int64, error) {
 	content, err := json.Marshal(value)
 	if err != nil {
@@ -76,7 +75,7 @@
 	return s.change(&wire.Transaction{Remove: []wire.Row{{Table: table, Key: key}}})
 }
 
-// Rows returns how many rows a table has.
+// Rows returns the number of rows of a table.
 func (s *Store) Rows(table string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,55 +88,55 @@
 	return n
 }
 
-// ForgetHistory forgets all changes up to now: waiting for changes since an older
-// version is answered with 410.
+// ForgetHistory drops all changes up to now. Waiting for changes since an older version is then
+// answered with 410.
 func (s *Store) ForgetHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.changes = nil
 	s.oldest = s.version
-	s.wake()
+	s.notifyWaiters()
 }
 
-// SetFault sets what is wrong with the store from now on.
+// SetFault replaces the store's fault.
 func (s *Store) SetFault(fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = fault
-	s.keepStale()
-	s.wake()
+	s.keepStaleRows()
+	s.notifyWaiters()
 }
 
-// SetLagging says whether every second read of a connection is answered as of now, as by a
-// replica that gets no changes any more. A read is answered so only after one that showed
-// something newer, so that the caller can tell: the platform's store is linearizable, and
-// from a first answer that is stale nobody could.
+// SetLagging sets whether every second read of a connection gets the state at the time of this call,
+// as if from a replica that no longer receives changes. Only a read that follows one with a newer
+// version is stale, so that callers can detect it: the platform's store is linearizable, and a
+// stale first read could not be detected.
 func (s *Store) SetLagging(lagging bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lagging, s.ahead = lagging, make(map[string]bool)
-	s.keepStale()
+	s.lagging, s.sawNewer = lagging, make(map[string]bool)
+	s.keepStaleRows()
 }
 
-// keepStale keeps the rows for stale reads as they are now. s.mu is held.
-func (s *Store) keepStale() {
+// keepStaleRows saves the current state for stale reads. s.mu is held.
+func (s *Store) keepStaleRows() {
 	s.staleRows, s.staleVersion = maps.Clone(s.rows), s.version
 }
 
-// answersStale reports whether the next read of a connection is answered from the rows kept
-// for stale reads. s.mu is held.
+// answersStale reports whether the next read of a connection gets the state that was saved for stale
+// reads. s.mu is held.
 func (s *Store) answersStale(connection string) bool {
-	if s.lagging && s.ahead[connection] {
-		s.ahead[connection] = false
+	if s.lagging && s.sawNewer[connection] {
+		s.sawNewer[connection] = false
 		return true
 	}
 	if s.lagging {
-		s.ahead[connection] = s.version > s.staleVersion
+		s.sawNewer[connection] = s.version > s.staleVersion
 	}
 	return s.fault.StaleReads
 }
 
-// change makes a change that expects nothing, and returns the store's new version.
+// change applies a transaction without expectations and returns the store's new version.
 func (s *Store) change(transaction *wire.Transaction) int64 {
 	_, response, _ := s.transact(transaction)
 	return response.Version
@@ -156,14 +155,14 @@
 	s.changes = append(s.changes, row)
 }
 
-// wake wakes the calls that wait for changes. s.mu is held.
-func (s *Store) wake() {
+// notifyWaiters notifies the calls that wait for changes. s.mu is held.
+func (s *Store) notifyWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// changesSince returns a table's changes after a version, and whether they are all
-// still known. s.mu is held.
+// changesSince returns a table's changes after a version. It reports false if the store doesn't have
+// all of them. s.mu is held.
 func (s *Store) changesSince(table string, version int64) ([]wire.Row, bool) {
 	if version < s.oldest || version > s.version {
 		return nil, false
--- a/standin/rowstore/store_test.go
+++ b/standin/rowstore/store_test.go
@@ -12,20 +12,20 @@
 	"github.com/ryeford/ryeford/platform/wire"
 )
 
-// TestTransaction checks that a transaction changes all rows or none, and that it
-// answers with the rows whose version is not the expected one.
+// TestTransaction checks that a transaction changes all rows or none, and that a failed one is
+// answered with the rows whose version is not the expected one.
 func TestTransaction(t *testing.T) {
 	store := New()
 	version := store.Put("t", "a", []byte("1"))
 	tests := []struct {
-		name     string
-		expected []wire.Row
-		status   int
-		differ   []wire.Row
+		name       string
+		expected   []wire.Row
+		status     int
+		mismatched []wire.Row
 	}{
 		{"an older version", []wire.Row{{Table: "t", Key: "a", Version: version - 1}}, 412, []wire.Row{{Table: "t", Key: "a", Value: []byte("1"), Version: version}}},
-		{"a row that is not there", []wire.Row{{Table: "t", Key: "b", Version: 5}}, 412, []wire.Row{{}}},
-		{"a row that should not be there", []wire.Row{{Table: "t", Key: "a"}}, 412, []wire.Row{{Table: "t", Key: "a", Value: []byte("1"), Version: version}}},
+		{"a missing row", []wire.Row{{Table: "t", Key: "b", Version: 5}}, 412, []wire.Row{{}}},
+		{"a row expected to be missing", []wire.Row{{Table: "t", Key: "a"}}, 412, []wire.Row{{Table: "t", Key: "a", Value: []byte("1"), Version: version}}},
 		{"as expected", []wire.Row{{Table: "t", Key: "a", Version: version}, {Table: "t", Key: "b"}}, 200, nil},
 	}
 	for _, test := range tests {
@@ -35,7 +35,7 @@
 			Remove:   []wire.Row{{Table: "t", Key: "a"}},
 		})
 		assert.Equal(t, status, test.status, test.name)
-		assert.DeepEqual(t, response.Rows, test.differ)
+		assert.DeepEqual(t, response.Rows, test.mismatched)
 		rows, newest := store.read("c", "t", "")
 		assert.Equal(t, newest, response.Version, test.name)
 		assert.Equal(t, len(rows), 1, test.name)
