--- a/standin/appserver/serve.go
+++ b/standin/appserver/serve.go
@@ -12,15 +12,15 @@
 	"github.com/ryeford/ryeford/platform/wire"
 )
 
-// ReportedSlots is the number of slots in the load that responses report, and in the
-// rows of the emulator's endpoints. It bounds nothing here.
+// ReportedSlots is the number of slots in the load that responses report, and in the rows of the
+// emulator's endpoints. The server doesn't enforce it.
 const ReportedSlots = 64
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the caller's connection broke: there is nobody to answer
+		return // the caller's connection is broken
 	}
 	id := r.Header.Get(wire.HeaderRequestID)
 	w.Header().Set(wire.HeaderRequestID, id)
@@ -32,27 +32,27 @@
 	s.mu.Lock()
 	fault := s.nextFault()
 	if fault != FaultShed {
-		s.begin(id)
+		s.startRun(id)
 	}
-	w.Header().Set(wire.HeaderLoad, fmt.Sprintf("%d,0,%d", s.working, ReportedSlots))
+	w.Header().Set(wire.HeaderLoad, fmt.Sprintf("%d,0,%d", s.running, ReportedSlots))
 	if s.leaving {
 		w.Header().Set(wire.HeaderLeaving, "1")
 	}
-	rest := s.rest
-	if fault == FaultShed && rest != "" {
-		s.refusals = append(s.refusals, Refusal{Request: id, At: time.Now(), Rest: rest})
+	retryAfter := s.retryAfter
+	if fault == FaultShed && retryAfter != "" {
+		s.refusals = append(s.refusals, Refusal{Request: id, At: time.Now(), Rest: retryAfter})
 	}
 	s.mu.Unlock()
 	if fault == FaultShed {
 		w.Header().Set(wire.HeaderNotRun, "1")
-		if rest != "" {
-			w.Header().Set(wire.HeaderRetryAfter, rest)
+		if retryAfter != "" {
+			w.Header().Set(wire.HeaderRetryAfter, retryAfter)
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer s.end()
-	if crash := s.crashOf(body); crash != nil {
+	defer s.endRun()
+	if crash := s.crashFor(body); crash != nil {
 		crash()
 		panic(http.ErrAbortHandler)
 	}
@@ -90,7 +90,7 @@
 
 func (s *Server) respondPlain(w http.ResponseWriter, r *http.Request, fault Fault) {
 	if !clock.Sleep(r.Context(), s.Step) {
-		return // the caller's connection broke
+		return // the caller has closed the connection
 	}
 	text := s.text(r)
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -101,7 +101,7 @@
 	_, _ = io.WriteString(w, text)
 }
 
-// stream responds with events, from the one after the last that the caller has.
+// stream responds with the events after the last one that the caller has.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, fault Fault) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	last := lastEvent(r)
@@ -119,8 +119,8 @@
 	}
 }
 
-// lastEvent returns the number of the last event that the caller has. Zero stands
-// for none, and for an ID that no server here has given.
+// lastEvent returns the number of the last event that the caller has. It returns zero if the request
+// has no event ID, or one that is not a number.
 func lastEvent(r *http.Request) int {
 	n, err := strconv.Atoi(r.Header.Get(wire.HeaderLastEvent))
 	if err != nil {
@@ -133,11 +133,11 @@
 	return "answer to " + r.Header.Get(wire.HeaderRequestID) + " of " + s.ID
 }
 
-// closing in place of a length ends the body with the connection.
-const closing = "Connection: close\r\n"
+// connectionClose is a header that makes a body without a length end when the connection is closed.
+const connectionClose = "Connection: close\r\n"
 
-// respondRaw responds with bytes that net/http would not send. Errors of the
-// connection are dropped: the caller has closed it.
+// respondRaw responds with bytes that net/http would not send. It ignores errors of the connection,
+// which mean that the caller has closed it.
 func (s *Server) respondRaw(w http.ResponseWriter, r *http.Request, fault Fault) {
 	conn, buffer, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -146,7 +146,7 @@
 	defer func() { _ = conn.Close() }()
 	if fault == FaultReset {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // closing resets
+			_ = tcp.SetLinger(0) // makes Close send a reset
 		}
 		return
 	}
@@ -155,33 +155,33 @@
 	if fault == FaultUnframed || fault == FaultGarbage {
 		return
 	}
-	// The connection stays open until the caller closes it.
+	// Keep the connection open until the caller closes it.
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// raw returns the bytes of a fault.
+// raw returns the bytes of a response with a fault.
 func (s *Server) raw(r *http.Request, fault Fault) string {
 	id, text := r.Header.Get(wire.HeaderRequestID), s.text(r)
 	switch fault {
 	case FaultExtra:
 		const second = "a second answer"
-		return s.rawResponse(id, length(text), text) + s.rawResponse(id, length(second), second)
+		return s.rawResponse(id, contentLength(text), text) + s.rawResponse(id, contentLength(second), second)
 	case FaultForeign:
 		const other = "another's answer"
-		return s.rawResponse("another", length(other), other) + s.rawResponse(id, length(text)+closing, text)
+		return s.rawResponse("another", contentLength(other), other) + s.rawResponse(id, contentLength(text)+connectionClose, text)
 	case FaultUnframed:
-		return s.rawResponse(id, closing, text)
+		return s.rawResponse(id, connectionClose, text)
 	default:
 		return "\x00\x01 no answer at all\r\n\r\n"
 	}
 }
 
-// length returns the header that frames a body.
-func length(text string) string {
+// contentLength returns the Content-Length header of a body.
+func contentLength(text string) string {
 	return fmt.Sprintf("Content-Length: %d\r\n", len(text))
 }
 
-// rawResponse returns the bytes of a response with the given framing headers.
+// rawResponse returns the bytes of a response. framing holds the headers that determine its length.
 func (s *Server) rawResponse(id, framing, text string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n%s\r\n%s",
 		wire.HeaderRequestID, id, wire.HeaderSignature, s.ID, framing, text)
--- a/standin/appserver/server.go
+++ b/standin/appserver/server.go
@@ -1,13 +1,13 @@
-// Package appserver plays an endpoint of the platform, for tests, for the soak and
-// for `ryeford dev --platform`: a model server that streams events, or a plain service. It
-// counts how often each request has run, which is what tests check.
+// Package appserver plays an endpoint of the platform, for tests, for the soak test and for
+// `ryeford dev --platform`: a model server that streams events, or a plain service. It counts the
+// runs of each request, so that tests can detect lost and repeated ones.
 //
-// It answers the HTTP/1.1 that endpoints speak with routers, with the headers of
-// platform/wire. A Fault makes it misbehave as the platform's servers may.
+// It implements the endpoints' HTTP/1.1 interface for routers, with the headers of platform/wire. A
+// Fault makes it fail as the platform's servers may.
 //
-// It does not play slots, queues and preemption (every request runs at once), a
-// model's memory and caches, priorities, deadlines, health checks, or a draining
-// server: its state is what the stand-in of the store says.
+// It doesn't play slots, queues and preemption (every request runs immediately), a model's memory
+// and caches, priorities, deadlines, health checks or draining (the stand-in of the store sets the
+// endpoint's state).
 package appserver
 
 import (
@@ -17,25 +17,25 @@
 	"time"
 )
 
-// A Server is the stand-in. It is an http.Handler, and may be used concurrently.
+// A Server plays an endpoint. It is an http.Handler and may be used concurrently.
 type Server struct {
-	// ID is the endpoint's ID. Requests that are meant for another one are refused.
+	// ID is the endpoint's ID. The server refuses requests that name a different endpoint.
 	ID string
-	// Events is how many events a stream has; zero makes a plain service.
+	// Events is the number of events of a stream. Zero makes the server a plain service.
 	Events int
-	// Step is the time before each event, or of a plain request's work.
+	// Step is the time before each event, or the processing time of a plain request.
 	Step    time.Duration
 	mu      sync.Mutex
 	fault   Fault
-	faults  int // requests that the fault still applies to; negative: all
+	faults  int // number of requests that the fault still applies to; all if negative
 	runs    map[string]int
-	working int // requests that are running
-	// crashBody, unless it is empty, is a body that ends the endpoint.
-	crashBody string
-	crash     func()
-	leaving   bool   // answers say so
-	rest      string // the Retry-After of what FaultShed refuses; none if it is empty
-	refusals  []Refusal
+	running int // number of requests
+	// crashBody, unless it is empty, is a request body that crashes the endpoint.
+	crashBody  string
+	crash      func()
+	leaving    bool   // responses report that the endpoint is leaving
+	retryAfter string // of requests refused by FaultShed; none if empty
+	refusals   []Refusal
 }
 
 // A Refusal is a request that was refused with a Retry-After.
@@ -46,37 +46,36 @@
 	Rest string `json:"rest"`
 }
 
-// Refusals returns the requests that were refused with a Retry-After, in their order.
+// Refusals returns the requests that were refused with a Retry-After, oldest first.
 func (s *Server) Refusals() []Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.refusals)
 }
 
-// Runs returns how often each request has run here, by its ID.
+// Runs returns the number of runs of each request by its ID.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.runs)
 }
 
-// begin counts a run. s.mu is held.
-func (s *Server) begin(id string) {
+// startRun counts a run. s.mu is held.
+func (s *Server) startRun(id string) {
 	if s.runs == nil {
 		s.runs = make(map[string]int)
 	}
 	s.runs[id]++
-	s.working++
+	s.running++
 }
 
-// end counts a run as no longer running.
-func (s *Server) end() {
+func (s *Server) endRun() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.working--
+	s.running--
 }
 
-// A Fault is what a server does wrong.
+// A Fault is a simulated malfunction of a server.
 type Fault string
 
 // The faults.
@@ -95,17 +94,17 @@
 	// FaultCut closes the connection in the middle of the second event that it sends,
 	// or of the body.
 	FaultCut Fault = "cut"
-	// FaultExtra sends a second response after a whole one.
+	// FaultExtra sends a second response after a complete one.
 	FaultExtra Fault = "extra"
-	// FaultUnsigned leaves the signature out.
+	// FaultUnsigned omits the signature.
 	FaultUnsigned Fault = "unsigned"
-	// FaultEncoded marks the body as encoded.
+	// FaultEncoded sets a content encoding.
 	FaultEncoded Fault = "encoded"
-	// FaultForeign sends the response to another request first.
+	// FaultForeign sends the response of another request first.
 	FaultForeign Fault = "foreign"
 	// FaultGarbage sends bytes that are not HTTP.
 	FaultGarbage Fault = "garbage"
-	// FaultUnframed sends the body without a length, up to the connection's end.
+	// FaultUnframed sends a body without a length, which ends when the connection is closed.
 	FaultUnframed Fault = "unframed"
 )
 
@@ -116,38 +115,38 @@
 	s.fault, s.faults = fault, n
 }
 
-// SetLeaving sets whether answers say that the endpoint leaves.
+// SetLeaving sets whether responses report that the endpoint is leaving.
 func (s *Server) SetLeaving(leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = leaving
 }
 
-// SetRest sets the Retry-After of the requests that FaultShed refuses: none if it is empty.
+// SetRest sets the Retry-After, in seconds, of requests that FaultShed refuses. Empty sends none.
 func (s *Server) SetRest(retryAfter string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rest = retryAfter
+	s.retryAfter = retryAfter
 }
 
-// SetCrashBody sets the body that ends the endpoint as it begins to run a request with it; none if
-// it is empty.
+// SetCrashBody sets a request body that crashes the endpoint when it starts to run the request.
+// Empty disables crashes.
 func (s *Server) SetCrashBody(body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.crashBody = body
 }
 
-// SetCrash sets what ends what the server runs in, and breaks all its connections off. It is called
-// as a request begins to run whose body is that of SetCrashBody.
+// SetCrash sets the function that plays a crash: it must stop the HTTP server and close all its
+// connections. It is called when a request with the body of SetCrashBody starts to run.
 func (s *Server) SetCrash(crash func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.crash = crash
 }
 
-// crashOf returns what ends the endpoint if a body does, else nil.
-func (s *Server) crashOf(body []byte) func() {
+// crashFor returns the crash function if a body crashes the endpoint, and nil otherwise.
+func (s *Server) crashFor(body []byte) func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.crashBody == "" || string(body) != s.crashBody {
