--- a/standin/largeconf/largeconf.go
+++ b/standin/largeconf/largeconf.go
@@ -1,9 +1,9 @@
-// Package largeconf makes operators' configurations of any size, for benchmarks and
-// tests of what a router does with thousands of routes.
+// Package largeconf generates operators' configurations of any size, for tests and benchmarks of
+// routers with thousands of routes.
 //
-// It plays the mix of the platform's own: several routes to a host, prefixes of two or
-// three segments, all kinds of routes, some with a split, client accounts with keys. A
-// route takes 314 bytes on the wire; the platform's took 236 (1.05 MB for 4,449 routes).
+// Their composition resembles that of real configurations: several routes per host, prefixes of
+// two segments, idempotent and resumable stream routes, some with a split, and client accounts
+// with keys.
 package largeconf
 
 import (
@@ -12,19 +12,19 @@
 	"github.com/ryeford/ryeford/platform/wire"
 )
 
-// The mix: of so many routes each is one host's, one is public and so on.
+// The composition of a configuration. One of publicEvery routes is public, and so on.
 const (
-	routesOfHost  = 40
-	services      = 24
-	publicEvery   = 8
-	streamEvery   = 4
-	splitEvery    = 16
-	accounts      = 120
-	keysOfAccount = 2
+	routesPerHost  = 40
+	services       = 24
+	publicEvery    = 8
+	streamEvery    = 4
+	splitEvery     = 16
+	accounts       = 120
+	keysPerAccount = 2
 )
 
-// New returns a configuration of a version with so many routes. Those of a smaller one are
-// the first of a larger one.
+// New returns a configuration with a version and a number of routes. A larger configuration begins
+// with the routes of a smaller one.
 func New(version int64, routes int) *wire.Configuration {
 	list := make([]wire.Account, 0, accounts)
 	for i := range accounts {
@@ -45,7 +45,7 @@
 func route(i int) wire.Route {
 	r := wire.Route{
 		Name:        fmt.Sprintf("route-%05d", i),
-		Host:        fmt.Sprintf("host-%03d.example", i/routesOfHost),
+		Host:        fmt.Sprintf("host-%03d.example", i/routesPerHost),
 		Prefix:      fmt.Sprintf("/v%d/part-%d/", i%3, i),
 		Kind:        wire.KindIdempotent,
 		TimeoutMs:   4000,
@@ -70,7 +70,7 @@
 // account returns the i-th client account.
 func account(i int) wire.Account {
 	a := wire.Account{Name: fmt.Sprintf("account-%03d", i)}
-	for k := range keysOfAccount {
+	for k := range keysPerAccount {
 		a.Keys = append(a.Keys, fmt.Sprintf("key-%03d-%d-0123456789abcdef", i, k))
 	}
 	return a
