--- a/standin/silentconn/silentconn.go
+++ b/standin/silentconn/silentconn.go
@@ -1,7 +1,8 @@
-// Package silentconn plays the open connections of a server that have gone silent, without a
-// reset, while new ones work, for tests: nothing shows it until a request is lost on one.
+// Package silentconn plays connections that silently stop working, without a reset, while new
+// connections work, for tests. A client can detect such a connection only by a request that gets no
+// response.
 //
-// It does not play connections that go silent midway through a response.
+// It doesn't play connections that stop working in the middle of a response.
 package silentconn
 
 import (
@@ -9,20 +10,20 @@
 	"sync"
 )
 
-// A Handler is a server whose first connections get one response each, all of them at once, and
-// none after that. Later ones are answered as if it were not there. It may be used concurrently.
+// A Handler wraps a server. Its first connections get one response each, not before all of them are
+// open, and no further ones. Later connections are not affected. It may be used concurrently.
 type Handler struct {
 	server http.Handler
-	opened sync.WaitGroup // until the first connections are open
+	opened sync.WaitGroup // waits until all of the first connections are open
 
-	mu     sync.Mutex
-	left   int             // how many of the first connections have not come yet
-	silent map[string]bool // connections, by the client's address
+	mu       sync.Mutex
+	unopened int             // number of the first connections that are not open yet
+	silent   map[string]bool // silent connections by the client's address
 }
 
-// New returns a server whose first so many connections go silent.
+// New returns a Handler whose first connections, as many as given, become silent.
 func New(server http.Handler, connections int) *Handler {
-	h := &Handler{server: server, left: connections, silent: make(map[string]bool)}
+	h := &Handler{server: server, unopened: connections, silent: make(map[string]bool)}
 	h.opened.Add(connections)
 	return h
 }
@@ -33,29 +34,29 @@
 		<-r.Context().Done()
 		return
 	}
-	if h.silenceFirst(r.RemoteAddr) {
+	if h.silence(r.RemoteAddr) {
 		h.opened.Done()
-		h.opened.Wait() // else a client could use one connection for all
+		h.opened.Wait() // so that the client opens all connections instead of reusing one
 	}
 	h.server.ServeHTTP(w, r)
 }
 
-// isSilent reports whether a connection has gone silent.
+// isSilent reports whether a connection is silent.
 func (h *Handler) isSilent(address string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.silent[address]
 }
 
-// silenceFirst lets a connection go silent after the present request if it is one of the first.
-// It reports whether it is.
-func (h *Handler) silenceFirst(address string) bool {
+// silence makes a connection silent after the current request if it is one of the first connections,
+// and reports whether it is.
+func (h *Handler) silence(address string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.left == 0 {
+	if h.unopened == 0 {
 		return false
 	}
-	h.left--
+	h.unopened--
 	h.silent[address] = true
 	return true
 }
