--- a/standin/slowlink/slowlink.go
+++ b/standin/slowlink/slowlink.go
@@ -1,7 +1,7 @@
-// Package slowlink plays a slow link between a router and an HTTP server: responses
-// come at no more than the link's rate, whatever number of calls share it.
+// Package slowlink plays a link with a limited bandwidth between a router and an HTTP server, which
+// all concurrent responses share.
 //
-// It does not play the link's latency, nor the time that requests take.
+// It doesn't play the link's latency, and doesn't delay requests.
 package slowlink
 
 import (
@@ -14,21 +14,20 @@
 )
 
 const (
-	// chunk is how many bytes are passed on at once: ten packets.
+	// chunk is the number of bytes that are sent at once, about ten packets.
 	chunk = 14 << 10
-	// maxLate is how late a chunk may be passed on, because the process did not run, without
-	// the link bearing less for it.
+	// maxLate is the maximum delay of a chunk by scheduling of the process that the link makes up
+	// for. A longer delay reduces the throughput.
 	maxLate = 100 * time.Millisecond
 )
 
-// A Handler is a server behind a link of its own. It may be used concurrently.
+// A Handler is a server behind a link. It may be used concurrently.
 type Handler struct {
 	server http.Handler
 	link   *link
 }
 
-// New returns a server behind a link of so many bytes a second, in the direction of the
-// responses.
+// New returns a server behind a link that limits the rate of responses, in bytes per second.
 func New(server http.Handler, bytesPerSecond int) *Handler {
 	return &Handler{server: server, link: &link{bytesPerSecond: bytesPerSecond}}
 }
@@ -38,49 +37,46 @@
 	h.server.ServeHTTP(&writer{ResponseWriter: w, ctx: r.Context(), link: h.link}, r)
 }
 
-// A link bears so many bytes a second.
+// A link limits the total rate of its writers.
 type link struct {
 	bytesPerSecond int
 
 	mu      sync.Mutex
-	writers int       // that write to it
-	free    time.Time // when all that was passed on so far has gone over it
+	writers int       // number of writes in progress
+	idleAt  time.Time // when all bytes sent so far have been transferred
 }
 
-// begin begins a write.
-func (l *link) begin() {
+func (l *link) beginWrite() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.writers == 0 {
-		l.free = later(l.free, time.Now())
+		l.idleAt = later(l.idleAt, time.Now())
 	}
 	l.writers++
 }
 
-// end ends a write.
-func (l *link) end() {
+func (l *link) endWrite() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.writers--
 }
 
-// wait waits until n bytes have gone over the link, but for a chunk, and reports false if
-// ctx ends before.
+// wait accounts for n bytes and waits until the link has transferred all but the last chunk of the
+// bytes sent so far. It reports false if ctx is done before.
 func (l *link) wait(ctx context.Context, n int) bool {
 	now := time.Now()
 	l.mu.Lock()
-	l.free = later(l.free, now.Add(-maxLate)).Add(l.takes(n))
-	gone := l.free.Add(-l.takes(chunk))
+	l.idleAt = later(l.idleAt, now.Add(-maxLate)).Add(l.transferTime(n))
+	due := l.idleAt.Add(-l.transferTime(chunk))
 	l.mu.Unlock()
-	return clock.Sleep(ctx, gone.Sub(now))
+	return clock.Sleep(ctx, due.Sub(now))
 }
 
-// takes returns the time in which n bytes go over the link.
-func (l *link) takes(n int) time.Duration {
+// transferTime returns the time that n bytes take on the link.
+func (l *link) transferTime(n int) time.Duration {
 	return time.Duration(n) * time.Second / time.Duration(l.bytesPerSecond)
 }
 
-// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -95,10 +91,10 @@
 	link *link
 }
 
-// Write implements io.Writer. An error means that the caller has gone.
+// Write implements io.Writer. An error means that the caller has closed the connection.
 func (w *writer) Write(content []byte) (int, error) {
-	w.link.begin()
-	defer w.link.end()
+	w.link.beginWrite()
+	defer w.link.endWrite()
 	written := 0
 	for written < len(content) {
 		part := content[written:min(written+chunk, len(content))]
@@ -110,8 +106,8 @@
 		if err != nil {
 			return written, err
 		}
-		// A part that is kept back would come with the next one. Responses of net/http
-		// can be flushed; the error says that the caller has gone, as the next Write does.
+		// Without a flush, net/http would buffer the part and send it with the next one. If the
+		// caller has closed the connection, the next Write returns an error as well.
 		_ = http.NewResponseController(w.ResponseWriter).Flush()
 	}
 	return written, nil
--- a/standin/slowlink/slowlink_test.go
+++ b/standin/slowlink/slowlink_test.go
@@ -11,8 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRate checks that two responses that share a link take as long together as their
-// bytes take, and come whole.
+// TestRate checks that two concurrent responses share the link's bandwidth and arrive complete.
 func TestRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate, size = 100 << 10, 250 << 10
@@ -27,7 +26,7 @@
 		}
 		group.Wait()
 		took := time.Since(began)
-		// All bytes but the first chunk wait for the link.
+		// The link delays all bytes except the first chunk.
 		want := time.Duration(2*size-chunk) * time.Second / rate
 		assert.Assert(t, took > want-10*time.Millisecond && took < want+10*time.Millisecond, "took %s, want %s", took, want)
 		for _, recorder := range recorders {
@@ -36,7 +35,7 @@
 	})
 }
 
-// A lateWriter takes its time for the first write, as a process that did not run does.
+// A lateWriter delays the first write, as a process that is not scheduled does.
 type lateWriter struct {
 	*httptest.ResponseRecorder
 	late time.Duration
@@ -49,9 +48,9 @@
 	return w.ResponseRecorder.Write(content)
 }
 
-// TestLate checks that a link which passes a part on late makes up for it, and that one
-// which was idle does not.
-func TestLate(t *testing.T) {
+// TestLateWrite checks that the link makes up for a late write of up to maxLate, but neither for the
+// rest of a longer delay nor for idle time.
+func TestLateWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate, size = 100 << 10, 18 * chunk
 		link := New(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -63,7 +62,7 @@
 			began := time.Now()
 			link.ServeHTTP(&lateWriter{ResponseRecorder: httptest.NewRecorder(), late: late}, httptest.NewRequest(http.MethodGet, "/", nil))
 			took := time.Since(began)
-			// The chunk after the late one goes over the link while that is late.
+			// The link transfers the next chunk during the delay.
 			lost := max(0, late-maxLate-time.Duration(chunk)*time.Second/rate)
 			assert.Assert(t, took > want+lost-10*time.Millisecond && took < want+lost+10*time.Millisecond, "took %s, want %s", took, want+lost)
 		}
