--- a/evacuation.go
+++ b/evacuation.go
@@ -1,7 +1,8 @@
 package ryeford
 
 // An Evacuation is an order by the operators to send no requests to the endpoints of a failure
-// domain until the order is withdrawn.
+// domain until the order is withdrawn. Routers send it to each other as CBOR under the names of its
+// fields.
 type Evacuation struct {
 	FailureDomain string
 	// State is the revision of the order. It distinguishes successive orders for one failure
@@ -9,7 +10,8 @@
 	State Revision
 }
 
-// Evacuations are all evacuations in force as of a revision of the operators' source.
+// Evacuations are all evacuations in force as of a revision of the operators' source. Routers send
+// them to each other as CBOR under the names of the fields.
 type Evacuations struct {
 	Revision Revision
 	// Orders is sorted by failure domain.
