--- a/replay/report.go
+++ b/replay/report.go
@@ -23,19 +23,19 @@
 
 // A Report holds the results of a replay.
 type Report struct {
-	Turns      int // turns of the trace
-	Answered   int // turns with a complete and correct answer
-	Wrong      int // turns with a complete but incorrect answer
-	Incomplete int // turns whose answer was truncated without a failure
-	Refused    int // turns that failed and provably did not run
-	Unknown    int // turns that failed and may have run
-	Returning  int // answered turns of chats with an earlier answered turn
-	Reused     int // Returning turns whose prompt was found in an engine's cache
-	Resumed    int // parts of answers that were received through another router
-	AskedAgain int // attempts of callers without a complete answer
-	Tries      int // attempts of routers at engines, for answered turns
-	RanRefused int // runs of chats whose turns were all refused
-	DoubleRuns int // additional runs of turns that must not run more than once
+	Turns          int // turns of the trace
+	Answered       int // turns with a complete and correct answer
+	Wrong          int // turns with a complete but incorrect answer
+	Incomplete     int // turns whose answer was truncated without a failure
+	Refused        int // turns that failed and provably did not run
+	Unknown        int // turns that failed and may have run
+	Returning      int // answered turns of chats with an earlier answered turn
+	Reused         int // Returning turns whose prompt was found in an engine's cache
+	Resumed        int // parts of answers that were received through another router
+	FailedAttempts int // attempts of callers without a complete answer
+	Tries          int // attempts of routers at engines, for answered turns
+	RanRefused     int // runs of chats whose turns were all refused
+	DoubleRuns     int // additional runs of turns that must not run more than once
 
 	// Skew is the highest ratio of the busiest engine's load to the mean load. AdmitSkew is the
 	// highest ratio for the engine that admits a run, at the time of admission, and AdmitSkewP99
@@ -139,7 +139,7 @@
 		code = answer.Failure.Code
 	}
 	r.failures[code]++
-	r.AskedAgain++
+	r.FailedAttempts++
 }
 
 // addResumed adds a part of an answer that was received through another router.
@@ -169,7 +169,7 @@
 		"unknown":        float64(r.Unknown),
 		"reuse":          ratio(r.Reused, r.Returning),
 		"resumed":        float64(r.Resumed),
-		"asked_again":    float64(r.AskedAgain),
+		"asked_again":    float64(r.FailedAttempts),
 		"ran_refused":    float64(r.RanRefused),
 		"double_runs":    float64(r.DoubleRuns),
 		"skew":           r.Skew,
--- a/standin/emulator/crash.go
+++ b/standin/emulator/crash.go
@@ -29,7 +29,7 @@
 		if listener, err = net.Listen("tcp", e.settings.Servers[i].Address.String()); err != nil {
 			return err
 		}
-		if err := e.updateRow(i, &Change{State: wire.StateReady, Born: time.Now().UnixMilli()}); err != nil {
+		if err := e.updateRow(i, &Change{State: wire.StateReady, Started: time.Now().UnixMilli()}); err != nil {
 			return err
 		}
 	}
--- a/standin/emulator/emulator.go
+++ b/standin/emulator/emulator.go
@@ -134,8 +134,8 @@
 func (e *Emulator) startOf(i int, change *Change) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if change.Born != 0 {
-		e.started[i] = change.Born
+	if change.Started != 0 {
+		e.started[i] = change.Started
 	}
 	return e.started[i]
 }
@@ -147,8 +147,8 @@
 type Change struct {
 	// Store replaces the store's fault.
 	Store *rowstore.Fault `json:"store"`
-	// ForgetHistory makes the store drop its change history.
-	ForgetHistory bool `json:"forget_history"`
+	// DropHistory makes the store drop its change history.
+	DropHistory bool `json:"forget_history"`
 	// ClockStep is added to the store's clock. ClockRate, unless it is zero, is the new rate of
 	// that clock, relative to real time.
 	ClockStep time.Duration `json:"clock_step"`
@@ -156,9 +156,9 @@
 	// Date is the Date header of all further responses of the store and the endpoints. If it is
 	// empty, they have the current time.
 	Date *string `json:"date"`
-	// KeepCopy makes a backup of the store. Restore restores the store from the last backup.
+	// Backup makes a backup of the store. Restore restores the store from the last backup.
 	// WriteAgain makes operators and endpoints write again what the restore has lost of theirs.
-	KeepCopy   bool `json:"keep_copy"`
+	Backup     bool `json:"keep_copy"`
 	Restore    bool `json:"restore"`
 	WriteAgain bool `json:"write_again"`
 	// Lagging sets whether every second read of the store gets its state at the time of this
@@ -180,17 +180,18 @@
 	Requests int              `json:"requests"`
 	State    string           `json:"state"`
 	// Leaving sets whether the endpoint's responses report that it is leaving, regardless of its
-	// row. Rest is the Retry-After of requests refused by appserver.FaultShed; empty sends none.
-	Leaving *bool   `json:"leaving"`
-	Rest    *string `json:"rest"`
+	// row. RetryAfter is the Retry-After of requests refused by appserver.FaultShed; empty sends
+	// none.
+	Leaving    *bool   `json:"leaving"`
+	RetryAfter *string `json:"rest"`
 	// CrashBody is a request body that makes the endpoint crash when it starts to run the request;
 	// empty for none. The endpoint restarts a second later, as a new incarnation.
 	CrashBody *string `json:"crash_body"`
-	// ColdMs and Born are further fields of the row, written with State. ColdMs is how much longer
-	// the endpoint is cold, in milliseconds. Born is its start time in Unix milliseconds; zero
-	// keeps the previous one.
-	ColdMs float64 `json:"cold_ms"`
-	Born   int64   `json:"born"`
+	// ColdMs and Started are further fields of the row, written with State. ColdMs is how much
+	// longer the endpoint is cold, in milliseconds. Started is its start time in Unix milliseconds;
+	// zero keeps the previous one.
+	ColdMs  float64 `json:"cold_ms"`
+	Started int64   `json:"born"`
 }
 
 // serveChange applies a posted Change.
@@ -228,7 +229,7 @@
 	if change.Row != "" {
 		e.store.Put(wire.TableEndpoints, change.Row, []byte(change.Value))
 	}
-	if change.ForgetHistory {
+	if change.DropHistory {
 		e.store.ForgetHistory()
 	}
 	for i, server := range e.servers {
@@ -241,8 +242,8 @@
 		if change.Leaving != nil {
 			server.SetLeaving(*change.Leaving)
 		}
-		if change.Rest != nil {
-			server.SetRest(*change.Rest)
+		if change.RetryAfter != nil {
+			server.SetRest(*change.RetryAfter)
 		}
 		if change.CrashBody != nil {
 			server.SetCrashBody(*change.CrashBody)
@@ -260,7 +261,7 @@
 func (e *Emulator) applyRestore(change *Change) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if change.KeepCopy {
+	if change.Backup {
 		e.backup = e.store.Copy()
 	}
 	if change.Restore && e.backup != nil {
--- a/trace/make.go
+++ b/trace/make.go
@@ -17,10 +17,10 @@
 	FirstChat int    // the number in the first chat's ID
 	Turns     int
 	Seconds   float64 // the length of the trace
-	// EventAt is when an event begins, in seconds. EventPart is the fraction of the turns that
-	// arrive in the rush after it. The others are distributed uniformly.
-	EventAt   float64
-	EventPart float64
+	// EventAt is when an event begins, in seconds. EventFraction is the fraction of the turns
+	// that arrive in the rush after it. The others are distributed uniformly.
+	EventAt       float64
+	EventFraction float64
 	// PromptTokens and AnswerTokens are the mean numbers of tokens that a turn adds and that
 	// its answer has. Both are exponentially distributed.
 	PromptTokens float64
@@ -37,7 +37,7 @@
 // large accounts.
 func Skriptorij(seed uint64, turns int) Workload {
 	return Workload{
-		Seed: seed, Accounts: 10, Chats: max(1, turns/5), Turns: turns, Seconds: 60, EventAt: 20, EventPart: 0.4,
+		Seed: seed, Accounts: 10, Chats: max(1, turns/5), Turns: turns, Seconds: 60, EventAt: 20, EventFraction: 0.4,
 		PromptTokens: 60, AnswerTokens: 30, NotRepeatable: 0.1, Zipf: 1.2, Model: "lira",
 	}
 }
@@ -46,7 +46,7 @@
 // broadcast.
 func Nordlytt(seed uint64, turns int) Workload {
 	return Workload{
-		Seed: seed, Accounts: 10, Chats: max(1, turns/4), Turns: turns, Seconds: 60, EventAt: 30, EventPart: 0.5,
+		Seed: seed, Accounts: 10, Chats: max(1, turns/4), Turns: turns, Seconds: 60, EventAt: 30, EventFraction: 0.5,
 		PromptTokens: 400, AnswerTokens: 40, NotRepeatable: 0.05, Zipf: 1, Model: "lira",
 	}
 }
@@ -107,7 +107,7 @@
 
 // drawTime returns the time of a turn, in milliseconds from the start of the trace.
 func drawTime(random *rand.Rand, w *Workload) int64 {
-	if random.Float64() < w.EventPart {
+	if random.Float64() < w.EventFraction {
 		at := w.EventAt + random.ExpFloat64()*rushSeconds
 		return int64(1000 * min(at, w.Seconds))
 	}
