--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -15,37 +15,37 @@
 
 // A call is one request of a caller, and what came of it.
 type call struct {
-	id        string
-	route     string
-	probes    int  // the version whose own route it asks for, or zero
-	gateway   int  // its index in the fleet
-	life      int  // of the gateway, during the whole call; zero if it changed
-	secondKey bool // with the second client account's key
-	sent      time.Time
-	written   time.Time // when it was sent whole; zero if it was not
-	ended     time.Time
-	status    int    // 0 if no answer came
-	server    string // that gave the answer; empty if the gateway did
-	leaving   bool   // the answer says that the server leaves
-	body      string
-	closes    bool  // the answer says that the connection is closed
-	err       error // the answer broke off, or none came
+	id            string
+	route         string
+	probedVersion int  // the version whose own route it asks for, or zero
+	gateway       int  // its index in the fleet
+	incarnation   int  // of the gateway, during the whole call; zero if it changed
+	secondKey     bool // with the second client account's key
+	sent          time.Time
+	written       time.Time // when it was sent whole; zero if it was not
+	ended         time.Time
+	status        int    // 0 if no answer came
+	server        string // that gave the answer; empty if the gateway did
+	leaving       bool   // the answer says that the server leaves
+	body          string
+	closes        bool  // the answer says that the connection is closed
+	err           error // the answer broke off, or none came
 }
 
 // served reports whether the call got an answer with status 200 that looks whole.
 func (c *call) served() bool { return c.status == http.StatusOK && c.err == nil }
 
 // idempotent reports whether the call's route is: the own route of a version is, too.
-func (c *call) idempotent() bool { return c.route == routeSafe || c.probes > 0 }
+func (c *call) idempotent() bool { return c.route == routeSafe || c.probedVersion > 0 }
 
 // callers send requests until they are stopped, and record each call.
 type callers struct {
-	fleet  *fleet
-	plan   *plan
-	newest func() int // the newest version of the configuration
-	seed   uint64
-	stop   chan struct{}
-	group  sync.WaitGroup
+	fleet         *fleet
+	plan          *plan
+	newestVersion func() int // the newest version of the configuration
+	seed          uint64
+	stop          chan struct{}
+	group         sync.WaitGroup
 
 	mu    sync.Mutex
 	calls []call
@@ -53,25 +53,25 @@
 
 const (
 	callerCount = 8
-	// callTime is how long a caller waits for a call to end. It is also the deadline
+	// callTimeout is how long a caller waits for a call to end. It is also the deadline
 	// that the request states.
-	callTime = 4 * time.Second
+	callTimeout = 4 * time.Second
 )
 
 // A habit is how a caller uses its connections.
-type habit struct {
+type callerProfile struct {
 	// pause bounds the time between two calls.
-	pause time.Duration
+	maxPause time.Duration
 	// stays says that it stays with its gateway until its connection is closed, and
 	// chooses the next one only then.
-	stays bool
+	sticky bool
 	// reconnects says that it opens a connection for each call.
 	reconnects bool
 }
 
-// newCallers starts callers.
-func newCallers(f *fleet, p *plan, in *injector, seed uint64) *callers {
-	c := &callers{fleet: f, plan: p, newest: in.newestVersion, seed: seed, stop: make(chan struct{})}
+// startCallers starts callers.
+func startCallers(f *fleet, p *plan, in *injector, seed uint64) *callers {
+	c := &callers{fleet: f, plan: p, newestVersion: in.newestVersion, seed: seed, stop: make(chan struct{})}
 	for i := range callerCount {
 		c.group.Go(func() { c.run(i) })
 	}
@@ -82,10 +82,10 @@
 // unless it has another habit.
 func (c *callers) run(number int) {
 	random := rand.New(rand.NewPCG(c.seed, uint64(number)))
-	habit := c.plan.habits[number%len(c.plan.habits)]
+	profile := c.plan.profiles[number%len(c.plan.profiles)]
 	client := &http.Client{
-		Timeout:   callTime + c.plan.answerMargin,
-		Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: habit.reconnects},
+		Timeout:   callTimeout + c.plan.responseMargin,
+		Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: profile.reconnects},
 	}
 	defer client.CloseIdleConnections()
 	last := call{closes: true}
@@ -93,49 +93,49 @@
 		select {
 		case <-c.stop:
 			return
-		case <-time.After(time.Duration(random.Int64N(int64(habit.pause)))):
+		case <-time.After(time.Duration(random.Int64N(int64(profile.maxPause)))):
 		}
-		one := call{
+		next := call{
 			id:        fmt.Sprintf("s%d-c%d-%d", c.seed, number, n),
 			route:     routes[random.IntN(len(routes))],
-			gateway:   c.pick(random),
+			gateway:   c.pickGateway(random),
 			secondKey: random.IntN(2) == 0,
 		}
-		if c.plan.first.Probed {
-			c.probe(random, &one)
+		if c.plan.initial.HasProbeRoute {
+			c.probeVersion(random, &next)
 		}
-		if habit.stays && !last.closes && last.err == nil {
-			one.gateway = last.gateway
+		if profile.sticky && !last.closes && last.err == nil {
+			next.gateway = last.gateway
 		}
-		life := c.fleet.gateways[one.gateway].currentLife()
-		c.fleet.send(client, &one)
-		if c.fleet.gateways[one.gateway].currentLife() == life {
-			one.life = life
+		incarnation := c.fleet.gateways[next.gateway].currentIncarnation()
+		c.fleet.send(client, &next)
+		if c.fleet.gateways[next.gateway].currentIncarnation() == incarnation {
+			next.incarnation = incarnation
 		}
-		last = one
+		last = next
 		c.mu.Lock()
-		c.calls = append(c.calls, one)
+		c.calls = append(c.calls, next)
 		c.mu.Unlock()
 	}
 }
 
-// probeShare is one in how many calls that asks for the own route of a version.
-const probeShare = 4
+// callsPerProbe is one in how many calls that asks for the own route of a version.
+const callsPerProbe = 4
 
 // probe makes a call one that asks for the own route of the newest version or, in half
 // of the cases, of the one before.
-func (c *callers) probe(random *rand.Rand, one *call) {
-	if random.IntN(probeShare) > 0 {
+func (c *callers) probeVersion(random *rand.Rand, next *call) {
+	if random.IntN(callsPerProbe) > 0 {
 		return
 	}
-	one.probes = max(1, c.newest()-random.IntN(2))
-	one.route = probeRoute(one.probes)
-	one.secondKey = false
+	next.probedVersion = max(1, c.newestVersion()-random.IntN(2))
+	next.route = probeRoute(next.probedVersion)
+	next.secondKey = false
 }
 
 // pick picks a gateway as the load balancer does: one that is ready, or any if none is
 // or, for some plans, if fewer than half are.
-func (c *callers) pick(random *rand.Rand) int {
+func (c *callers) pickGateway(random *rand.Rand) int {
 	start := random.IntN(len(c.fleet.gateways))
 	if c.plan.halfReady && 2*c.fleet.readyGateways() < len(c.fleet.gateways) {
 		return start
@@ -151,18 +151,18 @@
 
 // send sends one request and records its answer in the call. It has a method that
 // net/http repeats only if nothing was sent.
-func (f *fleet) send(client *http.Client, one *call) {
-	url := "http://" + f.gateways[one.gateway].callers + "/" + one.route + "/" + one.id
-	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader("body of "+one.id))
+func (f *fleet) send(client *http.Client, c *call) {
+	url := "http://" + f.gateways[c.gateway].callers + "/" + c.route + "/" + c.id
+	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader("body of "+c.id))
 	if err != nil {
-		one.err = err
+		c.err = err
 		return
 	}
 	request.Host = host
-	request.Header.Set("Ryeford-Request-Id", one.id)
-	request.Header.Set("Ryeford-Deadline-Ms", strconv.FormatInt(callTime.Milliseconds(), 10))
+	request.Header.Set("Ryeford-Request-Id", c.id)
+	request.Header.Set("Ryeford-Deadline-Ms", strconv.FormatInt(callTimeout.Milliseconds(), 10))
 	key := firstKey
-	if one.secondKey {
+	if c.secondKey {
 		key = secondKey
 	}
 	request.Header.Set("Authorization", "Bearer "+key)
@@ -173,24 +173,24 @@
 		}
 	}}
 	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
-	one.sent = time.Now()
+	c.sent = time.Now()
 	defer func() {
-		one.ended = time.Now()
+		c.ended = time.Now()
 		if at := written.Load(); at != nil {
-			one.written = *at
+			c.written = *at
 		}
 	}()
 	response, err := client.Do(request)
 	if err != nil {
-		one.err = err
+		c.err = err
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	one.status, one.closes = response.StatusCode, response.Close
-	one.server = response.Header.Get("Ryeford-Instance-Id")
-	one.leaving = response.Header.Get("Server-Leaving") == "1"
+	c.status, c.closes = response.StatusCode, response.Close
+	c.server = response.Header.Get("Ryeford-Instance-Id")
+	c.leaving = response.Header.Get("Server-Leaving") == "1"
 	body, err := io.ReadAll(response.Body)
-	one.body, one.err = string(body), err
+	c.body, c.err = string(body), err
 }
 
 // finish stops the callers and returns their calls.
--- a/internal/soak/configuration_test.go
+++ b/internal/soak/configuration_test.go
@@ -30,9 +30,9 @@
 	Version   int
 	SecondKey bool
 	// Probed says that it has a public route that no other version has (probeRoute).
-	Probed bool
+	HasProbeRoute bool
 	// Unused is how many routes it has that no caller uses.
-	Unused int
+	UnusedRoutes int
 }
 
 // probeRoute returns the name of the route that only one version has. The answer to a
@@ -45,12 +45,12 @@
 	if c.SecondKey {
 		accounts += fmt.Sprintf(`,{"name":"church","apiKeys":[%q]}`, secondKey)
 	}
-	var more strings.Builder
-	if c.Probed {
-		fmt.Fprintf(&more, moreRoute, probeRoute(c.Version), host, true)
+	var extra strings.Builder
+	if c.HasProbeRoute {
+		fmt.Fprintf(&extra, extraRouteFormat, probeRoute(c.Version), host, true)
 	}
-	for i := range c.Unused {
-		fmt.Fprintf(&more, moreRoute, fmt.Sprintf("unused-%d", i), host, false)
+	for i := range c.UnusedRoutes {
+		fmt.Fprintf(&extra, extraRouteFormat, fmt.Sprintf("unused-%d", i), host, false)
 	}
 	return fmt.Sprintf(`{"version":%[1]d,
 "routes":[
@@ -59,10 +59,10 @@
 {"name":"stream","host":%[2]q,"pathPrefix":"/stream/","kind":"streaming","service":"model","timeoutMs":5000,"goalMs":500,"priority":1,"maxAttempts":2}%[5]s],
 "services":[{"name":"plain"},{"name":"model","engine":{"slots":64,"kvCapacity":100000}}],
 "limits":{"maxHeaderBytes":16384,"maxBodyBytes":65536,"headerTimeoutMs":3000,"idleTimeoutMs":15000},
-"tenants":[%[4]s]}`, c.Version, host, maxAttempts, accounts, more.String())
+"tenants":[%[4]s]}`, c.Version, host, maxAttempts, accounts, extra.String())
 }
 
-// moreRoute is the form of a further route to the plain service: its name, which is also
+// extraRouteFormat is the form of a further route to the plain service: its name, which is also
 // its path, its host, and whether it is public.
-const moreRoute = `,
+const extraRouteFormat = `,
 {"name":%[1]q,"host":%[2]q,"pathPrefix":"/%[1]s/","kind":"safe","service":"plain","timeoutMs":3000,"goalMs":500,"priority":1,"maxAttempts":2,"public":%[3]t}`
--- a/internal/soak/crashingrequests_test.go
+++ b/internal/soak/crashingrequests_test.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// crashBody is the body that ends a server, and crashKinds how many different requests have it.
-	crashBody  = "ends what runs it"
-	crashKinds = 4
-	// crashPause bounds the time between two requests of one kind, and crashTime is for how long
+	// poisonBody is the body that ends a server, and poisonKinds how many different requests have it.
+	poisonBody  = "ends what runs it"
+	poisonKinds = 4
+	// poisonPause bounds the time between two requests of one kind, and poisonDuration is for how long
 	// they come.
-	crashPause = 150 * time.Millisecond
-	crashTime  = 12 * time.Second
-	// maxRepeats is how many requests of a kind may reach servers once three have ended by them and
+	poisonPause    = 150 * time.Millisecond
+	poisonDuration = 12 * time.Second
+	// maxLateRuns is how many requests of a kind may reach servers once three have ended by them and
 	// the time of contact has passed.
-	maxRepeats = 3
+	maxLateRuns = 3
 )
 
 // TestCrashingRequests checks, with processes, that requests which end what runs them stop reaching
@@ -35,82 +35,82 @@
 	const seed = 1
 	f := newFleet(t, &basicPlan, 3)
 	f.eventually("all have peers", f.peersAlive(2))
-	assert.NilError(t, f.post(fmt.Sprintf(`{"crash_body":%q}`, crashBody)))
-	c := &crashers{fleet: f, until: time.Now().Add(crashTime)}
+	assert.NilError(t, f.post(fmt.Sprintf(`{"crash_body":%q}`, poisonBody)))
+	c := &poisonSenders{fleet: f, until: time.Now().Add(poisonDuration)}
 	var group sync.WaitGroup
-	for kind := range crashKinds {
+	for kind := range poisonKinds {
 		group.Go(func() { c.send(kind, rand.New(rand.NewPCG(seed, uint64(kind)))) })
 	}
-	bystanders := 0
-	group.Go(func() { bystanders = c.sendOthers(rand.New(rand.NewPCG(seed, crashKinds))) })
+	otherCount := 0
+	group.Go(func() { otherCount = c.sendOthers(rand.New(rand.NewPCG(seed, poisonKinds))) })
 	for i := range f.gateways {
-		time.Sleep(crashTime / 5)
+		time.Sleep(poisonDuration / 5)
 		<-f.gateways[i].end(syscall.SIGKILL).done // it is started again
 	}
 	group.Wait()
 	runs, ended := f.runs(), 0
-	for kind := range crashKinds {
-		sent, ran, late := c.late(kind, runs)
+	for kind := range poisonKinds {
+		sent, ran, late := c.countRuns(kind, runs)
 		t.Logf("kind %d: %d sent, %d ended a server, %d of them late", kind, sent, ran, late)
-		assert.Check(t, late <= maxRepeats, "kind %d: %d late", kind, late)
+		assert.Check(t, late <= maxLateRuns, "kind %d: %d late", kind, late)
 		ended += ran
 	}
 	// A kind may be held sooner, by requests that ran beside those of another one.
-	assert.Assert(t, ended >= 2*crashKinds, "only %d requests have ended a server", ended)
-	t.Logf("%d other requests", bystanders)
-	assert.Assert(t, bystanders > 0)
+	assert.Assert(t, ended >= 2*poisonKinds, "only %d requests have ended a server", ended)
+	t.Logf("%d other requests", otherCount)
+	assert.Assert(t, otherCount > 0)
 	assert.Equal(t, len(c.held), 0, "other requests were held: %v", c.held)
 }
 
-// crashers send requests that end servers, and others beside them.
-type crashers struct {
+// poisonSenders send requests that end servers, and others beside them.
+type poisonSenders struct {
 	fleet *fleet
 	until time.Time
 
 	mu   sync.Mutex
-	sent []crashing
+	sent []poisonRequest
 	held []string // other requests that were held
 }
 
 // A crashing is one request that ends what runs it.
-type crashing struct {
+type poisonRequest struct {
 	id          string
 	kind        int
 	sent, ended time.Time
 }
 
 // send sends requests of one kind.
-func (c *crashers) send(kind int, random *rand.Rand) {
+func (c *poisonSenders) send(kind int, random *rand.Rand) {
 	for n := 0; time.Now().Before(c.until); n++ {
-		one := crashing{id: fmt.Sprintf("crash-%d-%d", kind, n), kind: kind, sent: time.Now()}
-		c.post(random, one.id, fmt.Sprintf("/stream/kind-%d", kind), crashBody)
-		one.ended = time.Now()
+		request := poisonRequest{id: fmt.Sprintf("crash-%d-%d", kind, n), kind: kind, sent: time.Now()}
+		c.post(random, request.id, fmt.Sprintf("/stream/kind-%d", kind), poisonBody)
+		request.ended = time.Now()
 		c.mu.Lock()
-		c.sent = append(c.sent, one)
+		c.sent = append(c.sent, request)
 		c.mu.Unlock()
-		pause(random, crashPause)
+		pause(random, poisonPause)
 	}
 }
 
 // sendOthers sends requests with the paths of those that end servers and other bodies, some the
 // same again and again. It returns how many there were.
-func (c *crashers) sendOthers(random *rand.Rand) int {
+func (c *poisonSenders) sendOthers(random *rand.Rand) int {
 	n := 0
 	for ; time.Now().Before(c.until); n++ {
 		id := fmt.Sprintf("other-%d", n)
-		response := c.post(random, id, fmt.Sprintf("/stream/kind-%d", n%crashKinds), fmt.Sprintf("body %d", n%3))
+		response := c.post(random, id, fmt.Sprintf("/stream/kind-%d", n%poisonKinds), fmt.Sprintf("body %d", n%3))
 		if response != nil && response.Header.Get("X-Should-Retry") != "" {
 			c.mu.Lock()
 			c.held = append(c.held, id)
 			c.mu.Unlock()
 		}
-		pause(random, crashPause/4)
+		pause(random, poisonPause/4)
 	}
 	return n
 }
 
 // post sends a request to any gateway, and returns the head of the response; nil if none came.
-func (c *crashers) post(random *rand.Rand, id, path, body string) *http.Response {
+func (c *poisonSenders) post(random *rand.Rand, id, path, body string) *http.Response {
 	g := c.fleet.gateways[random.IntN(len(c.fleet.gateways))]
 	request, err := http.NewRequest(http.MethodPost, "http://"+g.callers+path, strings.NewReader(body))
 	if err != nil {
@@ -120,7 +120,7 @@
 	request.Header.Set("Ryeford-Request-Id", id)
 	request.Header.Set("Ryeford-Deadline-Ms", "4000")
 	request.Header.Set("Authorization", "Bearer "+firstKey)
-	client := &http.Client{Timeout: callTime, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(request)
 	if err != nil {
 		return nil
@@ -131,24 +131,24 @@
 
 // late returns how many requests of a kind were sent, how many of them ended a server, and how many of
 // these were sent later than the time of contact after the third had.
-func (c *crashers) late(kind int, runs map[string]int) (sent, ran, late int) {
-	var reached []crashing
-	for _, one := range c.sent {
-		if one.kind != kind {
+func (c *poisonSenders) countRuns(kind int, runs map[string]int) (sent, ran, late int) {
+	var reached []poisonRequest
+	for _, request := range c.sent {
+		if request.kind != kind {
 			continue
 		}
 		sent++
-		if runs[one.id] > 0 {
-			reached = append(reached, one)
+		if runs[request.id] > 0 {
+			reached = append(reached, request)
 		}
 	}
 	if len(reached) < 3 {
 		return sent, len(reached), 0
 	}
-	slices.SortFunc(reached, func(a, b crashing) int { return a.ended.Compare(b.ended) })
+	slices.SortFunc(reached, func(a, b poisonRequest) int { return a.ended.Compare(b.ended) })
 	bound := reached[2].ended.Add(c.fleet.bounds.contact)
-	for _, one := range reached {
-		if one.sent.After(bound) {
+	for _, request := range reached {
+		if request.sent.After(bound) {
 			late++
 		}
 	}
--- a/internal/soak/lifefaults_test.go
+++ b/internal/soak/endpointfaults_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// lifeFaults are what happens to endpoints that start. They strike beside the others, from a
+// endpointFaults are what happens to endpoints that start. They strike beside the others, from a
 // generator of their own, so that the kept seeds draw the same others as before them.
-var lifeFaults = []fault{
-	{"restart", "a server starts again under its name, by a clock that may have stepped back", noRequest, noRequest, (*injector).restart},
-	{"malformed", "an entry by another writer takes the place of a server's, up to 1.5 s, or stands beside it", noRequest, noRequest, (*injector).malformed},
+var endpointFaults = []fault{
+	{"restart", "a server starts again under its name, by a clock that may have stepped back", affectsNone, affectsNone, (*injector).restart},
+	{"malformed", "an entry by another writer takes the place of a server's, up to 1.5 s, or stands beside it", affectsNone, affectsNone, (*injector).malformed},
 }
 
 const (
-	// lifeStream is the stream of a seed's random numbers from which lifeFaults are drawn.
-	lifeStream = 1 << 17
-	// maxBetweenLifeFaults is the longest time between the beginnings of two lifeFaults.
-	maxBetweenLifeFaults = 3 * time.Second
-	// lifeEpoch is the Unix time of the earliest start, in milliseconds, and lifeSpan within how
+	// endpointStream is the stream of a seed's random numbers from which endpointFaults are drawn.
+	endpointStream = 1 << 17
+	// maxBetweenEndpointFaults is the longest time between the beginnings of two endpointFaults.
+	maxBetweenEndpointFaults = 3 * time.Second
+	// startEpoch is the Unix time of the earliest start, in milliseconds, and startRange within how
 	// many milliseconds of it starts lie.
-	lifeEpoch, lifeSpan = 1_700_000_000_000, 1_000_000
+	startEpoch, startRange = 1_700_000_000_000, 1_000_000
 )
 
 // restart makes a server tell of another start.
 func (in *injector) restart(random *rand.Rand, _ int) {
 	id := servers[random.IntN(len(servers))]
-	in.enterAs(id, stateReady, fmt.Sprintf(`{"server":%q,"state":%q,"cold_ms":%d,"born":%d}`,
-		id, stateReady, random.IntN(2000), lifeEpoch+random.IntN(lifeSpan)))
+	in.applyState(id, stateReady, fmt.Sprintf(`{"server":%q,"state":%q,"cold_ms":%d,"born":%d}`,
+		id, stateReady, random.IntN(2000), startEpoch+random.IntN(startRange)))
 }
 
 // malformedRows are values of entries that name no endpoint.
@@ -41,7 +41,7 @@
 		return
 	}
 	id := servers[random.IntN(len(servers))]
-	in.enterAs(id, stateGone, fmt.Sprintf(`{"row":%q,"value":%q}`, id, row))
+	in.applyState(id, stateGone, fmt.Sprintf(`{"row":%q,"value":%q}`, id, row))
 	pause(random, maxServerFault)
-	in.enter(id, stateReady)
+	in.setState(id, stateReady)
 }
--- a/internal/soak/evacuationfaults_test.go
+++ b/internal/soak/evacuationfaults_test.go
@@ -9,7 +9,7 @@
 // evacuationFaults strike beside the others, from a generator of their own, so that the kept seeds draw
 // the same others as before them.
 var evacuationFaults = []fault{
-	{"evacuation", "a failure domain is evacuated for 2 to 4 s, longer than evacuateTime", noRequest, noRequest, (*injector).evacuate},
+	{"evacuation", "a failure domain is evacuated for 2 to 4 s, longer than evacuationBound", affectsNone, affectsNone, (*injector).evacuate},
 }
 
 const (
@@ -19,12 +19,12 @@
 	maxBetweenEvacuations = 6 * time.Second
 	minEvacuation         = 2 * time.Second
 	maxEvacuation         = 2 * time.Second // beyond the least
-	// evacuateTime is bounds.configuration of seriesPlan, which is the longer one, for both plans.
-	evacuateTime = 3 * time.Second
+	// evacuationBound is bounds.configuration of seriesPlan, which is the longer one, for both plans.
+	evacuationBound = 3 * time.Second
 )
 
 // An evacuated is a time in which evacuatedDomain was evacuated.
-type evacuated struct {
+type evacuation struct {
 	accepted  time.Time // the order
 	withdrawn time.Time // when its withdrawal was sent
 }
@@ -38,21 +38,21 @@
 	time.Sleep(minEvacuation)
 	pause(random, maxEvacuation)
 	in.mu.Lock()
-	in.evacuations = append(in.evacuations, evacuated{accepted: accepted, withdrawn: time.Now()})
+	in.evacuations = append(in.evacuations, evacuation{accepted: accepted, withdrawn: time.Now()})
 	in.mu.Unlock()
 	in.post(fmt.Sprintf(`{"withdraw":%q}`, evacuatedDomain))
 }
 
 // checkEvacuated checks that no call was sent to a server of an evacuated failure domain later than
-// evacuateTime after the order, also while the store was restored.
-func checkEvacuated(c *call, seen *evidence) string {
-	if c.server == "" || domainOf(c.server) != evacuatedDomain || !seen.inTouchBesideRestores(c) {
+// evacuationBound after the order, also while the store was restored.
+func checkEvacuated(c *call, record *runRecord) string {
+	if c.server == "" || domainOf(c.server) != evacuatedDomain || !record.inTouchIgnoringRestores(c) {
 		return ""
 	}
-	for _, one := range seen.evacuations {
-		since := seen.keptSince(one.accepted, evacuateTime)
-		late := c.sent.Sub(since) - evacuateTime - seen.stalls.between(since, c.sent)
-		if late > 0 && c.ended.Before(one.withdrawn) {
+	for _, e := range record.evacuations {
+		since := record.durableSince(e.accepted, evacuationBound)
+		late := c.sent.Sub(since) - evacuationBound - record.stalls.between(since, c.sent)
+		if late > 0 && c.ended.Before(e.withdrawn) {
 			return fmt.Sprintf("answered by %s, whose failure domain had been evacuated for %s when it was sent", c.server, c.sent.Sub(since))
 		}
 	}
--- a/internal/soak/extrafaults_test.go
+++ b/internal/soak/extrafaults_test.go
@@ -14,11 +14,11 @@
 // TestSteadyClock (at the root of the module) proves from the code that no decision depends
 // on it. After a freeze a process finds that its steady clock has jumped.
 var extraFaults = []fault{
-	{"store clock rate", "the store's clock is up to 5 % too fast or too slow, up to 3 s", noRequest, noRequest, (*injector).storeClockRate},
-	{"store clock step", "the store's clock starts anew, 15 s or more before or after", noRequest, noRequest, (*injector).storeClockStep},
-	{"dates", "the store and the servers state another day in their answers, up to 3 s", noRequest, noRequest, (*injector).dates},
-	{"store lags", "every second read of the store shows the state of the fault's beginning, up to 3 s; the configuration changes meanwhile", noRequest, anyRequest, (*injector).storeLags},
-	{"long drain", "a server drains for 2 to 4 s, longer than drainTime, and is back", noRequest, noRequest, (*injector).longDrain},
+	{"store clock rate", "the store's clock is up to 5 % too fast or too slow, up to 3 s", affectsNone, affectsNone, (*injector).storeClockRate},
+	{"store clock step", "the store's clock starts anew, 15 s or more before or after", affectsNone, affectsNone, (*injector).storeClockStep},
+	{"dates", "the store and the servers state another day in their answers, up to 3 s", affectsNone, affectsNone, (*injector).dates},
+	{"store lags", "every second read of the store shows the state of the fault's beginning, up to 3 s; the configuration changes meanwhile", affectsNone, affectsAll, (*injector).lagStore},
+	{"long drain", "a server drains for 2 to 4 s, longer than drainBound, and is back", affectsNone, affectsNone, (*injector).longDrain},
 }
 
 const (
@@ -43,9 +43,9 @@
 // drawExtraFaults draws those of one run: each kind with an even chance.
 func drawExtraFaults(random *rand.Rand) []fault {
 	var drawn []fault
-	for _, one := range extraFaults {
+	for _, kind := range extraFaults {
 		if random.IntN(2) == 0 {
-			drawn = append(drawn, one)
+			drawn = append(drawn, kind)
 		}
 	}
 	return drawn
@@ -77,13 +77,13 @@
 	in.post(`{"date":""}`)
 }
 
-// storeLags makes the store answer every second read of a connection as a replica that
+// lagStore makes the store answer every second read of a connection as a replica that
 // gets no changes would, for some time. The configuration changes at the beginning of that.
 //
 // No connection begins with such an answer: from it a process that has just started could
 // not tell that it is stale, and would serve a revoked key for as long as its lease (seed
 // 104936069 of TestSoak). The platform's store never gives one.
-func (in *injector) storeLags(random *rand.Rand, gateway int) {
+func (in *injector) lagStore(random *rand.Rand, gateway int) {
 	in.post(`{"lagging":true}`)
 	in.configure(random, gateway)
 	pause(random, maxStoreFault)
@@ -93,8 +93,8 @@
 // longDrain makes a server drain for so long that checkDeparted judges who still sends to it.
 func (in *injector) longDrain(random *rand.Rand, _ int) {
 	id := servers[random.IntN(len(servers))]
-	in.enter(id, stateDraining)
+	in.setState(id, stateDraining)
 	time.Sleep(minLongDrain)
 	pause(random, maxLongDrain)
-	in.enter(id, stateReady)
+	in.setState(id, stateReady)
 }
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -13,37 +13,37 @@
 
 // A fault is a kind of fault. It lasts until inject returns.
 type fault struct {
-	name     string
-	does     string
-	mayCut   reach
-	disturbs reach // the gateways that are out of touch meanwhile: none, one, or all
-	inject   func(in *injector, random *rand.Rand, gateway int)
+	name         string
+	description  string
+	mayInterrupt scope
+	disturbs     scope // the gateways that are out of touch meanwhile: none, one, or all
+	inject       func(in *injector, random *rand.Rand, gateway int)
 }
 
 // A reach says which requests a fault may cut off although they have run.
-type reach int
+type scope int
 
 const (
-	noRequest      reach = iota // none
-	throughGateway              // those through the gateway that it strikes
-	anyRequest                  // those through any gateway
+	affectsNone    scope = iota // none
+	affectsGateway              // those through the gateway that it strikes
+	affectsAll                  // those through any gateway
 )
 
 // basicFaults are the faults of basicPlan. A seed draws from them by their index, so rows
 // keep their order, and are repeated if a fault is to come more often.
 var basicFaults = []fault{
-	{"kill", "kill a gateway; it starts anew", throughGateway, throughGateway, (*injector).kill},
-	{"stop", "SIGTERM to a gateway, a planned stop; it starts anew", noRequest, throughGateway, (*injector).stop},
-	{"freeze", "SIGSTOP to a gateway, SIGCONT after up to 3 s", throughGateway, throughGateway, (*injector).freeze},
-	{"hangup", "SIGHUP to a gateway, which reads its settings again", noRequest, noRequest, (*injector).hangup},
-	{"link", "a gateway's way to the store silent, mute one way, slow or reset, up to 3 s", noRequest, throughGateway, (*injector).link},
-	{"link", "the same", noRequest, throughGateway, (*injector).link},
-	{"store", "the store refuses, hangs, is slow, sends its feeds no changes or forgets its history, up to 3 s", noRequest, anyRequest, (*injector).store},
-	{"server", "a server misbehaves for 1 to 20 requests, up to 1.5 s", anyRequest, noRequest, (*injector).server},
-	{"server", "the same", anyRequest, noRequest, (*injector).server},
-	{"leave", "a server drains, is perhaps gone, and is back", noRequest, noRequest, (*injector).leave},
-	{"configure", "the second account's key is revoked, or valid again", noRequest, noRequest, (*injector).configure},
-	{"configure", "the same", noRequest, noRequest, (*injector).configure},
+	{"kill", "kill a gateway; it starts anew", affectsGateway, affectsGateway, (*injector).kill},
+	{"stop", "SIGTERM to a gateway, a planned stop; it starts anew", affectsNone, affectsGateway, (*injector).stop},
+	{"freeze", "SIGSTOP to a gateway, SIGCONT after up to 3 s", affectsGateway, affectsGateway, (*injector).freeze},
+	{"hangup", "SIGHUP to a gateway, which reads its settings again", affectsNone, affectsNone, (*injector).hangup},
+	{"link", "a gateway's way to the store silent, mute one way, slow or reset, up to 3 s", affectsNone, affectsGateway, (*injector).link},
+	{"link", "the same", affectsNone, affectsGateway, (*injector).link},
+	{"store", "the store refuses, hangs, is slow, sends its feeds no changes or forgets its history, up to 3 s", affectsNone, affectsAll, (*injector).store},
+	{"server", "a server misbehaves for 1 to 20 requests, up to 1.5 s", affectsAll, affectsNone, (*injector).server},
+	{"server", "the same", affectsAll, affectsNone, (*injector).server},
+	{"leave", "a server drains, is perhaps gone, and is back", affectsNone, affectsNone, (*injector).leave},
+	{"configure", "the second account's key is revoked, or valid again", affectsNone, affectsNone, (*injector).configure},
+	{"configure", "the same", affectsNone, affectsNone, (*injector).configure},
 }
 
 // The longest that faults last. Each lasts a time that is drawn below.
@@ -61,29 +61,29 @@
 // stop stops a gateway as planned, and kills it if it outlasts its grace period. Then
 // it may cut off requests after all.
 func (in *injector) stop(_ *rand.Rand, gateway int) {
-	in.stopBeside(gateway, func(*process) {})
+	in.stopWhile(gateway, func(*process) {})
 }
 
-// stopBeside stops a gateway as planned while something else is done to its process.
-func (in *injector) stopBeside(gateway int, beside func(p *process)) {
+// stopWhile stops a gateway as planned while something else is done to its process.
+func (in *injector) stopWhile(gateway int, action func(p *process)) {
 	p := in.fleet.gateways[gateway].end(syscall.SIGTERM)
 	if p.ended() {
 		return // it had ended before, and its successor is not there yet
 	}
-	ordered, overdue := time.Now(), false
+	signaled, overdue := time.Now(), false
 	var group sync.WaitGroup
-	group.Go(func() { beside(p) })
+	group.Go(func() { action(p) })
 	select {
 	case <-p.done:
 	case <-time.After(in.fleet.bounds.grace):
 		killed := time.Now()
 		p.signal(syscall.SIGKILL)
 		<-p.done
-		in.addCut(gateway, killed)
+		in.addInterruption(gateway, killed)
 		in.logf("%s has outlasted its grace period", in.fleet.gateways[gateway].name)
 		overdue = true
 	}
-	in.addStop(stop{gateway: gateway, ordered: ordered, ended: time.Now(), readyAt: p.readyAt.Load(), overdue: overdue})
+	in.addStop(stop{gateway: gateway, signaled: signaled, ended: time.Now(), readyAt: p.readyAt.Load(), overdue: overdue})
 	group.Wait()
 }
 
@@ -153,27 +153,27 @@
 // come back.
 func (in *injector) leave(random *rand.Rand, _ int) {
 	id := servers[random.IntN(len(servers))]
-	in.enter(id, stateDraining)
+	in.setState(id, stateDraining)
 	pause(random, maxServerFault)
 	if random.IntN(2) == 0 {
-		in.enter(id, stateGone)
+		in.setState(id, stateGone)
 		pause(random, maxServerFault)
 	}
-	in.enter(id, stateReady)
+	in.setState(id, stateReady)
 }
 
 // configure changes the configuration: the second account's key is revoked or valid
 // again.
 func (in *injector) configure(_ *rand.Rand, _ int) {
-	in.change(func(next *configuration) { next.SecondKey = !next.SecondKey })
+	in.changeConfiguration(func(next *configuration) { next.SecondKey = !next.SecondKey })
 }
 
 // change makes the next version of the configuration. Changes are made one after the
 // other.
-func (in *injector) change(edit func(next *configuration)) {
+func (in *injector) changeConfiguration(edit func(next *configuration)) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	next := change{configuration: in.changes[len(in.changes)-1].configuration}
+	next := configurationChange{configuration: in.changes[len(in.changes)-1].configuration}
 	next.Version++
 	edit(&next.configuration)
 	next.sent = time.Now()
--- a/internal/soak/fleet_test.go
+++ b/internal/soak/fleet_test.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// conditionLimit ends a run whose condition never comes. It decides no verdict on
+	// conditionTimeout ends a run whose condition never comes. It decides no verdict on
 	// speed.
-	conditionLimit = 30 * time.Second
-	// conditionPoll is how often a condition is looked at.
-	conditionPoll = 10 * time.Millisecond
+	conditionTimeout = 30 * time.Second
+	// conditionPollInterval is how often a condition is looked at.
+	conditionPollInterval = 10 * time.Millisecond
 	// streamEvents is how many events each stream has.
 	streamEvents = 20
 )
@@ -33,8 +33,8 @@
 var servers = []string{"p1", "p2", "p3", "m1", "m2", "m3"}
 
 const (
-	// serverForm is the form of a server in the emulator's settings.
-	serverForm = "    - {id: %s, service: %s, address: %q, failure_domain: %s, events: %d, step: %s}\n"
+	// serverFormat is the form of a server in the emulator's settings.
+	serverFormat = "    - {id: %s, service: %s, address: %q, failure_domain: %s, events: %d, step: %s}\n"
 	// slowServer is a further server of the model, whose streams take 3 s. It is in the
 	// list at times only, so that gateways don't expect streams to take that long.
 	slowServer = "slow"
@@ -85,7 +85,7 @@
 	}
 	f.eventually("all gateways are ready", func() bool {
 		for _, g := range f.gateways {
-			if !g.answersReady() {
+			if !g.probeReadiness() {
 				return false
 			}
 		}
@@ -97,17 +97,17 @@
 // startEmulator starts the emulator and waits until it serves.
 func (f *fleet) startEmulator(store string, p *plan) {
 	f.t.Helper()
-	configuration := f.write("config.json", p.first.content())
+	configuration := f.write("config.json", p.initial.content())
 	var list strings.Builder
 	for _, id := range servers {
 		service, events := "plain", 0
 		if isModel(id) {
 			service, events = "model", streamEvents
 		}
-		fmt.Fprintf(&list, serverForm, id, service, freeport.Next().String(), domainOf(id), events, fastStep)
+		fmt.Fprintf(&list, serverFormat, id, service, freeport.Next().String(), domainOf(id), events, fastStep)
 	}
 	if p.slowServer {
-		fmt.Fprintf(&list, serverForm, slowServer, "model", freeport.Next().String(), domainOf(slowServer), streamEvents, slowStep)
+		fmt.Fprintf(&list, serverFormat, slowServer, "model", freeport.Next().String(), domainOf(slowServer), streamEvents, slowStep)
 	}
 	settings := f.write("emulator.yaml", fmt.Sprintf("emulator:\n  store: %q\n  admin: %q\n  configuration: %s\n  servers:\n%s",
 		store, f.admin, configuration, list.String()))
@@ -181,12 +181,12 @@
 // allServe reports whether each gateway is ready and serves.
 func (f *fleet) allServe() bool {
 	for i, g := range f.gateways {
-		if !g.answersReady() {
+		if !g.probeReadiness() {
 			return false
 		}
-		one := call{id: probeID(i), route: routeSafe, gateway: i}
-		f.send(&http.Client{Timeout: callTime, Transport: &http.Transport{DisableKeepAlives: true}}, &one)
-		if one.status != http.StatusOK {
+		c := call{id: probeID(i), route: routeSafe, gateway: i}
+		f.send(&http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}, &c)
+		if c.status != http.StatusOK {
 			return false
 		}
 	}
@@ -210,19 +210,19 @@
 // eventually waits for a condition, and ends the test if it never comes.
 func (f *fleet) eventually(what string, condition func() bool) {
 	f.t.Helper()
-	if !f.comes(condition) {
+	if !f.waitFor(condition) {
 		f.t.Fatalf("this never came: %s", what)
 	}
 }
 
 // comes waits for a condition and reports whether it has come.
-func (f *fleet) comes(condition func() bool) bool {
-	limit := time.Now().Add(conditionLimit)
+func (f *fleet) waitFor(condition func() bool) bool {
+	limit := time.Now().Add(conditionTimeout)
 	for !condition() {
 		if time.Now().After(limit) {
 			return false
 		}
-		time.Sleep(conditionPoll)
+		time.Sleep(conditionPollInterval)
 	}
 	return true
 }
@@ -246,12 +246,12 @@
 	}
 	f.peers.close()
 	if f.t.Failed() {
-		f.keepLogs()
+		f.saveLogs()
 	}
 }
 
-// keepLogs writes the logs of a failed run to a directory that outlives it.
-func (f *fleet) keepLogs() {
+// saveLogs writes the logs of a failed run to a directory that outlives it.
+func (f *fleet) saveLogs() {
 	dir, err := os.MkdirTemp("", "ryeford-soak-")
 	if err != nil {
 		f.t.Logf("logs are lost: %v", err)
--- a/internal/soak/gateway_test.go
+++ b/internal/soak/gateway_test.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// probeEvery is how often a gateway's readiness is probed.
-	probeEvery = 100 * time.Millisecond
-	// probeTime bounds one readiness probe.
-	probeTime = time.Second
+	// probeInterval is how often a gateway's readiness is probed.
+	probeInterval = 100 * time.Millisecond
+	// probeTimeout bounds one readiness probe.
+	probeTimeout = time.Second
 )
 
 // A gateway is one gateway process, which starts anew whenever it has ended, as the
@@ -32,12 +32,12 @@
 	peers     *peerEnd
 	log       lockedBuffer
 
-	mu      sync.Mutex
-	process *process
-	ready   bool // at the last probe
-	planned bool // the soak has ended this life of it
-	began   int  // where this life begins in the log
-	life    int  // counts its processes, from 1
+	mu          sync.Mutex
+	process     *process
+	ready       bool // at the last probe
+	planned     bool // the soak has ended this life of it
+	logOffset   int  // where this life begins in the log
+	incarnation int  // counts its processes, from 1
 }
 
 // addGateway starts one gateway, keeps it running and probes its readiness.
@@ -59,7 +59,7 @@
 		"vm: %s\nregion: north\nfailure_domain: a\ncallers: %q\nreadiness: %q\nstore: %q\npeers: %q\n"+
 			"routing: {endpoints_settle: 20ms, endpoints_wait: 300ms, lease_refresh: %s, store_timeout: %s, routers: 2}\n"+
 			"bounds: {revoke: %s, contact: %s, configuration: %s, grace: %s}\n",
-		g.name, g.callers, g.readiness, toStore.listener.Addr(), end.listens, f.bounds.refresh, f.bounds.storeTimeout,
+		g.name, g.callers, g.readiness, toStore.listener.Addr(), end.address, f.bounds.refresh, f.bounds.storeTimeout,
 		f.bounds.revoke, f.bounds.contact, f.bounds.configuration, f.bounds.grace))
 	if i%2 == 0 {
 		g.linkRate = f.linkRate
@@ -67,27 +67,27 @@
 	}
 	f.gateways = append(f.gateways, g)
 	assert.NilError(f.t, g.start())
-	f.group.Go(func() { f.keep(g) })
-	f.group.Go(func() { f.probe(g) })
+	f.group.Go(func() { f.supervise(g) })
+	f.group.Go(func() { f.watchReadiness(g) })
 }
 
 // start starts the gateway's process.
 func (g *gateway) start() error {
-	began := g.log.Len()
+	logOffset := g.log.Len()
 	g.mu.Lock()
-	g.began = began
+	g.logOffset = logOffset
 	g.mu.Unlock()
 	process, err := start(&g.log, "gateway", "--settings", g.file)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.process, g.planned = process, false
-	g.life++
+	g.incarnation++
 	return err
 }
 
 // keep starts a gateway anew whenever it has ended. One that ends by itself fails the
 // test.
-func (f *fleet) keep(g *gateway) {
+func (f *fleet) supervise(g *gateway) {
 	for {
 		p := g.current()
 		select {
@@ -109,8 +109,8 @@
 }
 
 // probe probes a gateway's readiness until the fleet ends, as the load balancer does.
-func (f *fleet) probe(g *gateway) {
-	ticker := time.NewTicker(probeEvery)
+func (f *fleet) watchReadiness(g *gateway) {
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -118,7 +118,7 @@
 			return
 		case <-ticker.C:
 			p, sent := g.current(), time.Now()
-			ready := g.answersReady()
+			ready := g.probeReadiness()
 			if ready && g.current() == p && !p.ended() { // else its successor may have answered
 				p.readyAt.Store(&sent)
 			}
@@ -129,9 +129,9 @@
 	}
 }
 
-// answersReady probes a gateway's readiness once.
-func (g *gateway) answersReady() bool {
-	client := &http.Client{Timeout: probeTime, Transport: &http.Transport{DisableKeepAlives: true}}
+// probeReadiness probes a gateway's readiness once.
+func (g *gateway) probeReadiness() bool {
+	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + g.readiness + "/ryeford/readiness")
 	if err != nil {
 		return false
@@ -154,11 +154,11 @@
 	return g.process
 }
 
-// currentLife returns the number of the gateway's process.
-func (g *gateway) currentLife() int {
+// currentIncarnation returns the number of the gateway's process.
+func (g *gateway) currentIncarnation() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.life
+	return g.incarnation
 }
 
 // starting returns the gateway's process once its first line is in the log, or nil
@@ -167,7 +167,7 @@
 func (g *gateway) starting() *process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !strings.Contains(g.log.From(g.began), "msg=starting") {
+	if !strings.Contains(g.log.From(g.logOffset), "msg=starting") {
 		return nil
 	}
 	return g.process
--- a/internal/soak/hangup_test.go
+++ b/internal/soak/hangup_test.go
@@ -35,7 +35,7 @@
 		freeport.Next(), freeport.Next(), freeport.Next())
 	assert.NilError(t, err)
 	assert.NilError(t, settings.Close())
-	for limit := time.Now().Add(conditionLimit); time.Now().Before(limit); time.Sleep(conditionPoll) {
+	for limit := time.Now().Add(conditionTimeout); time.Now().Before(limit); time.Sleep(conditionPollInterval) {
 		assert.Assert(t, !p.ended(), "it has ended: %v", p.err)
 		if strings.Contains(log.From(0), "msg=started") {
 			return
--- a/internal/soak/injector_test.go
+++ b/internal/soak/injector_test.go
@@ -26,40 +26,40 @@
 	restoring  sync.Mutex // held while the store is restored
 	evacuating sync.Mutex // held while a failure domain is evacuated
 	announcing sync.Mutex // held while a server says that it leaves
-	resting    sync.Mutex // held while servers ask for rest
+	backingOff sync.Mutex // held while servers ask for rest
 
-	listing sync.Mutex // held while a server's state is changed
+	changingState sync.Mutex // held while a server's state is changed
 
-	mu       sync.Mutex
-	changes  []change
-	cuts     []cut
-	outages  []cut // times out of touch
-	restores []restored
-	stops    []stop
+	mu            sync.Mutex
+	changes       []configurationChange
+	interruptions []faultWindow
+	outages       []faultWindow // times out of touch
+	restores      []storeRestore
+	stops         []stop
 	// evacuations are those that are over.
-	evacuations []evacuated
-	announced   []announcement // those that are over
-	states      []listState    // of the servers
-	timeline    []string
+	evacuations   []evacuation
+	announcements []announcement // those that are over
+	stateChanges  []stateChange  // of the servers
+	timeline      []string
 }
 
-// A listState is what the list says of a server from a change on. The time lies between
+// A stateChange is what the list says of a server from a change on. The time lies between
 // when the change was sent and when it was accepted.
-type listState struct {
+type stateChange struct {
 	server, state  string
 	sent, accepted time.Time
-	starts         bool // another life of the server
+	newIncarnation bool // another life of the server
 }
 
 // A change is one change of the configuration. The first is what the fleet started
 // with.
-type change struct {
+type configurationChange struct {
 	configuration
 	sent, accepted time.Time
 }
 
 // A cut is a time in which requests could be cut off although they had run.
-type cut struct {
+type faultWindow struct {
 	gateway     int // through which they went, or allGateways
 	from, until time.Time
 }
@@ -67,11 +67,11 @@
 // A stop is a planned stop of a gateway: when it got SIGTERM, and when its process had
 // ended.
 type stop struct {
-	gateway        int
-	ordered, ended time.Time
-	readyAt        *time.Time // when the last probe was sent that it answered as ready, or nil
-	closedAt       time.Time  // when it closed the first call without an answer, or zero
-	overdue        bool       // it had to be killed at the end of its grace period
+	gateway         int
+	signaled, ended time.Time
+	readyAt         *time.Time // when the last probe was sent that it answered as ready, or nil
+	firstClosedAt   time.Time  // when it closed the first call without an answer, or zero
+	overdue         bool       // it had to be killed at the end of its grace period
 }
 
 // allGateways as a cut's gateway means that it was felt through each of them.
@@ -79,42 +79,42 @@
 
 // newInjector returns an injector that has injected nothing.
 func newInjector(f *fleet, p *plan) *injector {
-	return &injector{fleet: f, plan: p, began: time.Now(), changes: []change{{configuration: p.first}}}
+	return &injector{fleet: f, plan: p, began: time.Now(), changes: []configurationChange{{configuration: p.initial}}}
 }
 
 // run injects faults until faultTime is over, and waits until the last has ended. The
-// plan's faults come from random, and extraFaults and lifeFaults from the seed.
+// plan's faults come from random, and extraFaults and endpointFaults from the seed.
 func (in *injector) run(random *rand.Rand, seed uint64) {
 	in.began = time.Now()
 	in.group.Go(func() {
 		extra := rand.New(rand.NewPCG(seed, extraStream))
-		in.strike(extra, drawExtraFaults(extra), maxBetweenExtraFaults)
+		in.injectFaults(extra, drawExtraFaults(extra), maxBetweenExtraFaults)
 	})
 	in.group.Go(func() {
-		in.strike(rand.New(rand.NewPCG(seed, lifeStream)), lifeFaults, maxBetweenLifeFaults)
+		in.injectFaults(rand.New(rand.NewPCG(seed, endpointStream)), endpointFaults, maxBetweenEndpointFaults)
 	})
 	in.group.Go(func() {
-		in.strike(rand.New(rand.NewPCG(seed, restoreStream)), restoreFaults, maxBetweenRestores)
+		in.injectFaults(rand.New(rand.NewPCG(seed, restoreStream)), restoreFaults, maxBetweenRestores)
 	})
 	in.group.Go(func() {
-		in.strike(rand.New(rand.NewPCG(seed, evacuationStream)), evacuationFaults, maxBetweenEvacuations)
+		in.injectFaults(rand.New(rand.NewPCG(seed, evacuationStream)), evacuationFaults, maxBetweenEvacuations)
 	})
 	in.group.Go(func() {
-		in.strike(rand.New(rand.NewPCG(seed, reportStream)), reportFaults, maxBetweenReportFaults)
+		in.injectFaults(rand.New(rand.NewPCG(seed, reportStream)), reportFaults, maxBetweenReportFaults)
 	})
-	in.strike(random, in.plan.faults(random), maxBetweenFaults)
+	in.injectFaults(random, in.plan.faults(random), maxBetweenFaults)
 	in.group.Wait()
 }
 
 // strike injects faults, at most some time apart, until faultTime is over.
-func (in *injector) strike(random *rand.Rand, faults []fault, apart time.Duration) {
+func (in *injector) injectFaults(random *rand.Rand, faults []fault, maxInterval time.Duration) {
 	for len(faults) > 0 && time.Since(in.began) < faultTime {
 		drawn := faults[random.IntN(len(faults))]
 		gateway := random.IntN(len(in.fleet.gateways))
-		own := rand.New(rand.NewPCG(random.Uint64(), 0))
+		faultRandom := rand.New(rand.NewPCG(random.Uint64(), 0))
 		in.logf("%s at %s", drawn.name, in.fleet.gateways[gateway].name)
-		in.group.Go(func() { in.inject(&drawn, own, gateway) })
-		pause(random, apart)
+		in.group.Go(func() { in.inject(&drawn, faultRandom, gateway) })
+		pause(random, maxInterval)
 	}
 }
 
@@ -122,53 +122,53 @@
 func (in *injector) inject(f *fault, random *rand.Rand, gateway int) {
 	from := time.Now()
 	f.inject(in, random, gateway)
-	switch f.mayCut {
-	case throughGateway:
-		in.addCut(gateway, from)
-	case anyRequest:
-		in.addCut(allGateways, from)
-	case noRequest:
+	switch f.mayInterrupt {
+	case affectsGateway:
+		in.addInterruption(gateway, from)
+	case affectsAll:
+		in.addInterruption(allGateways, from)
+	case affectsNone:
 	}
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	switch f.disturbs {
-	case throughGateway:
-		in.outages = append(in.outages, cut{gateway: gateway, from: from, until: time.Now()})
-	case anyRequest:
-		in.outages = append(in.outages, cut{gateway: allGateways, from: from, until: time.Now()})
-	case noRequest:
+	case affectsGateway:
+		in.outages = append(in.outages, faultWindow{gateway: gateway, from: from, until: time.Now()})
+	case affectsAll:
+		in.outages = append(in.outages, faultWindow{gateway: allGateways, from: from, until: time.Now()})
+	case affectsNone:
 	}
 }
 
-// addCut records that requests could be cut off until now.
-func (in *injector) addCut(gateway int, from time.Time) {
+// addInterruption records that requests could be cut off until now.
+func (in *injector) addInterruption(gateway int, from time.Time) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.cuts = append(in.cuts, cut{gateway: gateway, from: from, until: time.Now()})
+	in.interruptions = append(in.interruptions, faultWindow{gateway: gateway, from: from, until: time.Now()})
 }
 
 // addStop records a planned stop that has ended.
-func (in *injector) addStop(one stop) {
+func (in *injector) addStop(s stop) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.stops = append(in.stops, one)
+	in.stops = append(in.stops, s)
 }
 
 // enter sets what the list says of a server. Such changes are made one after the other.
-func (in *injector) enter(server, state string) {
-	in.enterAs(server, state, serverState(server, state))
+func (in *injector) setState(server, state string) {
+	in.applyState(server, state, serverState(server, state))
 }
 
-// enterAs makes a change of the list after which it says that a server is in a state.
-func (in *injector) enterAs(server, state, change string) {
-	in.listing.Lock()
-	defer in.listing.Unlock()
-	next := listState{server: server, state: state, sent: time.Now(), starts: strings.Contains(change, `"born"`)}
+// applyState makes a change of the list after which it says that a server is in a state.
+func (in *injector) applyState(server, state, change string) {
+	in.changingState.Lock()
+	defer in.changingState.Unlock()
+	next := stateChange{server: server, state: state, sent: time.Now(), newIncarnation: strings.Contains(change, `"born"`)}
 	in.post(change)
 	next.accepted = time.Now()
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.states = append(in.states, next)
+	in.stateChanges = append(in.stateChanges, next)
 }
 
 // newestVersion returns the newest version that was accepted.
@@ -202,10 +202,10 @@
 func (in *injector) clear() {
 	in.post(`{"store":{},"fault":"","requests":0,"clock_rate":1,"date":"","lagging":false,"rest":"","leaving":false}`)
 	for _, id := range servers {
-		in.enter(id, stateReady)
+		in.setState(id, stateReady)
 	}
 	if in.plan.slowServer {
-		in.enter(slowServer, stateGone)
+		in.setState(slowServer, stateGone)
 	}
 	in.fleet.peers.clear()
 	for _, g := range in.fleet.gateways {
--- a/internal/soak/peerlinks_test.go
+++ b/internal/soak/peerlinks_test.go
@@ -27,7 +27,7 @@
 
 // A peerEnd is a gateway's end of the links.
 type peerEnd struct {
-	listens netip.AddrPort // the gateway's own address
+	address netip.AddrPort // the gateway's own address
 	relay   netip.AddrPort // where the other gateways send to
 	conn    *net.UDPConn   // of the relay
 }
@@ -62,7 +62,7 @@
 
 // add adds a gateway and starts its relay.
 func (l *peerLinks) add() (*peerEnd, error) {
-	end := &peerEnd{listens: freeport.Next(), relay: freeport.Next()}
+	end := &peerEnd{address: freeport.Next(), relay: freeport.Next()}
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(end.relay))
 	if err != nil {
 		return nil, err
@@ -118,16 +118,16 @@
 			continue
 		}
 		for range 1 + fault.copies {
-			time.AfterFunc(lateness(fault.delay), func() {
+			time.AfterFunc(randomDelay(fault.delay), func() {
 				// A gateway that is down receives nothing, as on a network.
-				_, _ = end.conn.WriteToUDPAddrPort(content, end.listens)
+				_, _ = end.conn.WriteToUDPAddrPort(content, end.address)
 			})
 		}
 	}
 }
 
-// lateness draws by how much a datagram is late.
-func lateness(limit time.Duration) time.Duration {
+// randomDelay draws by how much a datagram is late.
+func randomDelay(limit time.Duration) time.Duration {
 	if limit == 0 {
 		return 0
 	}
@@ -142,14 +142,14 @@
 	defer l.mu.Unlock()
 	var fault peerFault
 	for i, end := range l.ends {
-		if end.listens == source {
+		if end.address == source {
 			fault = l.faults[peerLink{from: i, to: to}]
 		}
-		known, shown := end.listens, end.relay
+		hidden, visible := end.address, end.relay
 		if i == to {
-			known, shown = shown, known
+			hidden, visible = visible, hidden
 		}
-		content = bytes.ReplaceAll(content, wireAddress(known), wireAddress(shown))
+		content = bytes.ReplaceAll(content, wireAddress(hidden), wireAddress(visible))
 	}
 	return fault, content
 }
@@ -168,7 +168,7 @@
 // the store that registers the gateway. The row's value is in base64, in which both
 // addresses stand in whole groups of four: twelve bytes precede them, and each has 15.
 func (e *peerEnd) rewriteRow(content []byte) []byte {
-	return bytes.ReplaceAll(content, base64Address(e.listens), base64Address(e.relay))
+	return bytes.ReplaceAll(content, base64Address(e.address), base64Address(e.relay))
 }
 
 // base64Address returns an address in base64.
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -7,17 +7,17 @@
 
 // A plan is what the runs of one kind have in common. A seed draws the rest.
 type plan struct {
-	bounds bounds
-	first  configuration // what a fleet starts with
+	bounds  bounds
+	initial configuration // what a fleet starts with
 	// faults returns the faults that a run draws from.
-	faults func(random *rand.Rand) []fault
-	checks []check
-	habits []habit
+	faults   func(random *rand.Rand) []fault
+	checks   []check
+	profiles []callerProfile
 	// halfReady says that the load balancer uses all gateways if fewer than half are
 	// ready, as the platform's does, and not only if none is.
 	halfReady bool
-	// answerMargin is how long callers wait for an answer after the deadline.
-	answerMargin time.Duration
+	// responseMargin is how long callers wait for an answer after the deadline.
+	responseMargin time.Duration
 	// slowServer says that there is the server of that name.
 	slowServer bool
 	// linkRate is what the links to the store of every second gateway bear, in bytes a
@@ -45,10 +45,10 @@
 		storeTimeout:  300 * time.Millisecond,
 		refresh:       300 * time.Millisecond,
 	},
-	first:  configuration{Version: 1, SecondKey: true},
-	faults: func(*rand.Rand) []fault { return basicFaults },
-	checks: basicChecks,
-	habits: []habit{{pause: 30 * time.Millisecond}},
+	initial:  configuration{Version: 1, SecondKey: true},
+	faults:   func(*rand.Rand) []fault { return basicFaults },
+	checks:   basicChecks,
+	profiles: []callerProfile{{maxPause: 30 * time.Millisecond}},
 }
 
 // seriesPlan has series of signals that overlap, callers that use open connections to
@@ -62,26 +62,26 @@
 		storeTimeout:  700 * time.Millisecond,
 		refresh:       800 * time.Millisecond,
 	},
-	first:  configuration{Version: 1, SecondKey: true, Probed: true},
-	faults: seriesFaults,
-	checks: seriesChecks,
-	habits: []habit{
-		{pause: 30 * time.Millisecond, stays: true},
-		{pause: 4 * time.Second, stays: true},
-		{pause: 60 * time.Millisecond, reconnects: true},
-		{pause: 30 * time.Millisecond},
+	initial: configuration{Version: 1, SecondKey: true, HasProbeRoute: true},
+	faults:  seriesFaults,
+	checks:  seriesChecks,
+	profiles: []callerProfile{
+		{maxPause: 30 * time.Millisecond, sticky: true},
+		{maxPause: 4 * time.Second, sticky: true},
+		{maxPause: 60 * time.Millisecond, reconnects: true},
+		{maxPause: 30 * time.Millisecond},
 	},
-	halfReady:    true,
-	answerMargin: answerMargin,
-	slowServer:   true,
-	linkRate:     slowLink,
+	halfReady:      true,
+	responseMargin: responseMargin,
+	slowServer:     true,
+	linkRate:       slowLinkRate,
 }
 
-// answerMargin is how long the callers of seriesPlan wait for an answer after the
+// responseMargin is how long the callers of seriesPlan wait for an answer after the
 // deadline.
-const answerMargin = time.Second
+const responseMargin = time.Second
 
-// slowLink is 5 Mbit/s in bytes a second: half of what the narrower links of the users'
+// slowLinkRate is 5 Mbit/s in bytes a second: half of what the narrower links of the users'
 // VMs bear, so that half of their routes take as long, and take the machine of the test
 // less work.
-const slowLink = 625_000
+const slowLinkRate = 625_000
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -35,18 +35,18 @@
 // A proxy relays TCP connections on loopback to one address.
 type proxy struct {
 	listener net.Listener
-	to       string
+	target   string
 	// rewrite changes what goes to that address, if it is set. It is called with what one
 	// read has returned.
 	rewrite func(content []byte) []byte
 	// link bounds the bytes a second in the direction back to the caller, of all
 	// connections together.
-	link byteRate
+	link rateLimiter
 
 	mu      sync.Mutex
 	mode    proxyMode
 	changed chan struct{} // closed at the next change of mode
-	open    map[net.Conn]bool
+	conns   map[net.Conn]bool
 }
 
 // newProxy starts a proxy on a free port.
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, to: to, changed: make(chan struct{}), open: make(map[net.Conn]bool)}
+	p := &proxy{listener: listener, target: to, changed: make(chan struct{}), conns: make(map[net.Conn]bool)}
 	go p.run()
 	return p, nil
 }
@@ -68,14 +68,14 @@
 	close(p.changed)
 	p.changed = make(chan struct{})
 	if mode == proxyResetting {
-		for conn := range p.open {
+		for conn := range p.conns {
 			reset(conn)
 		}
 	}
 }
 
 // now returns the mode, and a channel that is closed once it changes.
-func (p *proxy) now() (proxyMode, chan struct{}) {
+func (p *proxy) currentMode() (proxyMode, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode, p.changed
@@ -94,11 +94,11 @@
 
 // serve relays one connection.
 func (p *proxy) serve(conn net.Conn) {
-	if mode, _ := p.now(); mode == proxyResetting {
+	if mode, _ := p.currentMode(); mode == proxyResetting {
 		reset(conn)
 		return
 	}
-	far, err := net.Dial("tcp", p.to)
+	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
 		reset(conn)
 		return
@@ -106,8 +106,8 @@
 	p.track(conn, true)
 	defer p.track(conn, false)
 	var group sync.WaitGroup
-	group.Go(func() { p.relay(far, conn, p.sent, proxySilent) })
-	group.Go(func() { p.relay(conn, far, p.link.pass, proxySilent, proxyMuteBack) })
+	group.Go(func() { p.relay(upstream, conn, p.rewriteRequest, proxySilent) })
+	group.Go(func() { p.relay(conn, upstream, p.link.pass, proxySilent, proxyMuteBack) })
 	group.Wait()
 }
 
@@ -116,14 +116,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if open {
-		p.open[conn] = true
+		p.conns[conn] = true
 		return
 	}
-	delete(p.open, conn)
+	delete(p.conns, conn)
 }
 
 // sent returns what is passed on of what a caller has sent.
-func (p *proxy) sent(content []byte) []byte {
+func (p *proxy) rewriteRequest(content []byte) []byte {
 	if p.rewrite == nil {
 		return content
 	}
@@ -132,7 +132,7 @@
 
 // relay relays one direction of a connection, by way of pass. It holds back while the
 // mode is one of held.
-func (p *proxy) relay(to, from net.Conn, pass func([]byte) []byte, held ...proxyMode) {
+func (p *proxy) relay(to, from net.Conn, pass func([]byte) []byte, blocked ...proxyMode) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -140,7 +140,7 @@
 	buffer := make([]byte, proxyBuffer)
 	for {
 		n, err := from.Read(buffer)
-		p.await(held)
+		p.await(blocked)
 		if n > 0 {
 			if _, err := to.Write(pass(buffer[:n])); err != nil {
 				return
@@ -153,13 +153,13 @@
 }
 
 // await returns once the mode is none of held.
-func (p *proxy) await(held []proxyMode) {
+func (p *proxy) await(blocked []proxyMode) {
 	for {
-		mode, changed := p.now()
+		mode, changed := p.currentMode()
 		if mode == proxyDelay {
 			time.Sleep(proxyDelayTime)
 		}
-		if !slices.Contains(held, mode) {
+		if !slices.Contains(blocked, mode) {
 			return
 		}
 		<-changed
--- a/internal/soak/byterate_test.go
+++ b/internal/soak/ratelimiter_test.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// linkCredit is the time that a link may make up for when bytes have waited for the
+// linkBurst is the time that a link may make up for when bytes have waited for the
 // test's own process, which a busy machine runs late. Without it, the link was three times
 // as narrow as stated at a load of 130 (a trial's seed 774000678).
-const linkCredit = 100 * time.Millisecond
+const linkBurst = 100 * time.Millisecond
 
-// A byteRate bounds the bytes a second that pass a link. The zero byteRate bounds
+// A rateLimiter bounds the bytes a second that pass a link. The zero rateLimiter bounds
 // nothing. It may be used from several goroutines.
-type byteRate struct {
+type rateLimiter struct {
 	mu        sync.Mutex
 	perSecond int       // zero: no bound
-	free      time.Time // when all that has passed is over the link
+	freeAt    time.Time // when all that has passed is over the link
 }
 
 // set sets the bound in bytes a second, or zero for none.
-func (r *byteRate) set(perSecond int) {
+func (r *rateLimiter) set(perSecond int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.perSecond = perSecond
 }
 
 // pass returns content after the time that it takes on the link.
-func (r *byteRate) pass(content []byte) []byte {
+func (r *rateLimiter) pass(content []byte) []byte {
 	time.Sleep(r.reserve(len(content)))
 	return content
 }
 
 // reserve returns the time until some bytes have passed, behind all that came before.
-func (r *byteRate) reserve(bytes int) time.Duration {
+func (r *rateLimiter) reserve(bytes int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.perSecond == 0 {
 		return 0
 	}
 	now := time.Now()
-	if earliest := now.Add(-linkCredit); r.free.Before(earliest) {
-		r.free = earliest
+	if earliest := now.Add(-linkBurst); r.freeAt.Before(earliest) {
+		r.freeAt = earliest
 	}
-	r.free = r.free.Add(time.Duration(bytes) * time.Second / time.Duration(r.perSecond))
-	return max(0, r.free.Sub(now))
+	r.freeAt = r.freeAt.Add(time.Duration(bytes) * time.Second / time.Duration(r.perSecond))
+	return max(0, r.freeAt.Sub(now))
 }
--- a/internal/soak/regress_test.go
+++ b/internal/soak/regress_test.go
@@ -12,33 +12,33 @@
 
 // checkRegress checks that a call was not handled by an older version than one by which
 // the same process had served before, whatever faults have struck.
-func checkRegress(c *call, seen *evidence) string {
-	if c.probes == 0 || c.life == 0 {
+func checkRegress(c *call, record *runRecord) string {
+	if c.probedVersion == 0 || c.incarnation == 0 {
 		return ""
 	}
-	shown := seen.shown(c)
-	_, newest := seen.versions(c)
+	newestServed := record.newestServed(c)
+	_, newest := record.versions(c)
 	switch {
-	case c.status == http.StatusOK && c.probes < shown:
-		return fmt.Sprintf("served by version %d, by a process that had served by version %d", c.probes, shown)
-	case c.status == http.StatusNotFound && c.probes == shown && shown == newest:
-		return fmt.Sprintf("404 on a route of version %d, by a process that had served by it", shown)
+	case c.status == http.StatusOK && c.probedVersion < newestServed:
+		return fmt.Sprintf("served by version %d, by a process that had served by version %d", c.probedVersion, newestServed)
+	case c.status == http.StatusNotFound && c.probedVersion == newestServed && newestServed == newest:
+		return fmt.Sprintf("404 on a route of version %d, by a process that had served by it", newestServed)
 	}
 	return ""
 }
 
 // shown returns the newest version by which the process of a call had served before the
 // call was sent, or zero.
-func (e *evidence) shown(c *call) int {
-	shown := 0
-	for i := range e.calls {
-		other := &e.calls[i]
-		same := other.gateway == c.gateway && other.life == c.life
+func (r *runRecord) newestServed(c *call) int {
+	newestServed := 0
+	for i := range r.calls {
+		other := &r.calls[i]
+		same := other.gateway == c.gateway && other.incarnation == c.incarnation
 		if same && other.status == http.StatusOK && other.ended.Before(c.sent) {
-			shown = max(shown, other.probes)
+			newestServed = max(newestServed, other.probedVersion)
 		}
 	}
-	return shown
+	return newestServed
 }
 
 // TestRegress checks that a gateway that has served by a version serves by no older one
@@ -49,19 +49,19 @@
 	in := newInjector(f, &seriesPlan)
 	in.post(`{"lagging":true}`)
 	in.configure(nil, 0)
-	client := &http.Client{Timeout: callTime}
+	client := &http.Client{Timeout: callTimeout}
 	defer client.CloseIdleConnections()
-	seen := in.evidence(0)
-	for limit := time.Now().Add(2 * maxStoreFault); time.Now().Before(limit); time.Sleep(conditionPoll) {
+	record := in.record(0)
+	for limit := time.Now().Add(2 * maxStoreFault); time.Now().Before(limit); time.Sleep(conditionPollInterval) {
 		for _, version := range []int{1, 2} {
-			one := call{id: fmt.Sprintf("%s-%d", probeID(0), version), route: probeRoute(version), probes: version, life: 1}
-			f.send(client, &one)
-			if problem := checkRegress(&one, seen); problem != "" {
+			probe := call{id: fmt.Sprintf("%s-%d", probeID(0), version), route: probeRoute(version), probedVersion: version, incarnation: 1}
+			f.send(client, &probe)
+			if problem := checkRegress(&probe, record); problem != "" {
 				t.Errorf("%s", problem)
 			}
-			seen.calls = append(seen.calls, one)
+			record.calls = append(record.calls, probe)
 		}
 	}
-	assert.Equal(t, seen.shown(&call{life: 1, sent: time.Now()}), 2, "the newer version was never in force")
+	assert.Equal(t, record.newestServed(&call{incarnation: 1, sent: time.Now()}), 2, "the newer version was never in force")
 	assert.Assert(t, strings.Contains(f.gateways[0].log.From(0), "stale answer"), "no read showed older rows")
 }
--- a/internal/soak/seriesfaults_test.go
+++ b/internal/soak/seriesfaults_test.go
@@ -12,36 +12,36 @@
 // allSeriesFaults are the faults of seriesPlan. A seed draws from them by their index, so
 // rows keep their order, and new ones come last.
 var allSeriesFaults = []fault{
-	{"stop", "SIGTERM to a gateway; it starts anew", noRequest, throughGateway, (*injector).stop},
-	{"signals in a drain", "SIGTERM to a gateway, then more of them and SIGHUPs until it has ended", noRequest, throughGateway, (*injector).signalsInDrain},
-	{"stop of most", "SIGTERM to all gateways but perhaps one, within half a second", noRequest, anyRequest, (*injector).stopMost},
-	{"freeze in a drain", "SIGTERM to a gateway, which is then frozen for up to 1 s", throughGateway, throughGateway, (*injector).freezeInDrain},
-	{"stop at a slow store", "SIGTERM to a gateway while the store is slow, silent or loses its answers", noRequest, anyRequest, (*injector).stopAtSlowStore},
-	{"changes in a drain", "SIGTERM to a gateway, and three changes of the configuration before it has ended", noRequest, throughGateway, (*injector).changesInDrain},
-	{"kill", "kill a gateway; it starts anew", throughGateway, throughGateway, (*injector).kill},
-	{"freeze", "SIGSTOP to a gateway, SIGCONT after up to 3 s", throughGateway, throughGateway, (*injector).freeze},
-	{"hangups", "up to five SIGHUPs to a gateway", noRequest, noRequest, (*injector).hangups},
-	{"link", "a gateway's way to the store silent, mute one way, slow or reset, up to 3 s", noRequest, throughGateway, (*injector).link},
-	{"squeeze", "a gateway's way to the store bears a tenth, up to 3 s", noRequest, throughGateway, (*injector).squeeze},
-	{"store", "the store refuses, hangs, is slow, stale, loses its answers or its history, up to 3 s", noRequest, anyRequest, (*injector).seriesStore},
-	{"configure", "the second account's key is revoked, or valid again", noRequest, noRequest, (*injector).configure},
-	{"large", "the configuration has thousands of routes more, or less", noRequest, noRequest, (*injector).large},
-	{"peers", "the gossip of a gateway is cut, lossy, late or doubled, one way or both, up to 3 s", noRequest, noRequest, (*injector).peers},
-	{"slow server", "a server with streams of 3 s is in the list for up to 1.5 s", noRequest, noRequest, (*injector).slowServer},
-	{"server", "a server misbehaves for 1 to 20 requests, up to 1.5 s", anyRequest, noRequest, (*injector).server},
-	{"server hangs", "a server that is in the list as ready runs each request and answers none, up to 1.5 s", noRequest, noRequest, (*injector).serverHangs},
-	{"server lies", "a server that is in the list as ready refuses each request, up to 1.5 s", noRequest, noRequest, (*injector).serverLies},
-	{"server vanishes", "a server resets each connection, and leaves the list only later", anyRequest, noRequest, (*injector).serverVanishes},
-	{"leave", "a server drains, is perhaps gone, and is back", noRequest, noRequest, (*injector).leave},
+	{"stop", "SIGTERM to a gateway; it starts anew", affectsNone, affectsGateway, (*injector).stop},
+	{"signals in a drain", "SIGTERM to a gateway, then more of them and SIGHUPs until it has ended", affectsNone, affectsGateway, (*injector).signalsInDrain},
+	{"stop of most", "SIGTERM to all gateways but perhaps one, within half a second", affectsNone, affectsAll, (*injector).stopMost},
+	{"freeze in a drain", "SIGTERM to a gateway, which is then frozen for up to 1 s", affectsGateway, affectsGateway, (*injector).freezeInDrain},
+	{"stop at a slow store", "SIGTERM to a gateway while the store is slow, silent or loses its answers", affectsNone, affectsAll, (*injector).stopAtSlowStore},
+	{"changes in a drain", "SIGTERM to a gateway, and three changes of the configuration before it has ended", affectsNone, affectsGateway, (*injector).changesInDrain},
+	{"kill", "kill a gateway; it starts anew", affectsGateway, affectsGateway, (*injector).kill},
+	{"freeze", "SIGSTOP to a gateway, SIGCONT after up to 3 s", affectsGateway, affectsGateway, (*injector).freeze},
+	{"hangups", "up to five SIGHUPs to a gateway", affectsNone, affectsNone, (*injector).hangups},
+	{"link", "a gateway's way to the store silent, mute one way, slow or reset, up to 3 s", affectsNone, affectsGateway, (*injector).link},
+	{"squeeze", "a gateway's way to the store bears a tenth, up to 3 s", affectsNone, affectsGateway, (*injector).narrowLink},
+	{"store", "the store refuses, hangs, is slow, stale, loses its answers or its history, up to 3 s", affectsNone, affectsAll, (*injector).seriesStore},
+	{"configure", "the second account's key is revoked, or valid again", affectsNone, affectsNone, (*injector).configure},
+	{"large", "the configuration has thousands of routes more, or less", affectsNone, affectsNone, (*injector).toggleUnusedRoutes},
+	{"peers", "the gossip of a gateway is cut, lossy, late or doubled, one way or both, up to 3 s", affectsNone, affectsNone, (*injector).impairGossip},
+	{"slow server", "a server with streams of 3 s is in the list for up to 1.5 s", affectsNone, affectsNone, (*injector).slowServer},
+	{"server", "a server misbehaves for 1 to 20 requests, up to 1.5 s", affectsAll, affectsNone, (*injector).server},
+	{"server hangs", "a server that is in the list as ready runs each request and answers none, up to 1.5 s", affectsNone, affectsNone, (*injector).serverHangs},
+	{"server lies", "a server that is in the list as ready refuses each request, up to 1.5 s", affectsNone, affectsNone, (*injector).serverRefuses},
+	{"server vanishes", "a server resets each connection, and leaves the list only later", affectsAll, affectsNone, (*injector).serverVanishes},
+	{"leave", "a server drains, is perhaps gone, and is back", affectsNone, affectsNone, (*injector).leave},
 }
 
 // seriesFaults draws the faults of one run: each kind with an even chance, so that some
 // runs are without the kinds that excuse much.
 func seriesFaults(random *rand.Rand) []fault {
 	var drawn []fault
-	for _, one := range allSeriesFaults {
+	for _, kind := range allSeriesFaults {
 		if random.IntN(2) == 0 {
-			drawn = append(drawn, one)
+			drawn = append(drawn, kind)
 		}
 	}
 	if len(drawn) == 0 {
@@ -60,16 +60,16 @@
 	// maxDrainFreeze is the longest freeze in a drain.
 	maxDrainFreeze = time.Second
 	// unusedRoutes make a configuration of some 600 kB in the store's answer, which takes
-	// slowLink longer than bounds.storeTimeout of seriesPlan.
+	// slowLinkRate longer than bounds.storeTimeout of seriesPlan.
 	unusedRoutes = 3000
-	// squeezedLink is a tenth of slowLink, in bytes a second.
-	squeezedLink = slowLink / 10
+	// narrowedLinkRate is a tenth of slowLinkRate, in bytes a second.
+	narrowedLinkRate = slowLinkRate / 10
 )
 
 // signalsInDrain stops a gateway, which gets more signals of the kind, and hangups, until
 // it has ended.
 func (in *injector) signalsInDrain(random *rand.Rand, gateway int) {
-	in.stopBeside(gateway, func(p *process) {
+	in.stopWhile(gateway, func(p *process) {
 		for !p.ended() {
 			pause(random, maxSignalPause)
 			p.signal([]syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}[random.IntN(2)])
@@ -93,7 +93,7 @@
 
 // freezeInDrain stops a gateway and freezes it meanwhile.
 func (in *injector) freezeInDrain(random *rand.Rand, gateway int) {
-	in.stopBeside(gateway, func(p *process) {
+	in.stopWhile(gateway, func(p *process) {
 		pause(random, maxDrainFreeze)
 		p.signal(syscall.SIGSTOP)
 		pause(random, maxDrainFreeze)
@@ -112,7 +112,7 @@
 
 // changesInDrain stops a gateway and changes the configuration meanwhile.
 func (in *injector) changesInDrain(random *rand.Rand, gateway int) {
-	in.stopBeside(gateway, func(*process) {
+	in.stopWhile(gateway, func(*process) {
 		for range drainChanges {
 			in.configure(random, gateway)
 			pause(random, maxSignalPause)
@@ -129,9 +129,9 @@
 }
 
 // squeeze narrows a gateway's link to the store.
-func (in *injector) squeeze(random *rand.Rand, gateway int) {
+func (in *injector) narrowLink(random *rand.Rand, gateway int) {
 	g := in.fleet.gateways[gateway]
-	g.store.link.set(squeezedLink)
+	g.store.link.set(narrowedLinkRate)
 	pause(random, maxGatewayFault)
 	g.store.link.set(g.linkRate)
 }
@@ -156,24 +156,24 @@
 }
 
 // large adds thousands of routes to the configuration, or takes them away.
-func (in *injector) large(*rand.Rand, int) {
-	in.change(func(next *configuration) {
-		next.Unused = unusedRoutes - next.Unused
+func (in *injector) toggleUnusedRoutes(*rand.Rand, int) {
+	in.changeConfiguration(func(next *configuration) {
+		next.UnusedRoutes = unusedRoutes - next.UnusedRoutes
 	})
 }
 
 // peers impairs the gossip between a gateway and each other one: to it, from it or both.
-func (in *injector) peers(random *rand.Rand, gateway int) {
+func (in *injector) impairGossip(random *rand.Rand, gateway int) {
 	fault := peerFaults[random.IntN(len(peerFaults))]
 	directions := 1 + random.IntN(3) // bits: to it, from it
 	in.logf("peers of %s: %s, directions %02b", in.fleet.gateways[gateway].name, fault.name, directions)
-	in.setPeers(gateway, directions, fault)
+	in.setPeerLinks(gateway, directions, fault)
 	pause(random, maxGatewayFault)
-	in.setPeers(gateway, directions, peerFault{})
+	in.setPeerLinks(gateway, directions, peerFault{})
 }
 
-// setPeers sets what is wrong with the links of a gateway.
-func (in *injector) setPeers(gateway, directions int, fault peerFault) {
+// setPeerLinks sets what is wrong with the links of a gateway.
+func (in *injector) setPeerLinks(gateway, directions int, fault peerFault) {
 	for other := range in.fleet.gateways {
 		if directions&1 != 0 {
 			in.fleet.peers.set(peerLink{from: other, to: gateway}, fault)
@@ -186,9 +186,9 @@
 
 // slowServer enters the server with slow streams into the list for some time.
 func (in *injector) slowServer(random *rand.Rand, _ int) {
-	in.enter(slowServer, stateReady)
+	in.setState(slowServer, stateReady)
 	pause(random, maxServerFault)
-	in.enter(slowServer, stateGone)
+	in.setState(slowServer, stateGone)
 }
 
 // serverHangs makes a server run requests without an answer.
@@ -196,8 +196,8 @@
 	in.serverFault(random, appserver.FaultHang)
 }
 
-// serverLies makes a server refuse all requests although the list says that it is ready.
-func (in *injector) serverLies(random *rand.Rand, _ int) {
+// serverRefuses makes a server refuse all requests although the list says that it is ready.
+func (in *injector) serverRefuses(random *rand.Rand, _ int) {
 	in.serverFault(random, appserver.FaultShed)
 }
 
@@ -215,8 +215,8 @@
 	id := servers[random.IntN(len(servers))]
 	in.post(fmt.Sprintf(`{"server":%q,"fault":%q,"requests":-1}`, id, appserver.FaultReset))
 	pause(random, maxServerFault)
-	in.enter(id, stateGone)
+	in.setState(id, stateGone)
 	pause(random, maxServerFault)
 	in.post(fmt.Sprintf(`{"server":%q,"fault":"","requests":0}`, id))
-	in.enter(id, stateReady)
+	in.setState(id, stateReady)
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -78,8 +78,8 @@
 		return parseSeeds(t, only)
 	}
 	var seeds []uint64
-	for _, one := range kept {
-		seeds = append(seeds, one.seed)
+	for _, entry := range kept {
+		seeds = append(seeds, entry.seed)
 	}
 	text := os.Getenv(seedsVariable)
 	if text == "" {
@@ -116,16 +116,16 @@
 // end, all gateways have to serve again, and every call is checked.
 func soakFleet(f *fleet, p *plan, random *rand.Rand, seed uint64) {
 	in := newInjector(f, p)
-	c := newCallers(f, p, in, seed)
+	c := startCallers(f, p, in, seed)
 	in.run(random, seed)
 	in.clear()
-	if !f.comes(f.allServe) {
+	if !f.waitFor(f.allServe) {
 		f.t.Errorf("this never came: all gateways serve again")
 	}
 	calls := c.finish()
 	checkCalls(f.t, calls, f.runs(), in)
 	checkStops(f.t, in)
-	checkRests(f.t, calls, f.refusals(), in)
+	checkBackoffs(f.t, calls, f.refusals(), in)
 	assert.Assert(f.t, len(calls) > 0)
 	if f.t.Failed() {
 		f.t.Logf("seed %d: %s", seed, strings.Join(in.timeline, "\n"))
--- a/internal/soak/stalls_test.go
+++ b/internal/soak/stalls_test.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// stallTick is how often a stall is looked for.
-	stallTick = 20 * time.Millisecond
+	// stallCheckInterval is how often a stall is looked for.
+	stallCheckInterval = 20 * time.Millisecond
 	// minStall is the time between two ticks from which it counts as a stall:
 	// on an idle machine ticks are late by less than a millisecond.
 	minStall = 50 * time.Millisecond
 )
 
 // A span is a time in which something held.
-type span struct {
+type interval struct {
 	from, until time.Time
 }
 
 // overlap returns how much of a span lies between two times.
-func (s span) overlap(from, until time.Time) time.Duration {
+func (s interval) overlap(from, until time.Time) time.Duration {
 	if s.from.After(from) {
 		from = s.from
 	}
@@ -34,12 +34,12 @@
 // tested had the time either. It may be used from several goroutines.
 type stallRecorder struct {
 	mu     sync.Mutex
-	stalls []span
+	stalls []interval
 }
 
 // run records stalls until stop is closed.
 func (s *stallRecorder) run(stop <-chan struct{}) {
-	ticker := time.NewTicker(stallTick)
+	ticker := time.NewTicker(stallCheckInterval)
 	defer ticker.Stop()
 	last := time.Now()
 	for {
@@ -50,14 +50,14 @@
 		}
 		now := time.Now()
 		if now.Sub(last) >= minStall {
-			s.add(span{from: last.Add(stallTick), until: now})
+			s.add(interval{from: last.Add(stallCheckInterval), until: now})
 		}
 		last = now
 	}
 }
 
 // add records a stall.
-func (s *stallRecorder) add(stall span) {
+func (s *stallRecorder) add(stall interval) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stalls = append(s.stalls, stall)
--- a/internal/soak/superseded_test.go
+++ b/internal/soak/superseded_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// supersededRoutes make a configuration that slowLink does not carry within
+// supersededRoutes make a configuration that slowLinkRate does not carry within
 // bounds.configuration of seriesPlan: 3.9 s for some 2.4 MB.
 const supersededRoutes = 4 * unusedRoutes
 
@@ -21,21 +21,21 @@
 	f := newFleet(t, &seriesPlan, 2)
 	f.eventually("both have a peer", f.peersAlive(1))
 	in := newInjector(f, &seriesPlan)
-	in.change(func(next *configuration) { next.Unused = supersededRoutes })
-	client := &http.Client{Timeout: callTime}
+	in.changeConfiguration(func(next *configuration) { next.UnusedRoutes = supersededRoutes })
+	client := &http.Client{Timeout: callTimeout}
 	defer client.CloseIdleConnections()
 	refused, served := 0, false
-	for limit := time.Now().Add(conditionLimit); !served && time.Now().Before(limit); time.Sleep(conditionPoll) {
+	for limit := time.Now().Add(conditionTimeout); !served && time.Now().Before(limit); time.Sleep(conditionPollInterval) {
 		for _, version := range []int{1, 2} {
-			one := call{id: fmt.Sprintf("%s-%d", probeID(0), version), route: probeRoute(version), probes: version}
-			f.send(client, &one)
-			if problem := checkConfiguration(&one, in.evidence(0)); problem != "" {
+			c := call{id: fmt.Sprintf("%s-%d", probeID(0), version), route: probeRoute(version), probedVersion: version}
+			f.send(client, &c)
+			if problem := checkConfiguration(&c, in.record(0)); problem != "" {
 				t.Errorf("%s", problem)
 			}
-			if one.status == http.StatusServiceUnavailable {
+			if c.status == http.StatusServiceUnavailable {
 				refused++
 			}
-			served = served || version == 2 && one.status == http.StatusOK
+			served = served || version == 2 && c.status == http.StatusOK
 		}
 	}
 	assert.Assert(t, served, "it never serves by the newer version")
