--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -13,36 +13,36 @@
 	"time"
 )
 
-// A call is one request of a caller, and what came of it.
+// A call is one request of a caller, with its outcome.
 type call struct {
 	id            string
 	route         string
-	probedVersion int  // the version whose own route it asks for, or zero
-	gateway       int  // its index in the fleet
-	incarnation   int  // of the gateway, during the whole call; zero if it changed
-	secondKey     bool // with the second client account's key
+	probedVersion int  // the configuration version whose probe route it requests, or 0
+	gateway       int  // index in the fleet
+	incarnation   int  // of the gateway during the whole call; 0 if it changed
+	secondKey     bool // sent with the key of the second client account
 	sent          time.Time
-	written       time.Time // when it was sent whole; zero if it was not
+	written       time.Time // when the request was sent completely; zero if it was not
 	ended         time.Time
-	status        int    // 0 if no answer came
-	server        string // that gave the answer; empty if the gateway did
-	leaving       bool   // the answer says that the server leaves
+	status        int    // 0 if no response arrived
+	server        string // the server that responded; empty if the gateway did
+	leaving       bool   // the response says that the server is leaving
 	body          string
-	closes        bool  // the answer says that the connection is closed
-	err           error // the answer broke off, or none came
+	connClosed    bool  // the response announces that the connection is closed
+	err           error // no response arrived, or it was truncated
 }
 
-// served reports whether the call got an answer with status 200 that looks whole.
+// served reports whether the call got a complete response with status 200.
 func (c *call) served() bool { return c.status == http.StatusOK && c.err == nil }
 
-// idempotent reports whether the call's route is: the own route of a version is, too.
+// idempotent reports whether the call's route is idempotent. Probe routes are.
 func (c *call) idempotent() bool { return c.route == routeSafe || c.probedVersion > 0 }
 
 // callers send requests until they are stopped, and record each call.
 type callers struct {
 	fleet         *fleet
 	plan          *plan
-	newestVersion func() int // the newest version of the configuration
+	newestVersion func() int // returns the newest version of the configuration
 	seed          uint64
 	stop          chan struct{}
 	group         sync.WaitGroup
@@ -58,18 +58,17 @@
 	callTimeout = 4 * time.Second
 )
 
-// A habit is how a caller uses its connections.
+// A callerProfile describes how a caller uses its connections.
 type callerProfile struct {
-	// pause bounds the time between two calls.
+	// maxPause is the longest pause between two calls.
 	maxPause time.Duration
-	// stays says that it stays with its gateway until its connection is closed, and
-	// chooses the next one only then.
+	// sticky makes the caller keep its gateway until the connection is closed.
 	sticky bool
-	// reconnects says that it opens a connection for each call.
+	// reconnects makes the caller open a connection for each call.
 	reconnects bool
 }
 
-// startCallers starts callers.
+// startCallers starts callerCount callers.
 func startCallers(f *fleet, p *plan, in *injector, seed uint64) *callers {
 	c := &callers{fleet: f, plan: p, newestVersion: in.newestVersion, seed: seed, stop: make(chan struct{})}
 	for i := range callerCount {
@@ -78,8 +77,7 @@
 	return c
 }
 
-// run is one caller. It keeps its connections, and uses them until they are closed,
-// unless it has another habit.
+// run runs one caller until the callers are stopped.
 func (c *callers) run(number int) {
 	random := rand.New(rand.NewPCG(c.seed, uint64(number)))
 	profile := c.plan.profiles[number%len(c.plan.profiles)]
@@ -88,7 +86,7 @@
 		Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: profile.reconnects},
 	}
 	defer client.CloseIdleConnections()
-	last := call{closes: true}
+	last := call{connClosed: true}
 	for n := 0; ; n++ {
 		select {
 		case <-c.stop:
@@ -104,7 +102,7 @@
 		if c.plan.initial.HasProbeRoute {
 			c.probeVersion(random, &next)
 		}
-		if profile.sticky && !last.closes && last.err == nil {
+		if profile.sticky && !last.connClosed && last.err == nil {
 			next.gateway = last.gateway
 		}
 		incarnation := c.fleet.gateways[next.gateway].currentIncarnation()
@@ -119,11 +117,11 @@
 	}
 }
 
-// callsPerProbe is one in how many calls that asks for the own route of a version.
+// callsPerProbe is the average number of calls per call to a probe route.
 const callsPerProbe = 4
 
-// probe makes a call one that asks for the own route of the newest version or, in half
-// of the cases, of the one before.
+// probeVersion turns one in callsPerProbe calls into a request for the probe route of the
+// newest version or, with an even chance, of the version before it.
 func (c *callers) probeVersion(random *rand.Rand, next *call) {
 	if random.IntN(callsPerProbe) > 0 {
 		return
@@ -133,8 +131,8 @@
 	next.secondKey = false
 }
 
-// pick picks a gateway as the load balancer does: one that is ready, or any if none is
-// or, for some plans, if fewer than half are.
+// pickGateway picks a gateway as the load balancer does: a ready one, or any gateway if
+// none is ready or, for plans with halfReady, if fewer than half are.
 func (c *callers) pickGateway(random *rand.Rand) int {
 	start := random.IntN(len(c.fleet.gateways))
 	if c.plan.halfReady && 2*c.fleet.readyGateways() < len(c.fleet.gateways) {
@@ -149,8 +147,8 @@
 	return start
 }
 
-// send sends one request and records its answer in the call. It has a method that
-// net/http repeats only if nothing was sent.
+// send sends one request and records its response in the call. It uses POST, which net/http
+// retries only if nothing was sent.
 func (f *fleet) send(client *http.Client, c *call) {
 	url := "http://" + f.gateways[c.gateway].callers + "/" + c.route + "/" + c.id
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader("body of "+c.id))
@@ -166,7 +164,7 @@
 		key = secondKey
 	}
 	request.Header.Set("Authorization", "Bearer "+key)
-	var written atomic.Pointer[time.Time] // net/http may call the trace after the answer
+	var written atomic.Pointer[time.Time] // net/http may call the trace after the response
 	trace := &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
 		if now := time.Now(); info.Err == nil {
 			written.Store(&now)
@@ -186,14 +184,14 @@
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	c.status, c.closes = response.StatusCode, response.Close
+	c.status, c.connClosed = response.StatusCode, response.Close
 	c.server = response.Header.Get("Ryeford-Instance-Id")
 	c.leaving = response.Header.Get("Server-Leaving") == "1"
 	body, err := io.ReadAll(response.Body)
 	c.body, c.err = string(body), err
 }
 
-// finish stops the callers and returns their calls.
+// finish stops the callers and returns all calls.
 func (c *callers) finish() []call {
 	close(c.stop)
 	c.group.Wait()
--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -8,47 +8,47 @@
 	"time"
 )
 
-// A check is one thing that must hold of each call, whatever faults have struck. It
-// returns what is wrong, or nothing.
+// A check is an invariant of each call, whatever faults were injected. It returns a
+// description of the violation, or an empty string.
 type check struct {
 	name      string
 	invariant string
 	check     func(c *call, record *runRecord) string
 }
 
-// basicChecks are the checks of basicPlan. Besides, a run fails if a gateway ends by
-// itself (keep), and if the fleet does not serve again within conditionTimeout after the
-// last fault (soak).
+// basicChecks are the checks of basicPlan. In addition, a run fails if a gateway process
+// exits unexpectedly (supervise), or if the fleet does not serve again within
+// conditionTimeout after the last fault (soakFleet).
 var basicChecks = []check{
-	{"answer", "a 200 carries the whole answer to the call's own request", checkAnswer},
-	{"runs", "a request runs at most once, an idempotent one twice; one refused as not run, never", checkRuns},
-	{"key", "nothing runs whose key was revoked more than bounds.revoke ago", checkKey},
-	{"stop", "a request that ran is cut off only beside a fault that may cut it", checkStop},
-	{"refused", "a gateway that stops takes connections until the load balancer can know", checkRefused},
-	{"departed", "a gateway in touch serves by no server that has drained or left the list for longer than drainBound", checkDeparted},
-	{"withheld", "the same beside a restore of the store, for a server that had done so for longer than drainBound", checkWithheld},
-	{"announced", "a gateway sends nothing more to a server whose answer, passed on by it, has said that it leaves", checkAnnounced},
-	{"evacuated", "no server of a failure domain that was evacuated longer than evacuationBound ago is sent anything, also beside a restore of the store", checkEvacuated},
+	{"answer", "a response with status 200 is the complete response to the call's request", checkAnswer},
+	{"runs", "a request runs at most once, an idempotent one at most twice, and one rejected with a not-run status never", checkRuns},
+	{"key", "no request runs whose key was revoked more than bounds.revoke ago", checkKey},
+	{"stop", "a request that ran is interrupted only during a fault that may interrupt it", checkStop},
+	{"refused", "a gateway that stops accepts connections until the load balancer can have detected that", checkRefused},
+	{"departed", "a gateway in touch uses no server that has been draining or gone from the list for longer than drainBound", checkDeparted},
+	{"withheld", "the same during a restore of the store, for a server that had been draining or gone for longer than drainBound", checkWithheld},
+	{"announced", "a gateway sends no request to a server after it forwarded a response in which that server announced that it is leaving", checkAnnounced},
+	{"evacuated", "no server of a failure domain that was evacuated more than evacuationBound ago gets a request, also during a restore of the store", checkEvacuated},
 }
 
-// evidence is what checks are given besides a call.
+// A runRecord is what checks are given in addition to a call.
 type runRecord struct {
-	runs          int                   // how often the call's request ran, on all servers
-	calls         []call                // of the whole run
-	changes       []configurationChange // of the configuration, in their order
+	runs          int                   // executions of the call's request, on all servers
+	calls         []call                // all calls of the run
+	changes       []configurationChange // in order
 	interruptions []faultWindow
-	outages       []faultWindow // times in which gateways were out of touch
+	outages       []faultWindow // when gateways were out of touch
 	stops         []stop
 	stateChanges  []stateChange
 	bounds        bounds
 	stalls        *stallRecorder
-	// restores are those outages in which the store was restored.
+	// restores are the store restores; each is also an outage.
 	restores      []storeRestore
 	evacuations   []evacuation
 	announcements []announcement
 }
 
-// mayBeInterrupted reports whether a fault could cut a call off although its request ran.
+// mayBeInterrupted reports whether a fault could interrupt a call although its request ran.
 func (r *runRecord) mayBeInterrupted(c *call) bool {
 	for _, window := range r.interruptions {
 		if window.affects(c.gateway) && c.ended.After(window.from.Add(-interruptionMargin)) && c.sent.Before(window.until.Add(interruptionMargin)) {
@@ -58,12 +58,12 @@
 	return false
 }
 
-// strikes reports whether a cut is felt through a gateway.
+// affects reports whether the fault affects calls through a gateway.
 func (w *faultWindow) affects(gateway int) bool {
 	return w.gateway == gateway || w.gateway == allGateways
 }
 
-// checkCalls checks all calls of a run.
+// checkCalls checks all calls of a run and logs a summary.
 func checkCalls(t *testing.T, calls []call, runs map[string]int, in *injector) {
 	t.Helper()
 	served, probes, late := 0, 0, 0
@@ -88,13 +88,13 @@
 			late++
 		}
 	}
-	t.Logf("%d calls, %d served, %d judged by their version, %d late in a stop, %d gateways, %d lines of the timeline, %d steps of the store's clock, stalls of %s",
+	t.Logf("%d calls, %d served, %d checked for their version, %d late in a stop, %d gateways, %d timeline entries, %d steps of the store's clock, %s stalled",
 		len(calls), served, probes, late, len(in.fleet.gateways), len(in.timeline), in.clockSteps.Load(), in.fleet.stalls.between(in.began, time.Now()))
 }
 
-// checkStops checks that each process that was stopped was not ready from then on, so that
-// the load balancer sends callers elsewhere, and that it has ended within its grace period,
-// unless it was frozen meanwhile or the machine stood still.
+// checkStops checks that each stopped gateway reports not ready from then on, so that the
+// load balancer sends callers elsewhere, and exits within its grace period. Stops that
+// another fault disturbed or during which the machine stalled are excluded.
 func checkStops(t *testing.T, in *injector) {
 	t.Helper()
 	record := in.record(0)
@@ -105,20 +105,20 @@
 		}
 		name, signaled := in.fleet.gateways[s.gateway].name, s.signaled.Sub(in.began).Seconds()
 		if s.overdue && record.stalls.between(s.signaled, s.ended) < minStopStall {
-			t.Errorf("stops: %s was still there %s after SIGTERM at %6.3f", name, in.plan.bounds.grace, signaled)
+			t.Errorf("stops: %s was still running %s after SIGTERM at %6.3f", name, in.plan.bounds.grace, signaled)
 		}
-		if s.readyAt != nil && s.readyAt.Sub(s.signaled) > signalMargin+record.stalls.between(s.signaled, *s.readyAt) {
-			t.Errorf("stops: %s was ready %s after SIGTERM at %6.3f", name, s.readyAt.Sub(s.signaled), signaled)
+		if s.lastReadyAt != nil && s.lastReadyAt.Sub(s.signaled) > signalMargin+record.stalls.between(s.signaled, *s.lastReadyAt) {
+			t.Errorf("stops: %s still reported ready %s after SIGTERM at %6.3f", name, s.lastReadyAt.Sub(s.signaled), signaled)
 		}
 	}
 }
 
-// minStopStall is for how long the machine must have stood still in a stop that took longer
-// than its grace period: less than the 0.7 s before its end at which a gateway closes what
-// is open. Any stall was enough before, and beside other work there always is one.
+// minStopStall is the least total stall that excuses a stop for exceeding its grace period.
+// It is less than the 0.7 s before the end of the period at which a gateway closes its open
+// connections.
 const minStopStall = 500 * time.Millisecond
 
-// struck reports whether another fault struck the process of a stop meanwhile.
+// disturbed reports whether another fault affected the process during a stop.
 func (r *runRecord) disturbed(s *stop) bool {
 	end := s.signaled.Add(r.bounds.grace)
 	for _, window := range r.interruptions {
@@ -129,8 +129,7 @@
 	return false
 }
 
-// evidence returns what the checks are given besides a call whose request has run some
-// times.
+// record returns the record for a call whose request ran the given number of times.
 func (in *injector) record(runs int) *runRecord {
 	return &runRecord{
 		runs:          runs,
@@ -144,23 +143,23 @@
 	}
 }
 
-// checkAnswer checks that a success is the whole answer to the call's own request: a
-// stream with all of its events, or a plain answer that names the request. Servers of
-// streams give plain answers too, under some faults.
+// checkAnswer checks that a response with status 200 is the complete response to the call's
+// own request: a stream with all its events, or a plain response that names the request.
+// Servers of streams also give plain responses under some faults.
 func checkAnswer(c *call, _ *runRecord) string {
 	if !c.served() || strings.HasPrefix(c.body, "answer to "+c.id+" of ") {
 		return ""
 	}
 	if c.route != routeStream {
-		return fmt.Sprintf("a foreign or broken answer: %q", c.body)
+		return fmt.Sprintf("response to another request, or corrupted: %q", c.body)
 	}
 	if c.body != completeStream() {
-		return fmt.Sprintf("a stream that is not whole looks complete: %q", c.body)
+		return fmt.Sprintf("incomplete stream was delivered as complete: %q", c.body)
 	}
 	return ""
 }
 
-// completeStream returns the body of a stream with all of its events.
+// completeStream returns the body of a stream with all its events.
 func completeStream() string {
 	var whole strings.Builder
 	for event := 1; event <= streamEvents; event++ {
@@ -169,7 +168,7 @@
 	return whole.String()
 }
 
-// notRunStatuses are the statuses that promise a caller that its request has not run.
+// notRunStatuses are the statuses that guarantee that the request has not run.
 var notRunStatuses = map[int]bool{
 	http.StatusServiceUnavailable: true,
 	http.StatusTooManyRequests:    true,
@@ -177,8 +176,8 @@
 	http.StatusMisdirectedRequest: true,
 }
 
-// checkRuns checks that a request ran no more often than it may, not at all if the
-// caller was told so, and at least once if it was served.
+// checkRuns checks that a request ran no more often than its route allows, not at all if
+// the status guarantees that, and at least once if it was served.
 func checkRuns(c *call, record *runRecord) string {
 	limit := 1
 	if c.idempotent() {
@@ -190,13 +189,13 @@
 	case notRunStatuses[c.status] && record.runs > 0:
 		return fmt.Sprintf("status %d, but it ran", c.status)
 	case c.status == http.StatusOK && record.runs == 0:
-		return "answered, but it never ran"
+		return "status 200, but it never ran"
 	}
 	return ""
 }
 
-// checkKey checks that a call that ran was not sent with a key that had been revoked
-// for longer than the bound, and still was when the call ended.
+// checkKey checks that no call ran with a key that had been revoked for longer than
+// bounds.revoke when the call was sent and was still revoked when it ended.
 func checkKey(c *call, record *runRecord) string {
 	if !c.secondKey || record.runs == 0 {
 		return ""
@@ -213,18 +212,18 @@
 	return ""
 }
 
-// interruptionMargin is how long before and after a fault a broken call is put down to
-// it: some times what a signal or a reset takes to be seen at the other end.
+// interruptionMargin is how long before and after a fault an interrupted call is attributed
+// to it. It covers the delay until a signal or a reset is noticed at the other end.
 const interruptionMargin = time.Second
 
-// checkStop checks that a request that ran was not cut off, unless a fault could do
-// that. A planned stop can't.
+// checkStop checks that a request that ran was interrupted only if a fault may do that. A
+// planned stop may not.
 func checkStop(c *call, record *runRecord) string {
 	if c.err == nil || record.runs == 0 || c.ended.Sub(c.sent) >= callTimeout {
-		return "" // nothing is wrong, nothing ran, or the caller's own time was over
+		return "" // success, never ran, or the caller timed out
 	}
 	if record.mayBeInterrupted(c) {
 		return ""
 	}
-	return fmt.Sprintf("cut off though nothing but stops could strike it: %v", c.err)
+	return fmt.Sprintf("interrupted though no fault but a stop affected it: %v", c.err)
 }
--- a/internal/soak/configuration_test.go
+++ b/internal/soak/configuration_test.go
@@ -7,39 +7,39 @@
 
 // The routes of the configuration, by which the checks judge.
 const (
-	routeOnce   = "once"   // may run once: a request that may not be repeated
+	routeOnce   = "once"   // not idempotent: may run once
 	routeSafe   = "safe"   // idempotent
-	routeStream = "stream" // may run once, and answers with a stream of events
+	routeStream = "stream" // not idempotent; the response is a stream of events
 )
 
 var routes = []string{routeOnce, routeSafe, routeStream}
 
 const (
-	// maxAttempts is the most runs of an idempotent request, on its route.
+	// maxAttempts is the maximum number of runs of an idempotent request.
 	maxAttempts = 2
 	// host is the host of all routes.
 	host = "h.example"
-	// firstKey is always valid; secondKey is revoked now and then.
+	// firstKey is always valid; faults revoke secondKey and restore it.
 	firstKey  = "bank-key"
 	secondKey = "church-key"
 )
 
-// A configuration is what the operators have set: its version, and whether the second
-// client account has its key.
+// A configuration is a version of the platform's configuration. SecondKey says whether the
+// second client account has its key.
 type configuration struct {
 	Version   int
 	SecondKey bool
-	// Probed says that it has a public route that no other version has (probeRoute).
+	// HasProbeRoute adds a public route that no other version has (probeRoute).
 	HasProbeRoute bool
-	// Unused is how many routes it has that no caller uses.
+	// UnusedRoutes is the number of routes that no caller uses.
 	UnusedRoutes int
 }
 
-// probeRoute returns the name of the route that only one version has. The answer to a
-// request on it shows whether that version is in force.
+// probeRoute returns the name of the route that only one version has. The response to a
+// request for it shows whether that version is in force.
 func probeRoute(version int) string { return fmt.Sprintf("probe-%d", version) }
 
-// content returns the configuration in the platform's JSON.
+// content returns the configuration as the platform's JSON.
 func (c configuration) content() string {
 	accounts := fmt.Sprintf(`{"name":"bank","apiKeys":[%q]}`, firstKey)
 	if c.SecondKey {
@@ -62,7 +62,7 @@
 "tenants":[%[4]s]}`, c.Version, host, maxAttempts, accounts, extra.String())
 }
 
-// extraRouteFormat is the form of a further route to the plain service: its name, which is also
-// its path, its host, and whether it is public.
+// extraRouteFormat is the format of an additional route to the plain service: its name,
+// which is also its path, its host, and whether it is public.
 const extraRouteFormat = `,
 {"name":%[1]q,"host":%[2]q,"pathPrefix":"/%[1]s/","kind":"safe","service":"plain","timeoutMs":3000,"goalMs":500,"priority":1,"maxAttempts":2,"public":%[3]t}`
--- a/internal/soak/crashingrequests_test.go
+++ b/internal/soak/crashingrequests_test.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// poisonBody is the body that ends a server, and poisonKinds how many different requests have it.
+	// poisonBody is the request body that crashes a server, and poisonKinds is the number
+	// of different poison requests that carry it.
 	poisonBody  = "ends what runs it"
 	poisonKinds = 4
-	// poisonPause bounds the time between two requests of one kind, and poisonDuration is for how long
-	// they come.
+	// poisonPause bounds the pause between two requests of one kind, and poisonDuration is
+	// how long they are sent.
 	poisonPause    = 150 * time.Millisecond
 	poisonDuration = 12 * time.Second
-	// maxLateRuns is how many requests of a kind may reach servers once three have ended by them and
-	// the time of contact has passed.
+	// maxLateRuns is the maximum number of requests of a kind that may reach servers after
+	// three of them crashed a server and bounds.contact has elapsed.
 	maxLateRuns = 3
 )
 
-// TestCrashingRequests checks, with processes, that requests which end what runs them stop reaching
-// servers, though there are several kinds of them at once, though they come to any gateway, and though
-// gateways are killed and start again meanwhile; and that no other request is held for them, not
-// even one with their path or of their account.
+// TestCrashingRequests guards against poison requests that are not quarantined while
+// several kinds arrive at all gateways and gateways are killed, and against a quarantine of
+// other requests with the same path or client account.
 func TestCrashingRequests(t *testing.T) {
 	const seed = 1
 	f := newFleet(t, &basicPlan, 3)
@@ -45,34 +45,35 @@
 	group.Go(func() { otherCount = c.sendOthers(rand.New(rand.NewPCG(seed, poisonKinds))) })
 	for i := range f.gateways {
 		time.Sleep(poisonDuration / 5)
-		<-f.gateways[i].end(syscall.SIGKILL).done // it is started again
+		<-f.gateways[i].end(syscall.SIGKILL).done // the fleet restarts it
 	}
 	group.Wait()
 	runs, ended := f.runs(), 0
 	for kind := range poisonKinds {
 		sent, ran, late := c.countRuns(kind, runs)
-		t.Logf("kind %d: %d sent, %d ended a server, %d of them late", kind, sent, ran, late)
+		t.Logf("kind %d: %d sent, %d crashed a server, %d of them late", kind, sent, ran, late)
 		assert.Check(t, late <= maxLateRuns, "kind %d: %d late", kind, late)
 		ended += ran
 	}
-	// A kind may be held sooner, by requests that ran beside those of another one.
-	assert.Assert(t, ended >= 2*poisonKinds, "only %d requests have ended a server", ended)
+	// A kind may be quarantined earlier if its requests ran at the same time as those of
+	// another.
+	assert.Assert(t, ended >= 2*poisonKinds, "only %d requests crashed a server", ended)
 	t.Logf("%d other requests", otherCount)
 	assert.Assert(t, otherCount > 0)
-	assert.Equal(t, len(c.held), 0, "other requests were held: %v", c.held)
+	assert.Equal(t, len(c.held), 0, "requests that crash nothing were held: %v", c.held)
 }
 
-// poisonSenders send requests that end servers, and others beside them.
+// poisonSenders send poison requests and other requests at the same time.
 type poisonSenders struct {
 	fleet *fleet
 	until time.Time
 
 	mu   sync.Mutex
 	sent []poisonRequest
-	held []string // other requests that were held
+	held []string // IDs of other requests that were held
 }
 
-// A crashing is one request that ends what runs it.
+// A poisonRequest is one sent request that crashes the server that runs it.
 type poisonRequest struct {
 	id          string
 	kind        int
@@ -92,8 +93,8 @@
 	}
 }
 
-// sendOthers sends requests with the paths of those that end servers and other bodies, some the
-// same again and again. It returns how many there were.
+// sendOthers sends requests with the paths of the poison requests but other bodies, which
+// repeat. It returns the number of requests.
 func (c *poisonSenders) sendOthers(random *rand.Rand) int {
 	n := 0
 	for ; time.Now().Before(c.until); n++ {
@@ -109,7 +110,8 @@
 	return n
 }
 
-// post sends a request to any gateway, and returns the head of the response; nil if none came.
+// post sends a request to a random gateway and returns the head of the response, or nil if
+// none arrived.
 func (c *poisonSenders) post(random *rand.Rand, id, path, body string) *http.Response {
 	g := c.fleet.gateways[random.IntN(len(c.fleet.gateways))]
 	request, err := http.NewRequest(http.MethodPost, "http://"+g.callers+path, strings.NewReader(body))
@@ -129,8 +131,8 @@
 	return response
 }
 
-// late returns how many requests of a kind were sent, how many of them ended a server, and how many of
-// these were sent later than the time of contact after the third had.
+// countRuns returns how many requests of a kind were sent, how many of them crashed a
+// server, and how many of these were sent more than bounds.contact after the third crash.
 func (c *poisonSenders) countRuns(kind int, runs map[string]int) (sent, ran, late int) {
 	var reached []poisonRequest
 	for _, request := range c.sent {
--- a/internal/soak/crowd_test.go
+++ b/internal/soak/crowd_test.go
@@ -13,18 +13,17 @@
 )
 
 const (
-	// crowdVariable makes TestSoakCrowd run. It is the most gateways that it starts.
+	// crowdVariable enables TestSoakCrowd. Its value is the maximum number of gateways.
 	crowdVariable = "RYEFORD_SOAK_CROWD"
-	// maxProcesses bounds the processes of one run, the emulator and the test included.
+	// maxProcesses bounds the processes of one run, including the emulator and the test.
 	maxProcesses = 200
-	// processMemory is what one gateway may need, in bytes. Among 125 gateways without the
-	// race detector, the largest had 27 MB resident.
+	// processMemory is the memory reserved for one gateway, in bytes.
 	processMemory = 64 << 20
 )
 
-// TestSoakCrowd runs one fleet of seriesPlan with many gateways, from a fresh seed: as
-// many as RYEFORD_SOAK_CROWD says, but no more than maxProcesses and half of the
-// machine's memory allow. It is for runs by hand only.
+// TestSoakCrowd runs one fleet of seriesPlan with many gateways and a fresh seed. The
+// number is limited by RYEFORD_SOAK_CROWD, maxProcesses and half of the machine's memory.
+// It is skipped unless the variable is set.
 func TestSoakCrowd(t *testing.T) {
 	text := os.Getenv(crowdVariable)
 	if text == "" {
--- a/internal/soak/departed_test.go
+++ b/internal/soak/departed_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// checkDeparted checks that a call was not answered by a server that takes no requests.
+// checkDeparted checks that a gateway in touch used no server that was draining or gone.
 func checkDeparted(c *call, record *runRecord) string {
 	if !record.inTouch(c) {
 		return ""
@@ -13,8 +13,9 @@
 	return record.answeredByUnavailable(c)
 }
 
-// answeredByUnavailable returns what is wrong with a call that was answered by a server which had drained or left the list
-// for longer than drainBound when the call was sent, and was not back by its end.
+// answeredByUnavailable describes the violation if a call was answered by a server that had
+// been draining or gone for longer than drainBound when the call was sent, and was not
+// ready again by its end.
 func (r *runRecord) answeredByUnavailable(c *call) string {
 	if c.server == "" {
 		return ""
@@ -33,8 +34,8 @@
 	return ""
 }
 
-// readyAgain reports whether a server that takes no requests since the i-th change was in the
-// list as ready again by some time.
+// readyAgain reports whether the server of the i-th state change was listed as ready again
+// by the given time.
 func (r *runRecord) readyAgain(i int, by time.Time) bool {
 	for _, later := range r.stateChanges[i+1:] {
 		if later.server == r.stateChanges[i].server && later.state == stateReady && later.sent.Before(by) {
--- a/internal/soak/evacuationfaults_test.go
+++ b/internal/soak/evacuationfaults_test.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// evacuationFaults strike beside the others, from a generator of their own, so that the kept seeds draw
-// the same others as before them.
+// evacuationFaults have a random generator of their own, so that other faults of a seed are
+// drawn independently of them.
 var evacuationFaults = []fault{
 	{"evacuation", "a failure domain is evacuated for 2 to 4 s, longer than evacuationBound", affectsNone, affectsNone, (*injector).evacuate},
 }
 
 const (
-	// evacuationStream is the stream of a seed's random numbers from which evacuationFaults are drawn.
+	// evacuationStream is the stream of a seed's random numbers for evacuationFaults.
 	evacuationStream = 1 << 19
-	// maxBetweenEvacuations is the longest time between the beginnings of two evacuationFaults.
+	// maxBetweenEvacuations is the longest time between the starts of two evacuationFaults.
 	maxBetweenEvacuations = 6 * time.Second
 	minEvacuation         = 2 * time.Second
-	maxEvacuation         = 2 * time.Second // beyond the least
-	// evacuationBound is bounds.configuration of seriesPlan, which is the longer one, for both plans.
+	maxEvacuation         = 2 * time.Second // in addition to minEvacuation
+	// evacuationBound is the time within which gateways must apply an evacuation. It is
+	// bounds.configuration of seriesPlan, the longer of the two plans'.
 	evacuationBound = 3 * time.Second
 )
 
-// An evacuated is a time in which evacuatedDomain was evacuated.
+// An evacuation is a time in which evacuatedDomain was evacuated.
 type evacuation struct {
-	accepted  time.Time // the order
-	withdrawn time.Time // when its withdrawal was sent
+	accepted  time.Time // when the store had accepted the order
+	withdrawn time.Time // when the withdrawal was sent
 }
 
-// evacuate evacuates a failure domain for some time. Evacuations come one after the other.
+// evacuate evacuates a failure domain for some time. Evacuations do not overlap.
 func (in *injector) evacuate(random *rand.Rand, _ int) {
 	in.evacuating.Lock()
 	defer in.evacuating.Unlock()
@@ -43,8 +44,8 @@
 	in.post(fmt.Sprintf(`{"withdraw":%q}`, evacuatedDomain))
 }
 
-// checkEvacuated checks that no call was sent to a server of an evacuated failure domain later than
-// evacuationBound after the order, also while the store was restored.
+// checkEvacuated checks that no call was sent to a server of an evacuated failure domain
+// later than evacuationBound after the order, also during a restore of the store.
 func checkEvacuated(c *call, record *runRecord) string {
 	if c.server == "" || domainOf(c.server) != evacuatedDomain || !record.inTouchIgnoringRestores(c) {
 		return ""
--- a/internal/soak/extrafaults_test.go
+++ b/internal/soak/extrafaults_test.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// extraFaults strike beside the others, from a generator of their own, so that the kept
-// seeds draw the same others as before them.
+// extraFaults have a random generator of their own, so that other faults of a seed are
+// drawn independently of them.
 //
-// The first are clocks: all that a gateway is told of the time by others. Its own time of day
-// can't be set here: that takes root, and the clock of the machine is everyone's.
-// TestSteadyClock (at the root of the module) proves from the code that no decision depends
-// on it. After a freeze a process finds that its steady clock has jumped.
+// The first three concern the clocks that gateways receive from others. A gateway's own
+// wall clock can't be changed here; TestSteadyClock, at the root of the module, checks that
+// no decision depends on it.
 var extraFaults = []fault{
 	{"store clock rate", "the store's clock is up to 5 % too fast or too slow, up to 3 s", affectsNone, affectsNone, (*injector).storeClockRate},
-	{"store clock step", "the store's clock starts anew, 15 s or more before or after", affectsNone, affectsNone, (*injector).storeClockStep},
-	{"dates", "the store and the servers state another day in their answers, up to 3 s", affectsNone, affectsNone, (*injector).dates},
-	{"store lags", "every second read of the store shows the state of the fault's beginning, up to 3 s; the configuration changes meanwhile", affectsNone, affectsAll, (*injector).lagStore},
-	{"long drain", "a server drains for 2 to 4 s, longer than drainBound, and is back", affectsNone, affectsNone, (*injector).longDrain},
+	{"store clock step", "the store's clock is reset, 15 s or more forward or back", affectsNone, affectsNone, (*injector).storeClockStep},
+	{"dates", "the store and the servers send a wrong Date in their responses, up to 3 s", affectsNone, affectsNone, (*injector).dates},
+	{"store lags", "every second read of the store returns the state at the start of the fault, up to 3 s; the configuration changes meanwhile", affectsNone, affectsAll, (*injector).lagStore},
+	{"long drain", "a server drains for 2 to 4 s, longer than drainBound, and is ready again", affectsNone, affectsNone, (*injector).longDrain},
 }
 
 const (
-	// extraStream is the stream of a seed's random numbers from which extraFaults are drawn.
+	// extraStream is the stream of a seed's random numbers for extraFaults.
 	extraStream = 1 << 16
-	// maxBetweenExtraFaults is the longest time between the beginnings of two extraFaults.
+	// maxBetweenExtraFaults is the longest time between the starts of two extraFaults.
 	maxBetweenExtraFaults = 2 * time.Second
-	// maxClockError is by how much the store's clock is too fast or too slow. In the whole
-	// of a run that makes 0.3 s, less than the margin of 0.5 s that gateways leave at the
-	// end of a lease; the platform promises a steady clock.
+	// maxClockError is the largest rate error of the store's clock. Over a whole run it
+	// adds up to 0.3 s, less than the margin of 0.5 s that gateways keep at the end of a
+	// lease.
 	maxClockError = 0.05
-	// firstClockStep is the first step of the store's clock in a run. It is longer than
-	// the 10 s from which gateways take the clock for one that has started anew.
+	// firstClockStep is the first step of the store's clock in a run. It is longer than the
+	// 10 s from which gateways treat the clock as reset.
 	firstClockStep = 15 * time.Second
-	// minLongDrain is the least time of a long drain, and maxLongDrain the most beyond it.
+	// minLongDrain is the least time of a long drain, and maxLongDrain the most in
+	// addition.
 	minLongDrain = 2 * time.Second
 	maxLongDrain = 2 * time.Second
-	// maxDateError is by how much the day that is stated may be wrong.
+	// maxDateError is the largest error of the Date header.
 	maxDateError = 10 * 365 * 24 * time.Hour
 )
 
-// drawExtraFaults draws those of one run: each kind with an even chance.
+// drawExtraFaults draws the extra faults of one run, each kind with an even chance.
 func drawExtraFaults(random *rand.Rand) []fault {
 	var drawn []fault
 	for _, kind := range extraFaults {
@@ -59,8 +59,8 @@
 }
 
 // storeClockStep makes the store's clock jump forward or back. Each step is twice as long
-// as the one before, so that no two of them come near to cancelling out: a short step is
-// none that a steady clock takes, also if it starts anew.
+// as the one before, so that steps never add up to a short one, which no clock reset
+// causes.
 func (in *injector) storeClockStep(random *rand.Rand, _ int) {
 	by := firstClockStep << (in.clockSteps.Add(1) - 1)
 	if random.IntN(2) == 0 {
@@ -69,7 +69,7 @@
 	in.post(fmt.Sprintf(`{"clock_step":%d}`, by))
 }
 
-// dates makes all answers state another day for some time.
+// dates makes all responses state a wrong date for some time.
 func (in *injector) dates(random *rand.Rand, _ int) {
 	wrong := time.Now().Add(time.Duration(random.Int64N(int64(2*maxDateError))) - maxDateError)
 	in.post(fmt.Sprintf(`{"date":%q}`, wrong.UTC().Format(time.RFC1123)))
@@ -77,12 +77,12 @@
 	in.post(`{"date":""}`)
 }
 
-// lagStore makes the store answer every second read of a connection as a replica that
-// gets no changes would, for some time. The configuration changes at the beginning of that.
+// lagStore makes the store answer every second read of a connection like a replica that
+// receives no changes, for some time. The configuration changes at the beginning.
 //
-// No connection begins with such an answer: from it a process that has just started could
-// not tell that it is stale, and would serve a revoked key for as long as its lease (seed
-// 104936069 of TestSoak). The platform's store never gives one.
+// The first read of a connection is never stale, as on the platform: a gateway that has
+// just started could not detect that, and would accept a revoked key until its lease
+// expires.
 func (in *injector) lagStore(random *rand.Rand, gateway int) {
 	in.post(`{"lagging":true}`)
 	in.configure(random, gateway)
@@ -90,7 +90,7 @@
 	in.post(`{"lagging":false}`)
 }
 
-// longDrain makes a server drain for so long that checkDeparted judges who still sends to it.
+// longDrain makes a server drain for longer than drainBound, for checkDeparted.
 func (in *injector) longDrain(random *rand.Rand, _ int) {
 	id := servers[random.IntN(len(servers))]
 	in.setState(id, stateDraining)
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -11,44 +11,44 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// A fault is a kind of fault. It lasts until inject returns.
+// A fault is a kind of fault. It is active until inject returns.
 type fault struct {
 	name         string
 	description  string
-	mayInterrupt scope
-	disturbs     scope // the gateways that are out of touch meanwhile: none, one, or all
+	mayInterrupt scope // the gateways through which requests may be interrupted although they ran
+	disturbs     scope // the gateways that are out of touch during the fault
 	inject       func(in *injector, random *rand.Rand, gateway int)
 }
 
-// A reach says which requests a fault may cut off although they have run.
+// A scope says which gateways an effect of a fault concerns.
 type scope int
 
 const (
-	affectsNone    scope = iota // none
-	affectsGateway              // those through the gateway that it strikes
-	affectsAll                  // those through any gateway
+	affectsNone    scope = iota // no gateway
+	affectsGateway              // the gateway at which the fault is injected
+	affectsAll                  // all gateways
 )
 
-// basicFaults are the faults of basicPlan. A seed draws from them by their index, so rows
-// keep their order, and are repeated if a fault is to come more often.
+// basicFaults are the faults of basicPlan. A seed draws from them by index, so rows keep
+// their order. Repeated rows make a fault more frequent.
 var basicFaults = []fault{
-	{"kill", "kill a gateway; it starts anew", affectsGateway, affectsGateway, (*injector).kill},
-	{"stop", "SIGTERM to a gateway, a planned stop; it starts anew", affectsNone, affectsGateway, (*injector).stop},
+	{"kill", "kill a gateway; it is restarted", affectsGateway, affectsGateway, (*injector).kill},
+	{"stop", "SIGTERM to a gateway, a planned stop; it is restarted", affectsNone, affectsGateway, (*injector).stop},
 	{"freeze", "SIGSTOP to a gateway, SIGCONT after up to 3 s", affectsGateway, affectsGateway, (*injector).freeze},
-	{"hangup", "SIGHUP to a gateway, which reads its settings again", affectsNone, affectsNone, (*injector).hangup},
-	{"link", "a gateway's way to the store silent, mute one way, slow or reset, up to 3 s", affectsNone, affectsGateway, (*injector).link},
+	{"hangup", "SIGHUP to a gateway, which reloads its settings", affectsNone, affectsNone, (*injector).hangup},
+	{"link", "a gateway's link to the store is silent, blocked one way, slow or reset, up to 3 s", affectsNone, affectsGateway, (*injector).link},
 	{"link", "the same", affectsNone, affectsGateway, (*injector).link},
-	{"store", "the store refuses, hangs, is slow, sends its feeds no changes or forgets its history, up to 3 s", affectsNone, affectsAll, (*injector).store},
+	{"store", "the store refuses, hangs, is slow, sends no changes to feeds or drops its history, up to 3 s", affectsNone, affectsAll, (*injector).store},
 	{"server", "a server misbehaves for 1 to 20 requests, up to 1.5 s", affectsAll, affectsNone, (*injector).server},
 	{"server", "the same", affectsAll, affectsNone, (*injector).server},
-	{"leave", "a server drains, is perhaps gone, and is back", affectsNone, affectsNone, (*injector).leave},
-	{"configure", "the second account's key is revoked, or valid again", affectsNone, affectsNone, (*injector).configure},
+	{"leave", "a server drains, in half of the cases deregisters, and is ready again", affectsNone, affectsNone, (*injector).leave},
+	{"configure", "the second client account's key is revoked or restored", affectsNone, affectsNone, (*injector).configure},
 	{"configure", "the same", affectsNone, affectsNone, (*injector).configure},
 }
 
-// The longest that faults last. Each lasts a time that is drawn below.
+// Maximum durations of faults. Each fault draws its duration below them.
 const (
-	maxGatewayFault = 3 * time.Second // freezes and cut links outlast the lease of basicPlan
+	maxGatewayFault = 3 * time.Second // freezes and cut links may outlast the lease of basicPlan
 	maxStoreFault   = 3 * time.Second
 	maxServerFault  = 1500 * time.Millisecond
 )
@@ -58,17 +58,17 @@
 	<-in.fleet.gateways[gateway].end(syscall.SIGKILL).done
 }
 
-// stop stops a gateway as planned, and kills it if it outlasts its grace period. Then
-// it may cut off requests after all.
+// stop stops a gateway as planned. A gateway that exceeds its grace period is killed, which
+// may interrupt requests.
 func (in *injector) stop(_ *rand.Rand, gateway int) {
 	in.stopWhile(gateway, func(*process) {})
 }
 
-// stopWhile stops a gateway as planned while something else is done to its process.
+// stopWhile stops a gateway as planned while action runs with its process.
 func (in *injector) stopWhile(gateway int, action func(p *process)) {
 	p := in.fleet.gateways[gateway].end(syscall.SIGTERM)
 	if p.ended() {
-		return // it had ended before, and its successor is not there yet
+		return // the process had already ended and is not restarted yet
 	}
 	signaled, overdue := time.Now(), false
 	var group sync.WaitGroup
@@ -80,14 +80,14 @@
 		p.signal(syscall.SIGKILL)
 		<-p.done
 		in.addInterruption(gateway, killed)
-		in.logf("%s has outlasted its grace period", in.fleet.gateways[gateway].name)
+		in.logf("%s exceeded its grace period and was killed", in.fleet.gateways[gateway].name)
 		overdue = true
 	}
-	in.addStop(stop{gateway: gateway, signaled: signaled, ended: time.Now(), readyAt: p.readyAt.Load(), overdue: overdue})
+	in.addStop(stop{gateway: gateway, signaled: signaled, ended: time.Now(), lastReadyAt: p.lastReadyAt.Load(), overdue: overdue})
 	group.Wait()
 }
 
-// freeze stops a gateway's process and lets it go on.
+// freeze suspends a gateway's process for some time.
 func (in *injector) freeze(random *rand.Rand, gateway int) {
 	p := in.fleet.gateways[gateway].current()
 	p.signal(syscall.SIGSTOP)
@@ -95,15 +95,15 @@
 	p.signal(syscall.SIGCONT)
 }
 
-// hangup makes a gateway read its settings again. A process that has not logged its
-// first line yet is left alone: it can't have caught the signal.
+// hangup makes a gateway reload its settings. A process that has not logged its first line
+// is left alone, as it may not handle the signal yet.
 func (in *injector) hangup(_ *rand.Rand, gateway int) {
 	if p := in.fleet.gateways[gateway].starting(); p != nil {
 		p.signal(syscall.SIGHUP)
 	}
 }
 
-// link impairs the way between a gateway and the store.
+// link impairs the link between a gateway and the store.
 func (in *injector) link(random *rand.Rand, gateway int) {
 	toStore := in.fleet.gateways[gateway].store
 	mode := proxyMode(1 + random.IntN(int(proxyModes)-1))
@@ -113,13 +113,13 @@
 	toStore.set(proxyPass)
 }
 
-// storeFaults are what the store does wrong, as changes of the emulator.
+// storeFaults are store failures, as changes of the emulator.
 var storeFaults = []string{
 	`{"store":{"status":503}}`,
 	`{"store":{"status":429}}`,
 	`{"store":{"silent":true}}`,
 	`{"store":{"slow":150000000}}`, // 150 ms
-	`{"store":{"deaf_feed":true}}`, // feeds get no changes
+	`{"store":{"deaf_feed":true}}`, // feeds receive no changes
 	`{"forget_history":true}`,
 }
 
@@ -130,14 +130,14 @@
 	in.post(`{"store":{}}`)
 }
 
-// serverFaults are what servers do wrong.
+// serverFaults are server failures.
 var serverFaults = []appserver.Fault{
 	appserver.FaultShed, appserver.FaultErrors, appserver.FaultBusy, appserver.FaultHang, appserver.FaultReset,
 	appserver.FaultCut, appserver.FaultExtra, appserver.FaultUnsigned, appserver.FaultEncoded, appserver.FaultForeign,
 	appserver.FaultGarbage, appserver.FaultUnframed,
 }
 
-// maxFaultyRequests is the most requests that meet one fault of a server.
+// maxFaultyRequests is the maximum number of requests that one server fault affects.
 const maxFaultyRequests = 20
 
 // server makes a server misbehave for some requests.
@@ -149,8 +149,7 @@
 	in.post(fmt.Sprintf(`{"server":%q,"fault":"","requests":0}`, id))
 }
 
-// leave makes a server announce that it drains, in half of the cases deregister, and
-// come back.
+// leave makes a server drain, deregister in half of the cases, and become ready again.
 func (in *injector) leave(random *rand.Rand, _ int) {
 	id := servers[random.IntN(len(servers))]
 	in.setState(id, stateDraining)
@@ -162,14 +161,13 @@
 	in.setState(id, stateReady)
 }
 
-// configure changes the configuration: the second account's key is revoked or valid
-// again.
+// configure revokes the second client account's key, or restores it.
 func (in *injector) configure(_ *rand.Rand, _ int) {
 	in.changeConfiguration(func(next *configuration) { next.SecondKey = !next.SecondKey })
 }
 
-// change makes the next version of the configuration. Changes are made one after the
-// other.
+// changeConfiguration publishes the next version of the configuration. Changes do not
+// overlap.
 func (in *injector) changeConfiguration(edit func(next *configuration)) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/internal/soak/fleet_test.go
+++ b/internal/soak/fleet_test.go
@@ -20,33 +20,33 @@
 )
 
 const (
-	// conditionTimeout ends a run whose condition never comes. It decides no verdict on
-	// speed.
-	conditionTimeout = 30 * time.Second
-	// conditionPollInterval is how often a condition is looked at.
+	// conditionTimeout bounds the wait for a condition. It is no performance requirement.
+	conditionTimeout      = 30 * time.Second
 	conditionPollInterval = 10 * time.Millisecond
-	// streamEvents is how many events each stream has.
+	// streamEvents is the number of events of each stream.
 	streamEvents = 20
 )
 
-// servers are the emulator's servers: three of the plain service, three of the model.
+// servers are the emulator's servers: three of the plain service, three of the model
+// service.
 var servers = []string{"p1", "p2", "p3", "m1", "m2", "m3"}
 
 const (
-	// serverFormat is the form of a server in the emulator's settings.
+	// serverFormat is the format of a server in the emulator's settings.
 	serverFormat = "    - {id: %s, service: %s, address: %q, failure_domain: %s, events: %d, step: %s}\n"
-	// slowServer is a further server of the model, whose streams take 3 s. It is in the
-	// list at times only, so that gateways don't expect streams to take that long.
+	// slowServer is an additional server of the model service whose streams take 3 s. It is
+	// listed only temporarily, so that gateways don't learn to expect such durations.
 	slowServer = "slow"
-	// fastStep and slowStep are the times between the events of streams.
+	// fastStep and slowStep are the intervals between the events of streams.
 	fastStep = 5 * time.Millisecond
 	slowStep = 150 * time.Millisecond
 )
 
-// isModel reports whether a server is of the model.
+// isModel reports whether a server belongs to the model service.
 func isModel(id string) bool { return strings.HasPrefix(id, "m") }
 
-// evacuatedDomain is the failure domain of one server of each service; the others are in domain a.
+// evacuatedDomain is the failure domain of one server of each service. The others are in
+// domain a.
 const evacuatedDomain = "b"
 
 // domainOf returns a server's failure domain.
@@ -57,22 +57,22 @@
 	return "a"
 }
 
-// A fleet is an emulator of the platform and some gateways, each a process.
+// A fleet is an emulator of the platform and several gateways, each a process.
 type fleet struct {
 	t        *testing.T
 	dir      string
-	admin    string // the address by which the emulator is changed
+	admin    string // the emulator's admin address
 	emulator *process
 	gateways []*gateway
 	bounds   bounds
-	linkRate int // of every second gateway's link to the store
+	linkRate int // of the link to the store of every second gateway, in bytes per second; 0 means no limit
 	peers    peerLinks
 	stalls   stallRecorder
 	stop     chan struct{}
 	group    sync.WaitGroup
 }
 
-// newFleet starts a fleet of a plan and waits until it serves.
+// newFleet starts a fleet for a plan and waits until it serves.
 func newFleet(t *testing.T, p *plan, gateways int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, dir: t.TempDir(), admin: freeport.Next().String(), bounds: p.bounds, linkRate: p.linkRate, stop: make(chan struct{})}
@@ -115,7 +115,7 @@
 	f.emulator, err = start(&lockedBuffer{}, "standin", "run", "--settings", settings)
 	assert.NilError(f.t, err)
 	f.eventually("the emulator serves", func() bool {
-		assert.Assert(f.t, !f.emulator.ended(), "the emulator has ended: %v", f.emulator.err)
+		assert.Assert(f.t, !f.emulator.ended(), "the emulator exited: %v", f.emulator.err)
 		return f.post(`{}`) == nil
 	})
 	if p.slowServer {
@@ -131,19 +131,19 @@
 	return path
 }
 
-// The states of a server in the list.
+// States of a server in the list of endpoints.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
 	stateGone     = "gone"
 )
 
-// serverState returns the change of the emulator that sets a server's state.
+// serverState returns the emulator change that sets a server's state.
 func serverState(id, state string) string {
 	return fmt.Sprintf(`{"server":%q,"state":%q}`, id, state)
 }
 
-// post changes the emulator.
+// post applies a change to the emulator.
 func (f *fleet) post(change string) error {
 	response, err := http.Post("http://"+f.admin+standin.PathFault, "application/json", strings.NewReader(change))
 	if err != nil {
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// runs returns how often each request has run, by its id.
+// runs returns the number of runs of each request, by request ID.
 func (f *fleet) runs() map[string]int {
 	f.t.Helper()
 	response, err := http.Get("http://" + f.admin + standin.PathRuns)
@@ -167,7 +167,7 @@
 	return runs
 }
 
-// refusals returns the requests that servers have refused with a Retry-After, by server.
+// refusals returns the requests that servers refused with a Retry-After, by server.
 func (f *fleet) refusals() map[string][]appserver.Refusal {
 	f.t.Helper()
 	response, err := http.Get("http://" + f.admin + "/refusals")
@@ -178,7 +178,7 @@
 	return refusals
 }
 
-// allServe reports whether each gateway is ready and serves.
+// allServe reports whether each gateway is ready and serves a request.
 func (f *fleet) allServe() bool {
 	for i, g := range f.gateways {
 		if !g.probeReadiness() {
@@ -193,10 +193,10 @@
 	return true
 }
 
-// probeID returns a new ID for a request to a gateway.
+// probeID returns a new request ID for a gateway.
 func probeID(gateway int) string { return fmt.Sprintf("probe-%d-%d", gateway, time.Now().UnixNano()) }
 
-// readyGateways returns how many gateways were ready at their last probe.
+// readyGateways returns the number of gateways that were ready at their last probe.
 func (f *fleet) readyGateways() int {
 	ready := 0
 	for _, g := range f.gateways {
@@ -207,15 +207,15 @@
 	return ready
 }
 
-// eventually waits for a condition, and ends the test if it never comes.
+// eventually waits for a condition, and fails the test if it is not met in time.
 func (f *fleet) eventually(what string, condition func() bool) {
 	f.t.Helper()
 	if !f.waitFor(condition) {
-		f.t.Fatalf("this never came: %s", what)
+		f.t.Fatalf("condition not met in time: %s", what)
 	}
 }
 
-// comes waits for a condition and reports whether it has come.
+// waitFor waits for a condition and reports whether it was met within conditionTimeout.
 func (f *fleet) waitFor(condition func() bool) bool {
 	limit := time.Now().Add(conditionTimeout)
 	for !condition() {
@@ -227,8 +227,8 @@
 	return true
 }
 
-// close ends all processes of the fleet, by their ids. Frozen ones are woken first;
-// keep may have started a new process in the meantime, which gets its own signal.
+// close ends all processes of the fleet. Suspended ones are resumed first. A process that
+// supervise starts meanwhile gets a signal of its own.
 func (f *fleet) close() {
 	close(f.stop)
 	for _, g := range f.gateways {
@@ -250,23 +250,23 @@
 	}
 }
 
-// saveLogs writes the logs of a failed run to a directory that outlives it.
+// saveLogs writes the logs of a failed run to a directory that is not removed.
 func (f *fleet) saveLogs() {
 	dir, err := os.MkdirTemp("", "ryeford-soak-")
 	if err != nil {
-		f.t.Logf("logs are lost: %v", err)
+		f.t.Logf("can't save the logs: %v", err)
 		return
 	}
 	for _, g := range f.gateways {
 		if err := os.WriteFile(filepath.Join(dir, g.name+".log"), []byte(g.log.From(0)), 0o600); err != nil {
-			f.t.Logf("the log of %s is lost: %v", g.name, err)
+			f.t.Logf("can't save the log of %s: %v", g.name, err)
 		}
 	}
 	f.t.Logf("logs are in %s", dir)
 }
 
-// A statusError says that a call got another HTTP status than 200.
+// A statusError reports an HTTP status other than 200.
 type statusError struct{ status int }
 
-// Error returns the text of e.
+// Error implements error.
 func (e *statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
--- a/internal/soak/gateway_test.go
+++ b/internal/soak/gateway_test.go
@@ -14,33 +14,31 @@
 )
 
 const (
-	// probeInterval is how often a gateway's readiness is probed.
 	probeInterval = 100 * time.Millisecond
-	// probeTimeout bounds one readiness probe.
-	probeTimeout = time.Second
+	probeTimeout  = time.Second
 )
 
-// A gateway is one gateway process, which starts anew whenever it has ended, as the
-// platform does it.
+// A gateway is a gateway that is restarted whenever its process has ended, as on the
+// platform.
 type gateway struct {
 	name      string
-	file      string // of its settings
+	file      string // its settings
 	callers   string // the address for callers
-	readiness string // the address of its readiness
+	readiness string // the address of the readiness probe
 	store     *proxy
-	linkRate  int // of its link to the store, in bytes a second; zero is no bound
+	linkRate  int // of its link to the store, in bytes per second; 0 means no limit
 	peers     *peerEnd
 	log       lockedBuffer
 
 	mu          sync.Mutex
 	process     *process
 	ready       bool // at the last probe
-	planned     bool // the soak has ended this life of it
-	logOffset   int  // where this life begins in the log
-	incarnation int  // counts its processes, from 1
+	planned     bool // the test itself ended this process
+	logOffset   int  // where the log of this process begins
+	incarnation int  // number of its process, from 1
 }
 
-// addGateway starts one gateway, keeps it running and probes its readiness.
+// addGateway starts a gateway, supervises it and probes its readiness.
 func (f *fleet) addGateway(i int, store string) {
 	f.t.Helper()
 	toStore, err := newProxy(store)
@@ -85,7 +83,7 @@
 	return err
 }
 
-// keep starts a gateway anew whenever it has ended. One that ends by itself fails the
+// supervise restarts a gateway whenever its process has ended. An unexpected exit fails the
 // test.
 func (f *fleet) supervise(g *gateway) {
 	for {
@@ -99,7 +97,7 @@
 		planned := g.planned
 		g.mu.Unlock()
 		if !planned {
-			f.t.Errorf("%s has ended by itself: %v", g.name, p.err)
+			f.t.Errorf("%s exited unexpectedly: %v", g.name, p.err)
 		}
 		if err := g.start(); err != nil {
 			f.t.Errorf("%s: %v", g.name, err)
@@ -108,7 +106,8 @@
 	}
 }
 
-// probe probes a gateway's readiness until the fleet ends, as the load balancer does.
+// watchReadiness probes a gateway's readiness until the fleet is closed, as the load
+// balancer does.
 func (f *fleet) watchReadiness(g *gateway) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
@@ -119,8 +118,8 @@
 		case <-ticker.C:
 			p, sent := g.current(), time.Now()
 			ready := g.probeReadiness()
-			if ready && g.current() == p && !p.ended() { // else its successor may have answered
-				p.readyAt.Store(&sent)
+			if ready && g.current() == p && !p.ended() { // otherwise a later process may have responded
+				p.lastReadyAt.Store(&sent)
 			}
 			g.mu.Lock()
 			g.ready = ready
@@ -129,7 +128,7 @@
 	}
 }
 
-// probeReadiness probes a gateway's readiness once.
+// probeReadiness probes the gateway's readiness once.
 func (g *gateway) probeReadiness() bool {
 	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + g.readiness + "/ryeford/readiness")
@@ -147,23 +146,21 @@
 	return g.ready
 }
 
-// current returns the gateway's process.
+// current returns the gateway's current process.
 func (g *gateway) current() *process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.process
 }
 
-// currentIncarnation returns the number of the gateway's process.
 func (g *gateway) currentIncarnation() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.incarnation
 }
 
-// starting returns the gateway's process once its first line is in the log, or nil
-// before. Until then a signal may meet a process that has not begun to run the program,
-// and end it (seed 901001575).
+// starting returns the gateway's process, or nil until its first line is in the log. Before
+// that, the process may not handle signals yet and would be ended by one.
 func (g *gateway) starting() *process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -173,7 +170,7 @@
 	return g.process
 }
 
-// end ends a gateway's process by a signal.
+// end sends a signal that ends the gateway's process, and returns the process.
 func (g *gateway) end(signal syscall.Signal) *process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/soak/hangup_test.go
+++ b/internal/soak/hangup_test.go
@@ -14,9 +14,8 @@
 	"github.com/ryeford/ryeford/internal/freeport"
 )
 
-// TestHangupAtStart checks that a gateway that gets SIGHUP while it still reads its first
-// settings goes on to start. The settings are a FIFO, which holds the read back until the
-// signal was sent.
+// TestHangupAtStart guards against SIGHUP ending a gateway that is still reading its first
+// settings. They are in a FIFO, which blocks the read until the signal was sent.
 func TestHangupAtStart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "gateway.yaml")
 	assert.NilError(t, syscall.Mkfifo(file, 0o600))
@@ -27,7 +26,7 @@
 		p.signal(syscall.SIGKILL)
 		<-p.done
 	}()
-	// The open returns once the gateway has opened the other end, to read it.
+	// OpenFile returns once the gateway has opened the other end.
 	settings, err := os.OpenFile(file, os.O_WRONLY, 0)
 	assert.NilError(t, err)
 	p.signal(syscall.SIGHUP)
@@ -36,10 +35,10 @@
 	assert.NilError(t, err)
 	assert.NilError(t, settings.Close())
 	for limit := time.Now().Add(conditionTimeout); time.Now().Before(limit); time.Sleep(conditionPollInterval) {
-		assert.Assert(t, !p.ended(), "it has ended: %v", p.err)
+		assert.Assert(t, !p.ended(), "the gateway exited: %v", p.err)
 		if strings.Contains(log.From(0), "msg=started") {
 			return
 		}
 	}
-	t.Fatal("it never started")
+	t.Fatal("the gateway did not start in time")
 }
--- a/internal/soak/injector_test.go
+++ b/internal/soak/injector_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// maxBetweenFaults is the longest time between the beginnings of two faults. It is
-// shorter than most faults last, so that they overlap.
+// maxBetweenFaults is the longest time between the starts of two faults. Most faults last
+// longer, so they overlap.
 const maxBetweenFaults = 400 * time.Millisecond
 
-// An injector injects faults into a fleet and records what checks need to know of them.
+// An injector injects faults into a fleet and records them for the checks.
 type injector struct {
 	fleet *fleet
 	plan  *plan
@@ -25,65 +25,64 @@
 
 	restoring  sync.Mutex // held while the store is restored
 	evacuating sync.Mutex // held while a failure domain is evacuated
-	announcing sync.Mutex // held while a server says that it leaves
-	backingOff sync.Mutex // held while servers ask for rest
+	announcing sync.Mutex // held while a server announces that it is leaving
+	backingOff sync.Mutex // held while servers ask for a back-off
 
 	changingState sync.Mutex // held while a server's state is changed
 
 	mu            sync.Mutex
 	changes       []configurationChange
 	interruptions []faultWindow
-	outages       []faultWindow // times out of touch
+	outages       []faultWindow // when gateways were out of touch
 	restores      []storeRestore
 	stops         []stop
-	// evacuations are those that are over.
+	// evacuations and announcements are recorded when they end.
 	evacuations   []evacuation
-	announcements []announcement // those that are over
-	stateChanges  []stateChange  // of the servers
+	announcements []announcement
+	stateChanges  []stateChange
 	timeline      []string
 }
 
-// A stateChange is what the list says of a server from a change on. The time lies between
-// when the change was sent and when it was accepted.
+// A stateChange is a change of a server's state in the list of endpoints. It took effect
+// between sent and accepted.
 type stateChange struct {
 	server, state  string
 	sent, accepted time.Time
-	newIncarnation bool // another life of the server
+	newIncarnation bool // the change starts another incarnation of the server
 }
 
-// A change is one change of the configuration. The first is what the fleet started
-// with.
+// A configurationChange is a change of the configuration. The first one is the initial
+// configuration.
 type configurationChange struct {
 	configuration
 	sent, accepted time.Time
 }
 
-// A cut is a time in which requests could be cut off although they had run.
+// A faultWindow is a time in which a fault affected the calls through a gateway.
 type faultWindow struct {
-	gateway     int // through which they went, or allGateways
+	gateway     int // index in the fleet, or allGateways
 	from, until time.Time
 }
 
-// A stop is a planned stop of a gateway: when it got SIGTERM, and when its process had
-// ended.
+// A stop is a planned stop of a gateway, from SIGTERM to the end of its process.
 type stop struct {
 	gateway         int
 	signaled, ended time.Time
-	readyAt         *time.Time // when the last probe was sent that it answered as ready, or nil
-	firstClosedAt   time.Time  // when it closed the first call without an answer, or zero
-	overdue         bool       // it had to be killed at the end of its grace period
+	lastReadyAt     *time.Time // when the last probe was sent that it answered as ready, or nil
+	firstClosedAt   time.Time  // when it first closed a call without a response, or zero
+	overdue         bool       // it exceeded its grace period and was killed
 }
 
-// allGateways as a cut's gateway means that it was felt through each of them.
+// allGateways as the gateway of a faultWindow means that all gateways were affected.
 const allGateways = -1
 
-// newInjector returns an injector that has injected nothing.
+// newInjector returns an injector that has injected no faults.
 func newInjector(f *fleet, p *plan) *injector {
 	return &injector{fleet: f, plan: p, began: time.Now(), changes: []configurationChange{{configuration: p.initial}}}
 }
 
-// run injects faults until faultTime is over, and waits until the last has ended. The
-// plan's faults come from random, and extraFaults and endpointFaults from the seed.
+// run injects faults for faultTime, and waits until the last one has ended. The plan's
+// faults are drawn from random, the other groups from streams of the seed.
 func (in *injector) run(random *rand.Rand, seed uint64) {
 	in.began = time.Now()
 	in.group.Go(func() {
@@ -106,7 +105,7 @@
 	in.group.Wait()
 }
 
-// strike injects faults, at most some time apart, until faultTime is over.
+// injectFaults injects faults until faultTime has elapsed, with pauses below maxInterval.
 func (in *injector) injectFaults(random *rand.Rand, faults []fault, maxInterval time.Duration) {
 	for len(faults) > 0 && time.Since(in.began) < faultTime {
 		drawn := faults[random.IntN(len(faults))]
@@ -118,7 +117,7 @@
 	}
 }
 
-// inject injects one fault and records what it may have cut off.
+// inject injects one fault and records which gateways it affected.
 func (in *injector) inject(f *fault, random *rand.Rand, gateway int) {
 	from := time.Now()
 	f.inject(in, random, gateway)
@@ -140,26 +139,26 @@
 	}
 }
 
-// addInterruption records that requests could be cut off until now.
+// addInterruption records a window, until now, in which requests may have been interrupted.
 func (in *injector) addInterruption(gateway int, from time.Time) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.interruptions = append(in.interruptions, faultWindow{gateway: gateway, from: from, until: time.Now()})
 }
 
-// addStop records a planned stop that has ended.
+// addStop records a completed planned stop.
 func (in *injector) addStop(s stop) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.stops = append(in.stops, s)
 }
 
-// enter sets what the list says of a server. Such changes are made one after the other.
+// setState sets a server's state in the list of endpoints. State changes do not overlap.
 func (in *injector) setState(server, state string) {
 	in.applyState(server, state, serverState(server, state))
 }
 
-// applyState makes a change of the list after which it says that a server is in a state.
+// applyState applies an emulator change after which the list has a server in a state.
 func (in *injector) applyState(server, state, change string) {
 	in.changingState.Lock()
 	defer in.changingState.Unlock()
@@ -171,26 +170,26 @@
 	in.stateChanges = append(in.stateChanges, next)
 }
 
-// newestVersion returns the newest version that was accepted.
+// newestVersion returns the newest accepted version of the configuration.
 func (in *injector) newestVersion() int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.changes[len(in.changes)-1].Version
 }
 
-// logf adds a line to the timeline of the run.
+// logf adds an entry to the timeline of the run.
 func (in *injector) logf(format string, args ...any) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.timeline = append(in.timeline, fmt.Sprintf("%6.3f ", time.Since(in.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// pause sleeps for a time below limit.
+// pause sleeps for a random time below limit.
 func pause(random *rand.Rand, limit time.Duration) {
 	time.Sleep(time.Duration(random.Int64N(int64(limit))))
 }
 
-// post changes the emulator.
+// post applies a change to the emulator and adds it to the timeline.
 func (in *injector) post(change string) {
 	in.logf("%s", change)
 	if err := in.fleet.post(change); err != nil {
@@ -198,7 +197,8 @@
 	}
 }
 
-// clear ends what may still be wrong after faults of one kind have overlapped.
+// clear removes all faults, including those that overlapping faults of one kind left
+// behind.
 func (in *injector) clear() {
 	in.post(`{"store":{},"fault":"","requests":0,"clock_rate":1,"date":"","lagging":false,"rest":"","leaving":false}`)
 	for _, id := range servers {
--- a/internal/soak/laterequest_test.go
+++ b/internal/soak/laterequest_test.go
@@ -13,19 +13,18 @@
 )
 
 const (
-	// lateRequestCount is how many requests are sent to a gateway that stops.
+	// lateRequestCount is the number of requests that are sent to a gateway that stops.
 	lateRequestCount = 50
-	// shortRequestCount is after how many of them requests turn long: 2 s after SIGTERM, so that
-	// none of these has ended by admitWindow after it, and the gateway knows of short ones
-	// only.
+	// shortRequestCount is how many of them are short. The first long request is sent 2 s
+	// after SIGTERM, so that none has ended by admitWindow and the gateway has only seen
+	// short ones.
 	shortRequestCount = lateRequestCount / 3
 )
 
-// TestLateRequest checks that a gateway that stops takes no request that it has to cut
-// off later, if the request was sent more than admitWindow after SIGTERM: callers open
-// connections until it is gone, and requests turn longer than any that it has seen, because
-// streams turn slow or servers hang. It fails if one of the late requests is cut off, or if one that is not taken gets no answer.
-// Times by which the machine stood still are allowed for.
+// TestLateRequest guards against a stopping gateway that admits a request more than
+// admitWindow after SIGTERM and interrupts it, or closes one without a response, when
+// requests become longer than any before: streams turn slow or servers hang. Stalls of the
+// machine are allowed for.
 func TestLateRequest(t *testing.T) {
 	for _, test := range []struct {
 		name, route string
@@ -73,7 +72,7 @@
 	assert.Assert(t, late > 0, "no request was sent later than %s after SIGTERM", admitWindow)
 }
 
-// onlySlowStreams leaves only the server with slow streams in the list.
+// onlySlowStreams leaves only slowServer in the list of the model service's servers.
 func (in *injector) onlySlowStreams() {
 	in.setState(slowServer, stateReady)
 	for _, id := range servers {
@@ -83,7 +82,7 @@
 	}
 }
 
-// allHang makes all servers run each request and answer none.
+// allHang makes all servers run each request without a response.
 func (in *injector) allHang() {
 	in.post(fmt.Sprintf(`{"fault":%q,"requests":-1}`, appserver.FaultHang))
 }
--- a/internal/soak/peerlinks_test.go
+++ b/internal/soak/peerlinks_test.go
@@ -14,11 +14,11 @@
 )
 
 // peerLinks relay the gossip between the gateways of a fleet, so that datagrams can be
-// lost, delayed and doubled on the way from one gateway to another.
+// lost, delayed and duplicated on the way from one gateway to another.
 //
-// A gateway tells the others the address at which it listens, in the store and in each
-// message. The relays put their own addresses in the place of these: in the store's
-// calls (proxy.rewrite) and in the datagrams. So gateways know each other by relays only.
+// A gateway announces its address in the store and in each message. The relays replace it
+// by their own, in calls of the store (proxy.rewrite) and in datagrams, so that gateways
+// reach each other only through relays.
 type peerLinks struct {
 	mu     sync.Mutex
 	ends   []*peerEnd
@@ -29,20 +29,20 @@
 type peerEnd struct {
 	address netip.AddrPort // the gateway's own address
 	relay   netip.AddrPort // where the other gateways send to
-	conn    *net.UDPConn   // of the relay
+	conn    *net.UDPConn   // the relay's socket
 }
 
-// A peerLink is the way from one gateway to another, by their indexes.
+// A peerLink is the direction from one gateway to another, by index in the fleet.
 type peerLink struct {
 	from, to int
 }
 
-// A peerFault is what is wrong with a link. The zero value is a link that works.
+// A peerFault is a fault of a link. The zero value is a working link.
 type peerFault struct {
 	name   string
-	loss   float64       // the part of the datagrams that is lost
-	delay  time.Duration // the longest time by which a datagram is late
-	copies int           // how often each datagram comes besides
+	loss   float64       // fraction of the datagrams that are dropped
+	delay  time.Duration // maximum delay of a datagram
+	copies int           // duplicates of each datagram
 }
 
 // peerFaults are the faults that a seed draws from.
@@ -54,7 +54,7 @@
 }
 
 const (
-	// maxDatagram is the largest datagram that a relay passes on, in bytes.
+	// maxDatagram is the largest datagram that is relayed, in bytes.
 	maxDatagram = 64 << 10
 	// addressBytes is the size of an address in a message: four bytes and the port.
 	addressBytes = 6
@@ -76,7 +76,7 @@
 	return end, nil
 }
 
-// set sets what is wrong with a link.
+// set sets the fault of a link.
 func (l *peerLinks) set(link peerLink, fault peerFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,14 +86,14 @@
 	l.faults[link] = fault
 }
 
-// clear mends all links.
+// clear removes the faults of all links.
 func (l *peerLinks) clear() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.faults)
 }
 
-// close ends all relays.
+// close closes all relays.
 func (l *peerLinks) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,7 +111,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // an earlier datagram found no receiver
+			continue // an earlier datagram was undeliverable
 		}
 		fault, content := l.translate(to, source, bytes.Clone(buffer[:n]))
 		if rand.Float64() < fault.loss {
@@ -119,14 +119,14 @@
 		}
 		for range 1 + fault.copies {
 			time.AfterFunc(randomDelay(fault.delay), func() {
-				// A gateway that is down receives nothing, as on a network.
+				// As on a network, a gateway that is down receives nothing.
 				_, _ = end.conn.WriteToUDPAddrPort(content, end.address)
 			})
 		}
 	}
 }
 
-// randomDelay draws by how much a datagram is late.
+// randomDelay returns a random delay below limit.
 func randomDelay(limit time.Duration) time.Duration {
 	if limit == 0 {
 		return 0
@@ -134,9 +134,8 @@
 	return rand.N(limit)
 }
 
-// translate returns what is wrong with the link from a gateway, and a datagram in which
-// the gateways' addresses are those that the receiver may know: its own, and the others'
-// relays.
+// translate returns the fault of the link from the source, and the datagram with the
+// addresses that the receiver may see: its own, and the relays of the others.
 func (l *peerLinks) translate(to int, source netip.AddrPort, content []byte) (peerFault, []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,24 +153,23 @@
 	return fault, content
 }
 
-// wireAddress returns an address as it stands in a message: a byte string of CBOR.
+// wireAddress returns an address as encoded in a message: a CBOR byte string.
 func wireAddress(address netip.AddrPort) []byte {
-	const byteString = 0x40 // the type, to which the length is added
+	const byteString = 0x40 // the major type, to which the length is added
 	content, err := address.MarshalBinary()
 	if err != nil {
-		panic(err) // it never fails
+		panic(err) // can't fail
 	}
 	return append([]byte{byteString + addressBytes}, content...)
 }
 
-// rewriteRow puts the relay's address in the place of the gateway's own in a call of
-// the store that registers the gateway. The row's value is in base64, in which both
-// addresses stand in whole groups of four: twelve bytes precede them, and each has 15.
+// rewriteRow replaces the gateway's own address by the relay's in the call of the store
+// that registers the gateway. The row's value is in base64. Both addresses are aligned to
+// its groups of three bytes: they start at byte 12 and have 15 bytes each.
 func (e *peerEnd) rewriteRow(content []byte) []byte {
 	return bytes.ReplaceAll(content, base64Address(e.address), base64Address(e.relay))
 }
 
-// base64Address returns an address in base64.
 func base64Address(address netip.AddrPort) []byte {
 	return []byte(base64.StdEncoding.EncodeToString([]byte(address.String())))
 }
--- a/internal/soak/peerlinkscheck_test.go
+++ b/internal/soak/peerlinkscheck_test.go
@@ -8,9 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPeerLinks checks that all gossip between gateways goes through the relays: two
-// gateways find each other, lose each other once the relays pass nothing on, and find
-// each other again. It fails if a gateway knows another one's own address.
+// TestPeerLinks guards against gossip that bypasses the relays: two gateways must lose each
+// other while the relays drop everything, and find each other again afterwards.
 func TestPeerLinks(t *testing.T) {
 	f := newFleet(t, &seriesPlan, 2)
 	links := []peerLink{{from: 0, to: 1}, {from: 1, to: 0}}
@@ -22,12 +21,12 @@
 	f.peers.clear()
 	f.eventually("both have a peer again", f.peersAlive(1))
 	for _, g := range f.gateways {
-		assert.Assert(t, !strings.Contains(g.log.From(0), "alive=2"), "a gateway takes itself for a peer")
+		assert.Assert(t, !strings.Contains(g.log.From(0), "alive=2"), "a gateway counts itself as a peer")
 	}
 }
 
-// peersAlive returns the condition that each gateway has logged last that so many peers
-// are alive.
+// peersAlive returns the condition that each gateway's last log line on peers reports n of
+// them alive.
 func (f *fleet) peersAlive(n int) func() bool {
 	return func() bool {
 		for _, g := range f.gateways {
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// A plan is what the runs of one kind have in common. A seed draws the rest.
+// A plan is what all runs of one kind have in common. The seed determines the rest.
 type plan struct {
 	bounds  bounds
-	initial configuration // what a fleet starts with
+	initial configuration // of a new fleet
 	// faults returns the faults that a run draws from.
 	faults   func(random *rand.Rand) []fault
 	checks   []check
 	profiles []callerProfile
-	// halfReady says that the load balancer uses all gateways if fewer than half are
-	// ready, as the platform's does, and not only if none is.
+	// halfReady makes the load balancer use all gateways if fewer than half are ready, as
+	// on the platform, rather than only if none is.
 	halfReady bool
-	// responseMargin is how long callers wait for an answer after the deadline.
+	// responseMargin is how long callers wait for a response after the deadline.
 	responseMargin time.Duration
-	// slowServer says that there is the server of that name.
+	// slowServer adds the server of that name.
 	slowServer bool
-	// linkRate is what the links to the store of every second gateway bear, in bytes a
-	// second; zero is no bound.
+	// linkRate limits the link to the store of every second gateway, in bytes per second; 0
+	// means no limit.
 	linkRate int
 }
 
-// bounds are the times to which gateways are set.
+// bounds are the time limits in the gateways' settings.
 type bounds struct {
-	revoke        time.Duration // from a key's revocation until it works no more
-	configuration time.Duration // from a configuration's acceptance until it is in force
-	contact       time.Duration // how long without a disturbance makes a gateway be in touch
+	revoke        time.Duration // from the revocation of a key until it is rejected
+	configuration time.Duration // from the acceptance of a configuration until it is in force
+	contact       time.Duration // time without a disturbance after which a gateway is in touch
 	grace         time.Duration // from SIGTERM to SIGKILL
 	storeTimeout  time.Duration // of a call of the store
-	refresh       time.Duration // the age at which a configuration is read again
+	refresh       time.Duration // age at which a configuration is read again
 }
 
 // basicPlan has single faults, which overlap, and small configurations.
@@ -51,8 +51,8 @@
 	profiles: []callerProfile{{maxPause: 30 * time.Millisecond}},
 }
 
-// seriesPlan has series of signals that overlap, callers that use open connections to
-// the last, configurations of thousands of routes, and slow links to the store.
+// seriesPlan has series of signals, callers that keep connections open, configurations of
+// thousands of routes, and slow links to the store.
 var seriesPlan = plan{
 	bounds: bounds{
 		revoke:        4 * time.Second,
@@ -77,11 +77,10 @@
 	linkRate:       slowLinkRate,
 }
 
-// responseMargin is how long the callers of seriesPlan wait for an answer after the
+// responseMargin is how long the callers of seriesPlan wait for a response after the
 // deadline.
 const responseMargin = time.Second
 
-// slowLinkRate is 5 Mbit/s in bytes a second: half of what the narrower links of the users'
-// VMs bear, so that half of their routes take as long, and take the machine of the test
-// less work.
+// slowLinkRate is 5 Mbit/s in bytes per second, half the rate of the slowest links in
+// production. Configurations with half as many routes therefore take as long to read.
 const slowLinkRate = 625_000
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// A process is one process that the soak has started.
+// A process is a process that the soak has started.
 type process struct {
 	cmd  *exec.Cmd
-	done chan struct{} // closed once it has ended
-	err  error         // how it ended; read it after done
-	// readyAt is when the last probe was sent that it answered as ready; nil if none was.
-	readyAt atomic.Pointer[time.Time]
+	done chan struct{} // closed when the process has ended
+	err  error         // exit status; valid after done
+	// lastReadyAt is when the last probe was sent that it answered as ready, or nil.
+	lastReadyAt atomic.Pointer[time.Time]
 }
 
-// raceOptions keep a program that is built with the race detector from sleeping for a
-// second at its end, which made gateways outlast their grace period.
+// raceOptions disables the race detector's sleep of one second at exit, which would exceed
+// the grace period.
 const raceOptions = "GORACE=atexit_sleep_ms=0"
 
-// start starts the program. What it writes goes to log.
+// start starts the program with its output written to log.
 func start(log *lockedBuffer, args ...string) (*process, error) {
 	executable, err := os.Executable()
 	if err != nil {
@@ -42,11 +42,9 @@
 	return p, nil
 }
 
-// signal signals the process by its id. One that has ended by now gets no signal, which
-// is no failure.
+// signal sends a signal to the process. If it has already ended, that is not an error.
 func (p *process) signal(signal syscall.Signal) { _ = p.cmd.Process.Signal(signal) }
 
-// ended reports whether the process has ended.
 func (p *process) ended() bool {
 	select {
 	case <-p.done:
@@ -56,8 +54,7 @@
 	}
 }
 
-// A lockedBuffer holds what processes have written. It may be used from several
-// goroutines.
+// A lockedBuffer holds the output of processes. It is safe for concurrent use.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -70,14 +67,14 @@
 	return b.buffer.Write(content)
 }
 
-// Len returns how many bytes were written.
+// Len returns the number of bytes written.
 func (b *lockedBuffer) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buffer.Len()
 }
 
-// From returns what was written from an offset on.
+// From returns the output from an offset on.
 func (b *lockedBuffer) From(offset int) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// A proxyMode is what a proxy does to the bytes that pass.
+// A proxyMode is how a proxy treats the bytes that it relays.
 type proxyMode int
 
-// The modes. A seed draws from them by their numbers.
+// The modes, in the order in which a seed draws from them.
 const (
-	proxyPass      proxyMode = iota
-	proxySilent              // both directions are held back
-	proxyMuteBack            // the direction back to the caller is held back
-	proxyDelay               // each read's bytes are delayed
-	proxyResetting           // each connection is reset
-	proxyModes               // how many there are
+	proxyPass      proxyMode = iota // relay unchanged
+	proxySilent                     // block both directions
+	proxyBlockBack                  // block the direction back to the caller
+	proxyDelay                      // delay the bytes of each read
+	proxyResetting                  // reset each connection
+	proxyModes                      // number of modes
 )
 
 const (
-	// proxyDelayTime is how long each read's bytes wait in proxyDelay.
+	// proxyDelayTime is the delay of each read in proxyDelay.
 	proxyDelayTime = 60 * time.Millisecond
-	// proxyBuffer is how many bytes are read at once.
+	// proxyBuffer is the maximum number of bytes of a read.
 	proxyBuffer = 32 << 10
 )
 
@@ -36,16 +36,14 @@
 type proxy struct {
 	listener net.Listener
 	target   string
-	// rewrite changes what goes to that address, if it is set. It is called with what one
-	// read has returned.
+	// rewrite, if set, replaces the bytes of each read from the caller.
 	rewrite func(content []byte) []byte
-	// link bounds the bytes a second in the direction back to the caller, of all
-	// connections together.
+	// link limits the direction back to the caller, over all connections.
 	link rateLimiter
 
 	mu      sync.Mutex
 	mode    proxyMode
-	changed chan struct{} // closed at the next change of mode
+	changed chan struct{} // closed when the mode changes
 	conns   map[net.Conn]bool
 }
 
@@ -74,7 +72,7 @@
 	}
 }
 
-// now returns the mode, and a channel that is closed once it changes.
+// currentMode returns the mode, and a channel that is closed when it changes.
 func (p *proxy) currentMode() (proxyMode, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +105,7 @@
 	defer p.track(conn, false)
 	var group sync.WaitGroup
 	group.Go(func() { p.relay(upstream, conn, p.rewriteRequest, proxySilent) })
-	group.Go(func() { p.relay(conn, upstream, p.link.pass, proxySilent, proxyMuteBack) })
+	group.Go(func() { p.relay(conn, upstream, p.link.pass, proxySilent, proxyBlockBack) })
 	group.Wait()
 }
 
@@ -122,7 +120,7 @@
 	delete(p.conns, conn)
 }
 
-// sent returns what is passed on of what a caller has sent.
+// rewriteRequest applies rewrite to bytes from the caller.
 func (p *proxy) rewriteRequest(content []byte) []byte {
 	if p.rewrite == nil {
 		return content
@@ -130,8 +128,8 @@
 	return p.rewrite(content)
 }
 
-// relay relays one direction of a connection, by way of pass. It holds back while the
-// mode is one of held.
+// relay relays one direction of a connection through pass. It waits while the mode is one
+// of blocked.
 func (p *proxy) relay(to, from net.Conn, pass func([]byte) []byte, blocked ...proxyMode) {
 	defer func() {
 		_ = to.Close()
@@ -152,7 +150,7 @@
 	}
 }
 
-// await returns once the mode is none of held.
+// await waits until the mode is none of blocked.
 func (p *proxy) await(blocked []proxyMode) {
 	for {
 		mode, changed := p.currentMode()
@@ -166,7 +164,7 @@
 	}
 }
 
-// reset closes a connection with a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -174,7 +172,7 @@
 	_ = conn.Close()
 }
 
-// close ends the proxy and its connections.
+// close stops the proxy and resets its connections.
 func (p *proxy) close() {
 	p.set(proxyResetting)
 	_ = p.listener.Close()
--- a/internal/soak/ratelimiter_test.go
+++ b/internal/soak/ratelimiter_test.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// linkBurst is the time that a link may make up for when bytes have waited for the
-// test's own process, which a busy machine runs late. Without it, the link was three times
-// as narrow as stated at a load of 130 (a trial's seed 774000678).
+// linkBurst is how much transfer time an idle link may catch up on. It keeps the configured
+// rate when the test process is scheduled late.
 const linkBurst = 100 * time.Millisecond
 
-// A rateLimiter bounds the bytes a second that pass a link. The zero rateLimiter bounds
-// nothing. It may be used from several goroutines.
+// A rateLimiter limits the bytes per second that pass through a link. The zero value does
+// not limit. It is safe for concurrent use.
 type rateLimiter struct {
 	mu        sync.Mutex
-	perSecond int       // zero: no bound
-	freeAt    time.Time // when all that has passed is over the link
+	perSecond int       // 0 means no limit
+	freeAt    time.Time // when all bytes so far have been transferred
 }
 
-// set sets the bound in bytes a second, or zero for none.
+// set sets the limit in bytes per second; 0 removes it.
 func (r *rateLimiter) set(perSecond int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.perSecond = perSecond
 }
 
-// pass returns content after the time that it takes on the link.
+// pass waits for the transfer time of content and returns content.
 func (r *rateLimiter) pass(content []byte) []byte {
 	time.Sleep(r.reserve(len(content)))
 	return content
 }
 
-// reserve returns the time until some bytes have passed, behind all that came before.
+// reserve queues bytes behind all earlier ones and returns the time until they are
+// transferred.
 func (r *rateLimiter) reserve(bytes int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/regress_test.go
+++ b/internal/soak/regress_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// checkRegress checks that a call was not handled by an older version than one by which
-// the same process had served before, whatever faults have struck.
+// checkRegress checks that no process serves by an older version than one it has already
+// served by, whatever faults were injected.
 func checkRegress(c *call, record *runRecord) string {
 	if c.probedVersion == 0 || c.incarnation == 0 {
 		return ""
@@ -20,15 +20,15 @@
 	_, newest := record.versions(c)
 	switch {
 	case c.status == http.StatusOK && c.probedVersion < newestServed:
-		return fmt.Sprintf("served by version %d, by a process that had served by version %d", c.probedVersion, newestServed)
+		return fmt.Sprintf("served by version %d by a process that had already served by version %d", c.probedVersion, newestServed)
 	case c.status == http.StatusNotFound && c.probedVersion == newestServed && newestServed == newest:
-		return fmt.Sprintf("404 on a route of version %d, by a process that had served by it", newestServed)
+		return fmt.Sprintf("404 on a route of version %d by a process that had already served by it", newestServed)
 	}
 	return ""
 }
 
-// shown returns the newest version by which the process of a call had served before the
-// call was sent, or zero.
+// newestServed returns the newest version by which the process of a call had served before
+// the call was sent, or 0.
 func (r *runRecord) newestServed(c *call) int {
 	newestServed := 0
 	for i := range r.calls {
@@ -41,9 +41,9 @@
 	return newestServed
 }
 
-// TestRegress checks that a gateway that has served by a version serves by no older one
-// afterwards, while its reads of the store show newer and older rows by turns. It has no
-// peer that would tell it at once. It fails too if no read showed older rows.
+// TestRegress guards against a gateway that returns to an older version when its reads of
+// the store alternate between newer and older rows and no peer notifies it of the newer
+// version.
 func TestRegress(t *testing.T) {
 	f := newFleet(t, &seriesPlan, 1)
 	in := newInjector(f, &seriesPlan)
@@ -62,6 +62,6 @@
 			record.calls = append(record.calls, probe)
 		}
 	}
-	assert.Equal(t, record.newestServed(&call{incarnation: 1, sent: time.Now()}), 2, "the newer version was never in force")
-	assert.Assert(t, strings.Contains(f.gateways[0].log.From(0), "stale answer"), "no read showed older rows")
+	assert.Equal(t, record.newestServed(&call{incarnation: 1, sent: time.Now()}), 2, "the newer version never came into force")
+	assert.Assert(t, strings.Contains(f.gateways[0].log.From(0), "stale answer"), "no read returned older rows")
 }
--- a/internal/soak/reportfaults_test.go
+++ b/internal/soak/reportfaults_test.go
@@ -11,36 +11,36 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// reportFaults are what servers say of themselves in their answers. They strike beside the others, from a
-// generator of their own, so that the kept seeds draw the same others as before them.
+// reportFaults concern what servers report of themselves in responses. They have a random
+// generator of their own, so that other faults of a seed are drawn independently of them.
 var reportFaults = []fault{
-	{"announce", "a server's answers say that it leaves, its entry does so before, after or not, for up to 5 s; it is back as another life", affectsNone, affectsNone, (*injector).announce},
-	{"rest", "a server, or each of a service, turns all away and asks for up to 3 s of rest, for up to 2 s", affectsNone, affectsNone, (*injector).backOff},
+	{"announce", "a server's responses say that it is leaving, its entry does so before, after or not at all, for up to 5 s; then another incarnation starts", affectsNone, affectsNone, (*injector).announce},
+	{"rest", "a server, or all servers, reject all requests with a Retry-After of up to 3 s, for up to 2 s", affectsNone, affectsNone, (*injector).backOff},
 }
 
 const (
-	// reportStream is the stream of a seed's random numbers from which reportFaults are drawn.
+	// reportStream is the stream of a seed's random numbers for reportFaults.
 	reportStream = 1 << 20
-	// maxBetweenReportFaults is the longest time between the beginnings of two reportFaults.
+	// maxBetweenReportFaults is the longest time between the starts of two reportFaults.
 	maxBetweenReportFaults = 3 * time.Second
 	maxAnnouncement        = 5 * time.Second
 	maxBackoffMilliseconds = 3000
 	maxShedding            = 2 * time.Second
 )
 
-// An announcement is a time in which a server's answers said that it leaves.
+// An announcement is a time in which a server's responses said that it was leaving.
 type announcement struct {
 	server      string
 	from, until time.Time
 }
 
-// announce makes a server say with its answers that it leaves, and be back as another life. Announcements come
-// one after the other.
+// announce makes a server announce in its responses that it is leaving, and then starts
+// another incarnation of it. Announcements do not overlap.
 func (in *injector) announce(random *rand.Rand, _ int) {
 	in.announcing.Lock()
 	defer in.announcing.Unlock()
 	a := announcement{server: servers[random.IntN(len(servers))], from: time.Now()}
-	entry := random.IntN(3) // before, after, never
+	entry := random.IntN(3) // when the entry changes: before, after, never
 	if entry == 0 {
 		in.setState(a.server, stateDraining)
 	}
@@ -53,12 +53,12 @@
 	a.until = time.Now()
 	in.mu.Lock()
 	in.announcements = append(in.announcements, a)
-	born := startEpoch + startRange + len(in.announcements) // no other life has it
+	born := startEpoch + startRange + len(in.announcements) // different from all other incarnations
 	in.mu.Unlock()
 	in.applyState(a.server, stateReady, fmt.Sprintf(`{"server":%q,"leaving":false,"state":%q,"born":%d}`, a.server, stateReady, born))
 }
 
-// rest makes a server, or all servers, turn requests away and ask for rest.
+// backOff makes a server, or all servers, reject requests and ask for a back-off.
 func (in *injector) backOff(random *rand.Rand, _ int) {
 	in.backingOff.Lock()
 	defer in.backingOff.Unlock()
@@ -72,13 +72,14 @@
 	in.post(fmt.Sprintf(`{"server":%q,"fault":"","requests":0,"rest":""}`, server))
 }
 
-// restartNoticeTime is for how long a gateway may not know yet that a server has started again: it reads the list,
-// after the longest outage of the store. What the next life says is then taken for the life before it, since
-// answers don't name lives.
+// restartNoticeTime is how long a gateway may not have noticed that a server restarted: it
+// reads the list of endpoints after the longest outage of the store. As responses don't
+// name incarnations, a report of the new one is attributed to the old one meanwhile.
 const restartNoticeTime = maxStoreFault + time.Second
 
-// checkAnnounced checks that a call was not sent on to a server after the same life of the gateway had passed on
-// an answer that said that the server leaves, unless the server had started again, up to restartNoticeTime before.
+// checkAnnounced checks that a gateway process sent no call to a server after it had
+// forwarded a response that announced that the server was leaving, unless the server had
+// restarted since restartNoticeTime before that response.
 func checkAnnounced(c *call, record *runRecord) string {
 	if c.server == "" || c.incarnation == 0 {
 		return ""
@@ -89,16 +90,17 @@
 		}
 		for i := range record.calls {
 			p := &record.calls[i]
-			passed := p.leaving && p.server == c.server && p.gateway == c.gateway && p.incarnation == c.incarnation
-			if passed && p.sent.After(a.from) && p.ended.Before(c.sent) && !record.restarted(c.server, p.sent.Add(-restartNoticeTime), c.ended) {
-				return fmt.Sprintf("answered by %s, %s after the gateway had passed on that it leaves (%s)", c.server, c.sent.Sub(p.ended), p.id)
+			forwarded := p.leaving && p.server == c.server && p.gateway == c.gateway && p.incarnation == c.incarnation
+			if forwarded && p.sent.After(a.from) && p.ended.Before(c.sent) && !record.restarted(c.server, p.sent.Add(-restartNoticeTime), c.ended) {
+				return fmt.Sprintf("answered by %s, %s after the gateway had forwarded that the server is leaving (%s)", c.server, c.sent.Sub(p.ended), p.id)
 			}
 		}
 	}
 	return ""
 }
 
-// started reports whether a server started again between two times, as its entry says it.
+// restarted reports whether a server's entry changed to another incarnation between two
+// times.
 func (r *runRecord) restarted(server string, from, until time.Time) bool {
 	for i := range r.stateChanges {
 		s := &r.stateChanges[i]
@@ -110,14 +112,17 @@
 }
 
 const (
-	// inFlightMargin is for how long after a refusal requests may still arrive that were sent before it.
+	// inFlightMargin is how long after a refusal requests that were sent before it may
+	// still arrive.
 	inFlightMargin = 500 * time.Millisecond
-	// maxDuringBackoff is how many requests of one gateway may arrive in a rest after that.
+	// maxDuringBackoff is the maximum number of requests of one gateway that may arrive
+	// after that margin during a back-off.
 	maxDuringBackoff = 2
 )
 
-// checkBackoffs checks that a server which has refused a request of a gateway and asked for rest got no more than
-// maxDuringBackoff requests of it in that time, unless a fault struck the gateway, or the server started again.
+// checkBackoffs checks that a server that refused a gateway's request with a Retry-After
+// got at most maxDuringBackoff further requests from it in that time, unless excusesBackoff
+// applies.
 func checkBackoffs(t *testing.T, calls []call, refusals map[string][]appserver.Refusal, in *injector) {
 	t.Helper()
 	record := in.record(0)
@@ -147,15 +152,16 @@
 				}
 			}
 			if arrived > maxDuringBackoff {
-				t.Errorf("rests: %s got %d requests of %s in the %s s of rest that it had asked for at %6.3f", server, arrived, in.fleet.gateways[c.gateway].name, refusal.Rest, refusal.At.Sub(in.began).Seconds())
+				t.Errorf("rests: %s got %d requests from %s during the back-off of %s s that it had asked for at %6.3f", server, arrived, in.fleet.gateways[c.gateway].name, refusal.Rest, refusal.At.Sub(in.began).Seconds())
 			}
 		}
 	}
-	t.Logf("%d requests were refused with a rest, %d servers said that they leave", count, len(in.announcements))
+	t.Logf("%d requests were refused with a Retry-After, %d servers announced that they were leaving", count, len(in.announcements))
 }
 
-// excusesBackoff reports whether a fault struck a gateway in a rest, or the machine stood still for long enough that
-// requests were on their way, or the server started again.
+// excusesBackoff reports whether requests may have arrived during a back-off because a
+// fault affected the gateway, the server restarted, or the machine stalled for longer than
+// inFlightMargin.
 func (r *runRecord) excusesBackoff(gateway int, server string, from, until time.Time) bool {
 	for _, window := range slices.Concat(r.interruptions, r.outages) {
 		if window.gateway == gateway && window.from.Before(until) && window.until.After(from) {
--- a/internal/soak/restorefaults_test.go
+++ b/internal/soak/restorefaults_test.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// restoreFaults are restores of the store from a copy. They strike beside the others, from a generator of
-// their own, so that the kept seeds draw the same others as before them.
+// restoreFaults are restores of the store from a backup. They have a random generator of
+// their own, so that other faults of a seed are drawn independently of them.
 var restoreFaults = []fault{
-	{"restore", "the store is away for up to 1 s and back from a copy of up to 5 s before, its clock goes on or starts anew; operators and servers write again within 1 s", affectsNone, affectsNone, (*injector).restore},
+	{"restore", "the store is down for up to 1 s and restored from a backup up to 5 s old, its clock continues or is reset; operators and servers repeat lost writes within 1 s", affectsNone, affectsNone, (*injector).restore},
 }
 
 const (
-	// restoreStream is the stream of a seed's random numbers from which restoreFaults are drawn.
+	// restoreStream is the stream of a seed's random numbers for restoreFaults.
 	restoreStream = 1 << 18
-	// maxBetweenRestores is the longest time between the beginnings of two restoreFaults.
+	// maxBetweenRestores is the longest time between the starts of two restoreFaults.
 	maxBetweenRestores = 6 * time.Second
-	// maxCopyAge is how much older than the outage the copy is at the most, and maxAway and maxAgain how
-	// long the store is away and how long it takes until what was lost is written again.
-	maxCopyAge = 5 * time.Second
-	maxAway    = time.Second
-	maxAgain   = time.Second
-	// drainBound is bounds.drain of the gateways, within which nothing is sent any more to a server that
-	// drains.
+	// maxBackupAge bounds the age of the backup when the store goes down, maxDowntime the
+	// downtime, and maxRewriteDelay the time until lost writes are repeated.
+	maxBackupAge    = 5 * time.Second
+	maxDowntime     = time.Second
+	maxRewriteDelay = time.Second
+	// drainBound is bounds.drain of the gateways: the time within which they stop sending
+	// requests to a server that drains.
 	drainBound = 2 * time.Second
 )
 
-// restore makes the store come back from a copy. Restores come one after the other. Each records itself
-// what it disturbs, for checkWithheld.
+// restore restores the store from a backup. Restores do not overlap. Each records its
+// outage itself, because checkWithheld needs to identify it.
 func (in *injector) restore(random *rand.Rand, _ int) {
 	in.restoring.Lock()
 	defer in.restoring.Unlock()
 	r := storeRestore{backupAt: time.Now()}
 	in.post(`{"keep_copy":true}`)
-	pause(random, maxCopyAge)
+	pause(random, maxBackupAge)
 	r.downAt = time.Now()
 	in.post(`{"store":{"reset":true}}`)
-	pause(random, maxAway)
+	pause(random, maxDowntime)
 	in.post(`{"restore":true}`)
 	r.upAt = time.Now()
 	if random.IntN(2) == 0 {
 		in.storeClockStep(random, 0)
 	}
-	in.post(storeWorks)
-	pause(random, maxAgain)
+	in.post(storeHealthy)
+	pause(random, maxRewriteDelay)
 	in.post(`{"write_again":true}`)
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -52,19 +52,19 @@
 	in.outages = append(in.outages, r.outage())
 }
 
-// A restored is a restore of the store: when the copy was made, from when the store was away, when it was
-// back, and when what was lost had been written again.
+// A storeRestore is a restore of the store: when the backup was made, when the store went
+// down and came up again, and when the lost writes had been repeated.
 type storeRestore struct {
 	backupAt, downAt, upAt, rewrittenAt time.Time
 }
 
-// outage returns the time in which the store is disrupted.
+// outage returns the time in which the store was disrupted.
 func (r *storeRestore) outage() faultWindow {
 	return faultWindow{gateway: allGateways, from: r.downAt, until: r.rewrittenAt}
 }
 
-// checkWithheld checks that a restore of the store excuses nobody who sends to a server that had drained
-// or left the list before it: what a gateway has read binds it.
+// checkWithheld checks that a restore of the store does not make gateways use a server that
+// was draining or gone before it: what a gateway has read remains in force.
 func checkWithheld(c *call, record *runRecord) string {
 	if !record.inTouchIgnoringRestores(c) {
 		return ""
@@ -72,7 +72,8 @@
 	return record.answeredByUnavailable(c)
 }
 
-// inTouchIgnoringRestores reports whether a call's gateway was in touch, as if restores were no outages.
+// inTouchIgnoringRestores reports whether a call's gateway was in touch, not counting
+// restores as outages.
 func (r *runRecord) inTouchIgnoringRestores(c *call) bool {
 	var outages []faultWindow
 	for i := range r.restores {
@@ -81,9 +82,9 @@
 	return r.inTouchIgnoring(c, outages)
 }
 
-// durableSince returns since when the store has kept what it accepted at a time: what a restore has lost, and
-// all gateways need not have read within a bound before the store was away, counts from when it was
-// written again.
+// durableSince returns the time from which a change that was accepted at a given time is
+// durable. If a restore lost it, and gateways had less than bound to read it before, that
+// is when it was written again.
 func (r *runRecord) durableSince(at time.Time, bound time.Duration) time.Time {
 	for _, restore := range r.restores {
 		if at.After(restore.backupAt) && at.Before(restore.upAt) && restore.downAt.Sub(at) < bound {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	// programVariable makes the test's own program run as ryeford.
+	// programVariable makes the test binary run as ryeford.
 	programVariable = "RYEFORD_SOAK_PROGRAM"
-	// seedsVariable says how many fresh seeds are run.
+	// seedsVariable is the number of additional fresh seeds.
 	seedsVariable = "RYEFORD_SOAK_SEEDS"
-	// onlyVariable lists seeds, with commas between them, which are run in place of the
-	// kept and the fresh ones.
+	// onlyVariable is a comma-separated list of seeds that replace the kept and the fresh
+	// ones.
 	onlyVariable = "RYEFORD_SOAK_ONLY"
 	// faultTime is how long faults are injected in one run.
 	faultTime = 6 * time.Second
-	// parallelRuns is how many fleets run at once: at most 3 x 7 processes, within the
-	// few dozen that a test machine is meant to bear.
+	// parallelRuns bounds the fleets that run at once, and thereby the processes on the
+	// machine.
 	parallelRuns = 3
-	// minGateways and maxGateways bound the number of gateways in one run.
+	// minGateways and maxGateways bound the number of gateways of one run.
 	minGateways = 2
 	maxGateways = 6
-	// maxFreshSeed bounds fresh seeds, so that they are short to write down.
+	// maxFreshSeed keeps fresh seeds short.
 	maxFreshSeed = 1e9
 )
 
@@ -42,23 +42,23 @@
 	os.Exit(m.Run())
 }
 
-// TestSoak runs fleets under single faults that are drawn from a seed: the kept seeds,
+// TestSoak guards against violations of basicChecks under single faults, for the kept seeds
 // and as many fresh ones as RYEFORD_SOAK_SEEDS says.
 func TestSoak(t *testing.T) { runSeeds(t, &basicPlan, keptSeeds) }
 
-// TestSoakSeries does the same with series of faults (seriesPlan).
+// TestSoakSeries guards against violations of seriesChecks under series of faults.
 func TestSoakSeries(t *testing.T) {
 	kept := keptSeriesSeeds
 	if os.Getenv(seedsVariable) != "" {
-		kept = slices.Concat(keptSeriesSeeds, moreSeriesSeeds)
+		kept = slices.Concat(keptSeriesSeeds, additionalSeriesSeeds)
 	}
 	runSeeds(t, &seriesPlan, kept)
 }
 
-// runSeeds runs a plan with its kept seeds and with fresh ones.
+// runSeeds runs a plan with each of its seeds.
 func runSeeds(t *testing.T, p *plan, kept []keptSeed) {
 	if testing.Short() {
-		t.Skip("a run takes some ten seconds")
+		t.Skip("each run takes about ten seconds")
 	}
 	running := make(chan struct{}, parallelRuns)
 	for _, seed := range seeds(t, kept) {
@@ -71,7 +71,7 @@
 	}
 }
 
-// seeds returns the kept seeds and the fresh ones, or those that are asked for.
+// seeds returns the kept and the fresh seeds, or those of RYEFORD_SOAK_ONLY.
 func seeds(t *testing.T, kept []keptSeed) []uint64 {
 	t.Helper()
 	if only := os.Getenv(onlyVariable); only != "" {
@@ -93,7 +93,7 @@
 	return seeds
 }
 
-// parseSeeds parses a list of seeds.
+// parseSeeds parses a comma-separated list of seeds.
 func parseSeeds(t *testing.T, list string) []uint64 {
 	t.Helper()
 	var seeds []uint64
@@ -105,22 +105,22 @@
 	return seeds
 }
 
-// soak runs one fleet of a plan, whose size the seed draws.
+// soak runs one fleet of a plan. The seed determines its size.
 func soak(t *testing.T, p *plan, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	f := newFleet(t, p, minGateways+random.IntN(maxGateways-minGateways+1))
 	soakFleet(f, p, random, seed)
 }
 
-// soakFleet soaks a fleet that serves: callers use it while faults strike, the faults
-// end, all gateways have to serve again, and every call is checked.
+// soakFleet injects faults into a fleet while callers use it, then removes the faults,
+// requires that all gateways serve again, and checks every call.
 func soakFleet(f *fleet, p *plan, random *rand.Rand, seed uint64) {
 	in := newInjector(f, p)
 	c := startCallers(f, p, in, seed)
 	in.run(random, seed)
 	in.clear()
 	if !f.waitFor(f.allServe) {
-		f.t.Errorf("this never came: all gateways serve again")
+		f.t.Errorf("not all gateways serve again after the last fault")
 	}
 	calls := c.finish()
 	checkCalls(f.t, calls, f.runs(), in)
--- a/internal/soak/stalls_test.go
+++ b/internal/soak/stalls_test.go
@@ -6,32 +6,30 @@
 )
 
 const (
-	// stallCheckInterval is how often a stall is looked for.
+	// stallCheckInterval is how often the recorder checks for a stall.
 	stallCheckInterval = 20 * time.Millisecond
-	// minStall is the time between two ticks from which it counts as a stall:
-	// on an idle machine ticks are late by less than a millisecond.
+	// minStall is the time between two ticks from which it counts as a stall.
 	minStall = 50 * time.Millisecond
 )
 
-// A span is a time in which something held.
 type interval struct {
 	from, until time.Time
 }
 
-// overlap returns how much of a span lies between two times.
-func (s interval) overlap(from, until time.Time) time.Duration {
-	if s.from.After(from) {
-		from = s.from
+// overlap returns how much of the interval lies between two times.
+func (i interval) overlap(from, until time.Time) time.Duration {
+	if i.from.After(from) {
+		from = i.from
 	}
-	if s.until.Before(until) {
-		until = s.until
+	if i.until.Before(until) {
+		until = i.until
 	}
 	return max(0, until.Sub(from))
 }
 
-// A stallRecorder records when the machine of the test stood still: when a timer of the
-// test's own process came late. Bounds in time are extended by that, as nothing that is
-// tested had the time either. It may be used from several goroutines.
+// A stallRecorder records when the machine stalled, that is when a timer of the test
+// process fired late. Time limits are extended by that, because the tested processes were
+// delayed as well. It is safe for concurrent use.
 type stallRecorder struct {
 	mu     sync.Mutex
 	stalls []interval
@@ -56,15 +54,13 @@
 	}
 }
 
-// add records a stall.
 func (s *stallRecorder) add(stall interval) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stalls = append(s.stalls, stall)
 }
 
-// between returns for how long the machine stood still between two times. Stalls that
-// overlap count twice, which errs on the side of the machine.
+// between returns for how long the machine stalled between two times.
 func (s *stallRecorder) between(from, until time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/soak/superseded_test.go
+++ b/internal/soak/superseded_test.go
@@ -9,14 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// supersededRoutes make a configuration that slowLinkRate does not carry within
-// bounds.configuration of seriesPlan: 3.9 s for some 2.4 MB.
+// supersededRoutes make a configuration whose transfer at slowLinkRate takes longer than
+// bounds.configuration of seriesPlan.
 const supersededRoutes = 4 * unusedRoutes
 
-// TestSuperseded checks that a gateway that can't read a newer configuration in time, since
-// it is too large for its link, refuses requests rather than serve them by the old one, and
-// serves by the newer one in the end. A peer with a wide link tells it that there is one. It
-// fails if it serves by the old one later than bounds.configuration after the acceptance.
+// TestSuperseded guards against a gateway that serves by a superseded configuration because
+// the newer one, of which a peer notified it, is too large to read in time over its link.
+// It must refuse requests until it serves by the newer one.
 func TestSuperseded(t *testing.T) {
 	f := newFleet(t, &seriesPlan, 2)
 	f.eventually("both have a peer", f.peersAlive(1))
@@ -38,6 +37,6 @@
 			served = served || version == 2 && c.status == http.StatusOK
 		}
 	}
-	assert.Assert(t, served, "it never serves by the newer version")
-	assert.Assert(t, refused > 0, "it read the newer version in time, so that this shows nothing")
+	assert.Assert(t, served, "the gateway never served by the newer version")
+	assert.Assert(t, refused > 0, "the gateway read the newer version in time, so the test shows nothing")
 }
