--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -161,11 +161,11 @@
 
 // completeStream returns the body of a stream with all its events.
 func completeStream() string {
-	var whole strings.Builder
+	var body strings.Builder
 	for event := 1; event <= streamEvents; event++ {
-		fmt.Fprintf(&whole, "id: %d\ndata: event %d\n\n", event, event)
+		fmt.Fprintf(&body, "id: %d\ndata: event %d\n\n", event, event)
 	}
-	return whole.String()
+	return body.String()
 }
 
 // notRunStatuses are the statuses that guarantee that the request has not run.
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -7,14 +7,14 @@
 //   - soak_test.go: TestSoak and TestSoakSeries, one run from its seed to its result;
 //   - plan_test.go: how the runs of these two differ;
 //   - seeds_test.go: the seeds of the regression cases;
-//   - faults_test.go, seriesfaults_test.go, extrafaults_test.go, endpointfaults_test.go,
+//   - faults_test.go, seriesfaults_test.go, extrafaults_test.go, lifefaults_test.go,
 //     restorefaults_test.go, evacuationfaults_test.go, reportfaults_test.go: the faults;
 //   - injector_test.go: when faults are injected, and what is recorded of them;
 //   - checks_test.go, serieschecks_test.go, departed_test.go, refused_test.go,
 //     regress_test.go: the checks of each call;
 //   - callers_test.go, fleet_test.go, gateway_test.go, process_test.go,
 //     configuration_test.go: the callers, the processes and the configuration;
-//   - proxy_test.go, ratelimiter_test.go, peerlinks_test.go: the links that faults impair;
+//   - proxy_test.go, byterate_test.go, peerlinks_test.go: the links that faults impair;
 //   - stalls_test.go: when the machine stalled, by which time limits are extended;
 //   - crowd_test.go: TestSoakCrowd, one run with many processes;
 //   - crashingrequests_test.go, hangup_test.go, largeconfiguration_test.go, laterequest_test.go,
