--- a/internal/soak/configuration_test.go
+++ b/internal/soak/configuration_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// The routes of the configuration, by which the checks judge.
+// Names of the routes in the configuration.
 const (
 	routeOnce   = "once"   // not idempotent: may run once
 	routeSafe   = "safe"   // idempotent
