--- a/internal/soak/configuration_test.go
+++ b/internal/soak/configuration_test.go
@@ -5,52 +5,52 @@
 	"strings"
 )
 
-// The routes of the configuration, by which the checks judge.
+// Names of the routes in the configuration.
 const (
-	routeOnce   = "once"   // may run once: a request that may not be repeated
+	routeOnce   = "once"   // not idempotent: may run once
 	routeSafe   = "safe"   // idempotent
-	routeStream = "stream" // may run once, and answers with a stream of events
+	routeStream = "stream" // not idempotent; the response is a stream of events
 )
 
 var routes = []string{routeOnce, routeSafe, routeStream}
 
 const (
-	// maxAttempts is the most runs of an idempotent request, on its route.
+	// maxAttempts is the maximum number of runs of an idempotent request.
 	maxAttempts = 2
 	// host is the host of all routes.
 	host = "h.example"
-	// firstKey is always valid; secondKey is revoked now and then.
+	// firstKey is always valid; faults revoke secondKey and restore it.
 	firstKey  = "bank-key"
 	secondKey = "church-key"
 )
 
-// A configuration is what the operators have set: its version, and whether the second
-// client account has its key.
+// A configuration is a version of the platform's configuration. SecondKey says whether the
+// second client account has its key.
 type configuration struct {
 	Version   int
 	SecondKey bool
-	// Probed says that it has a public route that no other version has (probeRoute).
-	Probed bool
-	// Unused is how many routes it has that no caller uses.
-	Unused int
+	// HasProbeRoute adds a public route that no other version has (probeRoute).
+	HasProbeRoute bool
+	// UnusedRoutes is the number of routes that no caller uses.
+	UnusedRoutes int
 }
 
-// probeRoute returns the name of the route that only one version has. The answer to a
-// request on it shows whether that version is in force.
+// probeRoute returns the name of the route that only one version has. The response to a
+// request for it shows whether that version is in force.
 func probeRoute(version int) string { return fmt.Sprintf("probe-%d", version) }
 
-// content returns the configuration in the platform's JSON.
+// content returns the configuration as the platform's JSON.
 func (c configuration) content() string {
 	accounts := fmt.Sprintf(`{"name":"bank","apiKeys":[%q]}`, firstKey)
 	if c.SecondKey {
 		accounts += fmt.Sprintf(`,{"name":"church","apiKeys":[%q]}`, secondKey)
 	}
-	var more strings.Builder
-	if c.Probed {
-		fmt.Fprintf(&more, moreRoute, probeRoute(c.Version), host, true)
+	var extra strings.Builder
+	if c.HasProbeRoute {
+		fmt.Fprintf(&extra, extraRouteFormat, probeRoute(c.Version), host, true)
 	}
-	for i := range c.Unused {
-		fmt.Fprintf(&more, moreRoute, fmt.Sprintf("unused-%d", i), host, false)
+	for i := range c.UnusedRoutes {
+		fmt.Fprintf(&extra, extraRouteFormat, fmt.Sprintf("unused-%d", i), host, false)
 	}
 	return fmt.Sprintf(`{"version":%[1]d,
 "routes":[
@@ -59,10 +59,10 @@
 {"name":"stream","host":%[2]q,"pathPrefix":"/stream/","kind":"streaming","service":"model","timeoutMs":5000,"goalMs":500,"priority":1,"maxAttempts":2}%[5]s],
 "services":[{"name":"plain"},{"name":"model","engine":{"slots":64,"kvCapacity":100000}}],
 "limits":{"maxHeaderBytes":16384,"maxBodyBytes":65536,"headerTimeoutMs":3000,"idleTimeoutMs":15000},
-"tenants":[%[4]s]}`, c.Version, host, maxAttempts, accounts, more.String())
+"tenants":[%[4]s]}`, c.Version, host, maxAttempts, accounts, extra.String())
 }
 
-// moreRoute is the form of a further route to the plain service: its name, which is also
-// its path, its host, and whether it is public.
-const moreRoute = `,
+// extraRouteFormat is the format of an additional route to the plain service: its name,
+// which is also its path, its host, and whether it is public.
+const extraRouteFormat = `,
 {"name":%[1]q,"host":%[2]q,"pathPrefix":"/%[1]s/","kind":"safe","service":"plain","timeoutMs":3000,"goalMs":500,"priority":1,"maxAttempts":2,"public":%[3]t}`
--- a/internal/soak/gateway_test.go
+++ b/internal/soak/gateway_test.go
@@ -14,33 +14,31 @@
 )
 
 const (
-	// probeEvery is how often a gateway's readiness is probed.
-	probeEvery = 100 * time.Millisecond
-	// probeTime bounds one readiness probe.
-	probeTime = time.Second
+	probeInterval = 100 * time.Millisecond
+	probeTimeout  = time.Second
 )
 
-// A gateway is one gateway process, which starts anew whenever it has ended, as the
-// platform does it.
+// A gateway is a gateway that is restarted whenever its process has ended, as on the
+// platform.
 type gateway struct {
 	name      string
-	file      string // of its settings
+	file      string // its settings
 	callers   string // the address for callers
-	readiness string // the address of its readiness
+	readiness string // the address of the readiness probe
 	store     *proxy
-	linkRate  int // of its link to the store, in bytes a second; zero is no bound
+	linkRate  int // of its link to the store, in bytes per second; 0 means no limit
 	peers     *peerEnd
 	log       lockedBuffer
 
-	mu      sync.Mutex
-	process *process
-	ready   bool // at the last probe
-	planned bool // the soak has ended this life of it
-	began   int  // where this life begins in the log
-	life    int  // counts its processes, from 1
+	mu          sync.Mutex
+	process     *process
+	ready       bool // at the last probe
+	planned     bool // the test itself ended this process
+	logOffset   int  // where the log of this process begins
+	incarnation int  // number of its process, from 1
 }
 
-// addGateway starts one gateway, keeps it running and probes its readiness.
+// addGateway starts a gateway, supervises it and probes its readiness.
 func (f *fleet) addGateway(i int, store string) {
 	f.t.Helper()
 	toStore, err := newProxy(store)
@@ -59,7 +57,7 @@
 		"vm: %s\nregion: north\nfailure_domain: a\ncallers: %q\nreadiness: %q\nstore: %q\npeers: %q\n"+
 			"routing: {endpoints_settle: 20ms, endpoints_wait: 300ms, lease_refresh: %s, store_timeout: %s, routers: 2}\n"+
 			"bounds: {revoke: %s, contact: %s, configuration: %s, grace: %s}\n",
-		g.name, g.callers, g.readiness, toStore.listener.Addr(), end.listens, f.bounds.refresh, f.bounds.storeTimeout,
+		g.name, g.callers, g.readiness, toStore.listener.Addr(), end.address, f.bounds.refresh, f.bounds.storeTimeout,
 		f.bounds.revoke, f.bounds.contact, f.bounds.configuration, f.bounds.grace))
 	if i%2 == 0 {
 		g.linkRate = f.linkRate
@@ -67,27 +65,27 @@
 	}
 	f.gateways = append(f.gateways, g)
 	assert.NilError(f.t, g.start())
-	f.group.Go(func() { f.keep(g) })
-	f.group.Go(func() { f.probe(g) })
+	f.group.Go(func() { f.supervise(g) })
+	f.group.Go(func() { f.watchReadiness(g) })
 }
 
 // start starts the gateway's process.
 func (g *gateway) start() error {
-	began := g.log.Len()
+	logOffset := g.log.Len()
 	g.mu.Lock()
-	g.began = began
+	g.logOffset = logOffset
 	g.mu.Unlock()
 	process, err := start(&g.log, "gateway", "--settings", g.file)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.process, g.planned = process, false
-	g.life++
+	g.incarnation++
 	return err
 }
 
-// keep starts a gateway anew whenever it has ended. One that ends by itself fails the
+// supervise restarts a gateway whenever its process has ended. An unexpected exit fails the
 // test.
-func (f *fleet) keep(g *gateway) {
+func (f *fleet) supervise(g *gateway) {
 	for {
 		p := g.current()
 		select {
@@ -99,7 +97,7 @@
 		planned := g.planned
 		g.mu.Unlock()
 		if !planned {
-			f.t.Errorf("%s has ended by itself: %v", g.name, p.err)
+			f.t.Errorf("%s exited unexpectedly: %v", g.name, p.err)
 		}
 		if err := g.start(); err != nil {
 			f.t.Errorf("%s: %v", g.name, err)
@@ -108,9 +106,10 @@
 	}
 }
 
-// probe probes a gateway's readiness until the fleet ends, as the load balancer does.
-func (f *fleet) probe(g *gateway) {
-	ticker := time.NewTicker(probeEvery)
+// watchReadiness probes a gateway's readiness until the fleet is closed, as the load
+// balancer does.
+func (f *fleet) watchReadiness(g *gateway) {
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -118,9 +117,9 @@
 			return
 		case <-ticker.C:
 			p, sent := g.current(), time.Now()
-			ready := g.answersReady()
-			if ready && g.current() == p && !p.ended() { // else its successor may have answered
-				p.readyAt.Store(&sent)
+			ready := g.probeReadiness()
+			if ready && g.current() == p && !p.ended() { // otherwise a later process may have responded
+				p.lastReadyAt.Store(&sent)
 			}
 			g.mu.Lock()
 			g.ready = ready
@@ -129,9 +128,9 @@
 	}
 }
 
-// answersReady probes a gateway's readiness once.
-func (g *gateway) answersReady() bool {
-	client := &http.Client{Timeout: probeTime, Transport: &http.Transport{DisableKeepAlives: true}}
+// probeReadiness probes the gateway's readiness once.
+func (g *gateway) probeReadiness() bool {
+	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + g.readiness + "/ryeford/readiness")
 	if err != nil {
 		return false
@@ -147,33 +146,31 @@
 	return g.ready
 }
 
-// current returns the gateway's process.
+// current returns the gateway's current process.
 func (g *gateway) current() *process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.process
 }
 
-// currentLife returns the number of the gateway's process.
-func (g *gateway) currentLife() int {
+func (g *gateway) currentIncarnation() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.life
+	return g.incarnation
 }
 
-// starting returns the gateway's process once its first line is in the log, or nil
-// before. Until then a signal may meet a process that has not begun to run the program,
-// and end it (seed 901001575).
+// starting returns the gateway's process, or nil until its first line is in the log. Before
+// that, the process may not handle signals yet and would be ended by one.
 func (g *gateway) starting() *process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !strings.Contains(g.log.From(g.began), "msg=starting") {
+	if !strings.Contains(g.log.From(g.logOffset), "msg=starting") {
 		return nil
 	}
 	return g.process
 }
 
-// end ends a gateway's process by a signal.
+// end sends a signal that ends the gateway's process, and returns the process.
 func (g *gateway) end(signal syscall.Signal) *process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// A proxyMode is what a proxy does to the bytes that pass.
+// A proxyMode is how a proxy treats the bytes that it relays.
 type proxyMode int
 
-// The modes. A seed draws from them by their numbers.
+// The modes, in the order in which a seed draws from them.
 const (
-	proxyPass      proxyMode = iota
-	proxySilent              // both directions are held back
-	proxyMuteBack            // the direction back to the caller is held back
-	proxyDelay               // each read's bytes are delayed
-	proxyResetting           // each connection is reset
-	proxyModes               // how many there are
+	proxyPass      proxyMode = iota // relay unchanged
+	proxySilent                     // block both directions
+	proxyBlockBack                  // block the direction back to the caller
+	proxyDelay                      // delay the bytes of each read
+	proxyResetting                  // reset each connection
+	proxyModes                      // number of modes
 )
 
 const (
-	// proxyDelayTime is how long each read's bytes wait in proxyDelay.
+	// proxyDelayTime is the delay of each read in proxyDelay.
 	proxyDelayTime = 60 * time.Millisecond
-	// proxyBuffer is how many bytes are read at once.
+	// proxyBuffer is the maximum number of bytes of a read.
 	proxyBuffer = 32 << 10
 )
 
@@ -35,18 +35,16 @@
 // A proxy relays TCP connections on loopback to one address.
 type proxy struct {
 	listener net.Listener
-	to       string
-	// rewrite changes what goes to that address, if it is set. It is called with what one
-	// read has returned.
+	target   string
+	// rewrite, if set, replaces the bytes of each read from the caller.
 	rewrite func(content []byte) []byte
-	// link bounds the bytes a second in the direction back to the caller, of all
-	// connections together.
-	link byteRate
+	// link limits the direction back to the caller, over all connections.
+	link rateLimiter
 
 	mu      sync.Mutex
 	mode    proxyMode
-	changed chan struct{} // closed at the next change of mode
-	open    map[net.Conn]bool
+	changed chan struct{} // closed when the mode changes
+	conns   map[net.Conn]bool
 }
 
 // newProxy starts a proxy on a free port.
@@ -55,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, to: to, changed: make(chan struct{}), open: make(map[net.Conn]bool)}
+	p := &proxy{listener: listener, target: to, changed: make(chan struct{}), conns: make(map[net.Conn]bool)}
 	go p.run()
 	return p, nil
 }
@@ -68,14 +66,14 @@
 	close(p.changed)
 	p.changed = make(chan struct{})
 	if mode == proxyResetting {
-		for conn := range p.open {
+		for conn := range p.conns {
 			reset(conn)
 		}
 	}
 }
 
-// now returns the mode, and a channel that is closed once it changes.
-func (p *proxy) now() (proxyMode, chan struct{}) {
+// currentMode returns the mode, and a channel that is closed when it changes.
+func (p *proxy) currentMode() (proxyMode, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode, p.changed
@@ -94,11 +92,11 @@
 
 // serve relays one connection.
 func (p *proxy) serve(conn net.Conn) {
-	if mode, _ := p.now(); mode == proxyResetting {
+	if mode, _ := p.currentMode(); mode == proxyResetting {
 		reset(conn)
 		return
 	}
-	far, err := net.Dial("tcp", p.to)
+	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
 		reset(conn)
 		return
@@ -106,8 +104,8 @@
 	p.track(conn, true)
 	defer p.track(conn, false)
 	var group sync.WaitGroup
-	group.Go(func() { p.relay(far, conn, p.sent, proxySilent) })
-	group.Go(func() { p.relay(conn, far, p.link.pass, proxySilent, proxyMuteBack) })
+	group.Go(func() { p.relay(upstream, conn, p.rewriteRequest, proxySilent) })
+	group.Go(func() { p.relay(conn, upstream, p.link.pass, proxySilent, proxyBlockBack) })
 	group.Wait()
 }
 
@@ -116,23 +114,23 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if open {
-		p.open[conn] = true
+		p.conns[conn] = true
 		return
 	}
-	delete(p.open, conn)
+	delete(p.conns, conn)
 }
 
-// sent returns what is passed on of what a caller has sent.
-func (p *proxy) sent(content []byte) []byte {
+// rewriteRequest applies rewrite to bytes from the caller.
+func (p *proxy) rewriteRequest(content []byte) []byte {
 	if p.rewrite == nil {
 		return content
 	}
 	return p.rewrite(content)
 }
 
-// relay relays one direction of a connection, by way of pass. It holds back while the
-// mode is one of held.
-func (p *proxy) relay(to, from net.Conn, pass func([]byte) []byte, held ...proxyMode) {
+// relay relays one direction of a connection through pass. It waits while the mode is one
+// of blocked.
+func (p *proxy) relay(to, from net.Conn, pass func([]byte) []byte, blocked ...proxyMode) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -140,7 +138,7 @@
 	buffer := make([]byte, proxyBuffer)
 	for {
 		n, err := from.Read(buffer)
-		p.await(held)
+		p.await(blocked)
 		if n > 0 {
 			if _, err := to.Write(pass(buffer[:n])); err != nil {
 				return
@@ -152,21 +150,21 @@
 	}
 }
 
-// await returns once the mode is none of held.
-func (p *proxy) await(held []proxyMode) {
+// await waits until the mode is none of blocked.
+func (p *proxy) await(blocked []proxyMode) {
 	for {
-		mode, changed := p.now()
+		mode, changed := p.currentMode()
 		if mode == proxyDelay {
 			time.Sleep(proxyDelayTime)
 		}
-		if !slices.Contains(held, mode) {
+		if !slices.Contains(blocked, mode) {
 			return
 		}
 		<-changed
 	}
 }
 
-// reset closes a connection with a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -174,7 +172,7 @@
 	_ = conn.Close()
 }
 
-// close ends the proxy and its connections.
+// close stops the proxy and resets its connections.
 func (p *proxy) close() {
 	p.set(proxyResetting)
 	_ = p.listener.Close()
--- a/internal/soak/restorefaults_test.go
+++ b/internal/soak/restorefaults_test.go
@@ -5,87 +5,90 @@
 	"time"
 )
 
-// restoreFaults are restores of the store from a copy. They strike beside the others, from a generator of
-// their own, so that the kept seeds draw the same others as before them.
+// restoreFaults are restores of the store from a backup. They have a random generator of
+// their own, so that other faults of a seed are drawn independently of them.
 var restoreFaults = []fault{
-	{"restore", "the store is away for up to 1 s and back from a copy of up to 5 s before, its clock goes on or starts anew; operators and servers write again within 1 s", noRequest, noRequest, (*injector).restore},
+	{"restore", "the store is down for up to 1 s and restored from a backup up to 5 s old, its clock continues or is reset; operators and servers repeat lost writes within 1 s", affectsNone, affectsNone, (*injector).restore},
 }
 
 const (
-	// restoreStream is the stream of a seed's random numbers from which restoreFaults are drawn.
+	// restoreStream is the stream of a seed's random numbers for restoreFaults.
 	restoreStream = 1 << 18
-	// maxBetweenRestores is the longest time between the beginnings of two restoreFaults.
+	// maxBetweenRestores is the longest time between the starts of two restoreFaults.
 	maxBetweenRestores = 6 * time.Second
-	// maxCopyAge is how much older than the outage the copy is at the most, and maxAway and maxAgain how
-	// long the store is away and how long it takes until what was lost is written again.
-	maxCopyAge = 5 * time.Second
-	maxAway    = time.Second
-	maxAgain   = time.Second
-	// drainTime is bounds.drain of the gateways, within which nothing is sent any more to a server that
-	// drains.
-	drainTime = 2 * time.Second
+	// maxBackupAge bounds the age of the backup when the store goes down, maxDowntime the
+	// downtime, and maxRewriteDelay the time until lost writes are repeated.
+	maxBackupAge    = 5 * time.Second
+	maxDowntime     = time.Second
+	maxRewriteDelay = time.Second
+	// drainBound is bounds.drain of the gateways: the time within which they stop sending
+	// requests to a server that drains.
+	drainBound = 2 * time.Second
 )
 
-// restore makes the store come back from a copy. Restores come one after the other. Each records itself
-// what it disturbs, for checkWithheld.
+// restore restores the store from a backup. Restores do not overlap. Each records its
+// outage itself, because checkWithheld needs to identify it.
 func (in *injector) restore(random *rand.Rand, _ int) {
 	in.restoring.Lock()
 	defer in.restoring.Unlock()
-	one := restored{copied: time.Now()}
+	r := storeRestore{backupAt: time.Now()}
 	in.post(`{"keep_copy":true}`)
-	pause(random, maxCopyAge)
-	one.away = time.Now()
+	pause(random, maxBackupAge)
+	r.downAt = time.Now()
 	in.post(`{"store":{"reset":true}}`)
-	pause(random, maxAway)
+	pause(random, maxDowntime)
 	in.post(`{"restore":true}`)
-	one.back = time.Now()
+	r.upAt = time.Now()
 	if random.IntN(2) == 0 {
 		in.storeClockStep(random, 0)
 	}
-	in.post(storeWorks)
-	pause(random, maxAgain)
+	in.post(storeHealthy)
+	pause(random, maxRewriteDelay)
 	in.post(`{"write_again":true}`)
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	one.until = time.Now()
-	in.restores = append(in.restores, one)
-	in.outages = append(in.outages, one.outage())
+	r.rewrittenAt = time.Now()
+	in.restores = append(in.restores, r)
+	in.outages = append(in.outages, r.outage())
 }
 
-// A restored is a restore of the store: when the copy was made, from when the store was away, when it was
-// back, and when what was lost had been written again.
-type restored struct {
-	copied, away, back, until time.Time
+// A storeRestore is a restore of the store: when the backup was made, when the store went
+// down and came up again, and when the lost writes had been repeated.
+type storeRestore struct {
+	backupAt, downAt, upAt, rewrittenAt time.Time
 }
 
-// outage returns the time in which the store is disrupted.
-func (r *restored) outage() cut { return cut{gateway: allGateways, from: r.away, until: r.until} }
+// outage returns the time in which the store was disrupted.
+func (r *storeRestore) outage() faultWindow {
+	return faultWindow{gateway: allGateways, from: r.downAt, until: r.rewrittenAt}
+}
 
-// checkWithheld checks that a restore of the store excuses nobody who sends to a server that had drained
-// or left the list before it: what a gateway has read binds it.
-func checkWithheld(c *call, seen *evidence) string {
-	if !seen.inTouchBesideRestores(c) {
+// checkWithheld checks that a restore of the store does not make gateways use a server that
+// was draining or gone before it: what a gateway has read remains in force.
+func checkWithheld(c *call, record *runRecord) string {
+	if !record.inTouchIgnoringRestores(c) {
 		return ""
 	}
-	return seen.answeredLate(c)
+	return record.answeredByUnavailable(c)
 }
 
-// inTouchBesideRestores reports whether a call's gateway was in touch, as if restores were no outages.
-func (e *evidence) inTouchBesideRestores(c *call) bool {
-	var outages []cut
-	for i := range e.restores {
-		outages = append(outages, e.restores[i].outage())
+// inTouchIgnoringRestores reports whether a call's gateway was in touch, not counting
+// restores as outages.
+func (r *runRecord) inTouchIgnoringRestores(c *call) bool {
+	var outages []faultWindow
+	for i := range r.restores {
+		outages = append(outages, r.restores[i].outage())
 	}
-	return e.inTouchBeside(c, outages)
+	return r.inTouchIgnoring(c, outages)
 }
 
-// keptSince returns since when the store has kept what it accepted at a time: what a restore has lost, and
-// all gateways need not have read within a bound before the store was away, counts from when it was
-// written again.
-func (e *evidence) keptSince(at time.Time, bound time.Duration) time.Time {
-	for _, r := range e.restores {
-		if at.After(r.copied) && at.Before(r.back) && r.away.Sub(at) < bound {
-			at = r.until
+// durableSince returns the time from which a change that was accepted at a given time is
+// durable. If a restore lost it, and gateways had less than bound to read it before, that
+// is when it was written again.
+func (r *runRecord) durableSince(at time.Time, bound time.Duration) time.Time {
+	for _, restore := range r.restores {
+		if at.After(restore.backupAt) && at.Before(restore.upAt) && restore.downAt.Sub(at) < bound {
+			at = restore.rewrittenAt
 		}
 	}
 	return at
