--- a/agentfleet/agent/admit.go
+++ b/agentfleet/agent/admit.go
@@ -74,7 +74,7 @@
 		return r, nil
 	case reason == ryeford.ReasonDuplicate:
 		refused := a.refusal(d, reason)
-		refused.Unknown = true
+		refused.MayHaveRun = true
 		return nil, refused
 	case reason != "":
 		return nil, a.refusal(d, reason)
--- a/agentfleet/agent/admit_test.go
+++ b/agentfleet/agent/admit_test.go
@@ -23,7 +23,7 @@
 	d := &wire.Dispatch{
 		Attempt: "a1", Account: "bank", Chat: "c1", Engine: b.id, Incarnation: a.incarnation,
 		Share: 1, MayRedirect: true, Completion: &ryeford.Completion{Pool: pool},
-		Expires: now.Add(time.Minute), Forget: now.Add(time.Hour),
+		Expires: now.Add(time.Minute), RetainUntil: now.Add(time.Hour),
 	}
 	running := *d
 	running.Attempt, running.Chat = "a0", "c0"
@@ -56,8 +56,8 @@
 			assert.Equal(t, refused.Reason, test.want)
 			assert.Equal(t, refused.Attempt, d.Attempt)
 			assert.Equal(t, refused.Incarnation, a.incarnation)
-			// Unknown is set only for an attempt that ran or may have run.
-			assert.Equal(t, refused.Unknown, test.want == ryeford.ReasonDuplicate)
+			// MayHaveRun is set only for an attempt that ran or may have run.
+			assert.Equal(t, refused.MayHaveRun, test.want == ryeford.ReasonDuplicate)
 		})
 	}
 }
--- a/agentfleet/agent/agent.go
+++ b/agentfleet/agent/agent.go
@@ -52,11 +52,11 @@
 	control     *transport.ControlLimiter
 	listener    *transport.Listener
 
-	backends map[ryeford.EngineID]*backend
-	attempts *attempts
-	offsets  clockOffsets
-	book     *template.Book
-	plan     *plan.Current // the part for this VM
+	backends      map[ryeford.EngineID]*backend
+	attempts      *attempts
+	offsets       clockOffsets
+	templateCache *template.Cache
+	plan          *plan.Tracker // the part for this VM
 
 	leaving atomic.Bool
 	leave   chan struct{} // closed when the agent starts leaving
@@ -75,25 +75,25 @@
 	}
 	metrics := telemetry.NewSet()
 	a := &Agent{
-		settings:    s,
-		incarnation: ryeford.Incarnation(uuid.NewString()),
-		tls:         tlsConfig,
-		vms:         vms,
-		log:         logger,
-		decisions:   decision.NewLog(logger),
-		metrics:     metrics,
-		control:     transport.NewControlLimiter(s.Transport.ControlBytesPerSecond, metrics.ControlSent),
-		listener:    listener,
-		backends:    make(map[ryeford.EngineID]*backend),
-		attempts:    newAttempts(s.Limits.Keep, s.Limits.ClockSkew),
-		book:        template.NewBook(),
-		plan:        plan.NewCurrent(),
-		leave:       make(chan struct{}),
-		changed:     make(chan struct{}),
-		peers:       make(map[*transport.Conn]struct{}),
+		settings:      s,
+		incarnation:   ryeford.Incarnation(uuid.NewString()),
+		tls:           tlsConfig,
+		vms:           vms,
+		log:           logger,
+		decisions:     decision.NewLog(logger),
+		metrics:       metrics,
+		control:       transport.NewControlLimiter(s.Transport.ControlBytesPerSecond, metrics.AddGossipBytesSent),
+		listener:      listener,
+		backends:      make(map[ryeford.EngineID]*backend),
+		attempts:      newAttempts(s.Limits.AnswerTTL, s.Limits.ClockSkew),
+		templateCache: template.NewCache(),
+		plan:          plan.NewTracker(),
+		leave:         make(chan struct{}),
+		changed:       make(chan struct{}),
+		peers:         make(map[*transport.Conn]struct{}),
 	}
 	a.addBackends()
-	metrics.Gauge("ryeford_revision", func() float64 { return float64(a.book.Revision()) })
+	metrics.Gauge("ryeford_revision", func() float64 { return float64(a.templateCache.Revision()) })
 	return a, nil
 }
 
--- a/agentfleet/agent/attemptrules_test.go
+++ b/agentfleet/agent/attemptrules_test.go
@@ -41,7 +41,7 @@
 		removeAfter time.Duration // from now
 		peek        bool
 		want        ryeford.Reason
-		unknown     bool
+		mayHaveRun  bool
 	}{
 		{"an admitted attempt is joined", attemptRetained, 1, 2, false, "", false},
 		{"a retained answer is joined after the expiry", attemptRetained, -9, -8, false, "", false},
@@ -58,9 +58,9 @@
 		{"a peek after the expiry proves that the attempt did not run", attemptUnseen, -1, 2, true, ryeford.ReasonTombstone, false},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
-			got, unknown := joinRefusal(test.state, now, now.Add(test.expires), now.Add(test.removeAfter), test.peek)
+			got, mayHaveRun := joinRefusal(test.state, now, now.Add(test.expires), now.Add(test.removeAfter), test.peek)
 			assert.Equal(t, got, test.want)
-			assert.Equal(t, unknown, test.unknown)
+			assert.Equal(t, mayHaveRun, test.mayHaveRun)
 		})
 	}
 }
@@ -71,20 +71,20 @@
 	a := newAttempts(time.Minute, time.Second)
 	now := time.Unix(1_000_000, 0)
 	expires, removeAfter := now.Add(time.Second), now.Add(time.Minute)
-	d := &wire.Dispatch{Attempt: "a1", Account: "bank", Expires: expires, Forget: removeAfter}
+	d := &wire.Dispatch{Attempt: "a1", Account: "bank", Expires: expires, RetainUntil: removeAfter}
 	admitted := newRun(d, nil, false)
 	defer admitted.cancel()
 	a.admitAt(now, d, func(time.Time) *run { return admitted })
 
-	join := &wire.Join{Attempt: "a1", Account: "bank", Expires: expires, Forget: removeAfter}
-	r, reason, unknown := a.joinAt(now, join)
+	join := &wire.Join{Attempt: "a1", Account: "bank", Expires: expires, RetainUntil: removeAfter}
+	r, reason, mayHaveRun := a.joinAt(now, join)
 	assert.Equal(t, r, admitted)
 	assert.Equal(t, reason, ryeford.Reason(""))
-	assert.Assert(t, !unknown)
+	assert.Assert(t, !mayHaveRun)
 
 	join.Account = "church"
-	r, reason, unknown = a.joinAt(now, join)
+	r, reason, mayHaveRun = a.joinAt(now, join)
 	assert.Assert(t, r == nil)
 	assert.Equal(t, reason, ryeford.ReasonDuplicate)
-	assert.Assert(t, unknown)
+	assert.Assert(t, mayHaveRun)
 }
--- a/agentfleet/agent/attempts.go
+++ b/agentfleet/agent/attempts.go
@@ -51,14 +51,14 @@
 	if r == nil {
 		return nil, ""
 	}
-	expires := retainUntil(d.Expires, d.Forget, a.skew)
+	expires := retainUntil(d.Expires, d.RetainUntil, a.skew)
 	a.records[d.Attempt] = attemptRecord{state: attemptRetained, run: r, expires: expires}
 	return r, ""
 }
 
 // join calls joinAt with the lock held. It reads the time after it has acquired the
 // lock, since the record of an admission may expire in the meantime.
-func (a *attempts) join(j *wire.Join) (r *run, reason ryeford.Reason, unknown bool) {
+func (a *attempts) join(j *wire.Join) (r *run, reason ryeford.Reason, mayHaveRun bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.joinAt(time.Now(), j)
@@ -68,16 +68,16 @@
 // the account, or the reason why not (joinRefusal). If the attempt did not run, joinAt
 // records a tombstone, so that a dispatch that arrives later is refused. The caller
 // holds a.mu.
-func (a *attempts) joinAt(now time.Time, j *wire.Join) (r *run, reason ryeford.Reason, unknown bool) {
+func (a *attempts) joinAt(now time.Time, j *wire.Join) (r *run, reason ryeford.Reason, mayHaveRun bool) {
 	record := a.records[j.Attempt]
 	if record.run != nil && record.run.dispatch.Account != j.Account {
 		return nil, ryeford.ReasonDuplicate, true // it runs, for another account
 	}
-	reason, unknown = joinRefusal(record.state, now, j.Expires, j.Forget, j.Peek)
+	reason, mayHaveRun = joinRefusal(record.state, now, j.Expires, j.RetainUntil, j.Peek)
 	if reason == ryeford.ReasonTombstone {
 		a.records[j.Attempt] = attemptRecord{state: attemptTombstone, expires: tombstoneUntil(j.Expires, a.skew)}
 	}
-	return record.run, reason, unknown
+	return record.run, reason, mayHaveRun
 }
 
 // scheduleDrop drops the answer of a finished run after the retention period.
@@ -118,7 +118,7 @@
 // The rules below guarantee that an attempt runs at most once, and that an attempt that
 // is reported as not run never runs. They rely on three properties of package wire: an
 // attempt's ID is never reused for another request; a restarted agent has another
-// incarnation and refuses older dispatches; a dispatch's Expires is before its Forget.
+// incarnation and refuses older dispatches; a dispatch's Expires is before its RetainUntil.
 
 // An attemptState is the recorded state of an attempt.
 type attemptState int
@@ -155,7 +155,7 @@
 // not have been removed yet. The caller must then record a tombstone, since the dispatch
 // may still arrive. A peek records none, so it proves nothing until the attempt has
 // expired.
-func joinRefusal(s attemptState, now, expires, removeAfter time.Time, peek bool) (reason ryeford.Reason, unknown bool) {
+func joinRefusal(s attemptState, now, expires, removeAfter time.Time, peek bool) (reason ryeford.Reason, mayHaveRun bool) {
 	switch {
 	case s == attemptRetained:
 		return "", false
--- a/agentfleet/agent/attempts_test.go
+++ b/agentfleet/agent/attempts_test.go
@@ -33,7 +33,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"dispatch": func(t *rapid.T) {
 				id := drawAttempt(t)
-				d := &wire.Dispatch{Attempt: id, Expires: expires[id], Forget: removeAfter[id]}
+				d := &wire.Dispatch{Attempt: id, Expires: expires[id], RetainUntil: removeAfter[id]}
 				admit := rapid.Bool().Draw(t, "admit")
 				_, reason := a.admitAt(now, d, func(time.Time) *run {
 					if !admit {
@@ -48,7 +48,7 @@
 			},
 			"join": func(t *rapid.T) {
 				id := drawAttempt(t)
-				j := &wire.Join{Attempt: id, Expires: expires[id], Forget: removeAfter[id], Peek: rapid.Bool().Draw(t, "peek")}
+				j := &wire.Join{Attempt: id, Expires: expires[id], RetainUntil: removeAfter[id], Peek: rapid.Bool().Draw(t, "peek")}
 				_, reason, _ := a.joinAt(now, j)
 				if reason == ryeford.ReasonTombstone {
 					assert.Equal(t, runs[id], 0, "attempt ran but is reported as not run")
--- a/agentfleet/agent/backend.go
+++ b/agentfleet/agent/backend.go
@@ -76,7 +76,7 @@
 		return admission.Decision{Reason: ryeford.ReasonNotServing, Load: float64(b.gate.Load())}, false
 	}
 	if remaining := b.backoffUntil.Sub(now); remaining > 0 {
-		return admission.Decision{Reason: ryeford.ReasonResting, Load: float64(b.gate.Load()), RetryAfter: remaining}, false
+		return admission.Decision{Reason: ryeford.ReasonBackingOff, Load: float64(b.gate.Load()), RetryAfter: remaining}, false
 	}
 	decision = b.gate.Admit(now, &admission.Request{
 		Account:  d.Account,
@@ -130,10 +130,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := wire.EngineState{
-		ID:      b.id,
-		Service: b.serviceName,
-		Load:    float64(b.gate.Load()),
-		Resting: time.Now().Before(b.backoffUntil),
+		ID:         b.id,
+		Service:    b.serviceName,
+		Load:       float64(b.gate.Load()),
+		BackingOff: time.Now().Before(b.backoffUntil),
 	}
 	if b.alive {
 		s.Pools = b.pools
--- a/agentfleet/agent/backoff_test.go
+++ b/agentfleet/agent/backoff_test.go
@@ -48,7 +48,7 @@
 	admitted, refused := b.agent.admit(&wire.Dispatch{
 		Attempt: ryeford.AttemptID(attempt), Account: "bank", Chat: "c1", Engine: b.backend.id, Incarnation: b.agent.incarnation, Share: 1,
 		Completion: completion, Call: call,
-		Expires: time.Now().Add(time.Minute), Forget: time.Now().Add(time.Hour),
+		Expires: time.Now().Add(time.Minute), RetainUntil: time.Now().Add(time.Hour),
 	})
 	for offset := int64(0); admitted != nil && !admitted.log.Finished(); {
 		chunks, err := admitted.log.Read(b.t.Context(), offset)
@@ -70,7 +70,7 @@
 		_, refused := b.dispatch(attempt, &ryeford.Completion{Attempt: ryeford.AttemptID(attempt), Pool: pool}, nil)
 		assert.Equal(t, refused != nil, i > 0)
 		if refused != nil {
-			assert.Equal(t, refused.Reason, ryeford.ReasonResting)
+			assert.Equal(t, refused.Reason, ryeford.ReasonBackingOff)
 			assert.Assert(t, refused.RetryAfter > 0 && refused.RetryAfter <= time.Minute, "%s", refused.RetryAfter)
 		}
 	}
@@ -90,6 +90,6 @@
 	assert.Equal(t, chunks[0].Status, http.StatusServiceUnavailable)
 	_, refused = b.dispatch("a1", nil, call)
 	assert.Assert(t, refused != nil)
-	assert.Equal(t, refused.Reason, ryeford.ReasonResting)
+	assert.Equal(t, refused.Reason, ryeford.ReasonBackingOff)
 	assert.Equal(t, b.calls.Load(), int64(1))
 }
--- a/agentfleet/agent/connections.go
+++ b/agentfleet/agent/connections.go
@@ -50,7 +50,7 @@
 	case m.Watch != nil:
 		a.serveWatch(ctx, conn, stream)
 	case m.Pull != nil:
-		stream.Reply(&wire.Message{Delta: gossip.NewDelta(a.book, m.Pull.Revision)})
+		stream.Reply(&wire.Message{Delta: gossip.NewDelta(a.templateCache, m.Pull.Revision)})
 	case m.Import != nil:
 		a.serveImport(ctx, stream, m.Import)
 	case m.Explain != nil:
@@ -112,17 +112,17 @@
 func (a *Agent) serveJoin(ctx context.Context, stream *transport.Stream, j *wire.Join) {
 	refused := &wire.Refused{Attempt: j.Attempt, Incarnation: a.incarnation}
 	if j.Incarnation != a.incarnation {
-		refused.Reason, refused.Unknown = ryeford.ReasonIncarnation, true
+		refused.Reason, refused.MayHaveRun = ryeford.ReasonIncarnation, true
 		stream.Reply(&wire.Message{Refused: refused})
 		return
 	}
 	var r *run
-	r, refused.Reason, refused.Unknown = a.attempts.join(j)
+	r, refused.Reason, refused.MayHaveRun = a.attempts.join(j)
 	if r != nil {
 		a.sendAnswer(ctx, stream, r, r.dispatch.Request, j.Offset)
 		return
 	}
-	a.decisions.Record("", "decision", "settle", "attempt", j.Attempt, "reason", refused.Reason, "unknown", refused.Unknown)
+	a.decisions.Record("", "decision", "settle", "attempt", j.Attempt, "reason", refused.Reason, "unknown", refused.MayHaveRun)
 	stream.Reply(&wire.Message{Refused: refused})
 }
 
@@ -166,7 +166,7 @@
 func (a *Agent) gossip(ctx context.Context) error {
 	loop := &gossip.Loop{
 		Interval:    a.settings.Transport.GossipInterval,
-		Book:        a.book,
+		Templates:   a.templateCache,
 		Decisions:   a.decisions,
 		PlanChanged: func() <-chan struct{} { return nil },
 		Send:        a.sendGossip,
@@ -179,7 +179,7 @@
 	epoch, sequence := a.plan.Version()
 	m := &wire.Gossip{
 		VM:           a.settings.VM,
-		Revision:     a.book.Revision(),
+		Revision:     a.templateCache.Revision(),
 		PlanEpoch:    epoch,
 		PlanSequence: sequence,
 	}
@@ -208,8 +208,8 @@
 				b.addOverflow(now, &m.Overflows[i])
 			}
 		}
-		if m.Revision > a.book.Revision() {
-			templates.Start(func() { gossip.PullNewer(ctx, conn, a.book, m.Revision) })
+		if m.Revision > a.templateCache.Revision() {
+			templates.Start(func() { gossip.PullNewer(ctx, conn, a.templateCache, m.Revision) })
 		}
 		if a.plan.OlderThan(m.PlanEpoch, m.PlanSequence) {
 			plans.Start(func() { a.pullNewerPlan(ctx, conn, m) })
--- a/agentfleet/agent/execute.go
+++ b/agentfleet/agent/execute.go
@@ -53,8 +53,8 @@
 }
 
 // logDropped logs and counts the chunks that the assembler dropped.
-func (a *Agent) logDropped(r *run, dropped answer.Dropped) {
-	if dropped == (answer.Dropped{}) {
+func (a *Agent) logDropped(r *run, dropped answer.DropCounts) {
+	if dropped == (answer.DropCounts{}) {
 		return
 	}
 	a.metrics.Add("ryeford_chunks_dropped_total", "foreign", dropped.Foreign)
--- a/agentfleet/agent/export.go
+++ b/agentfleet/agent/export.go
@@ -71,7 +71,7 @@
 // one by one, since a lost router or VM fails many chats for the same reason.
 func (e *exporter) exportBatch(ctx context.Context, b *backend, pool ryeford.Pool, chats []wire.ChatKey) {
 	request := &wire.Successors{Pool: pool, Chats: chats, Leaving: e.agent.settings.VM}
-	m, err := e.router.Ask(ctx, &wire.Message{Successors: request})
+	m, err := e.router.RoundTrip(ctx, &wire.Message{Successors: request})
 	if err != nil || m.Placements == nil || len(m.Placements.Placements) != len(chats) {
 		e.failed += len(chats)
 		return
@@ -100,7 +100,7 @@
 	if err != nil {
 		return false
 	}
-	m, err := conn.Ask(ctx, &wire.Message{Import: &wire.Import{Engine: to.Engine, Chat: chat, Cache: cache, Pool: pool}})
+	m, err := conn.RoundTrip(ctx, &wire.Message{Import: &wire.Import{Engine: to.Engine, Chat: chat, Cache: cache, Pool: pool}})
 	return err == nil && m.Done != nil
 }
 
--- a/agentfleet/agent/gossip_test.go
+++ b/agentfleet/agent/gossip_test.go
@@ -40,12 +40,12 @@
 	})
 	b := newBackend("endpoint-1.1", admission.Limits{}, 10)
 	a := testAgent(b)
-	a.book = template.NewBook()
-	a.plan = plan.NewCurrent()
+	a.templateCache = template.NewCache()
+	a.plan = plan.NewTracker()
 	go a.receiveGossip(t.Context(), conn)
 	for {
 		_, ok := b.holder(time.Now(), &wire.Dispatch{Account: chat.Account, Chat: chat.Chat})
-		assert.Equal(t, a.book.Revision(), int64(0), "the message was not processed before the templates")
+		assert.Equal(t, a.templateCache.Revision(), int64(0), "the message was not processed before the templates")
 		if ok {
 			return
 		}
--- a/agentfleet/agent/lockwait_test.go
+++ b/agentfleet/agent/lockwait_test.go
@@ -34,7 +34,7 @@
 		lockAttempts(a.attempts)
 		r, refused := a.admit(&wire.Dispatch{
 			Attempt: "a1", Account: "bank", Chat: "c1", Engine: b.id, Incarnation: a.incarnation,
-			Share: 1, Completion: &ryeford.Completion{Attempt: "a1", Pool: pool}, Expires: expires, Forget: expires,
+			Share: 1, Completion: &ryeford.Completion{Attempt: "a1", Pool: pool}, Expires: expires, RetainUntil: expires,
 		})
 		assert.Assert(t, r == nil)
 		assert.Equal(t, refused.Reason, ryeford.ReasonExpired)
@@ -43,8 +43,8 @@
 		a := newAttempts(time.Minute, time.Second)
 		removeAfter := time.Now().Add(lockWait / 2)
 		lockAttempts(a)
-		_, reason, unknown := a.join(&wire.Join{Attempt: "a1", Expires: removeAfter, Forget: removeAfter})
+		_, reason, mayHaveRun := a.join(&wire.Join{Attempt: "a1", Expires: removeAfter, RetainUntil: removeAfter})
 		assert.Equal(t, reason, ryeford.ReasonExpired)
-		assert.Assert(t, unknown)
+		assert.Assert(t, mayHaveRun)
 	})
 }
--- a/agentfleet/agent/meanload_test.go
+++ b/agentfleet/agent/meanload_test.go
@@ -105,7 +105,7 @@
 				Attempt: "a1", Account: "bank", Chat: "c1", Engine: b.id, Incarnation: a.incarnation,
 				Priority: ryeford.PriorityHighest, Share: 1, PoolMean: test.mean, Sent: time.Now(),
 				Completion: &ryeford.Completion{Attempt: "a1", Pool: pool},
-				Expires:    time.Now().Add(time.Minute), Forget: time.Now().Add(time.Hour),
+				Expires:    time.Now().Add(time.Minute), RetainUntil: time.Now().Add(time.Hour),
 			})
 			assert.Equal(t, refused == nil, test.want == "")
 			if refused != nil {
--- a/agentfleet/agent/pull_test.go
+++ b/agentfleet/agent/pull_test.go
@@ -136,12 +136,12 @@
 func TestPullTemplatesSlowLink(t *testing.T) {
 	t.Parallel()
 	conn := dialSlow(t, &wire.Message{Delta: largeDelta()})
-	book := template.NewBook()
+	cache := template.NewCache()
 	start := time.Now()
-	revision, ok := gossip.PullTemplates(t.Context(), conn, book)
+	revision, ok := gossip.PullTemplates(t.Context(), conn, cache)
 	assert.Assert(t, ok, "after %s", time.Since(start))
 	assert.Equal(t, revision, int64(1))
-	assert.Equal(t, book.Revision(), int64(1))
+	assert.Equal(t, cache.Revision(), int64(1))
 	assert.Assert(t, time.Since(start) > gossip.PullTimeout)
 }
 
@@ -156,7 +156,7 @@
 	conn := dialSlow(t, &wire.Message{Plan: next})
 	a := &Agent{
 		settings:  settings.DefaultAgent(),
-		plan:      plan.NewCurrent(),
+		plan:      plan.NewTracker(),
 		decisions: decision.NewLog(log.NewNopLogger()),
 	}
 	start := time.Now()
@@ -167,7 +167,7 @@
 }
 
 // TestPullTemplatesInParts pulls more templates than fit into one message: all must be
-// received, and the book must not have the new revision without all of them.
+// received, and the cache must not have the new revision without all of them.
 func TestPullTemplatesInParts(t *testing.T) {
 	t.Parallel()
 	const count, keys = 1400, 100 // 6.6 KB each, 9.2 MB in total
@@ -179,21 +179,21 @@
 		}
 	}
 	a := testAgent(newBackend("endpoint-2.1", admission.Limits{}, 10))
-	a.book = template.NewBook()
-	a.book.Apply(0, count, templates)
+	a.templateCache = template.NewCache()
+	a.templateCache.Apply(0, count, templates)
 	direct := func(_ *testing.T, listener netip.AddrPort) netip.AddrPort { return listener }
 	conn := dialRouter(t, direct, func(conn *transport.Conn) {
 		conn.Serve(context.Background(), func(s *transport.Stream, m *wire.Message) {
 			a.serveStream(context.Background(), conn, s, m)
 		})
 	})
-	book := template.NewBook()
-	changed := book.Changed()
-	revision, ok := gossip.PullTemplates(t.Context(), conn, book)
+	cache := template.NewCache()
+	changed := cache.Changed()
+	revision, ok := gossip.PullTemplates(t.Context(), conn, cache)
 	assert.Assert(t, ok)
 	assert.Equal(t, revision, int64(count))
 	<-changed
-	assert.Equal(t, book.Revision(), int64(count))
-	_, got := book.Since(0)
+	assert.Equal(t, cache.Revision(), int64(count))
+	_, got := cache.ChangedSince(0)
 	assert.Equal(t, len(got), count)
 }
--- a/agentfleet/agent/queue_test.go
+++ b/agentfleet/agent/queue_test.go
@@ -63,7 +63,7 @@
 				d := &wire.Dispatch{
 					Attempt: "a1", Account: "bank", Chat: "c1", Engine: b.id, Incarnation: a.incarnation,
 					Share: 1, Wait: test.wait, Completion: &ryeford.Completion{Attempt: "a1", Pool: pool},
-					Expires: time.Now().Add(time.Minute), Forget: time.Now().Add(time.Hour),
+					Expires: time.Now().Add(time.Minute), RetainUntil: time.Now().Add(time.Hour),
 				}
 				running := *d
 				running.Attempt, running.Chat = "a0", "c0"
--- a/agentfleet/answer/answer_test.go
+++ b/agentfleet/answer/answer_test.go
@@ -64,15 +64,15 @@
 	for _, test := range []struct {
 		name  string
 		chunk ryeford.Chunk
-		want  Dropped
+		want  DropCounts
 	}{
-		{"the next chunk is passed on", chunk("mine", 1), Dropped{}},
-		{"a chunk after a gap is kept", chunk("mine", 4), Dropped{}},
-		{"a chunk that was passed on", chunk("mine", 0), Dropped{Repeated: 1}},
-		{"a chunk that is already kept", chunk("mine", 3), Dropped{Repeated: 1}},
-		{"a chunk of another attempt", chunk("other", 1), Dropped{Foreign: 1}},
-		{"the last chunk within the limit", chunk("mine", 1+maxPending-1), Dropped{}},
-		{"the first chunk beyond the limit", chunk("mine", 1+maxPending), Dropped{Overflow: 1}},
+		{"the next chunk is passed on", chunk("mine", 1), DropCounts{}},
+		{"a chunk after a gap is kept", chunk("mine", 4), DropCounts{}},
+		{"a chunk that was passed on", chunk("mine", 0), DropCounts{Repeated: 1}},
+		{"a chunk that is already kept", chunk("mine", 3), DropCounts{Repeated: 1}},
+		{"a chunk of another attempt", chunk("other", 1), DropCounts{Foreign: 1}},
+		{"the last chunk within the limit", chunk("mine", 1+maxPending-1), DropCounts{}},
+		{"the first chunk beyond the limit", chunk("mine", 1+maxPending), DropCounts{Overflow: 1}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			asm := NewAssembler("mine", 0)
--- a/agentfleet/answer/assembler.go
+++ b/agentfleet/answer/assembler.go
@@ -13,8 +13,8 @@
 // is sent again.
 const maxPending = 1024
 
-// Dropped counts the chunks that an Assembler dropped.
-type Dropped struct {
+// DropCounts counts the chunks that an Assembler dropped.
+type DropCounts struct {
 	Foreign  int // of another attempt
 	Repeated int // received before
 	Overflow int // too far ahead
@@ -28,7 +28,7 @@
 	next     int64                   // offset of the next chunk to return
 	pending  map[int64]ryeford.Chunk // chunks after a gap, by offset
 	finished bool
-	dropped  Dropped
+	dropped  DropCounts
 }
 
 // NewAssembler returns an Assembler that begins at an offset.
@@ -67,8 +67,8 @@
 	return ready
 }
 
-// Dropped returns the counts so far.
-func (a *Assembler) Dropped() Dropped { return a.dropped }
+// Dropped returns the counts of dropped chunks so far.
+func (a *Assembler) Dropped() DropCounts { return a.dropped }
 
 // Finished reports whether the last chunk was returned.
 func (a *Assembler) Finished() bool { return a.finished }
--- a/agentfleet/claim/claim.go
+++ b/agentfleet/claim/claim.go
@@ -104,7 +104,7 @@
 // write writes a record if the row still has the given version, zero for no row. If the
 // result is unknown, or another write came first, it reads the row back.
 func (s *Store) write(ctx context.Context, key Key, record Record, version int64) (*Claim, error) {
-	w, err := row.Write(key.String(), &record, version)
+	w, err := row.NewWrite(key.String(), &record, version)
 	if err != nil {
 		return nil, &Error{Key: key, Err: err}
 	}
--- a/agentfleet/claim/claim_test.go
+++ b/agentfleet/claim/claim_test.go
@@ -19,11 +19,11 @@
 // writes fail or their responses are lost.
 func TestClaimIsExclusive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		outcomes := rapid.SliceOfN(rapid.SampledFrom([]memtable.Fate{
-			memtable.Succeeds, memtable.Succeeds, memtable.Fails, memtable.Lost,
-		}), 1, 12).Draw(t, "fates")
+		outcomes := rapid.SliceOfN(rapid.SampledFrom([]memtable.Outcome{
+			memtable.Success, memtable.Success, memtable.Failure, memtable.ResponseLost,
+		}), 1, 12).Draw(t, "outcomes")
 		calls := 0
-		table := memtable.New(func(_ bool) memtable.Fate {
+		table := memtable.New(func(_ bool) memtable.Outcome {
 			calls++
 			return outcomes[calls%len(outcomes)]
 		})
@@ -64,11 +64,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		writes := 0
-		table := memtable.New(func(write bool) memtable.Fate {
+		table := memtable.New(func(write bool) memtable.Outcome {
 			if write {
 				writes++
 			}
-			return memtable.Succeeds
+			return memtable.Success
 		})
 		claims := New(table)
 		go func() { _ = claims.Run(ctx) }()
--- a/agentfleet/gossip/gossip.go
+++ b/agentfleet/gossip/gossip.go
@@ -6,7 +6,7 @@
 // revision and plan without their contents, so the next message replaces a lost one. If
 // gossip fails altogether, routers still poll the platform's table.
 //
-// The package has no state of its own: peers, book and plan belong to the process.
+// The package has no state of its own: peers, cache and plan belong to the process.
 package gossip
 
 import (
@@ -34,7 +34,7 @@
 // A Loop sends gossip messages periodically and after changes.
 type Loop struct {
 	Interval  time.Duration // between messages without a change
-	Book      *template.Book
+	Templates *template.Cache
 	Decisions *decision.Log
 	// PlanChanged returns a channel that is closed when the plan changes next, or nil in a
 	// process that does not distribute plans.
@@ -47,14 +47,14 @@
 // of the revision or the plan, until ctx ends. It always returns nil.
 func (l *Loop) Run(ctx context.Context) error {
 	ticks := time.Tick(l.Interval)
-	changed := l.Book.Changed()
+	changed := l.Templates.Changed()
 	for {
 		select {
 		case <-ticks:
 			l.Send(1)
 		case <-changed:
-			changed = l.Book.Changed()
-			l.Decisions.Record("", "decision", "in_force", "revision", l.Book.Revision())
+			changed = l.Templates.Changed()
+			l.Decisions.Record("", "decision", "in_force", "revision", l.Templates.Revision())
 			l.Send(fanout)
 		case <-l.PlanChanged():
 			l.Send(fanout)
@@ -140,10 +140,10 @@
 	return pull
 }
 
-// PullNewer pulls templates from a peer if the book is older than a revision.
-func PullNewer(ctx context.Context, conn *transport.Conn, book *template.Book, revision int64) {
-	if revision > book.Revision() {
-		PullTemplates(ctx, conn, book)
+// PullNewer pulls templates from a peer if the cache is older than a revision.
+func PullNewer(ctx context.Context, conn *transport.Conn, cache *template.Cache, revision int64) {
+	if revision > cache.Revision() {
+		PullTemplates(ctx, conn, cache)
 	}
 }
 
@@ -151,10 +151,10 @@
 // single template is larger. It is half of the maximum message size of package wire.
 const maxDeltaSize = 4 << 20
 
-// NewDelta returns the answer to a pull: the templates of a book that changed after a
+// NewDelta returns the answer to a pull: the templates of a cache that changed after a
 // revision, or as many of the oldest of them as fit into a message.
-func NewDelta(book *template.Book, since int64) *wire.Delta {
-	revision, templates := book.Since(since)
+func NewDelta(cache *template.Cache, since int64) *wire.Delta {
+	revision, templates := cache.ChangedSince(since)
 	count := countFitting(templates, maxDeltaSize)
 	if count == len(templates) {
 		return &wire.Delta{Revision: revision, Templates: templates}
@@ -178,12 +178,12 @@
 	return len(templates)
 }
 
-// PullTemplates pulls the templates that are newer than a book from a peer, in several
+// PullTemplates pulls the templates that are newer than a cache from a peer, in several
 // parts if necessary, and applies all parts together. It returns the peer's revision, and
 // whether the pull succeeded. It does not retry after a failure: the next gossip message
 // announces the revision again.
-func PullTemplates(ctx context.Context, conn *transport.Conn, book *template.Book) (int64, bool) {
-	from := book.Revision()
+func PullTemplates(ctx context.Context, conn *transport.Conn, cache *template.Cache) (int64, bool) {
+	from := cache.Revision()
 	var templates []ryeford.Template
 	for revision := from; ; {
 		m, err := conn.Fetch(ctx, &wire.Message{Pull: &wire.Pull{Revision: revision}}, PullTimeout)
@@ -192,7 +192,7 @@
 		}
 		templates = append(templates, m.Delta.Templates...)
 		if !m.Delta.More {
-			book.Apply(from, m.Delta.Revision, templates)
+			cache.Apply(from, m.Delta.Revision, templates)
 			return m.Delta.Revision, true
 		}
 		if m.Delta.Revision <= revision {
--- a/agentfleet/gossip/gossip_test.go
+++ b/agentfleet/gossip/gossip_test.go
@@ -20,12 +20,12 @@
 func TestLoop(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		change func(book *template.Book, plans chan struct{}) // 50 ms after the start
-		want   []int                                          // peers per message, within 250 ms at an interval of 100 ms
+		change func(cache *template.Cache, plans chan struct{}) // 50 ms after the start
+		want   []int                                            // peers per message, within 250 ms at an interval of 100 ms
 	}{
-		{"no change", func(*template.Book, chan struct{}) {}, []int{1, 1}},
-		{"a new revision", func(book *template.Book, _ chan struct{}) { book.Apply(0, 1, nil) }, []int{fanout, 1, 1}},
-		{"a new plan", func(_ *template.Book, plans chan struct{}) { plans <- struct{}{} }, []int{fanout, 1, 1}},
+		{"no change", func(*template.Cache, chan struct{}) {}, []int{1, 1}},
+		{"a new revision", func(cache *template.Cache, _ chan struct{}) { cache.Apply(0, 1, nil) }, []int{fanout, 1, 1}},
+		{"a new plan", func(_ *template.Cache, plans chan struct{}) { plans <- struct{}{} }, []int{fanout, 1, 1}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -35,14 +35,14 @@
 				var sent []int
 				loop := &Loop{
 					Interval:    100 * time.Millisecond,
-					Book:        template.NewBook(),
+					Templates:   template.NewCache(),
 					Decisions:   decision.NewLog(log.NewNopLogger()),
 					PlanChanged: func() <-chan struct{} { return plans },
 					Send:        func(peers int) { sent = append(sent, peers) },
 				}
 				go func() {
 					time.Sleep(50 * time.Millisecond)
-					test.change(loop.Book, plans)
+					test.change(loop.Templates, plans)
 				}()
 				assert.NilError(t, loop.Run(ctx))
 				assert.DeepEqual(t, sent, test.want)
--- a/agentfleet/lease/lease.go
+++ b/agentfleet/lease/lease.go
@@ -3,7 +3,7 @@
 //
 // A lease may expire while its holder is suspended, so a holder must not rely on the
 // lease alone. Each write of a holder is conditional on the lease's row, in the same
-// transaction (Held.Renewal): this prevents two holders from writing. The clocks of
+// transaction (Grant.Renewal): this prevents two holders from writing. The clocks of
 // the processes only determine how soon another process takes over.
 //
 // The package owns the rows under lease/.
@@ -41,8 +41,8 @@
 	return &Lease{table: table, key: "lease/" + name, holder: holder, incarnation: incarnation, ttl: ttl}
 }
 
-// A Held is the state of a lease after this process acquired or renewed it.
-type Held struct {
+// A Grant is the state of a lease after this process acquired or renewed it.
+type Grant struct {
 	Epoch int64
 
 	version int64
@@ -60,7 +60,7 @@
 // Acquire acquires or renews the lease. The error is a *HeldError if another process
 // holds the lease or acquired it concurrently. After any other error the holder is
 // unknown until the next call.
-func (l *Lease) Acquire(ctx context.Context) (*Held, error) {
+func (l *Lease) Acquire(ctx context.Context) (*Grant, error) {
 	var current record
 	version, err := row.Get(ctx, l.table, l.key, &current)
 	if err != nil {
@@ -70,19 +70,19 @@
 	if err != nil {
 		return nil, err
 	}
-	held := &Held{Epoch: epoch, version: version, lease: l}
-	write, err := held.Renewal()
+	grant := &Grant{Epoch: epoch, version: version, lease: l}
+	write, err := grant.Renewal()
 	if err != nil {
 		return nil, err
 	}
-	held.version, err = l.table.Transact(ctx, write)
+	grant.version, err = l.table.Transact(ctx, write)
 	if _, ok := errors.AsType[*ryeford.ConflictError](err); ok {
 		return nil, &HeldError{} // the next call reads the holder
 	}
 	if err != nil {
 		return nil, err
 	}
-	return held, nil
+	return grant, nil
 }
 
 // nextEpoch returns the epoch with which this process acquires or renews the lease,
@@ -100,9 +100,9 @@
 }
 
 // Renewal returns a write that renews the lease. A transaction with this write fails
-// with a conflict if the lease's row has changed since h was acquired.
-func (h *Held) Renewal() (ryeford.Write, error) {
-	l := h.lease
-	next := record{Holder: l.holder, Incarnation: l.incarnation, Epoch: h.Epoch, Expires: time.Now().Add(l.ttl)}
-	return row.Write(l.key, &next, h.version)
+// with a conflict if the lease's row has changed since g was acquired.
+func (g *Grant) Renewal() (ryeford.Write, error) {
+	l := g.lease
+	next := record{Holder: l.holder, Incarnation: l.incarnation, Epoch: g.Epoch, Expires: time.Now().Add(l.ttl)}
+	return row.NewWrite(l.key, &next, g.version)
 }
--- a/agentfleet/lease/lease_test.go
+++ b/agentfleet/lease/lease_test.go
@@ -48,8 +48,8 @@
 }
 
 // writePlan writes a plan in a transaction that renews the lease, as the planner does.
-func writePlan(ctx context.Context, table ryeford.Table, held *Held, plan string) error {
-	renewal, err := held.Renewal()
+func writePlan(ctx context.Context, table ryeford.Table, grant *Grant, plan string) error {
+	renewal, err := grant.Renewal()
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 					assert.Equal(t, held.Holder, test.current.Holder)
 					return
 				}
-				write, err := (&Held{Epoch: epoch, lease: l}).Renewal()
+				write, err := (&Grant{Epoch: epoch, lease: l}).Renewal()
 				assert.NilError(t, err)
 				var next record
 				assert.NilError(t, json.Unmarshal(write.Value, &next))
--- a/agentfleet/placement/placement.go
+++ b/agentfleet/placement/placement.go
@@ -35,8 +35,8 @@
 	// store can feed at once. Both must be above zero.
 	LoadTime      time.Duration
 	ParallelLoads int
-	// Ahead is how long before the begin of an event its engines must be warm.
-	Ahead time.Duration
+	// WarmUpLead is how long before the begin of an event its engines must be warm.
+	WarmUpLead time.Duration
 }
 
 // An Output is a plan with its statistics.
@@ -88,7 +88,7 @@
 // reload all engines at the weight store's rate.
 func (in *Input) horizon() time.Duration {
 	rounds := (len(in.Engines) + in.ParallelLoads - 1) / in.ParallelLoads
-	return in.Ahead + time.Duration(rounds)*in.LoadTime
+	return in.WarmUpLead + time.Duration(rounds)*in.LoadTime
 }
 
 // collectDemands returns the demands of the templates that are in force or begin within
--- a/agentfleet/placement/placement_test.go
+++ b/agentfleet/placement/placement_test.go
@@ -19,7 +19,7 @@
 		Now:           time.Unix(1_000_000, 0),
 		LoadTime:      time.Duration(rapid.IntRange(1, 30).Draw(t, "load")) * time.Second,
 		ParallelLoads: rapid.IntRange(1, 5).Draw(t, "parallel"),
-		Ahead:         time.Duration(rapid.IntRange(0, 20).Draw(t, "ahead")) * time.Second,
+		WarmUpLead:    time.Duration(rapid.IntRange(0, 20).Draw(t, "ahead")) * time.Second,
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "models") {
 		in.Templates = append(in.Templates, ryeford.Template{
@@ -114,7 +114,7 @@
 		b.Run(fmt.Sprintf("engines=%d", size.engines), func(b *testing.B) {
 			begin := time.Unix(1_000_000, 0)
 			in := &Input{
-				LoadTime: 20 * time.Second, ParallelLoads: size.parallel, Ahead: 30 * time.Second,
+				LoadTime: 20 * time.Second, ParallelLoads: size.parallel, WarmUpLead: 30 * time.Second,
 				Templates: []ryeford.Template{
 					{Account: "bank", Name: "calls", Model: "lira", Share: 0.5},
 					{Account: "church", Name: "debate", Model: "psalm", Share: 0.5, Begin: begin},
--- a/agentfleet/placement/rules_test.go
+++ b/agentfleet/placement/rules_test.go
@@ -100,7 +100,7 @@
 		{"too late for the event", []time.Duration{8 * time.Second}, []time.Duration{0}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			in := &Input{Now: now, LoadTime: 10 * time.Second, ParallelLoads: 1, Ahead: 5 * time.Second}
+			in := &Input{Now: now, LoadTime: 10 * time.Second, ParallelLoads: 1, WarmUpLead: 5 * time.Second}
 			assignments := make([]ryeford.Assignment, len(test.begins))
 			var moves []move
 			for i, begin := range test.begins {
--- a/agentfleet/placement/schedule.go
+++ b/agentfleet/placement/schedule.go
@@ -43,7 +43,7 @@
 	if m.begin.IsZero() {
 		return in.Now
 	}
-	return m.begin.Add(-in.Ahead - in.LoadTime)
+	return m.begin.Add(-in.WarmUpLead - in.LoadTime)
 }
 
 // setLatestStarts sets the latest start from which each load ends in time, working back
--- a/agentfleet/plan/current_test.go
+++ b/agentfleet/plan/current_test.go
@@ -25,14 +25,14 @@
 		{"an earlier epoch", &ryeford.Plan{Epoch: 2, Sequence: 3}, 1, 9, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := NewCurrent()
+			tracker := NewTracker()
 			if test.current != nil {
-				assert.Assert(t, c.Set(test.current))
+				assert.Assert(t, tracker.Set(test.current))
 			}
-			assert.Assert(t, !c.OlderThan(0, 0), "epoch 0 superseded the current plan")
-			assert.Equal(t, c.OlderThan(test.epoch, test.sequence), test.want)
-			changed := c.Changed()
-			assert.Equal(t, c.Set(&ryeford.Plan{Epoch: test.epoch, Sequence: test.sequence}), test.want)
+			assert.Assert(t, !tracker.OlderThan(0, 0), "epoch 0 superseded the current plan")
+			assert.Equal(t, tracker.OlderThan(test.epoch, test.sequence), test.want)
+			changed := tracker.Changed()
+			assert.Equal(t, tracker.Set(&ryeford.Plan{Epoch: test.epoch, Sequence: test.sequence}), test.want)
 			select {
 			case <-changed:
 				assert.Assert(t, test.want, "an older plan notified")
@@ -46,14 +46,14 @@
 // TestPartOf checks that a VM's part has the plan's version and only its own
 // assignments.
 func TestPartOf(t *testing.T) {
-	c := NewCurrent()
-	assert.DeepEqual(t, c.PartOf("endpoint-1"), &ryeford.Plan{})
-	c.Set(&ryeford.Plan{Epoch: 2, Sequence: 3, Assignments: []ryeford.Assignment{
+	tracker := NewTracker()
+	assert.DeepEqual(t, tracker.PartOf("endpoint-1"), &ryeford.Plan{})
+	tracker.Set(&ryeford.Plan{Epoch: 2, Sequence: 3, Assignments: []ryeford.Assignment{
 		{Engine: "endpoint-1.1", VM: "endpoint-1"},
 		{Engine: "endpoint-2.1", VM: "endpoint-2"},
 	}})
-	assert.DeepEqual(t, c.PartOf("endpoint-1"), &ryeford.Plan{Epoch: 2, Sequence: 3, Assignments: []ryeford.Assignment{
+	assert.DeepEqual(t, tracker.PartOf("endpoint-1"), &ryeford.Plan{Epoch: 2, Sequence: 3, Assignments: []ryeford.Assignment{
 		{Engine: "endpoint-1.1", VM: "endpoint-1"},
 	}})
-	assert.DeepEqual(t, c.PartOf("endpoint-3"), &ryeford.Plan{Epoch: 2, Sequence: 3})
+	assert.DeepEqual(t, tracker.PartOf("endpoint-3"), &ryeford.Plan{Epoch: 2, Sequence: 3})
 }
--- a/agentfleet/router/agentlist.go
+++ b/agentfleet/router/agentlist.go
@@ -193,7 +193,7 @@
 func (l *agentList) serveStream(stream *transport.Stream, m *wire.Message) {
 	switch {
 	case m.Pull != nil:
-		stream.Reply(&wire.Message{Delta: gossip.NewDelta(l.book, m.Pull.Revision)})
+		stream.Reply(&wire.Message{Delta: gossip.NewDelta(l.templateCache, m.Pull.Revision)})
 	case m.PullPlan != nil:
 		stream.Reply(&wire.Message{Plan: l.plan.PartOf(m.PullPlan.VM)})
 	case m.Successors != nil:
@@ -236,7 +236,7 @@
 func (g *agentGossip) run(ctx context.Context) error {
 	loop := &gossip.Loop{
 		Interval:    g.settings.Transport.GossipInterval,
-		Book:        g.book,
+		Templates:   g.templateCache,
 		Decisions:   g.decisions,
 		PlanChanged: g.plan.Changed,
 		Send:        g.send,
@@ -262,7 +262,7 @@
 // sendTo sends one datagram, with this router's template revision and plan version.
 func (g *agentGossip) sendTo(conn *transport.Conn, m *wire.Gossip) {
 	m.VM = g.settings.VM
-	m.Revision = g.book.Revision()
+	m.Revision = g.templateCache.Revision()
 	m.PlanEpoch, m.PlanSequence = g.plan.Version()
 	gossip.Send(g.control, m, conn)
 }
@@ -275,8 +275,8 @@
 		for _, l := range m.Loads {
 			g.loads.add(now, l.Model, l.Load)
 		}
-		if m.Revision > g.book.Revision() {
-			templates.Start(func() { gossip.PullNewer(ctx, conn, g.book, m.Revision) })
+		if m.Revision > g.templateCache.Revision() {
+			templates.Start(func() { gossip.PullNewer(ctx, conn, g.templateCache, m.Revision) })
 		}
 	})
 }
--- a/agentfleet/router/callers.go
+++ b/agentfleet/router/callers.go
@@ -14,16 +14,16 @@
 
 // The headers of the callers' API.
 const (
-	HeaderChat         = "Ryeford-Chat"
-	HeaderKey          = "Idempotency-Key"
-	HeaderRepeatable   = "Ryeford-Repeatable"
-	HeaderDeadline     = "Ryeford-Deadline"
-	HeaderPriority     = "Ryeford-Priority"
-	HeaderRequest      = "Ryeford-Request"
-	HeaderEngine       = "Ryeford-Engine"
-	HeaderTries        = "Ryeford-Tries"
-	HeaderRetryAfterMS = "Ryeford-Retry-After-Ms"
-	HeaderLastEvent    = "Last-Event-ID"
+	HeaderChat           = "Ryeford-Chat"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderRepeatable     = "Ryeford-Repeatable"
+	HeaderDeadline       = "Ryeford-Deadline"
+	HeaderPriority       = "Ryeford-Priority"
+	HeaderRequest        = "Ryeford-Request"
+	HeaderEngine         = "Ryeford-Engine"
+	HeaderTries          = "Ryeford-Tries"
+	HeaderRetryAfterMS   = "Ryeford-Retry-After-Ms"
+	HeaderLastEventID    = "Last-Event-ID"
 )
 
 // The paths of the callers' API.
@@ -116,7 +116,7 @@
 		writeError(ctx, req.id, err)
 		return
 	}
-	last, err := parseEventID(string(ctx.Request.Header.Peek(HeaderLastEvent)))
+	last, err := parseEventID(string(ctx.Request.Header.Peek(HeaderLastEventID)))
 	if err != nil {
 		writeError(ctx, req.id, err)
 		return
--- a/agentfleet/router/callers_test.go
+++ b/agentfleet/router/callers_test.go
@@ -20,18 +20,18 @@
 	fleet := newFleet()
 	s := settings.DefaultRouter()
 	r := &Router{sharedState: sharedState{
-		settings:  s,
-		limits:    &s.Limits,
-		book:      template.NewBook(),
-		fleet:     fleet,
-		loads:     newLoads(),
-		readiness: &readiness{fleet: fleet},
-		metrics:   telemetry.NewSet(),
-		decisions: decision.NewLog(log.NewNopLogger()),
+		settings:      s,
+		limits:        &s.Limits,
+		templateCache: template.NewCache(),
+		fleet:         fleet,
+		loads:         newLoads(),
+		readiness:     &readiness{fleet: fleet},
+		metrics:       telemetry.NewSet(),
+		decisions:     decision.NewLog(log.NewNopLogger()),
 	}}
 	r.addCallers()
 	r.readiness.synced.Store(true)
-	r.book.Apply(0, 1, []ryeford.Template{{
+	r.templateCache.Apply(0, 1, []ryeford.Template{{
 		Account: "bank", Name: "calls", Model: "lira", Priority: 5, Share: 1, Revision: 1,
 		KeyHashes: []string{ryeford.HashKey("bank-key")},
 	}})
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -63,7 +63,7 @@
 	}
 	switch claimStepFor(held, x.request.digest) {
 	case claimKeyReused:
-		return &ryeford.InputError{Field: HeaderKey, Problem: "the key belongs to another request", Status: statusKeyReused}
+		return &ryeford.InputError{Field: HeaderIdempotencyKey, Problem: "the key belongs to another request", Status: statusKeyReused}
 	case claimJoinFirst:
 		if found, err := x.joinFirstRun(ctx, &held.Record); found || err != nil {
 			return err
@@ -179,7 +179,7 @@
 		return true, nil
 	}
 	x.stream.close()
-	if reply.Refused != nil && !reply.Refused.Unknown {
+	if reply.Refused != nil && !reply.Refused.MayHaveRun {
 		return false, nil
 	}
 	return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable}
--- a/agentfleet/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -135,7 +135,7 @@
 		Share:       req.share,
 		Repeatable:  req.repeatable,
 		Expires:     x.attempt.Expires,
-		Forget:      x.attempt.RetainUntil,
+		RetainUntil: x.attempt.RetainUntil,
 		PoolMean:    x.poolMean(),
 		Sent:        time.Now(),
 		MayRedirect: mayRedirect(req, c.Engine == x.candidates.home, x.history.dispatches),
@@ -187,14 +187,14 @@
 
 // handleRefusal handles a refusal and returns it as an error.
 func (x *exchange) handleRefusal(refused *wire.Refused) error {
-	if refused.Unknown {
+	if refused.MayHaveRun {
 		return &ryeford.MayHaveRunError{Reason: refused.Reason, RetryAfter: refused.RetryAfter}
 	}
 	switch refused.Reason {
 	case ryeford.ReasonOverload, ryeford.ReasonShare:
 		x.addProbe(refused.Load)
 		x.history.addRetryAfter(refused.RetryAfter)
-	case ryeford.ReasonResting: // its load does not indicate the load of the others
+	case ryeford.ReasonBackingOff: // its load does not indicate the load of the others
 		x.history.addRetryAfter(refused.RetryAfter)
 	case ryeford.ReasonRedirect:
 		target, _ := x.forwarder.fleet.candidate(refused.Engine)
--- a/agentfleet/router/failure_test.go
+++ b/agentfleet/router/failure_test.go
@@ -69,7 +69,7 @@
 		ran    string
 	}{
 		{"wrong input", &ryeford.InputError{Field: "body"}, 400, "invalid_request", "not_run"},
-		{"based on an old version", &template.SequenceError{Based: 1, Current: 2}, 409, "conflict", "not_run"},
+		{"based on an old version", &template.SequenceError{Base: 1, Current: 2}, 409, "conflict", "not_run"},
 		{"lost to another publish", &ryeford.ConflictError{Keys: []string{"k"}}, 409, "conflict", "not_run"},
 		{"no such template", &ryeford.NotFoundError{Kind: "template"}, 404, "not_found", "not_run"},
 		{"table unreachable", &ryeford.UnavailableError{Service: "table", Err: &ProtocolError{}}, 503, "store_unavailable", "not_run"},
--- a/agentfleet/router/fleet.go
+++ b/agentfleet/router/fleet.go
@@ -100,7 +100,7 @@
 				continue
 			}
 			var targets []route.Target // empty while the engine backs off; its pools and service stay known
-			if !e.Resting {
+			if !e.BackingOff {
 				targets = []route.Target{{Engine: e.ID, VM: id, Domain: a.inventory.FailureDomain}}
 			}
 			for _, pool := range e.Pools {
--- a/agentfleet/router/fleet_test.go
+++ b/agentfleet/router/fleet_test.go
@@ -36,7 +36,7 @@
 		{"its engine backs off", func(f *fleet, a *agent) {
 			backingOff, inventory := *a, *a.inventory
 			inventory.Engines = slices.Clone(inventory.Engines)
-			inventory.Engines[0].Resting = true
+			inventory.Engines[0].BackingOff = true
 			backingOff.inventory = &inventory
 			f.put(&backingOff)
 		}, false, true},
@@ -68,7 +68,7 @@
 	f := newFleet()
 	a := testAgent("endpoint-1", "lira")
 	inventory := *a.inventory
-	inventory.Engines = append(slices.Clone(inventory.Engines), wire.EngineState{ID: "endpoint-1.notes", Service: "notes", Resting: true})
+	inventory.Engines = append(slices.Clone(inventory.Engines), wire.EngineState{ID: "endpoint-1.notes", Service: "notes", BackingOff: true})
 	a.inventory = &inventory
 	f.put(a)
 	assert.Assert(t, f.service("notes") != nil)
--- a/agentfleet/router/operators.go
+++ b/agentfleet/router/operators.go
@@ -103,18 +103,18 @@
 		return nil, err
 	}
 	for _, hash := range t.KeyHashes {
-		if owner, ok := h.book.KeyOwner(hash); ok && owner != t.Account {
+		if owner, ok := h.templateCache.KeyOwner(hash); ok && owner != t.Account {
 			return nil, &ryeford.InputError{Field: "keys", Problem: "a key belongs to another client account"}
 		}
 	}
 	published, err := h.templates.Publish(ctx, t)
 	if err != nil {
-		h.decisions.Record("", "decision", "not_published", "account", t.Account, "template", t.Name, "change", t.Change, "based", t.Sequence, "err", err)
+		h.decisions.Record("", "decision", "not_published", "account", t.Account, "template", t.Name, "change", t.PublishID, "based", t.Sequence, "err", err)
 		return nil, err
 	}
-	h.decisions.Record("", "decision", "published", "account", t.Account, "template", t.Name, "change", t.Change,
+	h.decisions.Record("", "decision", "published", "account", t.Account, "template", t.Name, "change", t.PublishID,
 		"sequence", published.Sequence, "revision", published.Revision)
-	if !h.book.Apply(published.Revision-1, published.Revision, []ryeford.Template{*published}) {
+	if !h.templateCache.Apply(published.Revision-1, published.Revision, []ryeford.Template{*published}) {
 		// Other routers published in between. If this fails, syncTemplates or gossip
 		// catches up.
 		if err := h.readTemplates(ctx); err != nil {
@@ -152,7 +152,7 @@
 	}
 	h.fleet.setVM(vm)
 	if a, ok := h.fleet.agentByVM(id); ok {
-		_, err = a.conn.Ask(ctx, &wire.Message{Leave: &wire.Leave{}})
+		_, err = a.conn.RoundTrip(ctx, &wire.Message{Leave: &wire.Leave{}})
 	}
 	h.decisions.Record("", "decision", "stop_vm", "vm", id, "role", vm.Role, "failure_domain", vm.FailureDomain, "err", err)
 	return &vm, nil
@@ -199,7 +199,7 @@
 		Domain:   h.settings.FailureDomain,
 		Ready:    h.readiness.ready(),
 		Leaving:  h.readiness.leaving.Load(),
-		Revision: h.book.Revision(),
+		Revision: h.templateCache.Revision(),
 		InFlight: h.readiness.inFlight.Load(),
 		Skew:     h.loads.skew(time.Now()),
 	}
@@ -238,7 +238,7 @@
 		group.Go(func() error {
 			ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 			defer cancel()
-			if m, err := a.conn.Ask(ctx, query); err == nil {
+			if m, err := a.conn.RoundTrip(ctx, query); err == nil {
 				replies[i] = m
 			}
 			return nil
--- a/agentfleet/router/parse.go
+++ b/agentfleet/router/parse.go
@@ -38,8 +38,8 @@
 	if err := checkID(HeaderChat, string(req.chat)); err != nil {
 		return err
 	}
-	req.key = string(header.Peek(HeaderKey))
-	if err := checkID(HeaderKey, req.key); err != nil {
+	req.key = string(header.Peek(HeaderIdempotencyKey))
+	if err := checkID(HeaderIdempotencyKey, req.key); err != nil {
 		return err
 	}
 	var err error
@@ -69,7 +69,7 @@
 
 func (f *forwarder) authenticate(ctx *fasthttp.RequestCtx, req *request) error {
 	key, ok := strings.CutPrefix(string(ctx.Request.Header.Peek("Authorization")), bearerPrefix)
-	account, found := f.book.KeyOwner(ryeford.HashKey(key))
+	account, found := f.templateCache.KeyOwner(ryeford.HashKey(key))
 	if !ok || !found {
 		return &ryeford.InputError{Field: "Authorization", Problem: "want the bearer token of a client account", Status: fasthttp.StatusUnauthorized}
 	}
@@ -125,7 +125,7 @@
 	case body.MaxTokens < 0 || body.MaxTokens > maxTokens:
 		return &ryeford.InputError{Field: "max_tokens", Problem: "want 1 to 1048576, or none"}
 	}
-	template, ok := f.book.Find(req.account, body.Model)
+	template, ok := f.templateCache.Find(req.account, body.Model)
 	if !ok {
 		return &ryeford.InputError{Field: "model", Problem: "no template of the account serves it", Status: fasthttp.StatusNotFound}
 	}
@@ -235,7 +235,7 @@
 	parts := strings.Split(text, "/")
 	offset, err := strconv.ParseInt(parts[len(parts)-1], 10, 64)
 	if len(parts) != 4 || err != nil || offset < 0 {
-		return nil, &ryeford.InputError{Field: HeaderLastEvent, Problem: "not the id of an event"}
+		return nil, &ryeford.InputError{Field: HeaderLastEventID, Problem: "not the id of an event"}
 	}
 	return &eventID{
 		candidate: claim.Candidate{VM: ryeford.VMID(parts[0]), Incarnation: ryeford.Incarnation(parts[1])},
--- a/agentfleet/router/planner.go
+++ b/agentfleet/router/planner.go
@@ -45,7 +45,7 @@
 // a new one if it holds the lease. A router that is leaving or has not read the
 // templates yet makes no plan.
 func (p *planner) planOnce(ctx context.Context) error {
-	held, err := p.acquire(ctx)
+	grant, err := p.acquire(ctx)
 	if err != nil {
 		return err
 	}
@@ -57,36 +57,36 @@
 	if err := p.fetchPlan(ctx, pointer); err != nil {
 		return err
 	}
-	if held == nil || !p.readiness.synced.Load() || p.readiness.leaving.Load() {
+	if grant == nil || !p.readiness.synced.Load() || p.readiness.leaving.Load() {
 		return nil
 	}
-	return p.publish(ctx, held, pointer, version)
+	return p.publish(ctx, grant, pointer, version)
 }
 
 // acquire returns the lease, or nil if another router holds it or this one is leaving.
-func (p *planner) acquire(ctx context.Context) (*lease.Held, error) {
+func (p *planner) acquire(ctx context.Context) (*lease.Grant, error) {
 	if p.readiness.leaving.Load() {
 		return nil, nil
 	}
-	held, err := p.lease.Acquire(ctx)
+	grant, err := p.lease.Acquire(ctx)
 	if _, ok := errors.AsType[*lease.HeldError](err); ok {
 		return nil, nil
 	}
-	return held, err
+	return grant, err
 }
 
 func (p *planner) input() *placement.Input {
 	s := &p.settings.Planner
 	now := time.Now()
-	_, templates := p.book.Since(0)
+	_, templates := p.templateCache.ChangedSince(0)
 	connected, leaving := placeableEngines(p.fleet.list(), p.plan.Get())
 	return &placement.Input{
 		Now:           now,
 		Templates:     templates,
-		Engines:       p.engines.update(now, connected, leaving, s.Patience),
+		Engines:       p.engines.update(now, connected, leaving, s.LostAgentTimeout),
 		LoadTime:      s.LoadTime,
 		ParallelLoads: s.ParallelLoads,
-		Ahead:         s.Ahead,
+		WarmUpLead:    s.WarmUpLead,
 	}
 }
 
@@ -121,12 +121,12 @@
 }
 
 // publish makes a plan, and stores it as the current one if it differs from it.
-func (p *planner) publish(ctx context.Context, held *lease.Held, pointer planPointer, version int64) error {
+func (p *planner) publish(ctx context.Context, grant *lease.Grant, pointer planPointer, version int64) error {
 	out := placement.Plan(p.input())
 	if !shouldPublish(p.plan.Get(), out.Assignments) {
 		return nil
 	}
-	plan := &ryeford.Plan{Epoch: held.Epoch, Sequence: pointer.Sequence + 1, Assignments: out.Assignments}
+	plan := &ryeford.Plan{Epoch: grant.Epoch, Sequence: pointer.Sequence + 1, Assignments: out.Assignments}
 	content, err := json.Marshal(plan)
 	if err != nil {
 		return &Error{Op: "encode plan", Err: err}
@@ -135,7 +135,7 @@
 	if err := p.platform.PutObject(ctx, object, content); err != nil {
 		return err
 	}
-	err = p.makeCurrent(ctx, held, planPointer{Epoch: plan.Epoch, Sequence: plan.Sequence, Object: object}, version)
+	err = p.makeCurrent(ctx, grant, planPointer{Epoch: plan.Epoch, Sequence: plan.Sequence, Object: object}, version)
 	p.decisions.Record("", "decision", "place", "epoch", plan.Epoch, "sequence", plan.Sequence,
 		"assignments", len(plan.Assignments), "moves", out.Moves, "late", out.Late, "accepted", err == nil, "err", err)
 	if err != nil {
@@ -148,12 +148,12 @@
 // makeCurrent points the row to a plan and renews the lease, in one transaction. It
 // fails if another router took over the lease or the row has changed since they were
 // read, so that a holder that was suspended and resumed can't overwrite a newer plan.
-func (p *planner) makeCurrent(ctx context.Context, held *lease.Held, pointer planPointer, version int64) error {
-	current, err := row.Write(rowPlan, &pointer, version)
+func (p *planner) makeCurrent(ctx context.Context, grant *lease.Grant, pointer planPointer, version int64) error {
+	current, err := row.NewWrite(rowPlan, &pointer, version)
 	if err != nil {
 		return err
 	}
-	renewal, err := held.Renewal()
+	renewal, err := grant.Renewal()
 	if err != nil {
 		return err
 	}
--- a/agentfleet/router/planner_test.go
+++ b/agentfleet/router/planner_test.go
@@ -29,10 +29,10 @@
 func TestFlappingAgentKeepsPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &planner{engines: make(recentEngines), sharedState: &sharedState{
-			settings: settings.DefaultRouter(),
-			book:     newTestRouter().book,
-			fleet:    newFleet(),
-			plan:     plan.NewCurrent(),
+			settings:      settings.DefaultRouter(),
+			templateCache: newTestRouter().templateCache,
+			fleet:         newFleet(),
+			plan:          plan.NewTracker(),
 		}}
 		lost := testAgent("endpoint-1", "lira")
 		p.fleet.put(lost)
--- a/agentfleet/router/readiness.go
+++ b/agentfleet/router/readiness.go
@@ -15,7 +15,7 @@
 // A readiness is the state that determines whether the router accepts callers and
 // whether it may exit.
 type readiness struct {
-	synced   atomic.Bool  // the book holds all accepted templates; set by syncTemplates
+	synced   atomic.Bool  // the cache holds all accepted templates; set by syncTemplates
 	leaving  atomic.Bool  // set by drain
 	inFlight atomic.Int64 // requests of callers
 	fleet    *fleet
@@ -71,7 +71,7 @@
 	syncInterval = 500 * time.Millisecond
 )
 
-// syncTemplates reads accepted templates from the platform's table into the book, until
+// syncTemplates reads accepted templates from the platform's table into the cache, until
 // ctx ends. It compensates for lost gossip.
 func (r *Router) syncTemplates(ctx context.Context) error {
 	for {
@@ -102,12 +102,12 @@
 	}
 }
 
-// readTemplates reads the templates that the book lacks from the table.
+// readTemplates reads the templates that the cache lacks from the table.
 func (s *sharedState) readTemplates(ctx context.Context) error {
-	from := s.book.Revision()
-	revision, templates, err := s.templates.Since(ctx, from)
+	from := s.templateCache.Revision()
+	revision, templates, err := s.templates.ChangedSince(ctx, from)
 	if err == nil {
-		s.book.Apply(from, revision, templates)
+		s.templateCache.Apply(from, revision, templates)
 	}
 	return err
 }
@@ -121,7 +121,7 @@
 		if answered == syncQuorum {
 			break
 		}
-		if revision, ok := gossip.PullTemplates(ctx, a.conn, r.book); ok && revision > 0 {
+		if revision, ok := gossip.PullTemplates(ctx, a.conn, r.templateCache); ok && revision > 0 {
 			answered++
 		}
 	}
@@ -136,9 +136,9 @@
 	return answered > 0 && answered >= min(syncQuorum, connected)
 }
 
-// setSynced marks the book as complete.
+// setSynced marks the cache as complete.
 func (r *Router) setSynced(source string) {
 	if r.readiness.synced.CompareAndSwap(false, true) {
-		r.decisions.Record("", "decision", "synced", "source", source, "revision", r.book.Revision())
+		r.decisions.Record("", "decision", "synced", "source", source, "revision", r.templateCache.Revision())
 	}
 }
--- a/agentfleet/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -162,7 +162,7 @@
 		Incarnation: c.Incarnation,
 		Offset:      x.delivered.next,
 		Expires:     x.attempt.Expires,
-		Forget:      x.attempt.RetainUntil,
+		RetainUntil: x.attempt.RetainUntil,
 		Peek:        peek,
 	}
 	var reply *wire.Message
--- a/agentfleet/router/router.go
+++ b/agentfleet/router/router.go
@@ -3,8 +3,8 @@
 // the operators.
 //
 // A router has no durable state. In memory it keeps the agents' inventories and loads
-// (fleet, loads), the templates in force (template.Book), the current plan
-// (plan.Current) and the accounts' budgets for further dispatches. After a restart it
+// (fleet, loads), the templates in force (template.Cache), the current plan
+// (plan.Tracker) and the accounts' budgets for further dispatches. After a restart it
 // receives or earns them anew. Claims of idempotency keys, templates, plans and the
 // planner's lease are stored as rows and objects of the platform.
 //
@@ -47,18 +47,18 @@
 
 // A sharedState is what the components of a router share.
 type sharedState struct {
-	settings  *settings.Router
-	limits    *settings.RouterLimits // the limits of settings
-	platform  Platform
-	templates *template.Store
-	book      *template.Book // updated by syncTemplates and agentGossip
-	plan      *plan.Current  // updated by planner
-	fleet     *fleet         // updated by agentList
-	loads     *loads
-	readiness *readiness
-	decisions *decision.Log
-	metrics   *telemetry.Set
-	log       log.Logger
+	settings      *settings.Router
+	limits        *settings.RouterLimits // the limits of settings
+	platform      Platform
+	templates     *template.Store
+	templateCache *template.Cache // updated by syncTemplates and agentGossip
+	plan          *plan.Tracker   // updated by planner
+	fleet         *fleet          // updated by agentList
+	loads         *loads
+	readiness     *readiness
+	decisions     *decision.Log
+	metrics       *telemetry.Set
+	log           log.Logger
 }
 
 // A Router serves callers and operators.
@@ -81,20 +81,20 @@
 	}
 	fleet := newFleet()
 	r := &Router{dialer: dialer, claims: claim.New(platform), sharedState: sharedState{
-		settings:  s,
-		limits:    &s.Limits,
-		platform:  platform,
-		templates: template.NewStore(platform),
-		book:      template.NewBook(),
-		plan:      plan.NewCurrent(),
-		fleet:     fleet,
-		loads:     newLoads(),
-		readiness: &readiness{fleet: fleet},
-		decisions: decision.NewLog(logger),
-		metrics:   telemetry.NewSet(),
-		log:       logger,
+		settings:      s,
+		limits:        &s.Limits,
+		platform:      platform,
+		templates:     template.NewStore(platform),
+		templateCache: template.NewCache(),
+		plan:          plan.NewTracker(),
+		fleet:         fleet,
+		loads:         newLoads(),
+		readiness:     &readiness{fleet: fleet},
+		decisions:     decision.NewLog(logger),
+		metrics:       telemetry.NewSet(),
+		log:           logger,
 	}}
-	control := transport.NewControlLimiter(s.Transport.ControlBytesPerSecond, r.metrics.ControlSent)
+	control := transport.NewControlLimiter(s.Transport.ControlBytesPerSecond, r.metrics.AddGossipBytesSent)
 	r.gossip = &agentGossip{sharedState: &r.sharedState, control: control}
 	r.agents = &agentList{sharedState: &r.sharedState, dialer: dialer, gossip: r.gossip}
 	plannerLease := lease.New(platform, leaseName, s.VM, uuid.NewString(), s.Planner.Lease)
@@ -117,7 +117,7 @@
 }
 
 func (r *Router) addGauges() {
-	r.metrics.Gauge("ryeford_revision", func() float64 { return float64(r.book.Revision()) })
+	r.metrics.Gauge("ryeford_revision", func() float64 { return float64(r.templateCache.Revision()) })
 	r.metrics.Gauge("ryeford_agents_connected", func() float64 { return float64(r.fleet.connectedCount()) })
 	r.metrics.Gauge("ryeford_in_flight", func() float64 { return float64(r.readiness.inFlight.Load()) })
 	r.metrics.Gauge("ryeford_skew", func() float64 { return r.loads.skew(time.Now()) })
--- a/agentfleet/router/slowlink_test.go
+++ b/agentfleet/router/slowlink_test.go
@@ -38,10 +38,10 @@
 	}
 	platform := http.NewServeMux()
 	platform.HandleFunc(tableservice.PathGet, func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(&tableservice.RowsAnswer{Rows: []ryeford.Row{{Value: []byte("1"), Version: 1}}})
+		_ = json.NewEncoder(w).Encode(&tableservice.RowsResponse{Rows: []ryeford.Row{{Value: []byte("1"), Version: 1}}})
 	})
 	platform.HandleFunc(tableservice.PathList, func(w http.ResponseWriter, _ *http.Request) {
-		sendSlowly(w, &tableservice.RowsAnswer{Rows: []ryeford.Row{{Value: accepted, Version: 1}}})
+		sendSlowly(w, &tableservice.RowsResponse{Rows: []ryeford.Row{{Value: accepted, Version: 1}}})
 	})
 	platform.HandleFunc(tableservice.PathObjects, func(w http.ResponseWriter, _ *http.Request) {
 		sendSlowly(w, &ryeford.Plan{Epoch: 1, Sequence: 1})
@@ -52,7 +52,7 @@
 	r := newTestRouter()
 	client := tableservice.New(netip.MustParseAddrPort(server.Listener.Addr().String()), "router-1")
 	r.log = log.NewNopLogger()
-	r.book, r.plan = template.NewBook(), plan.NewCurrent()
+	r.templateCache, r.plan = template.NewCache(), plan.NewTracker()
 	r.platform, r.templates = client, template.NewStore(client)
 	r.readiness.synced.Store(false)
 	return r
@@ -64,7 +64,7 @@
 	r := newSlowLinkRouter(t)
 	r.syncOnce(t.Context())
 	assert.Assert(t, r.readiness.synced.Load())
-	assert.Equal(t, r.book.Revision(), int64(1))
+	assert.Equal(t, r.templateCache.Revision(), int64(1))
 }
 
 // TestFetchPlanOverSlowLink checks that a router gets the current plan over a slow
--- a/agentfleet/row/row.go
+++ b/agentfleet/row/row.go
@@ -37,9 +37,9 @@
 	return nil
 }
 
-// Write returns a write that stores v in a row if the row's version is ifVersion. The
+// NewWrite returns a write that stores v in a row if the row's version is ifVersion. The
 // error is an *Error.
-func Write(key string, v any, ifVersion int64) (ryeford.Write, error) {
+func NewWrite(key string, v any, ifVersion int64) (ryeford.Write, error) {
 	value, err := json.Marshal(v)
 	if err != nil {
 		return ryeford.Write{}, &Error{Key: key, Err: err}
--- a/agentfleet/tableservice/client.go
+++ b/agentfleet/tableservice/client.go
@@ -61,21 +61,21 @@
 
 // Get implements ryeford.Table.
 func (c *Client) Get(ctx context.Context, keys ...string) ([]ryeford.Row, error) {
-	var response RowsAnswer
+	var response RowsResponse
 	err := c.post(ctx, PathGet, &GetRequest{Keys: keys}, &response, false)
 	return response.Rows, err
 }
 
 // List implements ryeford.Table.
 func (c *Client) List(ctx context.Context, prefix string) ([]ryeford.Row, error) {
-	var response RowsAnswer
+	var response RowsResponse
 	err := c.post(ctx, PathList, &ListRequest{Prefix: prefix}, &response, false)
 	return response.Rows, err
 }
 
 // Transact implements ryeford.Table.
 func (c *Client) Transact(ctx context.Context, writes ...ryeford.Write) (int64, error) {
-	var response TransactAnswer
+	var response TransactResponse
 	if err := c.post(ctx, PathTransact, &TransactRequest{Writes: writes}, &response, true); err != nil {
 		return 0, err
 	}
@@ -153,7 +153,7 @@
 	}
 	request.GetBody = nil // prevents net/http from sending the body again
 	if len(body) > 0 {
-		request.Body = io.NopCloser(watch.Request(request.Body))
+		request.Body = io.NopCloser(watch.RequestReader(request.Body))
 	}
 	request.Header.Set(HeaderVM, string(c.vm))
 	if etag != "" {
@@ -164,9 +164,9 @@
 		return nil, nil, &ryeford.UnavailableError{Service: path, MayHaveApplied: write, Err: err}
 	}
 	defer func() { _ = response.Body.Close() }() // the body has been read
-	content, err := io.ReadAll(watch.Reader(io.LimitReader(response.Body, maxResponse+1)))
+	content, err := io.ReadAll(watch.ResponseReader(io.LimitReader(response.Body, maxResponse+1)))
 	if err != nil {
-		return nil, nil, &ryeford.UnavailableError{Service: path, MayHaveApplied: write, Err: watch.Broken(err)}
+		return nil, nil, &ryeford.UnavailableError{Service: path, MayHaveApplied: write, Err: watch.Interrupted(err)}
 	}
 	if len(content) > maxResponse {
 		return nil, nil, &ryeford.UnavailableError{Service: path, MayHaveApplied: write, Err: &SizeError{}}
@@ -211,8 +211,8 @@
 	Keys []string `json:"keys"`
 }
 
-// A RowsAnswer is the response to a GetRequest or a ListRequest.
-type RowsAnswer struct {
+// A RowsResponse is the response to a GetRequest or a ListRequest.
+type RowsResponse struct {
 	Rows []ryeford.Row `json:"rows"`
 }
 
@@ -226,8 +226,8 @@
 	Writes []ryeford.Write `json:"writes"`
 }
 
-// A TransactAnswer contains the new version of the rows, or the keys in conflict.
-type TransactAnswer struct {
+// A TransactResponse contains the new version of the rows, or the keys in conflict.
+type TransactResponse struct {
 	Version   int64    `json:"version,omitempty"`
 	Conflicts []string `json:"conflicts,omitempty"`
 }
--- a/agentfleet/template/book.go
+++ b/agentfleet/template/cache.go
@@ -1,7 +1,7 @@
-// Package template manages the templates of the client accounts: a Book holds the
+// Package template manages the templates of the client accounts: a Cache holds the
 // templates that are in force in a process, a Store publishes them.
 //
-// A Book is an in-memory copy, updated with deltas from gossip or polls; its revision
+// A Cache is an in-memory copy, updated with deltas from gossip or polls; its revision
 // never decreases. A Store owns the rows revision, template/, change/, history/ and
 // publish/ of the platform's table, and relies on the table's transactions.
 package template
@@ -15,10 +15,10 @@
 	"github.com/ryeford/ryeford"
 )
 
-// A Book holds the templates that are in force in this process. Its revision never
+// A Cache holds the templates that are in force in this process. Its revision never
 // decreases, and it includes each template up to its revision. It is safe for
 // concurrent use.
-type Book struct {
+type Cache struct {
 	mu        sync.RWMutex
 	revision  int64
 	templates map[Name]*ryeford.Template
@@ -26,9 +26,9 @@
 	changed   chan struct{}
 }
 
-// NewBook returns an empty Book at revision zero.
-func NewBook() *Book {
-	return &Book{
+// NewCache returns an empty Cache at revision zero.
+func NewCache() *Cache {
+	return &Cache{
 		templates: make(map[Name]*ryeford.Template),
 		accounts:  make(map[string]ryeford.AccountID),
 		changed:   make(chan struct{}),
@@ -36,22 +36,22 @@
 }
 
 // Revision returns the revision in force.
-func (b *Book) Revision() int64 {
+func (b *Cache) Revision() int64 {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.revision
 }
 
-// Changed returns a channel that is closed when the book changes next.
-func (b *Book) Changed() <-chan struct{} {
+// Changed returns a channel that is closed when the cache changes next.
+func (b *Cache) Changed() <-chan struct{} {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.changed
 }
 
 // Apply applies a delta: all templates that changed after revision from, up to and
-// including revision to. It reports whether the book's revision increased.
-func (b *Book) Apply(from, to int64, templates []ryeford.Template) bool {
+// including revision to. It reports whether the cache's revision increased.
+func (b *Cache) Apply(from, to int64, templates []ryeford.Template) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !canApply(b.revision, from, to) {
@@ -67,14 +67,14 @@
 	return true
 }
 
-// canApply reports whether a delta can be applied to a book at a revision. A delta that
+// canApply reports whether a delta can be applied to a cache at a revision. A delta that
 // is stale or would leave a gap can't.
 func canApply(revision, from, to int64) bool {
 	return to > revision && from <= revision
 }
 
-// apply stores a template unless the book has a version of it that is as new.
-func (b *Book) apply(t *ryeford.Template) {
+// apply stores a template unless the cache has a version of it that is as new.
+func (b *Cache) apply(t *ryeford.Template) {
 	name := Name{Account: t.Account, Name: t.Name}
 	if current, ok := b.templates[name]; ok && current.Revision >= t.Revision {
 		return
@@ -83,7 +83,7 @@
 	b.templates[name] = &stored
 }
 
-func (b *Book) indexKeys() {
+func (b *Cache) indexKeys() {
 	clear(b.accounts)
 	for _, t := range b.templates {
 		for _, hash := range t.KeyHashes {
@@ -92,9 +92,9 @@
 	}
 }
 
-// Since returns the book's revision and the templates that changed after the given one,
-// ordered by revision.
-func (b *Book) Since(revision int64) (int64, []ryeford.Template) {
+// ChangedSince returns the cache's revision and the templates that changed after the
+// given one, ordered by revision.
+func (b *Cache) ChangedSince(revision int64) (int64, []ryeford.Template) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	var changed []ryeford.Template
@@ -108,7 +108,7 @@
 }
 
 // KeyOwner returns the client account of an API key, given the key's hash.
-func (b *Book) KeyOwner(hash string) (ryeford.AccountID, bool) {
+func (b *Cache) KeyOwner(hash string) (ryeford.AccountID, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	account, ok := b.accounts[hash]
@@ -117,7 +117,7 @@
 
 // Find returns the template for an account's model: the template of that name, or else
 // the first one by name with that model. The caller must not modify it.
-func (b *Book) Find(account ryeford.AccountID, model string) (*ryeford.Template, bool) {
+func (b *Cache) Find(account ryeford.AccountID, model string) (*ryeford.Template, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	if t, ok := b.templates[Name{Account: account, Name: model}]; ok {
--- a/agentfleet/template/store.go
+++ b/agentfleet/template/store.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxDelta is the maximum number of revisions that Since reads one by one. If more
-	// are missing, it reads all templates.
+	// maxDelta is the maximum number of revisions that ChangedSince reads one by one. If
+	// more are missing, it reads all templates.
 	maxDelta = 64
 
 	// maxPublishTries is how often Publish tries its transaction while it conflicts with
@@ -27,12 +27,12 @@
 // not the current one.
 type SequenceError struct {
 	Name    Name
-	Based   int64
+	Base    int64
 	Current int64
 }
 
 func (e *SequenceError) Error() string {
-	return fmt.Sprintf("template %s is at version %d, not %d: read it and publish again", e.Name, e.Current, e.Based)
+	return fmt.Sprintf("template %s is at version %d, not %d: read it and publish again", e.Name, e.Current, e.Base)
 }
 
 // A Store publishes templates to the platform's table and reads them.
@@ -63,8 +63,9 @@
 	return nil, lastErr
 }
 
-// Since returns the newest revision and the templates that changed after the given one.
-func (s *Store) Since(ctx context.Context, revision int64) (int64, []ryeford.Template, error) {
+// ChangedSince returns the newest revision and the templates that changed after the given
+// one.
+func (s *Store) ChangedSince(ctx context.Context, revision int64) (int64, []ryeford.Template, error) {
 	revisionRow, err := s.table.Get(ctx, rowRevision)
 	if err != nil {
 		return revision, nil, err
@@ -123,7 +124,7 @@
 // before.
 func (s *Store) tryPublish(ctx context.Context, t ryeford.Template) (*ryeford.Template, error) {
 	name := Name{Account: t.Account, Name: t.Name}
-	rows, err := s.table.Get(ctx, rowRevision, templateKey(name), publishKey(t.Change))
+	rows, err := s.table.Get(ctx, rowRevision, templateKey(name), publishKey(t.PublishID))
 	if err != nil {
 		return nil, err
 	}
@@ -151,14 +152,14 @@
 // conflict if the revision row or the template row no longer has the given version.
 func (s *Store) write(ctx context.Context, t *ryeford.Template, revisionVersion, templateVersion int64) error {
 	name := Name{Account: t.Account, Name: t.Name}
-	templateWrite, err := row.Write(templateKey(name), t, templateVersion)
+	templateWrite, err := row.NewWrite(templateKey(name), t, templateVersion)
 	if err != nil {
 		return err
 	}
 	_, err = s.table.Transact(ctx,
 		templateWrite,
 		ryeford.Write{Key: rowRevision, Value: []byte(strconv.FormatInt(t.Revision, 10)), IfVersion: revisionVersion},
-		ryeford.Write{Key: publishKey(t.Change), Value: templateWrite.Value},
+		ryeford.Write{Key: publishKey(t.PublishID), Value: templateWrite.Value},
 		ryeford.Write{Key: revisionKey(t.Revision), Value: templateWrite.Value},
 		ryeford.Write{Key: historyKey(name, t.Sequence), Value: templateWrite.Value},
 	)
@@ -169,7 +170,7 @@
 // *SequenceError if the template is not based on the current one.
 func nextVersion(t ryeford.Template, current int64) (*ryeford.Template, error) {
 	if t.Sequence != current {
-		return nil, &SequenceError{Name: Name{Account: t.Account, Name: t.Name}, Based: t.Sequence, Current: current}
+		return nil, &SequenceError{Name: Name{Account: t.Account, Name: t.Name}, Base: t.Sequence, Current: current}
 	}
 	t.Sequence++
 	return &t, nil
@@ -219,7 +220,7 @@
 // Check validates a template before it is published. The error is a
 // *ryeford.InputError.
 func Check(t *ryeford.Template) error {
-	if t.Change == "" {
+	if t.PublishID == "" {
 		return &ryeford.InputError{Field: "change", Problem: "missing; it names the publish"}
 	}
 	err := validate.Struct(t)
--- a/agentfleet/template/template_test.go
+++ b/agentfleet/template/template_test.go
@@ -15,36 +15,36 @@
 	"github.com/ryeford/ryeford/internal/memtable"
 )
 
-// TestBookRevisionNeverDecreases applies deltas out of order, repeatedly and with gaps: no
+// TestCacheRevisionNeverDecreases applies deltas out of order, repeatedly and with gaps: no
 // delta may replace a newer template or leave one out.
-func TestBookRevisionNeverDecreases(t *testing.T) {
+func TestCacheRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var published []ryeford.Template
 		for i := range rapid.IntRange(1, 12).Draw(t, "publishes") {
 			name := fmt.Sprintf("t%d", rapid.IntRange(0, 2).Draw(t, "name"))
 			published = append(published, ryeford.Template{Account: "a", Name: name, Model: "m", Revision: int64(i + 1)})
 		}
-		book := NewBook()
+		cache := NewCache()
 		for range rapid.IntRange(1, 20).Draw(t, "deltas") {
 			from := rapid.IntRange(0, len(published)).Draw(t, "from")
 			to := rapid.IntRange(from, len(published)).Draw(t, "to")
-			before := book.Revision()
-			book.Apply(int64(from), int64(to), published[from:to])
-			assert.Assert(t, book.Revision() >= before, "revision decreased")
-			checkBook(t, book, published)
+			before := cache.Revision()
+			cache.Apply(int64(from), int64(to), published[from:to])
+			assert.Assert(t, cache.Revision() >= before, "revision decreased")
+			checkCache(t, cache, published)
 		}
 	})
 }
 
-// checkBook checks that a book has the newest template of each name up to its revision.
-func checkBook(t *rapid.T, book *Book, published []ryeford.Template) {
-	revision, _ := book.Since(0)
+// checkCache checks that a cache has the newest template of each name up to its revision.
+func checkCache(t *rapid.T, cache *Cache, published []ryeford.Template) {
+	revision, _ := cache.ChangedSince(0)
 	newest := make(map[string]int64)
 	for _, p := range published[:revision] {
 		newest[p.Name] = p.Revision
 	}
 	for name, want := range newest {
-		found, ok := book.Find("a", name)
+		found, ok := cache.Find("a", name)
 		assert.Assert(t, ok && found.Revision == want, "%s: want revision %d", name, want)
 	}
 }
@@ -53,12 +53,12 @@
 // exactly one publish may succeed, and it must be in the history once.
 func TestPublishRace(t *testing.T) {
 	calls := 0
-	table := memtable.New(func(write bool) memtable.Fate {
+	table := memtable.New(func(write bool) memtable.Outcome {
 		calls++
 		if write && calls%3 == 0 {
-			return memtable.Lost
+			return memtable.ResponseLost
 		}
-		return memtable.Succeeds
+		return memtable.Success
 	})
 	const publishers = 6
 	var wait sync.WaitGroup
@@ -68,7 +68,7 @@
 		wait.Go(func() {
 			store := NewStore(table)
 			_, err := store.Publish(context.Background(), ryeford.Template{
-				Account: "bank", Name: "calls", Model: "lira", Change: fmt.Sprint(i),
+				Account: "bank", Name: "calls", Model: "lira", PublishID: fmt.Sprint(i),
 			})
 			var sequence *SequenceError
 			mu.Lock()
@@ -90,7 +90,7 @@
 // TestPublishIdempotent checks that a repeated publish of a change takes effect once.
 func TestPublishIdempotent(t *testing.T) {
 	store := NewStore(memtable.New(nil))
-	change := ryeford.Template{Account: "bank", Name: "calls", Model: "lira", Change: "c1"}
+	change := ryeford.Template{Account: "bank", Name: "calls", Model: "lira", PublishID: "c1"}
 	first, err := store.Publish(t.Context(), change)
 	assert.NilError(t, err)
 	second, err := store.Publish(t.Context(), change)
@@ -98,27 +98,27 @@
 	assert.DeepEqual(t, first, second)
 }
 
-// BenchmarkBook reports the memory per template, and the time to apply one change to a
-// book with the templates of a full-size fleet.
-func BenchmarkBook(b *testing.B) {
+// BenchmarkCache reports the memory per template, and the time to apply one change to a
+// cache with the templates of a full-size fleet.
+func BenchmarkCache(b *testing.B) {
 	const accounts = 3200
 	var templates []ryeford.Template
 	for i := range accounts {
 		templates = append(templates, ryeford.Template{
 			Account: ryeford.AccountID(fmt.Sprintf("account-%d", i)), Name: "calls", Model: "lira", Adapter: "harbour",
-			Share: 0.1, Revision: int64(i + 1), Change: "280cf740-4e2c-404c-851e-5152ba7e4550",
+			Share: 0.1, Revision: int64(i + 1), PublishID: "280cf740-4e2c-404c-851e-5152ba7e4550",
 			KeyHashes: []string{ryeford.HashKey(fmt.Sprint(i))},
 		})
 	}
 	before := heapBytes()
-	book := NewBook()
-	book.Apply(0, accounts, templates)
+	cache := NewCache()
+	cache.Apply(0, accounts, templates)
 	size := heapBytes() - before
 	revision := int64(accounts)
 	for b.Loop() {
 		change := templates[0]
 		change.Revision = revision + 1
-		book.Apply(revision, revision+1, []ryeford.Template{change})
+		cache.Apply(revision, revision+1, []ryeford.Template{change})
 		revision++
 	}
 	b.ReportMetric(float64(size)/accounts, "B/template")
@@ -131,7 +131,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// TestCanApply checks which deltas can be applied to a book at revision 5.
+// TestCanApply checks which deltas can be applied to a cache at revision 5.
 func TestCanApply(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -141,8 +141,8 @@
 		{"the next revision", 5, 6, true},
 		{"overlapping", 3, 8, true},
 		{"from revision zero", 0, 6, true},
-		{"older than the book", 3, 4, false},
-		{"up to the book's revision", 4, 5, false},
+		{"older than the cache", 3, 4, false},
+		{"up to the cache's revision", 4, 5, false},
 		{"with a gap", 6, 8, false},
 	} {
 		assert.Equal(t, canApply(5, test.from, test.to), test.want, test.name)
@@ -151,8 +151,8 @@
 
 // TestFind checks which template is found for an account's model.
 func TestFind(t *testing.T) {
-	book := NewBook()
-	book.Apply(0, 4, []ryeford.Template{
+	cache := NewCache()
+	cache.Apply(0, 4, []ryeford.Template{
 		{Account: "bank", Name: "calls", Model: "lira", Revision: 1},
 		{Account: "bank", Name: "agents", Model: "lira", Revision: 2},
 		{Account: "bank", Name: "lira", Model: "psalm", Revision: 3},
@@ -171,7 +171,7 @@
 		{"an unknown model", "bank", "x", ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			found, ok := book.Find(test.account, test.model)
+			found, ok := cache.Find(test.account, test.model)
 			assert.Equal(t, ok, test.want != "")
 			if ok {
 				assert.Equal(t, found.Name, test.want)
--- a/agentfleet/transport/conn.go
+++ b/agentfleet/transport/conn.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// Ask sends a message on a new stream and returns the answer. It waits until the deadline
-// of ctx; cancelling ctx does not end the wait for the answer.
-func (c *Conn) Ask(ctx context.Context, m *wire.Message) (*wire.Message, error) {
+// RoundTrip sends a message on a new stream and returns the answer. It waits until the
+// deadline of ctx; cancelling ctx does not end the wait for the answer.
+func (c *Conn) RoundTrip(ctx context.Context, m *wire.Message) (*wire.Message, error) {
 	s, err := c.Open(ctx)
 	if err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 	defer stop()
 	var answer *wire.Message
 	if err = wire.WriteMessage(s.quic, m); err == nil {
-		answer, err = wire.ReadMessage(watch.Reader(s.quic))
+		answer, err = wire.ReadMessage(watch.ResponseReader(s.quic))
 	}
 	if err == nil {
 		return answer, nil
@@ -122,7 +122,7 @@
 	if ctx.Err() != nil {
 		err = context.Cause(ctx)
 	}
-	return nil, wrapError("fetch", watch.Broken(err))
+	return nil, wrapError("fetch", watch.Interrupted(err))
 }
 
 // SendDatagram sends a datagram, which may be lost.
--- a/agentfleet/transport/transport_test.go
+++ b/agentfleet/transport/transport_test.go
@@ -86,7 +86,7 @@
 	conn, err := dial(t, testTLS(t, authority, "router-1"), l.Address(), testOptions)
 	assert.NilError(t, err)
 	assert.Equal(t, conn.Peer(), ryeford.VMID("endpoint-1"))
-	answer, err := conn.Ask(t.Context(), message)
+	answer, err := conn.RoundTrip(t.Context(), message)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, answer, message)
 
@@ -97,7 +97,7 @@
 	for _, config := range []*tls.Config{untrusted, anonymous} {
 		conn, err = dial(t, config, l.Address(), testOptions)
 		if err == nil {
-			_, err = conn.Ask(t.Context(), message)
+			_, err = conn.RoundTrip(t.Context(), message)
 		}
 		assert.Assert(t, err != nil, "an unauthenticated peer got an answer")
 	}
@@ -151,8 +151,8 @@
 			_, err = conn.Fetch(ctx, &wire.Message{Pull: &wire.Pull{}}, test.interval)
 			var failure *Error
 			assert.Assert(t, errors.As(err, &failure), "%v", err)
-			var broken *transfer.BrokenError
-			assert.Assert(t, errors.As(err, &broken), "%v", err)
+			var interrupted *transfer.InterruptedError
+			assert.Assert(t, errors.As(err, &interrupted), "%v", err)
 			var stall *transfer.StallError
 			assert.Equal(t, errors.As(err, &stall), !test.ends, "%v", err)
 			assert.Equal(t, errors.Is(err, errEnded), test.ends, "%v", err)
--- a/agentfleet/wire/attempt.go
+++ b/agentfleet/wire/attempt.go
@@ -25,8 +25,8 @@
 	Repeatable bool `cbor:"9,keyasint"`
 	// Expires is the time after which the agent must not admit the attempt.
 	Expires time.Time `cbor:"10,keyasint"`
-	// Forget is the time until which the agent must retain the record of the admission.
-	Forget time.Time `cbor:"12,keyasint"`
+	// RetainUntil is the time until which the agent must retain the record of the admission.
+	RetainUntil time.Time `cbor:"12,keyasint"`
 	// PoolMean is the router's estimate of the mean load, in requests, of the
 	// engines that serve the model.
 	PoolMean float64 `cbor:"13,keyasint"`
@@ -59,9 +59,9 @@
 	Incarnation ryeford.Incarnation `cbor:"3,keyasint"`
 	// Offset is the offset of the first chunk to send.
 	Offset int64 `cbor:"4,keyasint"`
-	// Expires and Forget are those of the dispatch, which may still arrive.
-	Expires time.Time `cbor:"5,keyasint"`
-	Forget  time.Time `cbor:"6,keyasint"`
+	// Expires and RetainUntil are those of the dispatch, which may still arrive.
+	Expires     time.Time `cbor:"5,keyasint"`
+	RetainUntil time.Time `cbor:"6,keyasint"`
 	// Peek makes the agent record no tombstone.
 	Peek bool `cbor:"7,keyasint,omitempty"`
 }
@@ -77,7 +77,8 @@
 	Request ryeford.RequestID `cbor:"4,keyasint"`
 }
 
-// A Refused reports that an attempt did not run and never will, unless Unknown is set.
+// A Refused reports that an attempt did not run and never will, unless MayHaveRun is
+// set.
 type Refused struct {
 	Attempt ryeford.AttemptID `cbor:"1,keyasint"`
 	Reason  ryeford.Reason    `cbor:"2,keyasint"`
@@ -91,8 +92,8 @@
 	Incarnation ryeford.Incarnation `cbor:"6,keyasint,omitempty"`
 	// Bound is the engine's maximum load, in requests, for the highest priority.
 	Bound float64 `cbor:"7,keyasint,omitempty"`
-	// Unknown reports that the attempt ran or may have run.
-	Unknown bool `cbor:"8,keyasint,omitempty"`
+	// MayHaveRun reports that the attempt ran or may have run.
+	MayHaveRun bool `cbor:"8,keyasint,omitempty"`
 }
 
 // A Cancel reports that the caller abandoned the request. The agent cancels the run if
--- a/agentfleet/wire/wire.go
+++ b/agentfleet/wire/wire.go
@@ -137,8 +137,8 @@
 	// Pools are the pools that an engine has loaded; empty if it does not respond.
 	Pools []ryeford.Pool `cbor:"3,keyasint,omitempty" json:"pools,omitempty"`
 	Load  float64        `cbor:"4,keyasint" json:"-"` // in requests
-	// Resting reports that the engine is backing off and must not be sent requests.
-	Resting bool `cbor:"5,keyasint,omitempty" json:"resting,omitempty"`
+	// BackingOff reports that the engine is backing off and must not be sent requests.
+	BackingOff bool `cbor:"5,keyasint,omitempty" json:"resting,omitempty"`
 }
 
 // An Inventory is the state of an agent. The operators' API returns it as JSON.
--- a/agentfleet/wire/wire_test.go
+++ b/agentfleet/wire/wire_test.go
@@ -16,7 +16,7 @@
 	return &Message{Dispatch: &Dispatch{
 		Request: "da11b1f1-3ad4-47c5-98e6-70a360c6b120", Attempt: "d58f7a56-9fd9-4542-8d3a-eb54ab0bd971",
 		Account: "bank", Chat: "chat-1", Engine: "endpoint-1.1", Incarnation: "66457780-212a-4f3c-9a2e-9344b5e966b2",
-		Priority: 5, Share: 0.5, Repeatable: true, Expires: now, Forget: now, PoolMean: 7.25,
+		Priority: 5, Share: 0.5, Repeatable: true, Expires: now, RetainUntil: now, PoolMean: 7.25,
 		Completion: &ryeford.Completion{
 			Pool:     ryeford.Pool{Model: "lira"},
 			Messages: []ryeford.Message{{Role: "user", Content: "good morning"}},
--- a/caller/client.go
+++ b/caller/client.go
@@ -63,7 +63,7 @@
 		return &Answer{}, err
 	}
 	request.Header.Set("Authorization", "Bearer "+key)
-	request.Header.Set(router.HeaderLastEvent, lastEvent)
+	request.Header.Set(router.HeaderLastEventID, lastEvent)
 	return c.stream(request)
 }
 
@@ -113,15 +113,15 @@
 // A Turn is one request of a caller: the next turn of a chat or, without the fields of a chat, a
 // call of a plain service. The router chooses defaults for empty fields.
 type Turn struct {
-	Key           string // of the client account
-	Chat          ryeford.ChatID
-	Model         string // or the name of a template
-	Messages      []ryeford.Message
-	MaxTokens     int
-	NotRepeatable bool   // the request must not run more than once
-	Idempotency   string // the idempotency key: the request runs once even if it is sent again
-	Deadline      time.Duration
-	Priority      string // 0 (lowest) to 9
+	Key            string // of the client account
+	Chat           ryeford.ChatID
+	Model          string // or the name of a template
+	Messages       []ryeford.Message
+	MaxTokens      int
+	NotRepeatable  bool   // the request must not run more than once
+	IdempotencyKey string // the idempotency key: the request runs once even if it is sent again
+	Deadline       time.Duration
+	Priority       string // 0 (lowest) to 9
 }
 
 // A completionBody is the JSON body of a request for a streamed completion.
@@ -142,9 +142,9 @@
 	request.Header.Set("Authorization", "Bearer "+t.Key)
 	request.Header.Set("Content-Type", "application/json")
 	optional := map[string]string{
-		router.HeaderChat:     string(t.Chat),
-		router.HeaderKey:      t.Idempotency,
-		router.HeaderPriority: t.Priority,
+		router.HeaderChat:           string(t.Chat),
+		router.HeaderIdempotencyKey: t.IdempotencyKey,
+		router.HeaderPriority:       t.Priority,
 	}
 	if t.NotRepeatable {
 		optional[router.HeaderRepeatable] = "false"
--- a/endpoint.go
+++ b/endpoint.go
@@ -63,8 +63,8 @@
 	Written  Revision `cbor:"w,omitempty"`
 }
 
-// SaysSame reports whether two entries are equal, apart from Sequence and Written.
-func (e *Endpoint) SaysSame(other *Endpoint) bool {
+// Equal reports whether two entries are equal, apart from Sequence and Written.
+func (e *Endpoint) Equal(other *Endpoint) bool {
 	same := *other
 	same.Sequence, same.Written = e.Sequence, e.Written
 	return *e == same
@@ -87,9 +87,9 @@
 	// Leaving means that this incarnation of the endpoint stops soon and must be sent no more
 	// requests.
 	Leaving bool
-	// Rest is the back-off that the endpoint asks this router for, counted from the response. Zero
-	// means none.
-	Rest time.Duration
+	// RetryAfter is the back-off that the endpoint asks this router for, counted from the
+	// response. Zero means none.
+	RetryAfter time.Duration
 }
 
 // An EndpointLoad is the load that an endpoint reports in a response, in requests.
--- a/gateway/admit/admit.go
+++ b/gateway/admit/admit.go
@@ -100,7 +100,7 @@
 // ConcernsEndpoint reports whether a reason returned by CheckSend concerns only one endpoint, so
 // that another endpoint may serve the request.
 func ConcernsEndpoint(reason ryeford.Reason) bool {
-	return reason == ryeford.ReasonLeaving || reason == ryeford.ReasonEvacuated || reason == ryeford.ReasonResting
+	return reason == ryeford.ReasonLeaving || reason == ryeford.ReasonEvacuated || reason == ryeford.ReasonBackingOff
 }
 
 // keyUnverified reports whether a key can't be verified: keys are not served, or the key is
--- a/gateway/admit/admit_test.go
+++ b/gateway/admit/admit_test.go
@@ -85,7 +85,7 @@
 		{"nothing has changed", func(*SendState) {}, failure{}},
 		{"the endpoint is draining or gone", func(s *SendState) { s.ExclusionReason = ryeford.ReasonLeaving }, failure{503, "leaving"}},
 		{"its failure domain is evacuated", func(s *SendState) { s.ExclusionReason = ryeford.ReasonEvacuated }, failure{503, "evacuated"}},
-		{"the endpoint is backing off", func(s *SendState) { s.ExclusionReason = ryeford.ReasonResting }, failure{503, "resting"}},
+		{"the endpoint is backing off", func(s *SendState) { s.ExclusionReason = ryeford.ReasonBackingOff }, failure{503, "resting"}},
 		{"the configuration became stale", func(s *SendState) { s.Reliable, s.ServesKeys = false, false }, failure{503, "stale_configuration"}},
 		{"in a store outage during which keys are served", func(s *SendState) { s.Reliable = false }, failure{}},
 		{"the key is unknown in an outage: the configuration may be stale", func(s *SendState) { s.KeyFound, s.Reliable = false, false }, failure{503, "stale_configuration"}},
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -18,7 +18,7 @@
 	const backoff, inTransit = 3 * time.Second, 500 * time.Millisecond
 	f := startedFixture(t, nil)
 	p1 := f.endpoints["p1"]
-	p1.SetRest("3")
+	p1.SetRetryAfter("3")
 	p1.SetFault(appserver.FaultShed, -1)
 	var end time.Time // end of the back-off, or shortly before it
 	f.await("a refusal", func() bool {
--- a/gateway/backoffsend_test.go
+++ b/gateway/backoffsend_test.go
@@ -21,9 +21,9 @@
 func TestExclusionBeforeFirstByte(t *testing.T) {
 	evacuated := ryeford.Evacuations{Revision: 2, Orders: []ryeford.Evacuation{{State: 2}}} // evacuates the domain without a name
 	for reason, exclude := range map[ryeford.Reason]func(b *balancer){
-		ryeford.ReasonResting:   func(b *balancer) { b.backoffs.Start(time.Now(), "e1", time.Minute) },
-		ryeford.ReasonLeaving:   func(b *balancer) { b.roster.MarkLeaving(time.Now(), "e1") },
-		ryeford.ReasonEvacuated: func(b *balancer) { b.roster.SetEvacuated(time.Now(), evacuated) },
+		ryeford.ReasonBackingOff: func(b *balancer) { b.backoffs.Start(time.Now(), "e1", time.Minute) },
+		ryeford.ReasonLeaving:    func(b *balancer) { b.roster.MarkLeaving(time.Now(), "e1") },
+		ryeford.ReasonEvacuated:  func(b *balancer) { b.roster.SetEvacuated(time.Now(), evacuated) },
 	} {
 		t.Run(string(reason), func(t *testing.T) {
 			e := newExchangeTest(t)
@@ -50,7 +50,7 @@
 	for i, backoff := range []string{"2", "30"} {
 		server := &appserver.Server{ID: "e" + strconv.Itoa(i+1)}
 		server.SetFault(appserver.FaultShed, -1)
-		server.SetRest(backoff)
+		server.SetRetryAfter(backoff)
 		addresses = append(addresses, startEndpoint(t, server, func() {}))
 	}
 	e.setEndpoints(addresses...)
--- a/gateway/bounds_test.go
+++ b/gateway/bounds_test.go
@@ -25,9 +25,9 @@
 		last, peers := routers-1, routers-1
 		list := limits.Schedule(last, peers).Age + watch.MaxSleep
 		if routers == 1 {
-			list = limits.Hold + s.SettleEndpoints() // a held read, or the pause after a change
+			list = limits.Hold + s.EndpointsSettle() // a held read, or the pause after a change
 		}
-		configuration := freshness.ReadAge(s.RefreshConfiguration(), last, peers) + freshness.PauseAfterRead(true, true)
+		configuration := freshness.ReadAge(s.ConfigurationRefreshAge(), last, peers) + freshness.PauseAfterRead(true, true)
 		lease := freshness.Term(s.Bounds.Revoke)
 		t.Logf("%3d routers: list %s of %s, configuration %s of %s, lease %s of %s", routers,
 			list, s.Bounds.Drain, configuration, s.Bounds.Configuration, lease, s.Bounds.Revoke)
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -243,7 +243,7 @@
 		_ = c.log.Log("decision", "configuration", "revision", update.Revision, "applied", false, "why", "the source no longer has a configuration")
 		return false
 	}
-	c.lease.RenewRead(sent, update.Begun, update.Clock)
+	c.lease.RenewRead(sent, update.ResponseStarted, update.Clock)
 	c.onUpdate()
 	return true
 }
@@ -285,7 +285,7 @@
 }
 
 // mergePeerConfirmation merges a confirmation from a peer: version was the newest when the source's
-// steady clock showed at.
+// monotonic clock showed at.
 func (c *configuration) mergePeerConfirmation(now time.Time, from netip.AddrPort, version int64, at time.Duration) {
 	current := c.current()
 	switch freshness.PeerActionFor(current != nil, versionOf(current), version) {
--- a/gateway/configuration_test.go
+++ b/gateway/configuration_test.go
@@ -17,7 +17,7 @@
 	"github.com/ryeford/ryeford/internal/telemetry"
 )
 
-// A fakeConfigurationSource is a source of configurations whose steady clock is that of the test.
+// A fakeConfigurationSource is a source of configurations whose monotonic clock is that of the test.
 type fakeConfigurationSource struct {
 	began        time.Time
 	version      int64 // zero: no configuration yet
@@ -35,7 +35,7 @@
 func (s *fakeConfigurationSource) Configuration(context.Context, ryeford.KnownConfiguration) (ryeford.ConfigurationUpdate, error) {
 	s.reads = append(s.reads, time.Since(s.began))
 	defer time.Sleep(s.transferTime)
-	update := ryeford.ConfigurationUpdate{Revision: s.revision, Clock: time.Since(s.began), Begun: time.Now()}
+	update := ryeford.ConfigurationUpdate{Revision: s.revision, Clock: time.Since(s.began), ResponseStarted: time.Now()}
 	if s.version > 0 {
 		update.Configuration = &ryeford.Configuration{Version: s.version}
 		update.State, update.Size = ryeford.ConfigurationState(s.version), s.size
@@ -49,11 +49,11 @@
 		return ryeford.ConfigurationUpdate{}, s.compareErr
 	}
 	if ryeford.ConfigurationState(s.version) != known.State {
-		known.Changed()
+		known.NotifyChange()
 		return s.Configuration(ctx, known)
 	}
 	s.compared++
-	return ryeford.ConfigurationUpdate{Unchanged: true, Revision: s.revision, Clock: time.Since(s.began), Begun: time.Now()}, nil
+	return ryeford.ConfigurationUpdate{Unchanged: true, Revision: s.revision, Clock: time.Since(s.began), ResponseStarted: time.Now()}, nil
 }
 
 // A configurationFixture is a configuration without a gateway.
--- a/gateway/disruptedstore_test.go
+++ b/gateway/disruptedstore_test.go
@@ -202,16 +202,16 @@
 		return ryeford.ConfigurationUpdate{}, err
 	}
 	update := ryeford.ConfigurationUpdate{
-		State:     ryeford.ConfigurationState(now.version),
-		Unchanged: ryeford.ConfigurationState(now.version) == known.State,
-		Revision:  now.revision,
-		Clock:     time.Since(s.began),
-		Begun:     time.Now(),
+		State:           ryeford.ConfigurationState(now.version),
+		Unchanged:       ryeford.ConfigurationState(now.version) == known.State,
+		Revision:        now.revision,
+		Clock:           time.Since(s.began),
+		ResponseStarted: time.Now(),
 	}
 	if update.Unchanged {
 		return update, nil
 	}
-	known.Changed()
+	known.NotifyChange()
 	update.Configuration = &ryeford.Configuration{Version: now.version, Accounts: []ryeford.AccountRule{}}
 	if s.transfer > 0 {
 		update.Size = large
@@ -226,7 +226,7 @@
 	if err := s.applyDisruption(ctx, kind, time.Now().Add(s.timeout)); err != nil {
 		return ryeford.EndpointUpdate{}, err
 	}
-	return ryeford.EndpointUpdate{Snapshot: true, Revision: now.revision, Present: now.endpoints, Clock: time.Since(s.began), Begun: time.Now()}, nil
+	return ryeford.EndpointUpdate{Snapshot: true, Revision: now.revision, Present: now.endpoints, Clock: time.Since(s.began), ResponseStarted: time.Now()}, nil
 }
 
 // EndpointsSince implements ryeford.EndpointSource.
@@ -242,7 +242,7 @@
 			return ryeford.EndpointUpdate{}, &ryeford.HistoryLostError{}
 		}
 		update := now.since(revision)
-		update.Clock, update.Begun = time.Since(s.began), time.Now()
+		update.Clock, update.ResponseStarted = time.Since(s.began), time.Now()
 		if len(update.Present)+len(update.Removed) > 0 || wait == 0 {
 			return update, nil
 		}
--- a/gateway/endpoint/pool.go
+++ b/gateway/endpoint/pool.go
@@ -60,7 +60,7 @@
 // connection is for a request that must not be sent again; it must then have been used within
 // notRepeatableMaxIdle.
 func (p *Pool) idleConnection(id ryeford.EndpointID, notRepeatable bool) *connection {
-	now, resumed := clock.Now(), clock.Woke()
+	now, resumed := clock.Now(), clock.ResumedAt()
 	usedSince := time.Time{}
 	if notRepeatable {
 		usedSince = now.Add(-notRepeatableMaxIdle)
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -159,7 +159,7 @@
 		return false
 	}
 	// Renewed only after applying: what peers receive as confirmed must have been applied.
-	l.lease.RenewRead(sent, update.Begun, update.Clock)
+	l.lease.RenewRead(sent, update.ResponseStarted, update.Clock)
 	return len(update.Present)+len(update.Removed) > 0
 }
 
--- a/gateway/endpointlist_test.go
+++ b/gateway/endpointlist_test.go
@@ -78,7 +78,7 @@
 	return &endpointList{
 		source:          source,
 		limits:          listLimits(s),
-		settle:          s.SettleEndpoints(),
+		settle:          s.EndpointsSettle(),
 		recoveryTimeout: s.Bounds.Contact,
 		copy:            replica.New(),
 		lease:           freshness.NewLease(time.Now(), time.Hour, clock),
@@ -296,18 +296,18 @@
 		s := settings.DefaultGateway()
 		l := newEndpointList(s, nil)
 		now := time.Now()
-		list := &ryeford.EndpointUpdate{Snapshot: true, Revision: 5, Present: []ryeford.Endpoint{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, Begun: now}
+		list := &ryeford.EndpointUpdate{Snapshot: true, Revision: 5, Present: []ryeford.Endpoint{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, ResponseStarted: now}
 		l.applySource(list, 0, now)
 		time.Sleep(2 * time.Second)
 		now = time.Now()
 		assert.Assert(t, l.limits.Outage(2*time.Second))
-		l.applySource(&ryeford.EndpointUpdate{Revision: 9, Removed: []ryeford.EndpointID{"b"}, Clock: 2 * time.Second, Begun: now}, 5, now)
+		l.applySource(&ryeford.EndpointUpdate{Revision: 9, Removed: []ryeford.EndpointID{"b"}, Clock: 2 * time.Second, ResponseStarted: now}, 5, now)
 		assert.Assert(t, !l.roster.Entry("b").Accepts())
 		assert.Assert(t, l.roster.Entry("a").Accepts())
 		l.recordSourceFailure(time.Now().Add(time.Second))
 		time.Sleep(2 * time.Second)
 		now = time.Now()
-		l.applySource(&ryeford.EndpointUpdate{Revision: 12, Removed: []ryeford.EndpointID{"a"}, Clock: 4 * time.Second, Begun: now}, 9, now)
+		l.applySource(&ryeford.EndpointUpdate{Revision: 12, Removed: []ryeford.EndpointID{"a"}, Clock: 4 * time.Second, ResponseStarted: now}, 9, now)
 		assert.Assert(t, l.roster.Entry("a").Accepts(), "a local read failed: the entry may have expired")
 	})
 }
@@ -318,14 +318,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newEndpointList(settings.DefaultGateway(), nil)
 		now := time.Now()
-		l.applySource(&ryeford.EndpointUpdate{Snapshot: true, Revision: 5, Present: []ryeford.Endpoint{{ID: "a"}}, Begun: now}, 0, now)
+		l.applySource(&ryeford.EndpointUpdate{Snapshot: true, Revision: 5, Present: []ryeford.Endpoint{{ID: "a"}}, ResponseStarted: now}, 0, now)
 		seen := false
 		l.onUpdate = func() {
 			confirmed, _ := l.lease.Confirmed()
 			assert.Equal(t, confirmed, time.Duration(0), "the change is still being applied")
 			seen = true
 		}
-		l.applySource(&ryeford.EndpointUpdate{Revision: 9, Removed: []ryeford.EndpointID{"a"}, Clock: time.Second, Begun: now}, 5, now)
+		l.applySource(&ryeford.EndpointUpdate{Revision: 9, Removed: []ryeford.EndpointID{"a"}, Clock: time.Second, ResponseStarted: now}, 5, now)
 		confirmed, _ := l.lease.Confirmed()
 		assert.Equal(t, confirmed, time.Second)
 		assert.Assert(t, seen)
--- a/gateway/endpointreport.go
+++ b/gateway/endpointreport.go
@@ -17,12 +17,12 @@
 		f.metrics.Count("ryeford_leaving_endpoints_total", "")
 	}
 	// An endpoint that rejects all requests has a low load and would attract even more.
-	backingOff := report.Rest > 0 && f.backoffs.Start(now, from.ID, report.Rest)
+	backingOff := report.RetryAfter > 0 && f.backoffs.Start(now, from.ID, report.RetryAfter)
 	if backingOff {
 		f.metrics.Count("ryeford_rests_total", "")
 	}
 	if leaving || backingOff {
-		_ = f.log.Log("decision", "endpoint_report", "request", q.meta.ID, "endpoint", from.ID, "leaves", leaving, "rest", roundTime(report.Rest))
+		_ = f.log.Log("decision", "endpoint_report", "request", q.meta.ID, "endpoint", from.ID, "leaves", leaving, "rest", roundTime(report.RetryAfter))
 	}
 }
 
--- a/gateway/entries_test.go
+++ b/gateway/entries_test.go
@@ -19,7 +19,7 @@
 	f.store.Put(wire.TableEndpoints, "p1", []byte("\xff"))
 	f.store.Put(wire.TableEndpoints, "stranger", []byte(`[]`))
 	f.awaitLog("malformed=stranger")
-	f.store.ForgetHistory() // forces a read of the full list
+	f.store.DropHistory() // forces a read of the full list
 	before := len(f.endpoints["p1"].Received())
 	for range 8 {
 		assert.Equal(t, f.call("POST", "/once/a").status, 200)
--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -59,7 +59,7 @@
 			f.evacuate("a")
 			f.store.Remove(wire.TableOperators, wire.PrefixEvacuation+"a")
 			f.evacuate("a")
-			f.store.ForgetHistory()
+			f.store.DropHistory()
 			time.Sleep(100 * time.Millisecond)
 			f.store.SetFault(rowstore.Fault{})
 			f.awaitStatus(503, "GET", "/safe/a")
@@ -72,7 +72,7 @@
 // backup that lacks it, until operators have had time to order it again.
 func TestRestoredEvacuation(t *testing.T) {
 	f := startedFixture(t, nil)
-	backup := f.store.Copy()
+	backup := f.store.Backup()
 	f.evacuate("a")
 	f.awaitLog("began=a")
 	before := f.received()
--- a/gateway/exclusion.go
+++ b/gateway/exclusion.go
@@ -16,7 +16,7 @@
 		return reason
 	}
 	if b.backoffs.Remaining(now, entry.ID) > 0 {
-		return ryeford.ReasonResting
+		return ryeford.ReasonBackingOff
 	}
 	return ""
 }
@@ -36,7 +36,7 @@
 		return false
 	case reason == ryeford.ReasonEvacuated:
 		c.evacuated++
-	case reason == ryeford.ReasonResting:
+	case reason == ryeford.ReasonBackingOff:
 		c.backingOff++
 	case !hasTimeSlot:
 		c.cold++
--- a/gateway/exclusion_test.go
+++ b/gateway/exclusion_test.go
@@ -31,7 +31,7 @@
 		}, ryeford.ReasonLeaving, exclusionCounts{}},
 		{"it reported that it is leaving", func(b *balancer) { b.roster.MarkLeaving(now, "x") }, ryeford.ReasonLeaving, exclusionCounts{}},
 		{"its failure domain is evacuated", func(b *balancer) { b.roster.SetEvacuated(now, evacuated) }, ryeford.ReasonEvacuated, exclusionCounts{evacuated: 1}},
-		{"it is backing off", func(b *balancer) { b.backoffs.Start(now, "x", time.Second) }, ryeford.ReasonResting, exclusionCounts{backingOff: 1}},
+		{"it is backing off", func(b *balancer) { b.backoffs.Start(now, "x", time.Second) }, ryeford.ReasonBackingOff, exclusionCounts{backingOff: 1}},
 		{"it is backing off and leaving", func(b *balancer) {
 			b.backoffs.Start(now, "x", time.Second)
 			b.roster.MarkLeaving(now, "x")
--- a/gateway/fleetlist_test.go
+++ b/gateway/fleetlist_test.go
@@ -21,7 +21,7 @@
 // TestFleetList simulates a change of the list of endpoints that one router reads, and bounds the time
 // until all others have read it from a peer that reported it.
 func TestFleetList(t *testing.T) {
-	simulateListChange(t, &ryeford.EndpointUpdate{Present: []ryeford.Endpoint{{ID: "new"}}, Revision: 9, Changed: 9})
+	simulateListChange(t, &ryeford.EndpointUpdate{Present: []ryeford.Endpoint{{ID: "new"}}, Revision: 9, NewestChange: 9})
 }
 
 // TestFleetRestored is TestFleetList for the full list of a restored store, which has a lower number
@@ -38,14 +38,14 @@
 		f := newSimulatedFleet(test.routers, 0, 1)
 		f.events = gossipEvents(f)
 		for _, r := range f.routers {
-			r.gossip.endpoints.applySource(&ryeford.EndpointUpdate{Snapshot: true, Revision: 5, Begun: time.Now()}, 0, time.Now())
+			r.gossip.endpoints.applySource(&ryeford.EndpointUpdate{Snapshot: true, Revision: 5, ResponseStarted: time.Now()}, 0, time.Now())
 			r.gossip.endpoints.setFullReadAt(time.Time{})
 		}
 		var half, all time.Duration
 		changed := f.began.Add(simulatedWarmUp)
 		f.schedule(changed, func(now time.Time) {
 			first, read := f.routers[0].gossip.endpoints, *update
-			read.Begun = time.Now()
+			read.ResponseStarted = time.Now()
 			first.applySource(&read, 5, time.Now())
 			f.readNewerCopies(now, changed, update.Revision, &half, &all)
 		})
--- a/gateway/freshness/lease.go
+++ b/gateway/freshness/lease.go
@@ -1,8 +1,8 @@
 // Package freshness decides how long a cached state of a source may be relied on, and when,
 // and by which process, the source is read again.
 //
-// It owns a Lease. It relies on a steady clock that keeps running while the process or the
-// machine is suspended, and on the source's steady clock, which the source sends with each
+// It owns a Lease. It relies on a monotonic clock that keeps running while the process or the
+// machine is suspended, and on the source's monotonic clock, which the source sends with each
 // response. It does no I/O and does not read the time of day.
 package freshness
 
@@ -51,17 +51,17 @@
 	return l
 }
 
-// RenewRead renews the lease after a read by this process. sent is when the read was sent, begun
-// is when the first byte of the response arrived, and clock is the reading of the source's clock
-// between the two. The duration of the rest of the response is irrelevant.
-func (l *Lease) RenewRead(sent, begun time.Time, clock time.Duration) {
+// RenewRead renews the lease after a read by this process. sent is when the read was sent,
+// responseStarted is when the first byte of the response arrived, and clock is the reading of the
+// source's clock between the two. The duration of the rest of the response is irrelevant.
+func (l *Lease) RenewRead(sent, responseStarted time.Time, clock time.Duration) {
 	l.renew(sent)
 	l.clock.Observe(sent, clock)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// The state is at least as new as the time of sending, when the source's clock read at least
 	// this.
-	l.confirmed, l.known = clock-begun.Sub(sent), true
+	l.confirmed, l.known = clock-responseStarted.Sub(sent), true
 }
 
 // RenewFromPeer renews the lease after a read by another process, at which the source's clock
--- a/gateway/freshness/refresh.go
+++ b/gateway/freshness/refresh.go
@@ -16,8 +16,8 @@
 // themselves.
 
 const (
-	// timeSlotDuration is how long one router is the first to read, on the source's steady
-	// clock.
+	// timeSlotDuration is how long one router is the first to read, on the source's
+	// monotonic clock.
 	timeSlotDuration = 4 * time.Second
 	// firstFraction and secondFraction are the fractions of the refresh age at which the first
 	// and the second router of a time slot read.
--- a/gateway/freshness/sourceclock.go
+++ b/gateway/freshness/sourceclock.go
@@ -7,16 +7,16 @@
 
 // How the age of a peer's confirmation is determined.
 //
-// Rule: the age is the difference between the reading of the source's steady clock when the
+// Rule: the age is the difference between the reading of the source's monotonic clock when the
 // source was read and the upper bound on its reading now.
 //
 // Why: a message may be delayed without limit and pass through any number of routers, and the
-// clocks of routers differ. The source sends its steady clock with each response. From its
+// clocks of routers differ. The source sends its monotonic clock with each response. From its
 // local reads each router derives an upper bound on that clock, so it never underestimates the
 // age of a confirmation.
 
 const (
-	// clockDrift is the relative drift between two steady clocks that the bound allows for.
+	// clockDrift is the relative drift between two monotonic clocks that the bound allows for.
 	clockDrift = 1e-4
 	// observationTTL is how long one response may bound the source's clock. It limits the error
 	// if the clocks drift apart faster than clockDrift (TestFastClock).
@@ -26,7 +26,7 @@
 	clockResetThreshold = 10 * time.Second
 )
 
-// A SourceClock is an upper bound on a source's steady clock. It is safe for concurrent use.
+// A SourceClock is an upper bound on a source's monotonic clock. It is safe for concurrent use.
 type SourceClock struct {
 	mu      sync.Mutex
 	reading time.Duration
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -78,7 +78,7 @@
 		pool:        endpoint.New(platform.Protocol),
 		revision:    &storeRevision{},
 		drain:       newDrain(s.Bounds.Grace, logger),
-		initialSync: newInitialSync(s.Routing.StartPatience),
+		initialSync: newInitialSync(s.Routing.StartTimeout),
 	}
 	g.revision.onRestore = g.handleRestore
 	g.addQuarantine()
@@ -107,9 +107,9 @@
 		source:            g.platform.Configurations,
 		term:              freshness.Term(g.settings.Bounds.Revoke),
 		serveKeysInOutage: !g.settings.Bounds.StrictRevoke,
-		refresh:           g.settings.RefreshConfiguration(),
+		refresh:           g.settings.ConfigurationRefreshAge(),
 		changeTimeout:     g.settings.Bounds.Configuration,
-		unreachableAfter:  g.settings.StoreSilence(),
+		unreachableAfter:  g.settings.StoreUnreachableAfter(),
 		peers:             g.peers,
 		clock:             g.clock,
 		startup:           g.startup,
@@ -125,7 +125,7 @@
 	g.endpoints = &endpointList{
 		source:          g.platform.Endpoints,
 		limits:          listLimits(g.settings),
-		settle:          g.settings.SettleEndpoints(),
+		settle:          g.settings.EndpointsSettle(),
 		recoveryTimeout: g.settings.Bounds.Contact,
 		copy:            replica.New(),
 		lease:           freshness.NewLease(clock.Now(), time.Hour, g.clock),
@@ -150,7 +150,7 @@
 // listLimits returns the limits for reading the list of endpoints.
 func listLimits(s *settings.Gateway) replica.Limits {
 	limits := replica.NewLimits(s.Bounds.Drain, s.Routing.EndpointsWait)
-	limits.Hold = min(limits.Hold, s.WaitForEndpoints())
+	limits.Hold = min(limits.Hold, s.EndpointsWait())
 	return limits
 }
 
@@ -161,7 +161,7 @@
 		joiningPeers:  make(chan netip.AddrPort, maxJoiningPeers),
 		vm:            g.settings.VM,
 		routers:       g.platform.Routers,
-		started:       clock.Steady().Nanoseconds(),
+		started:       clock.Monotonic().Nanoseconds(),
 		table:         g.peers,
 		configuration: g.configuration,
 		endpoints:     g.endpoints,
--- a/gateway/giveup/giveup_test.go
+++ b/gateway/giveup/giveup_test.go
@@ -86,7 +86,7 @@
 		ryeford.ReasonKeyRevoked:         0,
 		ryeford.ReasonRouteRemoved:       0,
 		ryeford.ReasonLeaving:            10 * time.Millisecond,
-		ryeford.ReasonResting:            10 * time.Millisecond,
+		ryeford.ReasonBackingOff:         10 * time.Millisecond,
 		ryeford.ReasonEvacuated:          10 * time.Millisecond,
 		ryeford.ReasonOverload:           100 * time.Millisecond,
 		ryeford.ReasonDeadline:           100 * time.Millisecond,
--- a/gateway/giveup/retryafter.go
+++ b/gateway/giveup/retryafter.go
@@ -48,7 +48,7 @@
 		return retryNotReady
 	case ryeford.ReasonNoCandidate, ryeford.ReasonUnreachable:
 		return retryNoEndpoint
-	case ryeford.ReasonLeaving, ryeford.ReasonResting, ryeford.ReasonEvacuated:
+	case ryeford.ReasonLeaving, ryeford.ReasonBackingOff, ryeford.ReasonEvacuated:
 		return retryElsewhere
 	case ryeford.ReasonKeyRevoked, ryeford.ReasonRouteRemoved:
 		return 0
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -30,7 +30,7 @@
 	seeds   []netip.AddrPort
 	vm      ryeford.VMID
 	routers ryeford.RouterList
-	started int64 // start of this process, in nanoseconds of its VM's steady clock
+	started int64 // start of this process, in nanoseconds of its VM's monotonic clock
 	table   *peers.Table
 
 	configuration *configuration
--- a/gateway/heldrequests.go
+++ b/gateway/heldrequests.go
@@ -191,18 +191,18 @@
 
 // heldRequestOf returns the stored form of a record.
 func heldRequestOf(now time.Time, record *quarantine.Record) ryeford.HeldRequest {
-	request := ryeford.HeldRequest{Fingerprint: record.Fingerprint, Account: record.Account, Held: now.Sub(record.HeldSince), Trials: record.Trials}
+	request := ryeford.HeldRequest{Fingerprint: record.Fingerprint, Account: record.Account, HeldFor: now.Sub(record.HeldSince), Trials: record.Trials}
 	if record.Trials > 0 {
-		request.Tried = now.Sub(record.LastTrial)
+		request.SinceLastTrial = now.Sub(record.LastTrial)
 	}
 	return request
 }
 
 // recordOf returns the record of a stored request.
 func recordOf(now time.Time, request *ryeford.HeldRequest) quarantine.Record {
-	record := quarantine.Record{Fingerprint: request.Fingerprint, Account: request.Account, HeldSince: now.Add(-request.Held), Trials: request.Trials}
+	record := quarantine.Record{Fingerprint: request.Fingerprint, Account: request.Account, HeldSince: now.Add(-request.HeldFor), Trials: request.Trials}
 	if request.Trials > 0 {
-		record.LastTrial = now.Add(-request.Tried)
+		record.LastTrial = now.Add(-request.SinceLastTrial)
 	}
 	return record
 }
--- a/gateway/outage.go
+++ b/gateway/outage.go
@@ -19,7 +19,7 @@
 			_ = logger.Log("msg", "dependency lost", "dependency", dependency, "lease", leaseRemaining(), "err", err)
 		},
 		OnRegained: func(downtime ryeford.Downtime) {
-			_ = logger.Log("msg", "dependency regained", "dependency", dependency, "after", roundTime(downtime.Length()))
+			_ = logger.Log("msg", "dependency regained", "dependency", dependency, "after", roundTime(downtime.Duration()))
 		},
 	}
 }
--- a/gateway/peerreader.go
+++ b/gateway/peerreader.go
@@ -67,8 +67,8 @@
 		return unavailable(&ryeford.StatusError{Status: response.StatusCode})
 	}
 	body := http.MaxBytesReader(nil, response.Body, maxPeerResponse)
-	if err := cbor.NewDecoder(watch.Reader(body)).Decode(result); err != nil {
-		return unavailable(watch.Broken(err))
+	if err := cbor.NewDecoder(watch.ResponseReader(body)).Decode(result); err != nil {
+		return unavailable(watch.Interrupted(err))
 	}
 	return nil
 }
--- a/gateway/peers/limits.go
+++ b/gateway/peers/limits.go
@@ -52,7 +52,7 @@
 
 // A version orders the messages of one sender.
 type version struct {
-	started  int64  // start of the sender's process, in nanoseconds on its VM's steady clock
+	started  int64  // start of the sender's process, in nanoseconds on its VM's monotonic clock
 	sequence uint64 // of the message within that process
 }
 
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -3,7 +3,7 @@
 //
 // It owns the table of peers, which is soft state and is rebuilt from messages within seconds. An
 // isolated router works with its local state. The package does no I/O; its times are times of the
-// steady clock.
+// monotonic clock.
 package peers
 
 import (
@@ -19,8 +19,8 @@
 // A Message is sent by a router to its peers every Interval.
 type Message struct {
 	Sender netip.AddrPort `cbor:"1,keyasint"`
-	// Started is the start of the sender's process, in nanoseconds on its VM's steady clock
-	// (clock.Steady). It orders the processes at one address. The time of day would not do:
+	// Started is the start of the sender's process, in nanoseconds on its VM's monotonic clock
+	// (clock.Monotonic). It orders the processes at one address. The time of day would not do:
 	// after a backward step a new process would count as older than its predecessor.
 	Started int64 `cbor:"2,keyasint"`
 	// Sequence is the number of the message within the process, from 1.
@@ -47,7 +47,7 @@
 	// without its era, and key 12 confirmed a configuration together with them. A router that
 	// accepts such a confirmation without the evacuations would apply obsolete evacuations.
 	Version int64 `cbor:"7,keyasint"`
-	// ConfirmedAt is the reading of the steady clock of the configuration's source when Version
+	// ConfirmedAt is the reading of the monotonic clock of the configuration's source when Version
 	// was last known to be the newest.
 	ConfirmedAt time.Duration `cbor:"11,keyasint"`
 	// Confirmed reports whether the sender has a confirmation. If not, ConfirmedAt is not set.
@@ -99,7 +99,7 @@
 	// Full reports whether the copy was last read in full, so that its newest change may be of any
 	// revision up to From.
 	Full bool
-	// ConfirmedAt is the reading of the source's steady clock when the copy was last known to be
+	// ConfirmedAt is the reading of the source's monotonic clock when the copy was last known to be
 	// the newest.
 	ConfirmedAt time.Duration
 }
--- a/gateway/recovery_test.go
+++ b/gateway/recovery_test.go
@@ -49,9 +49,9 @@
 	f.configuration = newConfiguration(configurationOptions{
 		source:           f.store,
 		term:             freshness.Term(s.Bounds.Revoke),
-		refresh:          s.RefreshConfiguration(),
+		refresh:          s.ConfigurationRefreshAge(),
 		changeTimeout:    s.Bounds.Configuration,
-		unreachableAfter: s.StoreSilence(),
+		unreachableAfter: s.StoreUnreachableAfter(),
 		peers:            peers.New(netip.AddrPort{}, peers.DefaultLimits()),
 		clock:            f.endpoints.clock,
 		revision:         f.endpoints.revision,
@@ -140,9 +140,9 @@
 		lostRead:  s.Routing.StoreTimeout,
 		lostPoll:  listLimits(s).Hold + s.Routing.StoreTimeout,
 		pollWait:  listLimits(s).Hold,
-		settle:    s.SettleEndpoints(),
+		settle:    s.EndpointsSettle(),
 		readPause: freshness.PauseAfterRead(false, true),
-		refresh:   s.RefreshConfiguration(),
+		refresh:   s.ConfigurationRefreshAge(),
 		nextRead:  freshness.PauseAfterRead(true, true),
 	}
 }
--- a/gateway/replica/model_test.go
+++ b/gateway/replica/model_test.go
@@ -108,7 +108,7 @@
 		if slices.Equal(before, after) {
 			continue
 		}
-		update.Changed = revision
+		update.NewestChange = revision
 		for _, id := range after {
 			if !slices.Contains(before, id) {
 				update.Present = append(update.Present, ryeford.Endpoint{ID: id})
--- a/gateway/replica/replica.go
+++ b/gateway/replica/replica.go
@@ -48,8 +48,8 @@
 		Snapshot: update.Snapshot, Since: since, Present: update.Present, Removed: update.Removed,
 		Range: Range{From: update.Revision, To: update.Revision},
 	}
-	if !update.Snapshot && update.Changed > since {
-		c.Range.From = min(update.Changed, update.Revision)
+	if !update.Snapshot && update.NewestChange > since {
+		c.Range.From = min(update.NewestChange, update.Revision)
 	}
 	return c
 }
@@ -135,7 +135,7 @@
 	for _, endpoint := range c.Present {
 		name := endpoint.ID.Name()
 		present[name] = true
-		if old, exists := r.entries[name]; !exists || !old.endpoint.SaysSame(&endpoint) {
+		if old, exists := r.entries[name]; !exists || !old.endpoint.Equal(&endpoint) {
 			r.put(endpoint, c.Range.From)
 			differs = true
 		}
--- a/gateway/replica/replica_test.go
+++ b/gateway/replica/replica_test.go
@@ -28,7 +28,7 @@
 func newSynced(t *testing.T) *Replica {
 	t.Helper()
 	r := New()
-	c := FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a", "b", "c"), Revision: 10, Changed: 4}, 0)
+	c := FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a", "b", "c"), Revision: 10, NewestChange: 4}, 0)
 	assert.Equal(t, r.Apply(&c), Applied)
 	return r
 }
@@ -44,10 +44,10 @@
 		listed  string
 	}{
 		{"nothing new", FromSource(&ryeford.EndpointUpdate{Revision: 15}, 10), Applied, Range{10, 15}, "abc"},
-		{"a change", FromSource(&ryeford.EndpointUpdate{Present: endpoints("d"), Revision: 15, Changed: 12}, 10), Applied, Range{12, 15}, "abcd"},
-		{"a change of a listed endpoint", FromSource(&ryeford.EndpointUpdate{Present: []ryeford.Endpoint{draining}, Revision: 15, Changed: 12}, 10), Applied, Range{12, 15}, "abc"},
+		{"a change", FromSource(&ryeford.EndpointUpdate{Present: endpoints("d"), Revision: 15, NewestChange: 12}, 10), Applied, Range{12, 15}, "abcd"},
+		{"a change of a listed endpoint", FromSource(&ryeford.EndpointUpdate{Present: []ryeford.Endpoint{draining}, Revision: 15, NewestChange: 12}, 10), Applied, Range{12, 15}, "abc"},
 		{"a removal without its revision", FromSource(&ryeford.EndpointUpdate{Removed: []ryeford.EndpointID{"b"}, Revision: 15}, 10), Applied, Range{15, 15}, "ac"},
-		{"read since an older revision", FromSource(&ryeford.EndpointUpdate{Present: endpoints("c"), Revision: 15, Changed: 9}, 5), Applied, Range{10, 15}, "abc"},
+		{"read since an older revision", FromSource(&ryeford.EndpointUpdate{Present: endpoints("c"), Revision: 15, NewestChange: 9}, 5), Applied, Range{10, 15}, "abc"},
 		{"older", FromSource(&ryeford.EndpointUpdate{Removed: []ryeford.EndpointID{"b"}, Revision: 9}, 5), Outdated, Range{10, 10}, "abc"},
 		{"after a gap", FromSource(&ryeford.EndpointUpdate{Present: endpoints("d"), Revision: 15}, 11), Gap, Range{10, 10}, "abc"},
 		{"a snapshot, unchanged", FromSource(&ryeford.EndpointUpdate{Snapshot: true, Present: endpoints("a", "b", "c"), Revision: 15}, 0), Applied, Range{10, 15}, "abc"},
@@ -70,8 +70,8 @@
 func TestSince(t *testing.T) {
 	r := newSynced(t)
 	for _, update := range []ryeford.EndpointUpdate{
-		{Present: endpoints("d"), Revision: 20, Changed: 18},
-		{Removed: []ryeford.EndpointID{"b"}, Revision: 30, Changed: 28},
+		{Present: endpoints("d"), Revision: 20, NewestChange: 18},
+		{Removed: []ryeford.EndpointID{"b"}, Revision: 30, NewestChange: 28},
 	} {
 		c := FromSource(&update, r.Range().To)
 		assert.Equal(t, r.Apply(&c), Applied)
--- a/gateway/restoredstore_test.go
+++ b/gateway/restoredstore_test.go
@@ -61,7 +61,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := startedFixture(t, nil)
-			backup := f.store.Copy()
+			backup := f.store.Backup()
 			leave(f)
 			f.awaitNoRequests("/open/a", "p1")
 			f.store.Restore(backup)
@@ -86,7 +86,7 @@
 func TestRestoredLeavingAtStart(t *testing.T) {
 	gateways := newPeers(t, 2, time.Hour, nil)
 	seed := gateways[0]
-	backup := seed.store.Copy()
+	backup := seed.store.Backup()
 	seed.drainEndpoint("plain", "p1")
 	seed.awaitLog("draining=p1")
 	seed.store.Restore(backup)
@@ -110,7 +110,7 @@
 		s.Routing.EndpointsWait, s.Routing.EndpointsSettle, s.Routing.LeaseRefresh = 0, 0, 0
 	})
 	store := gateways[0].store
-	backup := store.Copy()
+	backup := store.Backup()
 	gateways[0].addEndpoint("plain", "p3", 0)
 	for _, f := range gateways {
 		f.awaitLog("added=p3")
@@ -132,7 +132,7 @@
 	store := rowstore.New()
 	_, err := store.PutJSON(wire.TableOperators, wire.KeyConfig, baseConfiguration())
 	assert.NilError(t, err)
-	backup := store.Copy()
+	backup := store.Backup()
 	f := newFixtureAt(t, store, nil, func(s *settings.Gateway) { s.Peers.AddrPort = freeport.Next() })
 	for i := range 8 {
 		f.addEndpoint("model", fmt.Sprintf("m%d", i), 5)
@@ -162,7 +162,7 @@
 // and that the next one is, though its revision was assigned before: a revoked key stays revoked.
 func TestRestoredOlderConfiguration(t *testing.T) {
 	f := startedFixture(t, nil)
-	backup := f.store.Copy()
+	backup := f.store.Backup()
 	f.putConfiguration(keyRevoked())
 	f.awaitStatus(401, "GET", "/safe/a")
 	f.store.Restore(backup)
@@ -180,7 +180,7 @@
 // returns restored from a backup. meanwhile runs before the store answers again.
 func (f *fixture) restoreStore(lost int, meanwhile func()) {
 	f.t.Helper()
-	backup := f.store.Copy()
+	backup := f.store.Backup()
 	f.writeUnrelated(lost - 1)
 	newest, err := f.store.PutJSON(wire.TableEndpoints, "elsewhere", wire.Endpoint{
 		Service: "elsewhere", Address: "127.0.0.1:1", FailureDomain: "a", Slots: 1, State: wire.StateReady,
@@ -223,7 +223,7 @@
 // TestRestoreLogged checks that a restore of the store is logged.
 func TestRestoreLogged(t *testing.T) {
 	f := startedFixture(t, nil)
-	f.store.Restore(f.store.Copy())
+	f.store.Restore(f.store.Backup())
 	f.awaitLog("decision=store_restored before=1.6 after=2.6 held_written_again=0")
 }
 
--- a/gateway/roster/roster.go
+++ b/gateway/roster/roster.go
@@ -125,7 +125,7 @@
 	} else if endpoint.State == ryeford.EndpointDraining {
 		r.recordDraining(now, &endpoint)
 	}
-	if old != nil && old.Endpoint.SaysSame(&endpoint) {
+	if old != nil && old.Endpoint.Equal(&endpoint) {
 		entry.ColdUntil = old.ColdUntil // unchanged entry: the cold period goes on
 	} else if endpoint.Cold > 0 {
 		entry.ColdUntil = now.Add(endpoint.Cold)
--- a/gateway/roster/status.go
+++ b/gateway/roster/status.go
@@ -29,7 +29,7 @@
 //
 // The time is fixed once for each downtime. It applies to all endpoints that the list loses until then.
 func SuspectUntil(downtime *ryeford.Downtime, contact time.Duration) time.Time {
-	if downtime.Length() < minOutageForExpiry {
+	if downtime.Duration() < minOutageForExpiry {
 		return time.Time{}
 	}
 	return SuspectUntilAfterRestore(downtime, contact)
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -28,7 +28,7 @@
 func TestRequestBeforeInitialSync(t *testing.T) {
 	store := rowstore.New()
 	store.SetFault(rowstore.Fault{Silent: true})
-	f := newFixtureAt(t, store, baseConfiguration(), func(s *settings.Gateway) { s.Routing.StartPatience = conditionTimeout })
+	f := newFixtureAt(t, store, baseConfiguration(), func(s *settings.Gateway) { s.Routing.StartTimeout = conditionTimeout })
 	f.addEndpoint("plain", "p1", 0)
 	f.awaitLog("dependency lost")
 	time.AfterFunc(50*time.Millisecond, func() { store.SetFault(rowstore.Fault{}) })
@@ -78,9 +78,9 @@
 // its history, reads the newest configuration.
 func TestSilentFeed(t *testing.T) {
 	f := startedFixture(t, nil)
-	f.store.SetFault(rowstore.Fault{DeafFeed: true})
+	f.store.SetFault(rowstore.Fault{WithholdChanges: true})
 	f.putConfiguration(keyRevoked())
-	f.store.ForgetHistory()
+	f.store.DropHistory()
 	f.store.SetFault(rowstore.Fault{})
 	f.awaitStatus(401, "GET", "/safe/a")
 }
@@ -124,8 +124,8 @@
 		"reset":     {fault: rowstore.Fault{Reset: true}},
 		"busy":      {fault: rowstore.Fault{Status: 503}},
 		"slow":      {fault: rowstore.Fault{Slow: time.Second}},
-		"stale":     {fault: rowstore.Fault{StaleReads: true, DeafFeed: true}},
-		"compacted": {fault: rowstore.Fault{DeafFeed: true}, dropHistory: true},
+		"stale":     {fault: rowstore.Fault{StaleReads: true, WithholdChanges: true}},
+		"compacted": {fault: rowstore.Fault{WithholdChanges: true}, dropHistory: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -135,7 +135,7 @@
 			f.store.Remove(wire.TableEndpoints, "p2")
 			p3 := f.addEndpoint("plain", "p3", 0)
 			if test.dropHistory {
-				f.store.ForgetHistory()
+				f.store.DropHistory()
 			}
 			f.store.SetFault(rowstore.Fault{})
 			f.await("a request at the new endpoint", func() bool {
--- a/gateway/suspended.go
+++ b/gateway/suspended.go
@@ -18,7 +18,7 @@
 func logSuspensions(ctx context.Context, logger log.Logger, metrics *telemetry.Set) error {
 	ticker := time.NewTicker(suspensionInterval)
 	defer ticker.Stop()
-	previous := clock.Suspended()
+	previous := clock.SuspendedTime()
 	for {
 		select {
 		case <-ctx.Done():
@@ -26,7 +26,7 @@
 		case <-ticker.C:
 		}
 		clock.Now() // checks for a suspension
-		total := clock.Suspended()
+		total := clock.SuspendedTime()
 		if total == previous {
 			continue
 		}
@@ -34,6 +34,6 @@
 		previous = total
 		metrics.Count("ryeford_suspensions_total", "")
 		metrics.Add("ryeford_suspended_ms_total", "", int(duration.Milliseconds()))
-		_ = logger.Log("decision", "suspended", "span", roundTime(duration), "woke", roundTime(clock.Since(clock.Woke())))
+		_ = logger.Log("decision", "suspended", "span", roundTime(duration), "woke", roundTime(clock.Since(clock.ResumedAt())))
 	}
 }
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -10,8 +10,8 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// The steady clock does not advance while a machine is suspended, so that ages measured by it are too
-// small afterwards. These tests inject a suspension and check the first request after it.
+// The monotonic clock does not advance while a machine is suspended, so that ages measured
+// by it are too small afterwards. These tests inject a suspension and check the first request after it.
 
 // TestSuspendedLease checks that a router that was suspended for longer than its lease serves no key,
 // from the first request on, until it has read the configuration again.
@@ -22,7 +22,7 @@
 	f.awaitLog("dependency lost")
 	assert.Equal(t, f.call("GET", "/safe/a").status, 200)
 	sent := f.received()
-	clock.Suspend(3 * time.Second)
+	clock.SimulateSuspension(3 * time.Second)
 	assert.Equal(t, f.call("GET", "/safe/a").status, 503)
 	assert.Equal(t, f.received(), sent)
 	f.awaitReady(false)
@@ -39,7 +39,7 @@
 	f.cutOffStore()
 	f.awaitLog("dependency lost")
 	f.putConfiguration(keyRevoked())
-	clock.Suspend(10 * time.Second)
+	clock.SimulateSuspension(10 * time.Second)
 	for range 20 {
 		assert.Equal(t, f.call("GET", "/safe/a").status, 503)
 	}
@@ -63,7 +63,7 @@
 	}
 	before := opened()
 	assert.Assert(t, before <= 2, "%d connections to two endpoints", before)
-	clock.Suspend(time.Second)
+	clock.SimulateSuspension(time.Second)
 	for range 2 {
 		assert.Equal(t, f.call("GET", "/safe/a").status, 200)
 	}
@@ -74,7 +74,7 @@
 // received another message from it.
 func TestSuspendedPeers(t *testing.T) {
 	gateways := newPeers(t, 2, time.Hour, nil)
-	clock.Suspend(10 * time.Second) // affects both: they run in one process
+	clock.SimulateSuspension(10 * time.Second) // affects both: they run in one process
 	for _, f := range gateways {
 		f.awaitLog("alive=0 before=1")
 		f.awaitLog("alive=1 before=0")
--- a/internal/clock/now.go
+++ b/internal/clock/now.go
@@ -77,13 +77,13 @@
 // Until returns the duration until t, a time of Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Suspended returns the total time for which the machine was suspended since the process
+// SuspendedTime returns the total time for which the machine was suspended since the process
 // started, as far as it has been detected.
-func Suspended() time.Duration { return time.Duration(processClock.total.Load()) }
+func SuspendedTime() time.Duration { return time.Duration(processClock.total.Load()) }
 
-// Woke returns the time, as of Now, at which the last suspension was detected; the zero time
+// ResumedAt returns the time, as of Now, at which the last suspension was detected; the zero time
 // if there was none.
-func Woke() time.Time {
+func ResumedAt() time.Time {
 	resumedAt := processClock.resumedAt.Load()
 	if resumedAt == 0 {
 		return time.Time{}
@@ -121,12 +121,12 @@
 	s.resumedAt.Store(int64(monotonic + total))
 }
 
-// injected is the time, in nanoseconds, that Suspend has added to CLOCK_BOOTTIME.
+// injected is the time, in nanoseconds, that SimulateSuspension has added to CLOCK_BOOTTIME.
 var injected atomic.Int64
 
-// Suspend simulates a suspension of the machine, for the functions of this package that
-// return times of Now. It is for tests and simulations.
-func Suspend(d time.Duration) {
+// SimulateSuspension simulates a suspension of the machine, for the functions of this package
+// that return times of Now. It is for tests and simulations.
+func SimulateSuspension(d time.Duration) {
 	injected.Add(int64(d))
 	processClock.checked.Store(-int64(2 * checkInterval)) // the next Now checks
 	processClock.wallDiff.Store(0)
--- a/internal/clock/now_test.go
+++ b/internal/clock/now_test.go
@@ -112,13 +112,13 @@
 // normally.
 func TestSuspend(t *testing.T) {
 	before, runtime := Now(), time.Now()
-	total := Suspended()
-	Suspend(7 * time.Second)
+	total := SuspendedTime()
+	SimulateSuspension(7 * time.Second)
 	since, elapsed := Since(before), time.Since(runtime)
 	assert.Assert(t, since >= 7*time.Second, "%v", since)
 	assert.Assert(t, since-elapsed < 7*time.Second+time.Second, "%v, %v", since, elapsed)
-	assert.Equal(t, (Suspended() - total).Round(10*time.Millisecond), 7*time.Second)
-	assert.Assert(t, Woke().After(before) && !Woke().After(Now()))
+	assert.Equal(t, (SuspendedTime() - total).Round(10*time.Millisecond), 7*time.Second)
+	assert.Assert(t, ResumedAt().After(before) && !ResumedAt().After(Now()))
 	assert.Assert(t, Until(before) < -7*time.Second)
 }
 
--- a/internal/clock/steady_test.go
+++ b/internal/clock/steady_test.go
@@ -10,28 +10,28 @@
 	"gotest.tools/v3/assert"
 )
 
-// childVariable is set in the environment of the child process of TestSteady, which prints its
+// childVariable is set in the environment of the child process of TestMonotonic, which prints its
 // reading of the clock.
 const childVariable = "RYEFORD_CLOCK_CHILD"
 
-// TestMain prints the reading of the clock in the child process of TestSteady.
+// TestMain prints the reading of the clock in the child process of TestMonotonic.
 func TestMain(m *testing.M) {
 	if os.Getenv(childVariable) != "" {
-		fmt.Println(Steady().Nanoseconds())
+		fmt.Println(Monotonic().Nanoseconds())
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// TestSteady checks that processes share the clock, and that it doesn't run faster than the
+// TestMonotonic checks that processes share the clock, and that it doesn't run faster than the
 // runtime's. It fails for a clock that starts at zero in each process.
-func TestSteady(t *testing.T) {
-	began, before := time.Now(), Steady()
+func TestMonotonic(t *testing.T) {
+	began, before := time.Now(), Monotonic()
 	child := exec.Command(os.Args[0])
 	child.Env = append(os.Environ(), childVariable+"=1")
 	output, err := child.Output()
 	assert.NilError(t, err)
-	after, took := Steady(), time.Since(began)
+	after, took := Monotonic(), time.Since(began)
 	var between time.Duration
 	_, err = fmt.Sscan(string(output), (*int64)(&between))
 	assert.NilError(t, err)
--- a/internal/cmd/callcmd.go
+++ b/internal/cmd/callcmd.go
@@ -58,14 +58,14 @@
 // send sends the request that the flags describe.
 func send(ctx context.Context, c *cli.Command, client *caller.Client, address netip.AddrPort) (*caller.Answer, error) {
 	t := &caller.Turn{
-		Key:           c.String("key"),
-		Chat:          ryeford.ChatID(c.String("chat")),
-		Model:         c.String("model"),
-		MaxTokens:     c.Int("max-tokens"),
-		NotRepeatable: c.Bool("not-repeatable"),
-		Idempotency:   c.String("idempotency-key"),
-		Deadline:      c.Duration("deadline"),
-		Priority:      c.String("priority"),
+		Key:            c.String("key"),
+		Chat:           ryeford.ChatID(c.String("chat")),
+		Model:          c.String("model"),
+		MaxTokens:      c.Int("max-tokens"),
+		NotRepeatable:  c.Bool("not-repeatable"),
+		IdempotencyKey: c.String("idempotency-key"),
+		Deadline:       c.Duration("deadline"),
+		Priority:       c.String("priority"),
 	}
 	for i, text := range c.Args().Slice() {
 		role := "user"
--- a/internal/cmd/devcmd.go
+++ b/internal/cmd/devcmd.go
@@ -91,7 +91,7 @@
 		Priority:  ryeford.PriorityDefault,
 		Share:     1,
 		KeyHashes: []string{ryeford.HashKey(devKey)},
-		Change:    uuid.NewString(),
+		PublishID: uuid.NewString(),
 	}
 	for {
 		_, err := template.NewStore(table).Publish(ctx, t)
@@ -155,31 +155,31 @@
 Send a request:
   %[3]s
 
-Let a server fail:
+Make a server fail:
   go run ./cmd/ryeford standin fault %[2]s '{"server":"model-1","fault":"cut","requests":-1}'
 
-Evacuate a failure domain, and take it back:
+Evacuate a failure domain, and withdraw the evacuation:
   go run ./cmd/ryeford standin fault %[2]s '{"evacuate":"domain-1"}'
   go run ./cmd/ryeford standin fault %[2]s '{"withdraw":"domain-1"}'
 
-Let a server start again, cold for 20 s:
+Restart a server, cold for 20 s:
   go run ./cmd/ryeford standin fault %[2]s '{"server":"model-1","state":"ready","cold_ms":20000,"born":1700000000000}'
 
-Let a server's answers say that it leaves, though its entry doesn't, and start it again:
+Make a server report in its responses that it is leaving, while its entry does not, and restart it:
   go run ./cmd/ryeford standin fault %[2]s '{"server":"model-1","leaving":true}'
   go run ./cmd/ryeford standin fault %[2]s '{"server":"model-1","leaving":false,"state":"ready","born":1700000001000}'
 
-Let a server turn requests away and ask for 5 s of rest, and take them again:
+Make a server reject requests with a Retry-After of 5 s, and accept them again:
   go run ./cmd/ryeford standin fault %[2]s '{"server":"model-2","fault":"shed","requests":-1,"rest":"5"}'
   go run ./cmd/ryeford standin fault %[2]s '{"server":"model-2","fault":""}'
 
-Let the store come back from a copy that lacks an evacuation, and the operators order it again:
+Restore the store from a backup that lacks an evacuation, and let the operators order it again:
   go run ./cmd/ryeford standin fault %[2]s '{"keep_copy":true}'
   go run ./cmd/ryeford standin fault %[2]s '{"evacuate":"domain-1"}'
   go run ./cmd/ryeford standin fault %[2]s '{"restore":true}'
   go run ./cmd/ryeford standin fault %[2]s '{"write_again":true}'
 
-Let a body end each server that runs it, and send it until it is held (503):
+Make a request crash each server that runs it, and send it until it is quarantined (503):
   go run ./cmd/ryeford standin fault %[2]s '{"crash_body":"boom"}'
   for i in 1 2 3 4 5; do curl -s -o /dev/null -w '%%{http_code}\n' http://%[1]s/chat/1 -H 'Host: dev.example' -H "Ryeford-Request-Id: boom-$i" -H 'Authorization: Bearer %[4]s' -d boom; sleep 2; done
 `, s.Callers, emulatorSettings.Admin, emulator.DemoCommand(s.Callers.AddrPort, devKey), devKey)
--- a/internal/cmd/devfleet.go
+++ b/internal/cmd/devfleet.go
@@ -144,7 +144,7 @@
 See the fleet:
   go run ./cmd/ryeford status --operators %[2]s --operator-key %[5]s
 
-Let an engine turn turns away and ask for 10 s of rest, and take them again:
+Make an engine reject requests with a Retry-After of 10 s, and accept them again:
   go run ./cmd/ryeford standin fault %[6]s '{"refuse":true,"retry_after_s":10}'
   go run ./cmd/ryeford standin fault %[6]s '{}'
 
--- a/internal/cmd/templatecmd.go
+++ b/internal/cmd/templatecmd.go
@@ -124,7 +124,7 @@
 		return err
 	}
 	t := s.Publishable()
-	t.Change = cmp.Or(c.String("change"), uuid.NewString())
+	t.PublishID = cmp.Or(c.String("change"), uuid.NewString())
 	return withFirstOperator(c, func(client *operator.Client) error {
 		t.Sequence = c.Int64("based-on")
 		if t.Sequence < 0 {
@@ -187,7 +187,7 @@
 		}
 		t := versions[i]
 		t.Sequence = versions[len(versions)-1].Sequence
-		t.Change = uuid.NewString()
+		t.PublishID = uuid.NewString()
 		return publish(ctx, c, client, &t)
 	})
 }
--- a/internal/memtable/memtable.go
+++ b/internal/memtable/memtable.go
@@ -19,7 +19,7 @@
 type Table struct {
 	mu       sync.Mutex
 	contents Contents
-	fate     func(write bool) Fate
+	outcome  func(write bool) Outcome
 }
 
 // Contents is a snapshot of a Table.
@@ -28,23 +28,23 @@
 	Version int64                  `json:"version"` // of the last write
 }
 
-// A Fate is the outcome of a call.
-type Fate int
+// An Outcome is the outcome of a call.
+type Outcome int
 
 // The outcomes of a call.
 const (
-	Succeeds Fate = iota
-	Fails         // the call is not applied
-	Lost          // the call is applied, but its response is lost
+	Success      Outcome = iota
+	Failure              // the call is not applied
+	ResponseLost         // the call is applied, but its response is lost
 )
 
-// New returns an empty Table. fate returns the outcome of each call; if it is nil, all
+// New returns an empty Table. outcome returns the outcome of each call; if it is nil, all
 // calls succeed.
-func New(fate func(write bool) Fate) *Table {
-	if fate == nil {
-		fate = func(bool) Fate { return Succeeds }
+func New(outcome func(write bool) Outcome) *Table {
+	if outcome == nil {
+		outcome = func(bool) Outcome { return Success }
 	}
-	return &Table{contents: Contents{Rows: make(map[string]ryeford.Row)}, fate: fate}
+	return &Table{contents: Contents{Rows: make(map[string]ryeford.Row)}, outcome: outcome}
 }
 
 // Contents returns a snapshot of the table.
@@ -66,7 +66,7 @@
 func (t *Table) Get(_ context.Context, keys ...string) ([]ryeford.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.fate(false) != Succeeds {
+	if t.outcome(false) != Success {
 		return nil, &ryeford.UnavailableError{Service: "table", Err: io.EOF}
 	}
 	rows := make([]ryeford.Row, len(keys))
@@ -81,7 +81,7 @@
 func (t *Table) List(_ context.Context, prefix string) ([]ryeford.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.fate(false) != Succeeds {
+	if t.outcome(false) != Success {
 		return nil, &ryeford.UnavailableError{Service: "table", Err: io.EOF}
 	}
 	var rows []ryeford.Row
@@ -98,8 +98,8 @@
 func (t *Table) Transact(_ context.Context, writes ...ryeford.Write) (int64, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fate := t.fate(true)
-	if fate == Fails {
+	outcome := t.outcome(true)
+	if outcome == Failure {
 		return 0, &ryeford.UnavailableError{Service: "table", Err: io.EOF}
 	}
 	var conflicts []string
@@ -112,7 +112,7 @@
 		t.apply(writes)
 	}
 	switch {
-	case fate == Lost:
+	case outcome == ResponseLost:
 		return 0, &ryeford.UnavailableError{Service: "table", MayHaveApplied: true, Err: io.EOF}
 	case len(conflicts) > 0:
 		return 0, &ryeford.ConflictError{Keys: conflicts}
--- a/internal/memtable/memtable_test.go
+++ b/internal/memtable/memtable_test.go
@@ -27,27 +27,27 @@
 	assert.DeepEqual(t, rows, []ryeford.Row{{Key: "a", Value: []byte("1"), Version: version}, {Key: "b"}, {Key: "c"}})
 }
 
-// TestFates checks that a failed call is not applied, and that a call whose response is lost
+// TestOutcomes checks that a failed call is not applied, and that a call whose response is lost
 // is applied and reports that it may have been.
-func TestFates(t *testing.T) {
-	fate := Succeeds
-	table := New(func(bool) Fate { return fate })
+func TestOutcomes(t *testing.T) {
+	outcome := Success
+	table := New(func(bool) Outcome { return outcome })
 	for _, c := range []struct {
-		fate           Fate
+		outcome        Outcome
 		applied        bool
 		mayHaveApplied bool
 	}{
-		{Fails, false, false},
-		{Lost, true, true},
+		{Failure, false, false},
+		{ResponseLost, true, true},
 	} {
-		fate = c.fate
+		outcome = c.outcome
 		_, err := table.Transact(t.Context(), ryeford.Write{Key: "a", IfVersion: ryeford.AnyVersion})
 		var unavailable *ryeford.UnavailableError
 		assert.Assert(t, errors.As(err, &unavailable))
 		assert.Equal(t, unavailable.MayHaveApplied, c.mayHaveApplied)
 		_, err = table.List(t.Context(), "")
 		assert.Assert(t, errors.As(err, &unavailable))
-		fate = Succeeds
+		outcome = Success
 		rows, err := table.List(t.Context(), "")
 		assert.NilError(t, err)
 		assert.Equal(t, len(rows) == 1, c.applied)
--- a/internal/soak/reportfaults_test.go
+++ b/internal/soak/reportfaults_test.go
@@ -135,7 +135,7 @@
 		for i, refusal := range list {
 			count++
 			c := byID[refusal.Request]
-			seconds, err := strconv.ParseFloat(refusal.Rest, 64)
+			seconds, err := strconv.ParseFloat(refusal.RetryAfter, 64)
 			if c == nil || c.incarnation == 0 || err != nil {
 				continue
 			}
@@ -152,7 +152,7 @@
 				}
 			}
 			if arrived > maxDuringBackoff {
-				t.Errorf("rests: %s got %d requests from %s during the back-off of %s s that it had asked for at %6.3f", server, arrived, in.fleet.gateways[c.gateway].name, refusal.Rest, refusal.At.Sub(in.began).Seconds())
+				t.Errorf("rests: %s got %d requests from %s during the back-off of %s s that it had asked for at %6.3f", server, arrived, in.fleet.gateways[c.gateway].name, refusal.RetryAfter, refusal.At.Sub(in.began).Seconds())
 			}
 		}
 	}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -54,8 +54,8 @@
 	s.set.GetOrCreateHistogram(name).Update(seconds)
 }
 
-// ControlSent counts bytes of gossip sent.
-func (s *Set) ControlSent(bytes int) { s.controlSent.Add(bytes) }
+// AddGossipBytesSent counts bytes of gossip sent.
+func (s *Set) AddGossipBytesSent(bytes int) { s.controlSent.Add(bytes) }
 
 // Write returns the set's metrics and those of the process in the Prometheus text format.
 func (s *Set) Write() []byte {
--- a/internal/transfer/transfer.go
+++ b/internal/transfer/transfer.go
@@ -65,22 +65,22 @@
 	w.timer.Stop()
 }
 
-// Reader returns a reader of the response's body that records the bytes received.
-func (w *Watch) Reader(body io.Reader) io.Reader {
+// ResponseReader returns a reader of the response's body that records the bytes received.
+func (w *Watch) ResponseReader(body io.Reader) io.Reader {
 	return &reader{body: body, record: w.recordReceived, maxRead: maxRead}
 }
 
-// Request returns a reader of the request's body that records the bytes sent. Bytes that the
-// kernel has accepted count as sent.
-func (w *Watch) Request(body io.Reader) io.Reader {
+// RequestReader returns a reader of the request's body that records the bytes sent. Bytes that
+// the kernel has accepted count as sent.
+func (w *Watch) RequestReader(body io.Reader) io.Reader {
 	return &reader{body: body, record: w.recordSent, maxRead: math.MaxInt}
 }
 
-// Broken returns a *BrokenError for a response that ended early with err.
-func (w *Watch) Broken(err error) error {
+// Interrupted returns a *InterruptedError for a response that ended early with err.
+func (w *Watch) Interrupted(err error) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return &BrokenError{Received: w.received, After: time.Since(w.start), Err: err}
+	return &InterruptedError{Received: w.received, After: time.Since(w.start), Err: err}
 }
 
 // recordReceived records the result of a read of the response. The first bytes start an
@@ -149,16 +149,16 @@
 
 func (e *StallError) Error() string { return "stalled for " + e.Interval.String() }
 
-// A BrokenError reports that a response could not be read to its end. The number of bytes
+// An InterruptedError reports that a response could not be read to its end. The number of bytes
 // received distinguishes a server that does not answer from a link that is too slow.
-type BrokenError struct {
+type InterruptedError struct {
 	Received int64         // bytes
 	After    time.Duration // since the call was sent
 	Err      error
 }
 
-func (e *BrokenError) Error() string {
+func (e *InterruptedError) Error() string {
 	return fmt.Sprintf("broken off after %d bytes and %s: %v", e.Received, e.After.Round(time.Millisecond), e.Err)
 }
 
-func (e *BrokenError) Unwrap() error { return e.Err }
+func (e *InterruptedError) Unwrap() error { return e.Err }
--- a/internal/transfer/transfer_test.go
+++ b/internal/transfer/transfer_test.go
@@ -81,7 +81,7 @@
 		ctx, cancel := context.WithCancelCause(t.Context())
 		w := NewWatch(0, interval, cancel)
 		defer w.Stop()
-		body := w.Reader(&fullReader{remaining: size, rate: rate})
+		body := w.ResponseReader(&fullReader{remaining: size, rate: rate})
 		received := 0
 		for buffer := make([]byte, 512); ; buffer = make([]byte, 2*len(buffer)) {
 			n, err := io.ReadFull(body, buffer)
@@ -95,16 +95,16 @@
 	})
 }
 
-// TestBroken checks that the error of a broken transfer states the number of bytes received.
-func TestBroken(t *testing.T) {
+// TestInterrupted checks that the error of an interrupted transfer states the number of bytes received.
+func TestInterrupted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWatch(0, time.Second, func(error) {})
 		defer w.Stop()
 		buffer := make([]byte, 5)
-		_, err := w.Reader(strings.NewReader("response")).Read(buffer)
+		_, err := w.ResponseReader(strings.NewReader("response")).Read(buffer)
 		assert.NilError(t, err)
 		time.Sleep(300 * time.Millisecond)
-		err = w.Broken(errors.New("reset"))
+		err = w.Interrupted(errors.New("reset"))
 		assert.Error(t, err, "broken off after 5 bytes and 300ms: reset")
 	})
 }
@@ -133,7 +133,7 @@
 				var stalled time.Duration
 				context.AfterFunc(ctx, func() { stalled = time.Since(start) })
 				w := NewWatch(0, time.Second, cancel)
-				request := w.Request(strings.NewReader(strings.Repeat(" ", test.parts*part)))
+				request := w.RequestReader(strings.NewReader(strings.Repeat(" ", test.parts*part)))
 				buffer := make([]byte, part)
 				for range test.parts {
 					time.Sleep(400 * time.Millisecond)
--- a/reason.go
+++ b/reason.go
@@ -23,7 +23,7 @@
 	ReasonKeyRevoked         Reason = "key_taken"           // the key was revoked after the request arrived
 	ReasonRouteRemoved       Reason = "route_removed"       // the route was removed after the request arrived
 	ReasonQuarantined        Reason = "quarantined"         // identical requests have crashed the endpoints that ran them
-	ReasonResting            Reason = "resting"             // the endpoint has asked for no requests for a time
+	ReasonBackingOff         Reason = "resting"             // the endpoint has asked for no requests for a time
 	ReasonEvacuated          Reason = "evacuated"           // the operators have evacuated the endpoint's failure domain
 )
 
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -167,14 +167,14 @@
 	defer c.mu.Unlock()
 	messages := append(c.messages, ryeford.Message{Role: "user", Content: prompt(e, len(c.messages))})
 	t := &caller.Turn{
-		Key:           p.options.Key(e.Account),
-		Chat:          e.Chat,
-		Model:         e.Model,
-		Messages:      messages,
-		MaxTokens:     e.AnswerTokens,
-		NotRepeatable: e.NotRepeatable,
-		Idempotency:   e.Idempotency,
-		Deadline:      p.options.Deadline,
+		Key:            p.options.Key(e.Account),
+		Chat:           e.Chat,
+		Model:          e.Model,
+		Messages:       messages,
+		MaxTokens:      e.AnswerTokens,
+		NotRepeatable:  e.NotRepeatable,
+		IdempotencyKey: e.IdempotencyKey,
+		Deadline:       p.options.Deadline,
 	}
 	if e.Priority != nil {
 		t.Priority = fmt.Sprint(*e.Priority)
@@ -221,7 +221,7 @@
 // mayRetry reports whether a turn may be sent again: it did not run, it may run more than once,
 // or its idempotency key prevents a second run.
 func mayRetry(t *caller.Turn, answer *caller.Answer) bool {
-	return answer.NotRun() || !t.NotRepeatable || t.Idempotency != ""
+	return answer.NotRun() || !t.NotRepeatable || t.IdempotencyKey != ""
 }
 
 // resume reads the rest of a truncated answer through other routers. It returns the complete
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -33,7 +33,7 @@
 		{"not repeatable, refused", caller.Turn{NotRepeatable: true}, refused, true},
 		{"not repeatable, may have run", caller.Turn{NotRepeatable: true}, lost, false},
 		{"not repeatable, truncated", caller.Turn{NotRepeatable: true}, &caller.Answer{}, false},
-		{"not repeatable, may have run, with a key", caller.Turn{NotRepeatable: true, Idempotency: "k"}, lost, true},
+		{"not repeatable, may have run, with a key", caller.Turn{NotRepeatable: true, IdempotencyKey: "k"}, lost, true},
 	} {
 		assert.Equal(t, mayRetry(&test.turn, test.answer), test.want, test.name)
 	}
--- a/settings/agent.go
+++ b/settings/agent.go
@@ -69,9 +69,9 @@
 	// BetweenTokens is how long an engine may take between two parts of an answer
 	// before the run fails as stalled.
 	BetweenTokens time.Duration `yaml:"between_tokens" validate:"min=50ms,max=10m"`
-	// Keep is how long a finished answer is kept for a caller whose connection was
+	// AnswerTTL is how long a finished answer is kept for a caller whose connection was
 	// lost. It costs memory.
-	Keep time.Duration `yaml:"keep" validate:"min=1s,max=1h"`
+	AnswerTTL time.Duration `yaml:"keep" validate:"min=1s,max=1h"`
 	// Grace is how long a repeatable run continues without a reader.
 	Grace time.Duration `yaml:"grace" validate:"min=0,max=10m"`
 	// ClockSkew is the largest allowed difference between the clocks of two VMs. If
@@ -105,7 +105,7 @@
 			ShareFrom:     0.8,
 			FirstToken:    4 * time.Second,
 			BetweenTokens: 2 * time.Second,
-			Keep:          time.Minute,
+			AnswerTTL:     time.Minute,
 			Grace:         15 * time.Second,
 			ClockSkew:     time.Second,
 			Drain:         2 * time.Minute,
--- a/settings/derived.go
+++ b/settings/derived.go
@@ -27,30 +27,31 @@
 	revokeDivisor  = 5
 )
 
-// WaitForEndpoints returns how long the store holds a long poll for changes of the
+// EndpointsWait returns how long the store holds a long poll for changes of the
 // list of endpoints. It is as long as possible while a lost poll is still noticed,
 // after store_timeout more, and repeated within bounds.contact.
-func (s *Gateway) WaitForEndpoints() time.Duration {
+func (s *Gateway) EndpointsWait() time.Duration {
 	derived := s.Bounds.Contact - s.Routing.StoreTimeout - contactMargin
 	return cmp.Or(s.Routing.EndpointsWait, max(minEndpointsWait, derived))
 }
 
-// SettleEndpoints returns how long a gateway waits after a change of the list of
+// EndpointsSettle returns how long a gateway waits after a change of the list of
 // endpoints before its next read, so that one read returns several changes.
-func (s *Gateway) SettleEndpoints() time.Duration {
+func (s *Gateway) EndpointsSettle() time.Duration {
 	return cmp.Or(s.Routing.EndpointsSettle, min(maxSettle, s.Bounds.Drain/settleDivisor))
 }
 
-// StoreSilence returns the longest time between two responses of a store that answers
-// its calls: the pause after a change of the list of endpoints, the time for which the
-// store holds the next read, and the timeout of its response.
-func (s *Gateway) StoreSilence() time.Duration {
-	return s.SettleEndpoints() + s.WaitForEndpoints() + s.Routing.StoreTimeout
+// StoreUnreachableAfter returns the longest time between two responses of a store that
+// answers its calls: the pause after a change of the list of endpoints, the time for
+// which the store holds the next read, and the timeout of its response. After that time
+// without a response, the store is unreachable.
+func (s *Gateway) StoreUnreachableAfter() time.Duration {
+	return s.EndpointsSettle() + s.EndpointsWait() + s.Routing.StoreTimeout
 }
 
-// RefreshConfiguration returns the age at which each gateway reads the last confirmed
+// ConfigurationRefreshAge returns the age at which each gateway reads the last confirmed
 // configuration again.
-func (s *Gateway) RefreshConfiguration() time.Duration {
+func (s *Gateway) ConfigurationRefreshAge() time.Duration {
 	derived := min(s.Bounds.Configuration/refreshDivisor, s.Bounds.Revoke/revokeDivisor)
 	return cmp.Or(s.Routing.LeaseRefresh, derived)
 }
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -96,9 +96,9 @@
 	// in addition to the time for which it holds the call. A response that keeps
 	// arriving may take longer.
 	StoreTimeout time.Duration `yaml:"store_timeout" validate:"min=50ms,max=30s"`
-	// StartPatience is how long after the start of the process requests wait for the
+	// StartTimeout is how long after the start of the process requests wait for the
 	// first configuration and list of endpoints before they are refused.
-	StartPatience time.Duration `yaml:"start_patience" validate:"min=0s,max=10s"`
+	StartTimeout time.Duration `yaml:"start_patience" validate:"min=0s,max=10s"`
 	// StartSpread is the longest time that a starting gateway waits for a peer to
 	// send it the configuration and the list of endpoints, before it reads them from
 	// the store; each waits for a random part of it. The longer, the fewer calls
@@ -131,11 +131,11 @@
 			CapFactor:     2,
 		},
 		Routing: GatewayRouting{
-			StoreTimeout:  700 * time.Millisecond,
-			StartPatience: 500 * time.Millisecond,
-			StartSpread:   40 * time.Millisecond,
-			Routers:       10,
-			Quarantine:    true,
+			StoreTimeout: 700 * time.Millisecond,
+			StartTimeout: 500 * time.Millisecond,
+			StartSpread:  40 * time.Millisecond,
+			Routers:      10,
+			Quarantine:   true,
 		},
 	}
 }
--- a/settings/router.go
+++ b/settings/router.go
@@ -94,16 +94,16 @@
 	// router plans for that long. It must exceed interval, or the lease expires
 	// between plans.
 	Lease time.Duration `yaml:"lease" validate:"min=500ms,max=10m"`
-	// Patience is how long the engines of a lost VM keep their place in the plan, so
-	// that no model is moved if the VM is back soon.
-	Patience time.Duration `yaml:"patience" validate:"min=0,max=1h"`
+	// LostAgentTimeout is how long the engines of a lost VM keep their place in the plan,
+	// so that no model is moved if the VM is back soon.
+	LostAgentTimeout time.Duration `yaml:"patience" validate:"min=0,max=1h"`
 	// LoadTime is how long the weight store takes to load one model. If it is too
 	// short, engines are still loading when their event begins.
 	LoadTime time.Duration `yaml:"load_time" validate:"min=1ms,max=1h"`
 	// ParallelLoads is how many loads the weight store serves at once.
 	ParallelLoads int `yaml:"parallel_loads" unit:"loads" validate:"min=1,max=10000"`
-	// Ahead is how long before the start of an event its engines must be warm.
-	Ahead time.Duration `yaml:"ahead" validate:"min=0,max=1h"`
+	// WarmUpLead is how long before the start of an event its engines must be warm.
+	WarmUpLead time.Duration `yaml:"ahead" validate:"min=0,max=1h"`
 }
 
 // DefaultRouter returns a Router with the defaults of the optional settings.
@@ -128,13 +128,13 @@
 		},
 		Polls: RouterPolls{VMList: 2 * time.Second, Templates: 3 * time.Second},
 		Planner: Planner{
-			Enabled:       true,
-			Interval:      2 * time.Second,
-			Lease:         10 * time.Second,
-			Patience:      30 * time.Second,
-			LoadTime:      20 * time.Second,
-			ParallelLoads: 4,
-			Ahead:         30 * time.Second,
+			Enabled:          true,
+			Interval:         2 * time.Second,
+			Lease:            10 * time.Second,
+			LostAgentTimeout: 30 * time.Second,
+			LoadTime:         20 * time.Second,
+			ParallelLoads:    4,
+			WarmUpLead:       30 * time.Second,
 		},
 	}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -84,18 +84,18 @@
 		for _, bound := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 9 * time.Second} {
 			s := DefaultGateway()
 			s.Bounds.Contact, s.Bounds.Drain, s.Bounds.Configuration = contact, bound, bound
-			assert.Assert(t, s.WaitForEndpoints()+s.Routing.StoreTimeout < contact)
-			assert.Assert(t, contact < 2*time.Second || s.WaitForEndpoints()+s.Routing.StoreTimeout+contactMargin <= contact)
-			assert.Assert(t, s.SettleEndpoints() <= bound/2)
-			assert.Assert(t, s.StoreSilence() > s.WaitForEndpoints()+s.SettleEndpoints())
-			assert.Assert(t, s.RefreshConfiguration() <= bound/2)
-			assert.Assert(t, s.RefreshConfiguration() <= s.Bounds.Revoke/5)
+			assert.Assert(t, s.EndpointsWait()+s.Routing.StoreTimeout < contact)
+			assert.Assert(t, contact < 2*time.Second || s.EndpointsWait()+s.Routing.StoreTimeout+contactMargin <= contact)
+			assert.Assert(t, s.EndpointsSettle() <= bound/2)
+			assert.Assert(t, s.StoreUnreachableAfter() > s.EndpointsWait()+s.EndpointsSettle())
+			assert.Assert(t, s.ConfigurationRefreshAge() <= bound/2)
+			assert.Assert(t, s.ConfigurationRefreshAge() <= s.Bounds.Revoke/5)
 		}
 	}
 	s := DefaultGateway()
 	s.Routing = GatewayRouting{EndpointsWait: 1, EndpointsSettle: 2, LeaseRefresh: 3}
-	assert.Equal(t, s.WaitForEndpoints(), time.Duration(1))
-	assert.Equal(t, s.SettleEndpoints(), time.Duration(2))
-	assert.Equal(t, s.StoreSilence(), time.Duration(3))
-	assert.Equal(t, s.RefreshConfiguration(), time.Duration(3))
+	assert.Equal(t, s.EndpointsWait(), time.Duration(1))
+	assert.Equal(t, s.EndpointsSettle(), time.Duration(2))
+	assert.Equal(t, s.StoreUnreachableAfter(), time.Duration(3))
+	assert.Equal(t, s.ConfigurationRefreshAge(), time.Duration(3))
 }
--- a/source.go
+++ b/source.go
@@ -20,8 +20,8 @@
 	OnChange func()
 }
 
-// Changed calls OnChange, if it is set.
-func (k *KnownConfiguration) Changed() {
+// NotifyChange calls OnChange, if it is set.
+func (k *KnownConfiguration) NotifyChange() {
 	if k.OnChange != nil {
 		k.OnChange()
 	}
@@ -44,11 +44,11 @@
 	// Evacuations are the evacuations in force. They are set even if the configuration is
 	// Unchanged.
 	Evacuations Evacuations
-	// Clock is a reading of the source's monotonic clock, taken when the source answered. Begun
-	// is when the response started to arrive, which is no earlier. The origin of Clock is
-	// arbitrary.
-	Clock time.Duration
-	Begun time.Time
+	// Clock is a reading of the source's monotonic clock, taken when the source answered. Its
+	// origin is arbitrary. ResponseStarted is when the response started to arrive, which is no
+	// earlier.
+	Clock           time.Duration
+	ResponseStarted time.Time
 }
 
 // An IgnoredValue is a value that is out of range, with the key under which it was written.
@@ -84,13 +84,13 @@
 	// Revision is the newest revision of the source, and the argument for the next call of
 	// EndpointsSince.
 	Revision Revision
-	// Changed is the revision of the newest change to Present and Removed, or zero if the source
-	// doesn't report it.
-	Changed Revision
-	// Clock is a reading of the source's monotonic clock, taken when the source answered. Begun
-	// is when the response started to arrive, which is no earlier.
-	Clock time.Duration
-	Begun time.Time
+	// NewestChange is the revision of the newest change to Present and Removed, or zero if the
+	// source doesn't report it.
+	NewestChange Revision
+	// Clock is a reading of the source's monotonic clock, taken when the source answered.
+	// ResponseStarted is when the response started to arrive, which is no earlier.
+	Clock           time.Duration
+	ResponseStarted time.Time
 }
 
 // A MalformedEntry is an entry of the list of endpoints that can't be decoded or used.
@@ -123,8 +123,8 @@
 	Ended time.Time
 }
 
-// Length returns the maximum duration of the downtime.
-func (d *Downtime) Length() time.Duration { return d.Ended.Sub(d.Began) }
+// Duration returns the maximum duration of the downtime.
+func (d *Downtime) Duration() time.Duration { return d.Ended.Sub(d.Began) }
 
 // A RouterList is the list by which the routers of a fleet discover each other. Package platform
 // implements it.
@@ -147,11 +147,12 @@
 type HeldRequest struct {
 	Fingerprint [16]byte // quarantine.Fingerprint
 	Account     uint32   // a hash of the client account's ID
-	// Held is the time since the quarantine began.
-	Held time.Duration
-	// Trials is the number of trials since then. Tried is the time since the last one began.
-	Trials int
-	Tried  time.Duration
+	// HeldFor is the time since the quarantine began.
+	HeldFor time.Duration
+	// Trials is the number of trials since then. SinceLastTrial is the time since the last one
+	// began.
+	Trials         int
+	SinceLastTrial time.Duration
 }
 
 // A QuarantineStore keeps the held requests on the platform, for routers that start while no other
--- a/standin/appserver/serve.go
+++ b/standin/appserver/serve.go
@@ -40,7 +40,7 @@
 	}
 	retryAfter := s.retryAfter
 	if fault == FaultShed && retryAfter != "" {
-		s.refusals = append(s.refusals, Refusal{Request: id, At: time.Now(), Rest: retryAfter})
+		s.refusals = append(s.refusals, Refusal{Request: id, At: time.Now(), RetryAfter: retryAfter})
 	}
 	s.mu.Unlock()
 	if fault == FaultShed {
--- a/standin/appserver/server.go
+++ b/standin/appserver/server.go
@@ -42,8 +42,8 @@
 type Refusal struct {
 	Request string    `json:"request"`
 	At      time.Time `json:"at"`
-	// Rest is the Retry-After, in seconds.
-	Rest string `json:"rest"`
+	// RetryAfter is the Retry-After, in seconds.
+	RetryAfter string `json:"rest"`
 }
 
 // Refusals returns the requests that were refused with a Retry-After, oldest first.
@@ -122,8 +122,9 @@
 	s.leaving = leaving
 }
 
-// SetRest sets the Retry-After, in seconds, of requests that FaultShed refuses. Empty sends none.
-func (s *Server) SetRest(retryAfter string) {
+// SetRetryAfter sets the Retry-After, in seconds, of requests that FaultShed refuses. Empty sends
+// none.
+func (s *Server) SetRetryAfter(retryAfter string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retryAfter = retryAfter
--- a/standin/emulator/emulator.go
+++ b/standin/emulator/emulator.go
@@ -40,8 +40,8 @@
 	mu sync.Mutex
 	// started is the start time in the last row of each endpoint, in Unix milliseconds.
 	started []int64
-	backup  *rowstore.Copy // the last one
-	lost    *rowstore.Copy // the state before the last restore, until WriteAgain has used it
+	backup  *rowstore.Backup // the last one
+	lost    *rowstore.Backup // the state before the last restore, until WriteAgain has used it
 }
 
 // New returns an Emulator with the operators' first configuration, in the platform's JSON. A nil
@@ -230,7 +230,7 @@
 		e.store.Put(wire.TableEndpoints, change.Row, []byte(change.Value))
 	}
 	if change.DropHistory {
-		e.store.ForgetHistory()
+		e.store.DropHistory()
 	}
 	for i, server := range e.servers {
 		if change.Server != "" && change.Server != server.ID {
@@ -243,7 +243,7 @@
 			server.SetLeaving(*change.Leaving)
 		}
 		if change.RetryAfter != nil {
-			server.SetRest(*change.RetryAfter)
+			server.SetRetryAfter(*change.RetryAfter)
 		}
 		if change.CrashBody != nil {
 			server.SetCrashBody(*change.CrashBody)
@@ -262,10 +262,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if change.Backup {
-		e.backup = e.store.Copy()
+		e.backup = e.store.Backup()
 	}
 	if change.Restore && e.backup != nil {
-		e.lost = e.store.Copy()
+		e.lost = e.store.Backup()
 		e.store.Restore(e.backup)
 	}
 	if change.WriteAgain && e.lost != nil {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -169,7 +169,7 @@
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	writeJSON(ctx, &tableservice.RowsAnswer{Rows: rows})
+	writeJSON(ctx, &tableservice.RowsResponse{Rows: rows})
 }
 
 // transact applies all writes of a request, or none if there is a conflict.
@@ -182,12 +182,12 @@
 	var conflict *ryeford.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		p.answerWrite(ctx, &tableservice.TransactAnswer{Conflicts: conflict.Keys})
+		p.answerWrite(ctx, &tableservice.TransactResponse{Conflicts: conflict.Keys})
 	case err != nil:
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 	default:
 		p.file.save(state)
-		p.answerWrite(ctx, &tableservice.TransactAnswer{Version: version})
+		p.answerWrite(ctx, &tableservice.TransactResponse{Version: version})
 	}
 }
 
--- a/standin/rowstore/fault.go
+++ b/standin/rowstore/fault.go
@@ -19,8 +19,8 @@
 	Slow time.Duration `json:"slow"`
 	// LoseAnswers executes each call, including writes, and never answers.
 	LoseAnswers bool `json:"lose_answers"`
-	// DeafFeed withholds changes from calls that wait for changes.
-	DeafFeed bool `json:"deaf_feed"`
+	// WithholdChanges withholds changes from calls that wait for changes.
+	WithholdChanges bool `json:"deaf_feed"`
 	// StaleReads answers reads with the state at the time when the fault was set.
 	StaleReads bool `json:"stale_reads"`
 }
--- a/standin/rowstore/restore.go
+++ b/standin/rowstore/restore.go
@@ -10,38 +10,38 @@
 	"github.com/ryeford/ryeford/platform/wire"
 )
 
-// A Copy is a backup of a Store.
-type Copy struct {
+// A Backup is a backup of a Store.
+type Backup struct {
 	rows    map[rowName]wire.Row
 	changes []wire.Row
 	version int64
 	oldest  int64
 }
 
-// Copy returns a backup of the store's current state.
-func (s *Store) Copy() *Copy {
+// Backup returns a backup of the store's current state.
+func (s *Store) Backup() *Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &Copy{rows: maps.Clone(s.rows), changes: slices.Clone(s.changes), version: s.version, oldest: s.oldest}
+	return &Backup{rows: maps.Clone(s.rows), changes: slices.Clone(s.changes), version: s.version, oldest: s.oldest}
 }
 
 // Restore restores the store from a backup. Later writes are lost, their versions are reused, and
 // the era is incremented. Reads of changes since a version that the store no longer has are answered
 // with 410.
-func (s *Store) Restore(c *Copy) {
+func (s *Store) Restore(b *Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rows, s.changes = maps.Clone(c.rows), slices.Clone(c.changes)
-	s.version, s.oldest, s.restored = c.version, c.oldest, c.version
+	s.rows, s.changes = maps.Clone(b.rows), slices.Clone(b.changes)
+	s.version, s.oldest, s.restored = b.version, b.oldest, b.version
 	s.era++
 	s.keepStaleRows()
 	s.notifyWaiters()
 }
 
-// WriteAgain makes the rows of some tables equal to those of a copy made before the last restore, as
+// WriteAgain makes the rows of some tables equal to those of a backup made before the last restore, as
 // writers do when they notice that a restore has lost their acknowledged writes. It doesn't change
 // rows that were written or removed after the restore.
-func (s *Store) WriteAgain(latest *Copy, tables ...string) {
+func (s *Store) WriteAgain(latest *Backup, tables ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	unchanged := func(name rowName, current wire.Row) bool {
--- a/standin/rowstore/restore_test.go
+++ b/standin/rowstore/restore_test.go
@@ -16,7 +16,7 @@
 func TestRestore(t *testing.T) {
 	store := New()
 	store.Put("t", "a", []byte("1"))
-	backup := store.Copy()
+	backup := store.Backup()
 	lost := store.Put("t", "b", []byte("2"))
 	assert.Equal(t, get(store, wire.PathRows+"?table=t").Header().Get(wire.HeaderEra), "1")
 
@@ -42,13 +42,13 @@
 	for _, key := range []string{"changed", "removed", "both"} {
 		store.Put("t", key, []byte("old"))
 	}
-	backup := store.Copy()
+	backup := store.Backup()
 	for _, key := range []string{"changed", "new", "both"} {
 		store.Put("t", key, []byte("lost"))
 	}
 	store.Remove("t", "removed")
 	store.Put("other", "a", []byte("lost"))
-	latest := store.Copy()
+	latest := store.Backup()
 	store.Restore(backup)
 	store.Put("t", "both", []byte("later"))
 	store.WriteAgain(latest, "t")
--- a/standin/rowstore/serve.go
+++ b/standin/rowstore/serve.go
@@ -90,7 +90,7 @@
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		if len(rows) > 0 && !fault.DeafFeed {
+		if len(rows) > 0 && !fault.WithholdChanges {
 			s.write(w, http.StatusOK, &wire.RowsResponse{Rows: rows, Version: version})
 			return
 		}
--- a/standin/rowstore/store.go
+++ b/standin/rowstore/store.go
@@ -88,9 +88,9 @@
 	return n
 }
 
-// ForgetHistory drops all changes up to now. Waiting for changes since an older version is then
+// DropHistory drops all changes up to now. Waiting for changes since an older version is then
 // answered with 410.
-func (s *Store) ForgetHistory() {
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.changes = nil
--- a/template.go
+++ b/template.go
@@ -28,9 +28,9 @@
 	Revision int64 `cbor:"10,keyasint" json:"revision" yaml:"-"`
 	// Sequence counts the publishes of this template, starting at 1.
 	Sequence int64 `cbor:"11,keyasint" json:"sequence" yaml:"-"`
-	// Change identifies the publish. A publisher whose answer was lost uses it to find out
+	// PublishID identifies the publish. A publisher whose answer was lost uses it to find out
 	// whether the publish was accepted.
-	Change string `cbor:"12,keyasint" json:"change" yaml:"-"`
+	PublishID string `cbor:"12,keyasint" json:"change" yaml:"-"`
 }
 
 // Pool returns the pool that serves the template.
--- a/trace/make.go
+++ b/trace/make.go
@@ -81,7 +81,7 @@
 		}
 		if random.Float64() < w.NotRepeatable {
 			entry.NotRepeatable = true
-			entry.Idempotency = fmt.Sprintf("key-%d-%d", w.FirstChat, i)
+			entry.IdempotencyKey = fmt.Sprintf("key-%d-%d", w.FirstChat, i)
 		}
 		entries = append(entries, entry)
 	}
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -39,15 +39,15 @@
 	AtMS int64 `json:"at_ms,omitempty"`
 
 	// Fields of a turn.
-	Account       ryeford.AccountID `json:"account,omitempty"`
-	Chat          ryeford.ChatID    `json:"chat,omitempty"`
-	Model         string            `json:"model,omitempty"`
-	PromptTokens  int               `json:"prompt_tokens,omitempty"` // added by the turn
-	SharedTokens  int               `json:"shared_tokens,omitempty"` // at the beginning of all chats of the account
-	AnswerTokens  int               `json:"answer_tokens,omitempty"`
-	NotRepeatable bool              `json:"not_repeatable,omitempty"`
-	Idempotency   string            `json:"idempotency_key,omitempty"`
-	Priority      *int              `json:"priority,omitempty"`
+	Account        ryeford.AccountID `json:"account,omitempty"`
+	Chat           ryeford.ChatID    `json:"chat,omitempty"`
+	Model          string            `json:"model,omitempty"`
+	PromptTokens   int               `json:"prompt_tokens,omitempty"` // added by the turn
+	SharedTokens   int               `json:"shared_tokens,omitempty"` // at the beginning of all chats of the account
+	AnswerTokens   int               `json:"answer_tokens,omitempty"`
+	NotRepeatable  bool              `json:"not_repeatable,omitempty"`
+	IdempotencyKey string            `json:"idempotency_key,omitempty"`
+	Priority       *int              `json:"priority,omitempty"`
 
 	// Fields of the other kinds.
 	Template *ryeford.Template `json:"template,omitempty"`
