--- a/agentfleet/agent/attempts.go
+++ b/agentfleet/agent/attempts.go
@@ -18,7 +18,7 @@
 	records map[ryeford.AttemptID]attemptRecord
 }
 
-// An attemptRecord is the record of one attempt. The zero record stands for an attempt
+// An attemptRecord is the record of one attempt. The zero record is that of an attempt
 // that was not seen.
 type attemptRecord struct {
 	state   attemptState
--- a/agentfleet/claim/batcher.go
+++ b/agentfleet/claim/batcher.go
@@ -80,7 +80,7 @@
 }
 
 // collect waits for a write and adds those that arrive within batchWindow. A second
-// write to the same row fails at once, since its condition depends on the result of the
+// write to the same row fails immediately, since its condition depends on the result of the
 // first one. It returns nil when ctx ends.
 func (b *batcher) collect(ctx context.Context) []*pendingWrite {
 	var batch []*pendingWrite
--- a/agentfleet/router/connect_test.go
+++ b/agentfleet/router/connect_test.go
@@ -16,7 +16,7 @@
 		want   time.Duration
 	}{
 		{"first loss", 0, 50 * time.Millisecond},
-		{"lost at once", 0, 100 * time.Millisecond},
+		{"lost immediately", 0, 100 * time.Millisecond},
 		{"lost before it was stable", stableAfter, 200 * time.Millisecond},
 		{"lost again", 0, 400 * time.Millisecond},
 		{"lost again", 0, 800 * time.Millisecond},
@@ -24,7 +24,7 @@
 		{"at the maximum", 0, 2 * time.Second},
 		{"stays at the maximum", 0, 2 * time.Second},
 		{"after a stable connection", stableAfter + 1, 50 * time.Millisecond},
-		{"lost at once", 0, 100 * time.Millisecond},
+		{"lost immediately", 0, 100 * time.Millisecond},
 	} {
 		assert.Equal(t, backoff.next(test.uptime), test.want, test.name)
 	}
--- a/agentfleet/router/operators.go
+++ b/agentfleet/router/operators.go
@@ -93,7 +93,7 @@
 	return nil, &ryeford.NotFoundError{Kind: "path", Name: path}
 }
 
-// publish accepts a template and puts it in force on this router at once.
+// publish accepts a template and puts it in force on this router immediately.
 func (h *operatorHandler) publish(ctx context.Context, body []byte) (*ryeford.Template, error) {
 	var t ryeford.Template
 	if err := json.Unmarshal(body, &t); err != nil {
--- a/agentfleet/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -114,7 +114,7 @@
 // resolveOutcome asks the agent of an attempt whose stream was lost what became of it,
 // until the agent replies. If the agent has restarted, its state is lost and the
 // outcome is unknown. A repeatable request does not wait: its outcome counts as unknown
-// at once, and it goes to another engine.
+// immediately, and it goes to another engine.
 func (x *exchange) resolveOutcome(ctx context.Context, cause error) error {
 	unknown := &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: cause}
 	if x.request.repeatable || ctx.Err() != nil {
--- a/engine.go
+++ b/engine.go
@@ -14,7 +14,7 @@
 	Evicted  bool   `json:"evicted"`
 }
 
-// An Order tells an engine which pools to load and serve. An engine with fencing refuses an
+// An Order states which pools an engine is to load and serve. An engine with fencing refuses an
 // order whose epoch is lower than the highest that it has received.
 type Order struct {
 	Epoch int64  `json:"epoch"` // of the planner's lease
--- a/gateway/choice/choice.go
+++ b/gateway/choice/choice.go
@@ -67,7 +67,7 @@
 	Domain    string  // this router's failure domain
 }
 
-// A Reason tells in the logs why an endpoint was chosen.
+// A Reason states in the logs why an endpoint was chosen.
 type Reason string
 
 // Reasons for a choice.
--- a/gateway/exchange_test.go
+++ b/gateway/exchange_test.go
@@ -186,7 +186,7 @@
 	return strings.TrimPrefix(httpServer.URL, "http://")
 }
 
-// TestUnservable checks that a request that can't be served any more is answered at once, is not
+// TestUnservable checks that a request that can't be served any more is answered immediately, is not
 // sent, and gets a response that states that it has not run.
 func TestUnservable(t *testing.T) {
 	for _, row := range []struct {
--- a/gateway/fastest.go
+++ b/gateway/fastest.go
@@ -13,7 +13,7 @@
 	return newSlidingWindow(minResponseTimesWindow, minNonZero)
 }
 
-// minNonZero returns the shorter of two durations. Zero stands for none.
+// minNonZero returns the shorter of two durations. Zero means none.
 func minNonZero(a, b time.Duration) time.Duration {
 	if a == 0 || b != 0 && b < a {
 		return b
--- a/gateway/fleetload_test.go
+++ b/gateway/fleetload_test.go
@@ -22,7 +22,7 @@
 )
 
 // A simulated fleet: routers that exchange their loads by gossip only, and engines on which one prompt
-// becomes hot. Time is simulated, and all random values come from a seed.
+// becomes hot. Time is simulated, and all random values are derived from a seed.
 const (
 	simulatedRate          = 12.3 // requests per second and router
 	simulatedEngines       = 1.75 // engines per router
--- a/gateway/freshness/confirm.go
+++ b/gateway/freshness/confirm.go
@@ -47,7 +47,7 @@
 	PeerIgnored PeerAction = iota
 	// PeerConfirms means that the confirmation renews the lease.
 	PeerConfirms
-	// PeerIsNewer means that the router must read the configuration from the source at once.
+	// PeerIsNewer means that the router must read the configuration from the source immediately.
 	PeerIsNewer
 )
 
--- a/gateway/freshness/refresh.go
+++ b/gateway/freshness/refresh.go
@@ -8,7 +8,7 @@
 // age. Routers that see each other as alive are ranked anew in each time slot. The first reads at
 // half that age and the second at three quarters, and both report the confirmation to the others.
 // Without such a report the others read at the refresh age and up to staggerFraction of it later,
-// staggered by rank. A router that is notified of a newer version by a peer reads at once.
+// staggered by rank. A router that is notified of a newer version by a peer reads immediately.
 //
 // Why: one read serves the whole fleet, and calls of the source are expensive. The rank is
 // derived from the source's clock, so routers agree on it without coordination and the load
--- a/gateway/giveup/giveup.go
+++ b/gateway/giveup/giveup.go
@@ -1,6 +1,6 @@
 // Package giveup decides how a request ends that gets no response from an endpoint.
 //
-// Rule: the gateway responds with a status of its own that tells whether the request may have
+// Rule: the gateway responds with a status of its own that indicates whether the request may have
 // run: 503 with a Retry-After only if no attempt can have run it, 502 or 504 if one may have. If
 // part of a response has been sent, the connection is aborted. The Retry-After is computed in
 // retryafter.go.
--- a/gateway/giveup/simulation_test.go
+++ b/gateway/giveup/simulation_test.go
@@ -436,7 +436,7 @@
 
 // TestProbes compares two ways to detect unreachable endpoints in an outage at all or half of the
 // routers: each request makes its own connection attempt, as the gateway does, or one request at a
-// time probes and the others are refused at once. The first must serve more callers, since callers
+// time probes and the others are refused immediately. The first must serve more callers, since callers
 // retry only a few times.
 func TestProbes(t *testing.T) {
 	for _, row := range []struct{ load, reaches float64 }{{0.8, 0}, {0.2, 0}, {0.8, 0.5}, {0.2, 0.5}} {
--- a/gateway/loads/loads_test.go
+++ b/gateway/loads/loads_test.go
@@ -21,7 +21,7 @@
 		want      float64
 		deviation float64
 	}{
-		{"nothing is known", Observation{}, 0, 0.5},
+		{"no data", Observation{}, 0, 0.5},
 		{"local requests only", Observation{Local: 3}, 3, 0.5},
 		{"all peers have reported", Observation{Local: 3, PeerRequests: 4, PeerShare: 1, Mean: 9}, 7, 0},
 		{"all peers have reported, and override an endpoint status report", Observation{Local: 3, PeerRequests: 4, PeerShare: 1, Reported: true, Others: 90}, 7, 0},
--- a/gateway/occupancy/occupancy.go
+++ b/gateway/occupancy/occupancy.go
@@ -15,7 +15,7 @@
 
 // Rule: a service is full if its endpoints have, by the mean of their recent reports, at least one
 // request per slot. The mean is scaled by the growth of this router's requests since then. Further
-// requests are rejected at once.
+// requests are rejected immediately.
 //
 // Why: beyond its slots an engine serves no request sooner, and waiting requests delay all others.
 // The reports of a few endpoints represent all, and the growth of this router's requests represents
--- a/gateway/occupancy/occupancy_test.go
+++ b/gateway/occupancy/occupancy_test.go
@@ -26,7 +26,7 @@
 		ended   int
 		want    bool
 	}{
-		{"nothing is known", nil, 0, 0, false},
+		{"no data", nil, 0, 0, false},
 		{"one report is too few", [][2]int{{48, 99}}, 0, 0, false},
 		{"half of the slots are in use", [][2]int{{24, 0}, {24, 0}, {24, 0}}, 0, 0, false},
 		{"half of the slots were in use, local requests have doubled", [][2]int{{24, 0}, {24, 0}, {24, 0}}, 10, 0, true},
--- a/gateway/peers/schedule.go
+++ b/gateway/peers/schedule.go
@@ -78,7 +78,7 @@
 }
 
 // Due reports whether a registration and lookup is due. For a router that receives no messages it is
-// due at once, or, with configured peers, seedTimeout after its start. For other routers it is due if
+// due immediately, or, with configured peers, seedTimeout after its start. For other routers it is due if
 // their entry is missing or older than registerInterval; with configured peers only for the first
 // router of the time slot. The platform's list thus always holds some routers, through which the
 // parts of a partitioned fleet find each other.
--- a/gateway/readiness/readiness.go
+++ b/gateway/readiness/readiness.go
@@ -20,7 +20,7 @@
 	Superseded      bool // a newer configuration should be in force here
 }
 
-// A Reason tells in the logs why a router is not ready.
+// A Reason states in the logs why a router is not ready.
 type Reason string
 
 // Reasons for a router not to be ready.
--- a/gateway/recovery_test.go
+++ b/gateway/recovery_test.go
@@ -87,7 +87,7 @@
 	time.Sleep(duration / 2)
 	if kind == restored {
 		f.store.restore(backup)
-		f.change() // changes lost by the restore are written again at once
+		f.change() // changes lost by the restore are written again immediately
 	}
 	f.store.setDisruption(noDisruption)
 }
--- a/gateway/restoredstore_test.go
+++ b/gateway/restoredstore_test.go
@@ -177,8 +177,8 @@
 }
 
 // restoreStore makes the gateway read revisions that are then lost in an outage from which the store
-// returns restored from a backup. meanwhile runs before the store answers again.
-func (f *fixture) restoreStore(lost int, meanwhile func()) {
+// returns restored from a backup. whileDown runs before the store answers again.
+func (f *fixture) restoreStore(lost int, whileDown func()) {
 	f.t.Helper()
 	backup := f.store.Backup()
 	f.writeUnrelated(lost - 1)
@@ -190,7 +190,7 @@
 	f.store.SetFault(rowstore.Fault{Reset: true})
 	f.awaitLog("dependency=endpoints")
 	f.store.Restore(backup)
-	meanwhile()
+	whileDown()
 	f.store.SetFault(rowstore.Fault{})
 }
 
--- a/gateway/retries_test.go
+++ b/gateway/retries_test.go
@@ -10,7 +10,7 @@
 	"github.com/ryeford/ryeford/standin/appserver"
 )
 
-// notRunStatuses are the statuses that tell callers that a request has not run.
+// notRunStatuses are the statuses that show callers that a request has not run.
 var notRunStatuses = map[int]bool{
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
--- a/gateway/roster/entry.go
+++ b/gateway/roster/entry.go
@@ -32,7 +32,7 @@
 }
 
 // ExclusionReason returns the reason for which the endpoint accepts no new requests, or "" if it accepts
-// them. A nil entry stands for an unknown endpoint, which counts as leaving.
+// them. A nil entry means an unknown endpoint, which counts as leaving.
 func (e *Entry) ExclusionReason() ryeford.Reason {
 	switch {
 	case e == nil || !e.Serving():
--- a/gateway/roster/status.go
+++ b/gateway/roster/status.go
@@ -60,7 +60,7 @@
 	StatusSuspect
 	// StatusDeparted endpoints were ready and were removed from the list without draining.
 	StatusDeparted
-	// StatusGone endpoints are removed at once.
+	// StatusGone endpoints are removed immediately.
 	StatusGone
 )
 
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -53,7 +53,7 @@
 	return err
 }
 
-// close closes the server at once. The error, that of closing the listener, is ignored: no more
+// close closes the server immediately. The error, that of closing the listener, is ignored: no more
 // connections are accepted either way.
 func (s *server) close() { _ = s.http.Close() }
 
--- a/gateway/slowstart/replay_test.go
+++ b/gateway/slowstart/replay_test.go
@@ -14,7 +14,7 @@
 )
 
 // A simulated fleet in which a third of the endpoints are cold at the same time. Time is simulated,
-// and all random numbers come from a seed.
+// and all random numbers are derived from a seed.
 const (
 	simRate      = 9.6 // requests a second that a cold endpoint can handle
 	simEndpoints = 1.8 // endpoints per router
--- a/gateway/watch/next.go
+++ b/gateway/watch/next.go
@@ -16,10 +16,10 @@
 //	             pause for SettleDelay first if it contains a change
 //	stale        ignore the update, which is older than the known revision and
 //	             confirms nothing; ask again as after a failure
-//	historyLost  read the full list at once
+//	historyLost  read the full list immediately
 //	failed       repeat the poll after a pause that doubles with each failure in
 //	             a row, and without a wait for changes until the source
-//	             responds, so that its return is noticed at once
+//	             responds, so that its return is noticed immediately
 
 // An outcome is the kind of response that a source gave to a poll.
 type outcome int
--- a/gateway/watch/watch_test.go
+++ b/gateway/watch/watch_test.go
@@ -120,7 +120,7 @@
 	assert.Equal(t, r.lost, 0)
 }
 
-// TestOutage checks that a failed source is polled without a wait, so that its return is noticed at once, and that an
+// TestOutage checks that a failed source is polled without a wait, so that its return is noticed immediately, and that an
 // outage and its end are each reported once.
 func TestOutage(t *testing.T) {
 	out := step{err: errors.New("out")}
--- a/internal/clock/now_test.go
+++ b/internal/clock/now_test.go
@@ -108,9 +108,9 @@
 	assert.Assert(t, first > -maxMeasureTime, "%v", first)
 }
 
-// TestSuspend checks that Now jumps by a simulated suspension at once, and then continues
+// TestSimulateSuspension checks that Now jumps by a simulated suspension immediately, and then continues
 // normally.
-func TestSuspend(t *testing.T) {
+func TestSimulateSuspension(t *testing.T) {
 	before, runtime := Now(), time.Now()
 	total := SuspendedTime()
 	SimulateSuspension(7 * time.Second)
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -132,7 +132,7 @@
 	return found
 }
 
-// readLog reads a log file; the name - stands for standard input.
+// readLog reads a log file; the name - means standard input.
 func readLog(name string) ([]logLine, error) {
 	input := io.Reader(os.Stdin)
 	if name != "-" {
--- a/internal/freeport/fork_test.go
+++ b/internal/freeport/fork_test.go
@@ -11,10 +11,10 @@
 )
 
 // childVariable is set in the environment of the child processes of TestNextDuringForks, which
-// exit at once.
+// exit immediately.
 const childVariable = "RYEFORD_FREEPORT_CHILD"
 
-// TestMain exits at once in a child process of TestNextDuringForks.
+// TestMain exits immediately in a child process of TestNextDuringForks.
 func TestMain(m *testing.M) {
 	if os.Getenv(childVariable) != "" {
 		os.Exit(0)
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// TestNextDuringForks checks that a server can listen on a picked port at once while this
+// TestNextDuringForks checks that a server can listen on a picked port immediately while this
 // process starts others. It fails with "address already in use" if a forked child inherits a
 // socket that was opened to probe the port.
 func TestNextDuringForks(t *testing.T) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// runChild runs a child process that exits at once.
+// runChild runs a child process that exits immediately.
 func runChild(t *testing.T) {
 	child := exec.Command(os.Args[0])
 	child.Env = append(os.Environ(), childVariable+"=1")
--- a/internal/soak/fleet_test.go
+++ b/internal/soak/fleet_test.go
@@ -35,7 +35,7 @@
 	// serverFormat is the format of a server in the emulator's settings.
 	serverFormat = "    - {id: %s, service: %s, address: %q, failure_domain: %s, events: %d, step: %s}\n"
 	// slowServer is an additional server of the model service whose streams take 3 s. It is
-	// listed only temporarily, so that gateways don't learn to expect such durations.
+	// listed only temporarily, so that gateways don't expect such durations from then on.
 	slowServer = "slow"
 	// fastStep and slowStep are the intervals between the events of streams.
 	fastStep = 5 * time.Millisecond
--- a/settings/template.go
+++ b/settings/template.go
@@ -24,7 +24,7 @@
 	// Share is the part of the fleet that the account is entitled to in an overload.
 	Share float64 `yaml:"share" unit:"part of the fleet" validate:"gt=0,lte=1"`
 	// Begin is the start of the event that the template is for; its engines are warm
-	// by then. If it is left out, the template is in force at once.
+	// by then. If it is left out, the template is in force immediately.
 	Begin time.Time `yaml:"begin"`
 	// Keys are the account's keys. Only their hashes are published.
 	Keys []string `yaml:"keys" unit:"characters" validate:"dive,min=8,max=256"`
