--- a/agentfleet/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -111,7 +111,7 @@
 	rejoinInterval = 25 * time.Millisecond
 )
 
-// resolveOutcome asks the agent of an attempt whose stream was lost what became of it,
+// resolveOutcome queries the agent of an attempt whose stream was lost for its outcome,
 // until the agent replies. If the agent has restarted, its state is lost and the
 // outcome is unknown. A repeatable request does not wait: its outcome counts as unknown
 // immediately, and it goes to another engine.
--- a/gateway/admit/admit.go
+++ b/gateway/admit/admit.go
@@ -21,7 +21,7 @@
 	"github.com/ryeford/ryeford/gateway/giveup"
 )
 
-// A State is what a router knows when it admits a request.
+// A State is the data on which the admission of a request depends.
 type State struct {
 	// Configured and EndpointsLoaded report that a configuration and a list of endpoints have been read
 	// since the process started.
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// A SendState is what a router knows about a request and its endpoint before an attempt begins, and
-// again right before the first byte is sent.
+// A SendState is the state of a request and its endpoint, checked before an attempt begins and again
+// right before the first byte is sent.
 type SendState struct {
 	// ExclusionReason is the exclusion reason of the endpoint, or empty.
 	ExclusionReason ryeford.Reason
--- a/gateway/admit/admit_test.go
+++ b/gateway/admit/admit_test.go
@@ -12,13 +12,13 @@
 	"github.com/ryeford/ryeford/gateway/giveup"
 )
 
-// A failure is what the caller of a refused request sees.
+// A failure is what the caller of a refused request receives.
 type failure struct {
 	status int
 	reason ryeford.Reason // of a NotRunError
 }
 
-// failureOf returns the failure that the caller sees for an error, and checks that only a 503 has a
+// failureOf returns the failure that the caller receives for an error, and checks that only a 503 has a
 // retry time.
 func failureOf(t *testing.T, err error) failure {
 	t.Helper()
--- a/gateway/balancer.go
+++ b/gateway/balancer.go
@@ -22,7 +22,7 @@
 	"github.com/ryeford/ryeford/settings"
 )
 
-// A balancer chooses the endpoint of an attempt. It collects what the router knows of the
+// A balancer chooses the endpoint of an attempt. It collects the router's data on the
 // endpoints for package choice, which implements the rules. The tables belong to other parts of
 // the gateway; the balancer's only state is where the next search by load starts.
 type balancer struct {
--- a/gateway/loads/estimate.go
+++ b/gateway/loads/estimate.go
@@ -31,7 +31,7 @@
 	minVariance = 0.25
 )
 
-// An Observation is what a router knows about the requests at an endpoint.
+// An Observation is a router's data on the requests at an endpoint.
 type Observation struct {
 	Local        int     // requests of this router
 	PeerRequests int     // requests that peers have recently reported
--- a/gateway/shutdown/shutdown.go
+++ b/gateway/shutdown/shutdown.go
@@ -62,7 +62,7 @@
 	return lastConnection.IsZero() || now.Sub(lastConnection) > quietPeriod
 }
 
-// A Request is what a process that is shutting down knows of an arriving request.
+// A Request describes a request that arrives at a process that is shutting down.
 type Request struct {
 	SinceSignal   time.Duration // time since the shutdown signal
 	UntilClose    time.Duration // time until the process closes all connections
--- a/internal/clock/now.go
+++ b/internal/clock/now.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// While a machine is suspended, the monotonic clock stands still, and the wall clock and
+// While a machine is suspended, the monotonic clock stops, and the wall clock and
 // CLOCK_BOOTTIME continue. State from before the suspension is then older than the monotonic
 // clock shows.
 //
--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -26,7 +26,7 @@
 	ended         time.Time
 	status        int    // 0 if no response arrived
 	server        string // the server that responded; empty if the gateway did
-	leaving       bool   // the response says that the server is leaving
+	leaving       bool   // the response reports that the server is leaving
 	body          string
 	connClosed    bool  // the response announces that the connection is closed
 	err           error // no response arrived, or it was truncated
--- a/internal/soak/configuration_test.go
+++ b/internal/soak/configuration_test.go
@@ -24,7 +24,7 @@
 	secondKey = "church-key"
 )
 
-// A configuration is a version of the platform's configuration. SecondKey says whether the
+// A configuration is a version of the platform's configuration. SecondKey reports whether the
 // second client account has its key.
 type configuration struct {
 	Version   int
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -20,7 +20,7 @@
 	inject       func(in *injector, random *rand.Rand, gateway int)
 }
 
-// A scope says which gateways an effect of a fault concerns.
+// A scope is the set of gateways that an effect of a fault concerns.
 type scope int
 
 const (
--- a/internal/soak/reportfaults_test.go
+++ b/internal/soak/reportfaults_test.go
@@ -28,7 +28,7 @@
 	maxShedding            = 2 * time.Second
 )
 
-// An announcement is a time in which a server's responses said that it was leaving.
+// An announcement is a period in which a server's responses reported that it was leaving.
 type announcement struct {
 	server      string
 	from, until time.Time
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestSoak guards against violations of basicChecks under single faults, for the kept seeds
-// and as many fresh ones as RYEFORD_SOAK_SEEDS says.
+// and as many fresh ones as RYEFORD_SOAK_SEEDS specifies.
 func TestSoak(t *testing.T) { runSeeds(t, &basicPlan, keptSeeds) }
 
 // TestSoakSeries guards against violations of seriesChecks under series of faults.
