--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -19,16 +19,16 @@
 
 // A Set is the metrics of one process.
 type Set struct {
-	set         *metrics.Set
-	controlSent *metrics.Counter
+	set             *metrics.Set
+	gossipBytesSent *metrics.Counter
 }
 
 // NewSet returns an empty Set.
 func NewSet() *Set {
 	set := metrics.NewSet()
 	return &Set{
-		set:         set,
-		controlSent: set.NewCounter("ryeford_control_sent_bytes_total"),
+		set:             set,
+		gossipBytesSent: set.NewCounter("ryeford_control_sent_bytes_total"),
 	}
 }
 
@@ -55,7 +55,7 @@
 }
 
 // AddGossipBytesSent counts bytes of gossip sent.
-func (s *Set) AddGossipBytesSent(bytes int) { s.controlSent.Add(bytes) }
+func (s *Set) AddGossipBytesSent(bytes int) { s.gossipBytesSent.Add(bytes) }
 
 // Write returns the set's metrics and those of the process in the Prometheus text format.
 func (s *Set) Write() []byte {
