--- a/gateway/cold.go
+++ b/gateway/cold.go
@@ -8,7 +8,7 @@
 	"github.com/ryeford/ryeford/gateway/slowstart"
 )
 
-// coldUntil returns until when an endpoint counts as cold: by its status report, and, since that may
+// coldUntil returns until when an endpoint counts as cold: by its list entry, and, since that may
 // arrive late, for the service's ColdTime after the last evacuation of the endpoint's failure
 // domain ended and after the endpoint was last unreachable, since it may have restarted.
 func (b *balancer) coldUntil(entry *roster.Entry, service *ryeford.ServiceRule) time.Time {
@@ -31,7 +31,7 @@
 	if !known || b.startup.joining(now) {
 		return slowstart.Fleet{}
 	}
-	const order = 0 // constant, so that no time slot is assigned twice when the order changes
+	const order = 0 // constant: if the order changed, a time slot could be assigned twice
 	rank, alive := b.peers.Rank(now, order)
 	return slowstart.Fleet{Clock: clock, Rank: rank, Routers: max(alive+1, b.minRouters)}
 }
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -21,9 +21,9 @@
 	return b, &ryeford.ServiceRule{Name: "s", ColdTime: 3 * time.Second, ColdRate: 4}
 }
 
-// TestColdUntil checks until when an endpoint counts as cold: by its first status report, and for the
-// service's ColdTime after the evacuation of its failure domain ended or the endpoint was
-// unreachable.
+// TestColdUntil checks until when an endpoint counts as cold: by its list entry, counted from when
+// that was first read, and for the service's ColdTime after the evacuation of its failure domain
+// ended or the endpoint was unreachable.
 func TestColdUntil(t *testing.T) {
 	now := time.Unix(1000, 0)
 	reportCold := func(cold time.Duration) *ryeford.EndpointUpdate {
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -91,7 +91,7 @@
 func (c *configuration) version() int64 { return versionOf(c.current()) }
 
 // superseded reports whether the configuration in force must no longer be used because a newer one
-// exists.
+// is known or may exist.
 func (c *configuration) superseded(now time.Time) bool {
 	if !c.newer.mayExist() {
 		return false
--- a/gateway/disruptedstore_test.go
+++ b/gateway/disruptedstore_test.go
@@ -25,8 +25,8 @@
 	stale
 	// compacted withholds changes, and then loses its history.
 	compacted
-	// restored fails each call immediately, and the store is then restored from a backup made at the
-	// start.
+	// restored fails each call immediately, and the store is then restored from a backup made when
+	// the disruption began.
 	restored
 )
 
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -71,7 +71,7 @@
 }
 
 // awaitFailedProbes waits until enough readiness probes have failed for the load balancer to remove
-// the gateway, but no longer than until closeBy.
+// the gateway, or the wait for that has timed out, but no longer than until closeBy.
 func (d *drain) awaitFailedProbes(requested, closeBy time.Time) {
 	for !shutdown.BalancerNoticed(clock.Since(requested), int(d.failedProbes.Load())) && clock.Now().Before(closeBy) {
 		time.Sleep(shutdown.CheckInterval)
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -256,8 +256,8 @@
 	}
 }
 
-// sweep closes idle connections, and removes endpoints whose retention period has ended, until ctx is
-// done.
+// sweep closes connections that have been idle for too long, and removes endpoints whose retention
+// period has ended, until ctx is done.
 func (l *endpointList) sweep(ctx context.Context) error {
 	timer := time.NewTimer(sweepInterval)
 	defer timer.Stop()
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -130,7 +130,7 @@
 }
 
 // shouldWithhold reports whether an endpoint's response is not passed on: it is a failure that
-// may be retried, or its status shows callers that the request has not run.
+// may be retried, or callers would take its status as a promise that the request has not run.
 func (x *exchange) shouldWithhold(status int) bool {
 	if isSuccess(status) {
 		return false
--- a/gateway/exchange_test.go
+++ b/gateway/exchange_test.go
@@ -233,9 +233,9 @@
 	}
 }
 
-// TestQuarantinedAnswer checks the response to a held request: Retry-After is the end of the
-// quarantine, clients are asked not to retry automatically, 503 is not sent once an attempt was
-// made, and the refusal doesn't affect the Retry-After of other requests.
+// TestQuarantinedAnswer checks the response to a held request: Retry-After is the time until requests
+// like it are tried again, clients are asked not to retry automatically, 503 is not sent once an
+// attempt was made, and the refusal doesn't affect the Retry-After of other requests.
 func TestQuarantinedAnswer(t *testing.T) {
 	e := newExchangeTest(t)
 	e.setEndpoints(startEndpoint(t, &appserver.Server{ID: "e1"}, func() {}))
--- a/gateway/exclusion.go
+++ b/gateway/exclusion.go
@@ -9,7 +9,7 @@
 
 // exclusionReason returns why an endpoint may be sent nothing now, or "" if it isn't excluded. It considers the
 // endpoint list, evacuations, the endpoint's status reports, and those that peers pass on. entry is nil for an
-// endpoint that is not listed. The reason is checked for each choice and again immediately before the first byte is sent.
+// unknown endpoint. The reason is checked for each choice and again immediately before the first byte is sent.
 // A cold endpoint is not excluded: it may be sent a request in each time slot of this router.
 func (b *balancer) exclusionReason(now time.Time, entry *roster.Entry) ryeford.Reason {
 	if reason := entry.ExclusionReason(); reason != "" {
--- a/gateway/fastest.go
+++ b/gateway/fastest.go
@@ -3,7 +3,8 @@
 import "time"
 
 // minResponseTimesWindow is how long a response time counts at least. It is short so that an
-// endpoint that was slow only for a time, such as a cold one, is soon tried again.
+// endpoint that was slow only for a time, such as a cold one, is soon tried again with requests
+// that have less time left.
 const minResponseTimesWindow = 5 * time.Second
 
 // newMinResponseTimes returns the minimum response time of each service: the time from the
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -7,7 +7,7 @@
 // servers. Request handling starts in handler.go. The decision rules are in the packages below this
 // one.
 //
-// The package uses no header names and no platform calls of its own: these come from ryeford.Protocol,
+// The package contains no header names and no calls of the platform: these come from ryeford.Protocol,
 // ryeford.ConfigurationSource and ryeford.EndpointSource.
 package gateway
 
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -43,7 +43,7 @@
 	metrics       *telemetry.Set
 
 	// registered is when this router registered in the platform's list of routers, or nil. lookedUp is
-	// whether it has read that list.
+	// whether it has queried that list.
 	registered atomic.Pointer[time.Time]
 	lookedUp   atomic.Bool
 
--- a/gateway/heldrequests.go
+++ b/gateway/heldrequests.go
@@ -100,7 +100,8 @@
 	return nil
 }
 
-// isolated reports whether the router has no peers from which it receives held requests.
+// isolated reports whether the router exchanges gossip but has no live peer that sends it held
+// requests.
 func (h *heldRequests) isolated(now time.Time) bool { return h.hasPeers && h.peers.Alive(now) == 0 }
 
 // readAll reads the held requests.
--- a/gateway/overloads.go
+++ b/gateway/overloads.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// overloadGap is how long no request of a service may be refused for overload until its
-// overload has ended.
+// overloadGap is the time without a refusal for overload after which a service's overload has
+// ended.
 const overloadGap = time.Second
 
 // overloads records, for each service, since when its requests have been refused for overload.
--- a/gateway/peerhandler.go
+++ b/gateway/peerhandler.go
@@ -58,19 +58,19 @@
 
 func (h *peerHandler) write(w http.ResponseWriter, r *http.Request, response any) {
 	if err := cbor.NewEncoder(w).Encode(response); err != nil {
-		_ = h.log.Log("msg", "response to peer failed; the peer reads from the source instead", "what", r.URL.Path, "peer", r.RemoteAddr, "err", err)
+		_ = h.log.Log("msg", "response to peer failed; the peer reads from the source or another router instead", "what", r.URL.Path, "peer", r.RemoteAddr, "err", err)
 	}
 }
 
 // serve serves peers at an address until ctx is done. A failure to listen is only logged, because
-// peers can read from the source instead.
+// peers can read from the source or other routers instead.
 func (h *peerHandler) serve(ctx context.Context, address netip.AddrPort) error {
 	if !address.IsValid() {
 		return nil
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: peerReadTimeout, IdleTimeout: peerReadTimeout}
 	if err := httpserver.ListenAndServe(ctx, address, server); err != nil {
-		_ = h.log.Log("msg", "cannot serve peers; they read from the source instead", "err", err)
+		_ = h.log.Log("msg", "cannot serve peers; they read from the source or other routers instead", "err", err)
 	}
 	return nil
 }
--- a/gateway/poisonrequest_test.go
+++ b/gateway/poisonrequest_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// quarantineCrashBody sends a request with crashBody until it is held, and waits until the platform
-// has stored that.
+// quarantineCrashBody sends a request with crashBody until it has crashed three endpoints, and waits
+// until the platform has stored it as held.
 func (f *fixture) quarantineCrashBody() {
 	f.t.Helper()
 	for f.crashedEndpoints() < 3 {
--- a/gateway/probe_test.go
+++ b/gateway/probe_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestServesKeysInOutageLog checks that a router logs once when it starts to serve keys after its
-// lease has ended, and only if its configuration has keys.
+// lease has ended, and not before it has a configuration with keys.
 func TestServesKeysInOutageLog(t *testing.T) {
 	var lines strings.Builder
 	h := &probeHandler{
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -29,7 +29,7 @@
 // untilStoreRead returns how much longer to wait for peers before the store is read.
 func (s *startup) untilStoreRead(now time.Time) time.Duration { return s.delay - now.Sub(s.began) }
 
-// joining reports whether the router may not have received the other routers' addresses yet, and so
+// joining reports whether the router may not have received messages from all other routers yet, and so
 // can't compute its rank among them.
 func (s *startup) joining(now time.Time) bool {
 	return s.hasPeers && now.Sub(s.began) < replica.JoinDuration
