--- a/gateway/giveup/retryafter.go
+++ b/gateway/giveup/retryafter.go
@@ -33,7 +33,8 @@
 	// retry. Callers honor a Retry-After up to a third of their remaining time, and the response
 	// needs some of it to arrive.
 	retryShare = 0.3
-	// maxRetryAfter limits the Retry-After. A lower limit would concentrate the retries.
+	// maxRetryAfter limits the Retry-After, except of quarantined requests. A lower limit would
+	// concentrate the retries.
 	maxRetryAfter = 5 * time.Second
 	// assumedAnswers is added to the number of recent answers, so that a single refusal does not
 	// count as an overload.
--- a/gateway/outlier/limits.go
+++ b/gateway/outlier/limits.go
@@ -24,7 +24,7 @@
 	// maxDoublings limits the shift in the duration of an ejection, so that it doesn't
 	// overflow.
 	maxDoublings = 8
-	// negligible is the weight of responses below which a record counts as empty.
+	// negligibleWeight is the weight of responses below which a record counts as empty.
 	negligibleWeight = 0.01
 )
 
--- a/gateway/peers/message.go
+++ b/gateway/peers/message.go
@@ -25,8 +25,8 @@
 	Started int64 `cbor:"2,keyasint"`
 	// Sequence is the number of the message within the process, from 1.
 	Sequence uint64 `cbor:"3,keyasint"`
-	// Brief marks a message that only confirms the configuration and the list of endpoints. It
-	// does not replace the sender's last reported requests.
+	// Brief marks a message without members, prompts and the sender's requests. It does not
+	// replace the sender's last reported requests.
 	Brief bool `cbor:"13,keyasint,omitempty"`
 	// Members are peers that the sender considers alive.
 	Members []Member `cbor:"14,keyasint,omitempty"`
--- a/gateway/quarantine/record.go
+++ b/gateway/quarantine/record.go
@@ -130,7 +130,7 @@
 // ages in whole milliseconds, and their transmission times differ.
 const timeTolerance = time.Second
 
-// mergeSuccess is recordAnswer for a success from a peer's record, which may already be recorded.
+// mergeSuccess is recordSuccess for a success from a peer's record, which may already be recorded.
 func (r *Record) mergeSuccess(at time.Time) bool {
 	if !r.LastSuccess.IsZero() && at.Sub(r.LastSuccess) < timeTolerance {
 		return false
--- a/gateway/roster/entry.go
+++ b/gateway/roster/entry.go
@@ -22,8 +22,8 @@
 	Evacuated bool
 	// EvacuationEnded is when the last evacuation of the failure domain ended, or zero.
 	EvacuationEnded time.Time
-	// ColdUntil is when the cold period that the endpoint reported ends, counted from when this router
-	// received the report.
+	// ColdUntil is when the cold period in the endpoint's list entry ends, counted from when this router
+	// received the entry.
 	ColdUntil time.Time
 	// withheld is set if the endpoint is listed as ready but is withheld (withheld.go).
 	withheld bool
--- a/gateway/slowstart/slowstart.go
+++ b/gateway/slowstart/slowstart.go
@@ -1,10 +1,10 @@
 // Package slowstart limits the requests that all routers together send to an endpoint which has
 // just started and can handle only a limited rate until it is warm.
 //
-// Rule: time is divided into time slots for each endpoint, by a clock that is synchronized between
-// routers. Each slot belongs to one router, in an order that all routers agree on. The router may
-// send the endpoint one request in its slot, which remains valid for slotValidity after its start.
-// Requests without a slot go to other endpoints.
+// Rule: time is divided into time slots for each endpoint, by a clock on which all routers have
+// nearly the same bound. Each slot belongs to one router, in an order that all routers agree on.
+// The router may send the endpoint one request in its slot, which remains valid for slotValidity
+// after its start. Requests without a slot go to other endpoints.
 //
 // Why: routers need no messages to keep to the endpoint's rate, however many requests they have.
 // Slots come at rateShare of the rate, and the requests sent within any second belong to slots that
@@ -38,7 +38,7 @@
 
 // A Fleet is a router's view of the routers that share the time slots.
 type Fleet struct {
-	// Clock is the current time of the synchronized clock.
+	// Clock is the current bound on the clock by which time slots are counted.
 	Clock time.Duration
 	// Rank is this router's place in the order, from 0, and Routers the number of routers.
 	Rank, Routers int
--- a/gateway/watch/watch.go
+++ b/gateway/watch/watch.go
@@ -24,7 +24,7 @@
 	// changes.
 	SettleDelay time.Duration
 	// MinPause is the pause after the first failure, of which jitter subtracts up to half. It doubles with
-	// each failure in a row, up to MaxPause. It is also the pause after a stale response.
+	// each failure in a row, up to MaxPause. A stale response counts as a failure.
 	MinPause time.Duration
 	MaxPause func() time.Duration
 	// OnSend is called before each poll, and OnFailure after each failed poll with the time at which it was
