--- a/gateway/endpoint/disconnect_test.go
+++ b/gateway/endpoint/disconnect_test.go
@@ -38,7 +38,7 @@
 		{"closed during a response", &LostError{Err: io.ErrUnexpectedEOF}, true},
 		{"reset", &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineLost, Err: reset}, true},
 		{"no response in time", &LostError{Err: os.ErrDeadlineExceeded}, false},
-		{"unusable", &LostError{Err: &UnusableResponseError{Problem: "it belongs to another request"}}, false},
+		{"unusable", &LostError{Err: &UnusableResponseError{Problem: "it lacks this request's ID"}}, false},
 		{"an error response of the endpoint", &ryeford.MayHaveRunError{Reason: ryeford.ReasonEngineError, Err: errors.New("status 500")}, false},
 		{"none", nil, false},
 	} {
--- a/gateway/endpoint/send.go
+++ b/gateway/endpoint/send.go
@@ -118,7 +118,7 @@
 			break
 		}
 	}
-	return nil, &LostError{Err: &UnusableResponseError{Problem: "it belongs to another request"}}
+	return nil, &LostError{Err: &UnusableResponseError{Problem: "it lacks this request's ID"}}
 }
 
 // provablyUnsent reports whether a failed write of some bytes proves that the endpoint received nothing of the
