--- a/gateway/loads/loads_test.go
+++ b/gateway/loads/loads_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// TestReports guards against forwarding old reports, or fewer than the newest ones of high loads.
+// TestReports guards against forwarding old reports, and against leaving out the newest ones of high loads.
 func TestReports(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := New()
--- a/gateway/replica/model_test.go
+++ b/gateway/replica/model_test.go
@@ -269,8 +269,8 @@
 	maxRestoredStates = 10_000 // from each first state
 )
 
-// TestAge simulates fleets with lost and delayed messages and suspended routers, and checks that the copy
-// of a running router never exceeds the bound.
+// TestAge simulates fleets with lost and delayed messages and suspended routers, and checks that the age
+// of a running router's copy never exceeds the bound.
 func TestAge(t *testing.T) {
 	for seed := range uint64(40) {
 		f := newAgeFleet(seed)
