--- a/retry/policy.go
+++ b/retry/policy.go
@@ -98,7 +98,7 @@
 	Budgeted bool
 	// AllowTried reports that an endpoint may be tried again if all have been tried. This holds
 	// only for endpoints that responded with a failure, not for those that refused the request or
-	// lost the connection.
+	// whose response was lost.
 	AllowTried bool
 }
 
--- a/retry/window.go
+++ b/retry/window.go
@@ -98,7 +98,7 @@
 // all of them together keep to it without coordination: the live routers and a quarter more, but at least
 // the configured number, since a router that is isolated from its peers must not take the whole reserve.
 //
-// live counts this router and the peers from which it has recently received a message.
+// live counts this router and its live peers.
 func ReserveDivisor(configured, live int) int {
 	return max(configured, live+live/liveRoutersPerUnseen)
 }
