--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// newRecord starts a new attempt and returns the record that claims it.
+// newRecord creates a new attempt and returns the record that claims it.
 func (x *exchange) newRecord() claim.Record {
 	x.attempt = newAttempt(time.Now(), x.forwarder.limits, true)
 	return claim.Record{
--- a/agentfleet/router/dispatch.go
+++ b/agentfleet/router/dispatch.go
@@ -87,8 +87,8 @@
 )
 
 // dispatch sends the attempt to an engine's agent and waits until it is admitted or
-// refused. If the dispatch could not be sent, the attempt did not run. If the reply is
-// lost, resolveOutcome determines whether it ran.
+// refused. If no stream can be opened, the attempt did not run. If sending fails or the
+// reply is lost, resolveOutcome determines whether it ran.
 func (x *exchange) dispatch(ctx context.Context, c claim.Candidate) error {
 	a, ok := x.forwarder.fleet.agentByVM(c.VM)
 	if !ok || a.inventory.Incarnation != c.Incarnation {
--- a/agentfleet/router/planner_test.go
+++ b/agentfleet/router/planner_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestFlappingAgentKeepsPlacement checks that the loss of an agent moves its engines
-// only after planner.patience.
+// TestFlappingAgentKeepsPlacement checks that a flapping agent causes no moves, and that
+// the engines of a lost agent count until planner.patience has elapsed.
 func TestFlappingAgentKeepsPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &planner{engines: make(recentEngines), sharedState: &sharedState{
