--- a/agentfleet/agent/attemptrules_test.go
+++ b/agentfleet/agent/attemptrules_test.go
@@ -66,7 +66,7 @@
 }
 
 // TestJoinAccount checks that only the run's account may join it. A join of another
-// account is refused without details of the run.
+// account is refused and only reports that the attempt may have run.
 func TestJoinAccount(t *testing.T) {
 	a := newAttempts(time.Minute, time.Second)
 	now := time.Unix(1_000_000, 0)
--- a/agentfleet/claim/batcher.go
+++ b/agentfleet/claim/batcher.go
@@ -47,8 +47,8 @@
 	err     error
 }
 
-// write performs one write. It returns the errors of ryeford.Table. If ctx ends while
-// the write is queued, the write may still take effect.
+// write performs one write. It returns the errors of ryeford.Table. If ctx ends after
+// the write was queued, the write may still take effect.
 func (b *batcher) write(ctx context.Context, w ryeford.Write) (int64, error) {
 	p := &pendingWrite{write: w, done: make(chan outcome, 1)}
 	select {
--- a/agentfleet/template/cache.go
+++ b/agentfleet/template/cache.go
@@ -73,7 +73,7 @@
 	return to > revision && from <= revision
 }
 
-// apply stores a template unless the cache has a version of it that is as new.
+// apply stores a template unless the cache has a version of it that is at least as new.
 func (b *Cache) apply(t *ryeford.Template) {
 	name := Name{Account: t.Account, Name: t.Name}
 	if current, ok := b.templates[name]; ok && current.Revision >= t.Revision {
--- a/agentfleet/template/store.go
+++ b/agentfleet/template/store.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxDelta is the maximum number of revisions that ChangedSince reads one by one. If
-	// more are missing, it reads all templates.
+	// maxDelta is the maximum number of revisions whose rows ChangedSince reads. If more
+	// are missing, it reads all templates.
 	maxDelta = 64
 
 	// maxPublishTries is how often Publish tries its transaction while it conflicts with
@@ -46,8 +46,8 @@
 }
 
 // Publish publishes a template. The template's Sequence is the version that it is based
-// on, zero for a new template. Its Change identifies the publish: a repeated publish
-// takes effect once. Publish returns the template with its new Sequence and Revision.
+// on, zero for a new template. Its PublishID identifies the publish: a repeated
+// publish takes effect once. Publish returns the template with its new Sequence and Revision.
 // The error is a *SequenceError if the template is not based on the current version.
 func (s *Store) Publish(ctx context.Context, t ryeford.Template) (*ryeford.Template, error) {
 	var lastErr error
