--- a/agentfleet/engine/client.go
+++ b/agentfleet/engine/client.go
@@ -30,7 +30,7 @@
 )
 
 const (
-	// controlTimeout limits a control call, which is any call but a completion.
+	// controlTimeout limits a control call, which is any call without a streamed answer.
 	controlTimeout = 3 * time.Second
 	// maxControlBody is the maximum size of the response body of a control call, in
 	// bytes. A longer body is truncated: JSON is then malformed, and a KV cache of this
--- a/agentfleet/gossip/gossip.go
+++ b/agentfleet/gossip/gossip.go
@@ -71,8 +71,8 @@
 }
 
 // Send sends a message to peers within the limit for control traffic. It ignores
-// failures: the next message has the same contents, and a lost connection is detected by
-// the users of its streams.
+// failures: the next message repeats the contents, except Overflows, which are hints, and
+// a lost connection is detected by the users of its streams.
 func Send(control *transport.ControlLimiter, m *wire.Gossip, peers ...*transport.Conn) {
 	data, err := wire.Marshal(m)
 	if err != nil {
--- a/agentfleet/transport/conn.go
+++ b/agentfleet/transport/conn.go
@@ -157,8 +157,8 @@
 	return wrapError("send", wire.WriteMessage(s.quic, m))
 }
 
-// Reply sends the only answer on a stream and ends the sending side. It ignores the error
-// if the connection is lost; the peer then detects that it gets no answer.
+// Reply sends the only answer on a stream and ends the sending side. It ignores a failure
+// to send; the peer then detects that it gets no answer.
 func (s *Stream) Reply(m *wire.Message) {
 	if s.Send(m) == nil {
 		s.CloseSend()
--- a/agentfleet/wire/attempt.go
+++ b/agentfleet/wire/attempt.go
@@ -92,7 +92,7 @@
 	Incarnation ryeford.Incarnation `cbor:"6,keyasint,omitempty"`
 	// Bound is the engine's maximum load, in requests, for the highest priority.
 	Bound float64 `cbor:"7,keyasint,omitempty"`
-	// MayHaveRun reports that the attempt ran or may have run.
+	// MayHaveRun reports that the attempt may have run or may still run.
 	MayHaveRun bool `cbor:"8,keyasint,omitempty"`
 }
 
