--- a/agentfleet/router/answers.go
+++ b/agentfleet/router/answers.go
@@ -120,8 +120,8 @@
 	return s.buf.ReadOrFill(p, s.fill)
 }
 
-// Close implements io.Closer. It ends the exchange, and cancels the run if the caller
-// disconnected before the end of the answer. It never fails.
+// Close implements io.Closer. It ends the exchange, and cancels a repeatable run if the
+// caller disconnected before the end of the answer. It never fails.
 func (s *answerStream) Close() error {
 	s.once.Do(func() {
 		x := s.exchange
--- a/agentfleet/router/receive.go
+++ b/agentfleet/router/receive.go
@@ -114,8 +114,8 @@
 }
 
 // cancel notifies the agent that the caller disconnected. If sending fails, the
-// connection is lost, and the agent cancels the run once its answer has had no reader
-// for a while.
+// connection is lost, and the agent cancels a repeatable run once its answer has had no
+// reader for a while.
 func (s *agentStream) cancel() {
 	if s.conn == nil {
 		return
