--- a/endpoint.go
+++ b/endpoint.go
@@ -70,8 +70,9 @@
 	return *e == same
 }
 
-// A WithheldEndpoint is an endpoint that is sent no requests although it is listed as ready: it has
-// announced that it is leaving, and the store of the list was then restored from an older backup.
+// A WithheldEndpoint is an endpoint that is sent no requests although it is listed as ready: it had
+// announced that it is leaving, or its entry had been removed, and the store of the list was then
+// restored from an older backup.
 type WithheldEndpoint struct {
 	ID EndpointID
 	// Sequence is that of the entry that announced the departure. It has no meaning if Gone.
