--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -75,7 +75,7 @@
 // maxLogLine is the length of the longest log line that can be read, in bytes.
 const maxLogLine = 1 << 20
 
-// stateChanges are the logged decisions and messages that change the state of a router.
+// stateChanges are the decisions and messages by which a router logs a change of its state.
 var stateChanges = []string{
 	"configuration", "configuration_from_peer", "configuration_news", "endpoint_report", "endpoint_rested", "endpoints", "evacuation", "readiness", "store_restored", "suspended", "dependency lost", "dependency regained",
 	"started", "stopping", "stopped", "reload", "log lines dropped",
--- a/internal/cmd/platform_test.go
+++ b/internal/cmd/platform_test.go
@@ -169,8 +169,8 @@
 }
 
 // outcomeOf returns "broken" for a request that failed or whose response was interrupted,
-// "short" for a stream that ended without an error before its last event, "foreign" for the
-// response to another request, and the status otherwise.
+// "short" for a stream that ended without an error before its last event, "foreign" for a
+// success whose body answers another request, and the status otherwise.
 func outcomeOf(path, id string, status int, body string, err error) string {
 	isStream := strings.HasPrefix(path, "/stream")
 	switch {
