--- a/internal/soak/extrafaults_test.go
+++ b/internal/soak/extrafaults_test.go
@@ -10,7 +10,7 @@
 // drawn independently of them.
 //
 // The first three concern the clocks that gateways receive from others. A gateway's own
-// wall clock can't be changed here; TestSteadyClock, at the root of the module, checks that
+// wall clock can't be changed here; TestMonotonicClock, at the root of the module, checks that
 // no decision depends on it.
 var extraFaults = []fault{
 	{"store clock rate", "the store's clock is up to 5 % too fast or too slow, up to 3 s", affectsNone, affectsNone, (*injector).storeClockRate},
--- a/internal/soak/seriesfaults_test.go
+++ b/internal/soak/seriesfaults_test.go
@@ -22,7 +22,7 @@
 	{"freeze", "SIGSTOP to a gateway, SIGCONT after up to 3 s", affectsGateway, affectsGateway, (*injector).freeze},
 	{"hangups", "up to five SIGHUPs to a gateway", affectsNone, affectsNone, (*injector).hangups},
 	{"link", "a gateway's link to the store is silent, blocked one way, slow or reset, up to 3 s", affectsNone, affectsGateway, (*injector).link},
-	{"squeeze", "a gateway's link to the store is limited to a tenth of its slow rate, up to 3 s", affectsNone, affectsGateway, (*injector).narrowLink},
+	{"squeeze", "a gateway's link to the store is limited to a tenth of slowLinkRate, up to 3 s", affectsNone, affectsGateway, (*injector).narrowLink},
 	{"store", "the store refuses, hangs, is slow or stale, or loses its responses or its history, up to 3 s", affectsNone, affectsAll, (*injector).seriesStore},
 	{"configure", "the second client account's key is revoked or restored", affectsNone, affectsNone, (*injector).configure},
 	{"large", "thousands of routes are added to the configuration or removed", affectsNone, affectsNone, (*injector).toggleUnusedRoutes},
