--- a/internal/clock/now_test.go
+++ b/internal/clock/now_test.go
@@ -34,8 +34,8 @@
 	return m, s
 }
 
-// TestSuspended checks that exactly the suspensions of the machine are detected, by the first
-// reading after them.
+// TestSuspended checks that the suspensions of the machine, and nothing else, are detected: by the
+// first reading after them or, if the wall clock hides them or a measurement fails, by a later one.
 func TestSuspended(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestMeasureRate checks that the kernel's clocks are read once per checkInterval without a
-// suspension.
+// TestMeasureRate checks that the kernel's clocks are read no more often than about once per
+// checkInterval without a suspension.
 func TestMeasureRate(t *testing.T) {
 	m, s := newFakeMachine()
 	for range 10_000 {
