--- a/replay/replay.go
+++ b/replay/replay.go
@@ -224,8 +224,8 @@
 	return answer.NotRun() || !t.NotRepeatable || t.IdempotencyKey != ""
 }
 
-// resume reads the rest of a truncated answer through other routers. It returns the complete
-// answer, or the part that was received before it gave up.
+// resume reads the rest of a truncated answer through other routers. It returns the answer with
+// all parts that were received until it ended or resume gave up.
 func (p *player) resume(ctx context.Context, t *caller.Turn, part *caller.Answer) *caller.Answer {
 	for range resumesPerRouter * len(p.options.Routers) {
 		rest, err := p.client.Resume(ctx, p.balance.router(), t.Key, part.LastEvent)
