--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -94,7 +94,7 @@
 
 // checkStops checks that each stopped gateway reports not ready from then on, so that the
 // load balancer sends callers elsewhere, and exits within its grace period. Stops that
-// another fault disturbed or during which the machine stalled are excluded.
+// another fault disturbed are excluded. Stalls of the machine are allowed for.
 func checkStops(t *testing.T, in *injector) {
 	t.Helper()
 	record := in.record(0)
--- a/internal/soak/laterequest_test.go
+++ b/internal/soak/laterequest_test.go
@@ -16,8 +16,8 @@
 	// lateRequestCount is the number of requests that are sent to a gateway that stops.
 	lateRequestCount = 50
 	// shortRequestCount is how many of them are short. The first long request is sent 2 s
-	// after SIGTERM, so that no long one has ended by admitWindow and the gateway only knows
-	// the duration of short ones.
+	// after SIGTERM, so that no long one has ended by admitWindow and the gateway has only
+	// seen short ones end.
 	shortRequestCount = lateRequestCount / 3
 )
 
--- a/internal/soak/superseded_test.go
+++ b/internal/soak/superseded_test.go
@@ -13,9 +13,10 @@
 // bounds.configuration of seriesPlan.
 const supersededRoutes = 4 * unusedRoutes
 
-// TestSuperseded guards against a gateway that serves by a superseded configuration because
-// the newer one, of which a peer notified it, is too large to read in time over its link.
-// It must refuse requests until it serves by the newer one.
+// TestSuperseded guards against a gateway that serves by a superseded configuration for
+// longer than bounds.configuration because the newer one, of which a peer notified it, is
+// too large to read in time over its link. It must then refuse requests until it serves by
+// the newer one.
 func TestSuperseded(t *testing.T) {
 	f := newFleet(t, &seriesPlan, 2)
 	f.eventually("both have a peer", f.peersAlive(1))
