--- a/agentfleet/claim/batcher.go
+++ b/agentfleet/claim/batcher.go
@@ -47,8 +47,8 @@
 	err     error
 }
 
-// write performs one write. It returns the errors of ryeford.Table. If ctx ends while
-// the write is queued, the write may still take effect.
+// write performs one write. It returns the errors of ryeford.Table. If ctx ends after
+// the write was queued, the write may still take effect.
 func (b *batcher) write(ctx context.Context, w ryeford.Write) (int64, error) {
 	p := &pendingWrite{write: w, done: make(chan outcome, 1)}
 	select {
@@ -80,7 +80,7 @@
 }
 
 // collect waits for a write and adds those that arrive within batchWindow. A second
-// write to the same row fails at once, since its condition depends on the result of the
+// write to the same row fails immediately, since its condition depends on the result of the
 // first one. It returns nil when ctx ends.
 func (b *batcher) collect(ctx context.Context) []*pendingWrite {
 	var batch []*pendingWrite
--- a/agentfleet/router/claimed.go
+++ b/agentfleet/router/claimed.go
@@ -63,7 +63,7 @@
 	}
 	switch claimStepFor(held, x.request.digest) {
 	case claimKeyReused:
-		return &ryeford.InputError{Field: HeaderKey, Problem: "the key belongs to another request", Status: statusKeyReused}
+		return &ryeford.InputError{Field: HeaderIdempotencyKey, Problem: "the key belongs to another request", Status: statusKeyReused}
 	case claimJoinFirst:
 		if found, err := x.joinFirstRun(ctx, &held.Record); found || err != nil {
 			return err
@@ -101,7 +101,7 @@
 	}
 }
 
-// newRecord starts a new attempt and returns the record that claims it.
+// newRecord creates a new attempt and returns the record that claims it.
 func (x *exchange) newRecord() claim.Record {
 	x.attempt = newAttempt(time.Now(), x.forwarder.limits, true)
 	return claim.Record{
@@ -179,7 +179,7 @@
 		return true, nil
 	}
 	x.stream.close()
-	if reply.Refused != nil && !reply.Refused.Unknown {
+	if reply.Refused != nil && !reply.Refused.MayHaveRun {
 		return false, nil
 	}
 	return false, &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable}
--- a/agentfleet/router/recover.go
+++ b/agentfleet/router/recover.go
@@ -111,10 +111,10 @@
 	rejoinInterval = 25 * time.Millisecond
 )
 
-// resolveOutcome asks the agent of an attempt whose stream was lost what became of it,
+// resolveOutcome queries the agent of an attempt whose stream was lost for its outcome,
 // until the agent replies. If the agent has restarted, its state is lost and the
 // outcome is unknown. A repeatable request does not wait: its outcome counts as unknown
-// at once, and it goes to another engine.
+// immediately, and it goes to another engine.
 func (x *exchange) resolveOutcome(ctx context.Context, cause error) error {
 	unknown := &ryeford.MayHaveRunError{Reason: ryeford.ReasonUnreachable, Err: cause}
 	if x.request.repeatable || ctx.Err() != nil {
@@ -162,7 +162,7 @@
 		Incarnation: c.Incarnation,
 		Offset:      x.delivered.next,
 		Expires:     x.attempt.Expires,
-		Forget:      x.attempt.RetainUntil,
+		RetainUntil: x.attempt.RetainUntil,
 		Peek:        peek,
 	}
 	var reply *wire.Message
--- a/endpoint.go
+++ b/endpoint.go
@@ -63,15 +63,16 @@
 	Written  Revision `cbor:"w,omitempty"`
 }
 
-// SaysSame reports whether two entries are equal, apart from Sequence and Written.
-func (e *Endpoint) SaysSame(other *Endpoint) bool {
+// Equal reports whether two entries are equal, apart from Sequence and Written.
+func (e *Endpoint) Equal(other *Endpoint) bool {
 	same := *other
 	same.Sequence, same.Written = e.Sequence, e.Written
 	return *e == same
 }
 
-// A WithheldEndpoint is an endpoint that is sent no requests although it is listed as ready: it has
-// announced that it is leaving, and the store of the list was then restored from an older backup.
+// A WithheldEndpoint is an endpoint that is sent no requests although it is listed as ready: it had
+// announced that it is leaving, or its entry had been removed, and the store of the list was then
+// restored from an older backup.
 type WithheldEndpoint struct {
 	ID EndpointID
 	// Sequence is that of the entry that announced the departure. It has no meaning if Gone.
@@ -87,9 +88,9 @@
 	// Leaving means that this incarnation of the endpoint stops soon and must be sent no more
 	// requests.
 	Leaving bool
-	// Rest is the back-off that the endpoint asks this router for, counted from the response. Zero
-	// means none.
-	Rest time.Duration
+	// RetryAfter is the back-off that the endpoint asks this router for, counted from the
+	// response. Zero means none.
+	RetryAfter time.Duration
 }
 
 // An EndpointLoad is the load that an endpoint reports in a response, in requests.
--- a/gateway/admit/admit_test.go
+++ b/gateway/admit/admit_test.go
@@ -12,13 +12,13 @@
 	"github.com/ryeford/ryeford/gateway/giveup"
 )
 
-// A failure is what the caller of a refused request sees.
+// A failure is what the caller of a refused request receives.
 type failure struct {
 	status int
 	reason ryeford.Reason // of a NotRunError
 }
 
-// failureOf returns the failure that the caller sees for an error, and checks that only a 503 has a
+// failureOf returns the failure that the caller receives for an error, and checks that only a 503 has a
 // retry time.
 func failureOf(t *testing.T, err error) failure {
 	t.Helper()
@@ -85,7 +85,7 @@
 		{"nothing has changed", func(*SendState) {}, failure{}},
 		{"the endpoint is draining or gone", func(s *SendState) { s.ExclusionReason = ryeford.ReasonLeaving }, failure{503, "leaving"}},
 		{"its failure domain is evacuated", func(s *SendState) { s.ExclusionReason = ryeford.ReasonEvacuated }, failure{503, "evacuated"}},
-		{"the endpoint is backing off", func(s *SendState) { s.ExclusionReason = ryeford.ReasonResting }, failure{503, "resting"}},
+		{"the endpoint is backing off", func(s *SendState) { s.ExclusionReason = ryeford.ReasonBackingOff }, failure{503, "resting"}},
 		{"the configuration became stale", func(s *SendState) { s.Reliable, s.ServesKeys = false, false }, failure{503, "stale_configuration"}},
 		{"in a store outage during which keys are served", func(s *SendState) { s.Reliable = false }, failure{}},
 		{"the key is unknown in an outage: the configuration may be stale", func(s *SendState) { s.KeyFound, s.Reliable = false, false }, failure{503, "stale_configuration"}},
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -91,7 +91,7 @@
 func (c *configuration) version() int64 { return versionOf(c.current()) }
 
 // superseded reports whether the configuration in force must no longer be used because a newer one
-// exists.
+// is known or may exist.
 func (c *configuration) superseded(now time.Time) bool {
 	if !c.newer.mayExist() {
 		return false
@@ -243,7 +243,7 @@
 		_ = c.log.Log("decision", "configuration", "revision", update.Revision, "applied", false, "why", "the source no longer has a configuration")
 		return false
 	}
-	c.lease.RenewRead(sent, update.Begun, update.Clock)
+	c.lease.RenewRead(sent, update.ResponseStarted, update.Clock)
 	c.onUpdate()
 	return true
 }
@@ -285,7 +285,7 @@
 }
 
 // mergePeerConfirmation merges a confirmation from a peer: version was the newest when the source's
-// steady clock showed at.
+// monotonic clock showed at.
 func (c *configuration) mergePeerConfirmation(now time.Time, from netip.AddrPort, version int64, at time.Duration) {
 	current := c.current()
 	switch freshness.PeerActionFor(current != nil, versionOf(current), version) {
--- a/gateway/endpointlist.go
+++ b/gateway/endpointlist.go
@@ -159,7 +159,7 @@
 		return false
 	}
 	// Renewed only after applying: what peers receive as confirmed must have been applied.
-	l.lease.RenewRead(sent, update.Begun, update.Clock)
+	l.lease.RenewRead(sent, update.ResponseStarted, update.Clock)
 	return len(update.Present)+len(update.Removed) > 0
 }
 
@@ -256,8 +256,8 @@
 	}
 }
 
-// sweep closes idle connections, and removes endpoints whose retention period has ended, until ctx is
-// done.
+// sweep closes connections that have been idle for too long, and removes endpoints whose retention
+// period has ended, until ctx is done.
 func (l *endpointList) sweep(ctx context.Context) error {
 	timer := time.NewTimer(sweepInterval)
 	defer timer.Stop()
--- a/gateway/exchange_test.go
+++ b/gateway/exchange_test.go
@@ -186,7 +186,7 @@
 	return strings.TrimPrefix(httpServer.URL, "http://")
 }
 
-// TestUnservable checks that a request that can't be served any more is answered at once, is not
+// TestUnservable checks that a request that can't be served any more is answered immediately, is not
 // sent, and gets a response that states that it has not run.
 func TestUnservable(t *testing.T) {
 	for _, row := range []struct {
@@ -233,9 +233,9 @@
 	}
 }
 
-// TestQuarantinedAnswer checks the response to a held request: Retry-After is the end of the
-// quarantine, clients are asked not to retry automatically, 503 is not sent once an attempt was
-// made, and the refusal doesn't affect the Retry-After of other requests.
+// TestQuarantinedAnswer checks the response to a held request: Retry-After is the time until requests
+// like it are tried again, clients are asked not to retry automatically, 503 is not sent once an
+// attempt was made, and the refusal doesn't affect the Retry-After of other requests.
 func TestQuarantinedAnswer(t *testing.T) {
 	e := newExchangeTest(t)
 	e.setEndpoints(startEndpoint(t, &appserver.Server{ID: "e1"}, func() {}))
--- a/gateway/giveup/retryafter.go
+++ b/gateway/giveup/retryafter.go
@@ -33,7 +33,8 @@
 	// retry. Callers honor a Retry-After up to a third of their remaining time, and the response
 	// needs some of it to arrive.
 	retryShare = 0.3
-	// maxRetryAfter limits the Retry-After. A lower limit would concentrate the retries.
+	// maxRetryAfter limits the Retry-After, except of quarantined requests. A lower limit would
+	// concentrate the retries.
 	maxRetryAfter = 5 * time.Second
 	// assumedAnswers is added to the number of recent answers, so that a single refusal does not
 	// count as an overload.
@@ -48,7 +49,7 @@
 		return retryNotReady
 	case ryeford.ReasonNoCandidate, ryeford.ReasonUnreachable:
 		return retryNoEndpoint
-	case ryeford.ReasonLeaving, ryeford.ReasonResting, ryeford.ReasonEvacuated:
+	case ryeford.ReasonLeaving, ryeford.ReasonBackingOff, ryeford.ReasonEvacuated:
 		return retryElsewhere
 	case ryeford.ReasonKeyRevoked, ryeford.ReasonRouteRemoved:
 		return 0
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -30,7 +30,7 @@
 	seeds   []netip.AddrPort
 	vm      ryeford.VMID
 	routers ryeford.RouterList
-	started int64 // start of this process, in nanoseconds of its VM's steady clock
+	started int64 // start of this process, in nanoseconds of its VM's monotonic clock
 	table   *peers.Table
 
 	configuration *configuration
@@ -43,7 +43,7 @@
 	metrics       *telemetry.Set
 
 	// registered is when this router registered in the platform's list of routers, or nil. lookedUp is
-	// whether it has read that list.
+	// whether it has queried that list.
 	registered atomic.Pointer[time.Time]
 	lookedUp   atomic.Bool
 
--- a/gateway/loads/loads_test.go
+++ b/gateway/loads/loads_test.go
@@ -21,7 +21,7 @@
 		want      float64
 		deviation float64
 	}{
-		{"nothing is known", Observation{}, 0, 0.5},
+		{"no data", Observation{}, 0, 0.5},
 		{"local requests only", Observation{Local: 3}, 3, 0.5},
 		{"all peers have reported", Observation{Local: 3, PeerRequests: 4, PeerShare: 1, Mean: 9}, 7, 0},
 		{"all peers have reported, and override an endpoint status report", Observation{Local: 3, PeerRequests: 4, PeerShare: 1, Reported: true, Others: 90}, 7, 0},
@@ -95,7 +95,7 @@
 	}
 }
 
-// TestReports guards against forwarding old reports, or fewer than the newest ones of high loads.
+// TestReports guards against forwarding old reports, and against leaving out the newest ones of high loads.
 func TestReports(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := New()
--- a/gateway/roster/entry.go
+++ b/gateway/roster/entry.go
@@ -22,8 +22,8 @@
 	Evacuated bool
 	// EvacuationEnded is when the last evacuation of the failure domain ended, or zero.
 	EvacuationEnded time.Time
-	// ColdUntil is when the cold period that the endpoint reported ends, counted from when this router
-	// received the report.
+	// ColdUntil is when the cold period in the endpoint's list entry ends, counted from when this router
+	// received the entry.
 	ColdUntil time.Time
 	// withheld is set if the endpoint is listed as ready but is withheld (withheld.go).
 	withheld bool
@@ -32,7 +32,7 @@
 }
 
 // ExclusionReason returns the reason for which the endpoint accepts no new requests, or "" if it accepts
-// them. A nil entry stands for an unknown endpoint, which counts as leaving.
+// them. A nil entry means an unknown endpoint, which counts as leaving.
 func (e *Entry) ExclusionReason() ryeford.Reason {
 	switch {
 	case e == nil || !e.Serving():
--- a/internal/clock/now_test.go
+++ b/internal/clock/now_test.go
@@ -34,8 +34,8 @@
 	return m, s
 }
 
-// TestSuspended checks that exactly the suspensions of the machine are detected, by the first
-// reading after them.
+// TestSuspended checks that the suspensions of the machine, and nothing else, are detected: by the
+// first reading after them or, if the wall clock hides them or a measurement fails, by a later one.
 func TestSuspended(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestMeasureRate checks that the kernel's clocks are read once per checkInterval without a
-// suspension.
+// TestMeasureRate checks that the kernel's clocks are read no more often than about once per
+// checkInterval without a suspension.
 func TestMeasureRate(t *testing.T) {
 	m, s := newFakeMachine()
 	for range 10_000 {
@@ -108,17 +108,17 @@
 	assert.Assert(t, first > -maxMeasureTime, "%v", first)
 }
 
-// TestSuspend checks that Now jumps by a simulated suspension at once, and then continues
+// TestSimulateSuspension checks that Now jumps by a simulated suspension immediately, and then continues
 // normally.
-func TestSuspend(t *testing.T) {
+func TestSimulateSuspension(t *testing.T) {
 	before, runtime := Now(), time.Now()
-	total := Suspended()
-	Suspend(7 * time.Second)
+	total := SuspendedTime()
+	SimulateSuspension(7 * time.Second)
 	since, elapsed := Since(before), time.Since(runtime)
 	assert.Assert(t, since >= 7*time.Second, "%v", since)
 	assert.Assert(t, since-elapsed < 7*time.Second+time.Second, "%v, %v", since, elapsed)
-	assert.Equal(t, (Suspended() - total).Round(10*time.Millisecond), 7*time.Second)
-	assert.Assert(t, Woke().After(before) && !Woke().After(Now()))
+	assert.Equal(t, (SuspendedTime() - total).Round(10*time.Millisecond), 7*time.Second)
+	assert.Assert(t, ResumedAt().After(before) && !ResumedAt().After(Now()))
 	assert.Assert(t, Until(before) < -7*time.Second)
 }
 
