--- a/settings/derived.go
+++ b/settings/derived.go
@@ -29,7 +29,8 @@
 
 // EndpointsWait returns how long the store holds a long poll for changes of the
 // list of endpoints. It is as long as possible while a lost poll is still noticed,
-// after store_timeout more, and repeated within bounds.contact.
+// after store_timeout more, and repeated within bounds.contact. The gateway limits a
+// derived value further by bounds.drain.
 func (s *Gateway) EndpointsWait() time.Duration {
 	derived := s.Bounds.Contact - s.Routing.StoreTimeout - contactMargin
 	return cmp.Or(s.Routing.EndpointsWait, max(minEndpointsWait, derived))
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -47,7 +47,7 @@
 	// StrictRevoke enforces revoke also while the store can't be reached: requests
 	// that need a key are then refused. If it is false, they are served by the last
 	// known configuration during an outage of the store, and revoked keys keep
-	// working until a newer configuration is received.
+	// working, until a newer configuration is reported or may exist.
 	StrictRevoke bool `yaml:"strict_revoke"`
 	// Contact is how long a router must have been in contact with the store before
 	// all bounds apply to it again. It limits endpoints_wait.
@@ -62,14 +62,15 @@
 	// platform kills the process sooner, requests in flight are lost.
 	Grace time.Duration `yaml:"grace" validate:"min=1s,max=1h"`
 	// RetryRatio is the number of attempts beyond each request's first one that all
-	// routers together may make, for each service and within retry_window.
+	// routers together may make, as a share of the requests, for each service and
+	// within retry_window.
 	RetryRatio float64 `yaml:"retry_ratio" unit:"part of the requests" validate:"min=0,max=1"`
 	// RetryReserve is the number of such attempts that are always allowed, however
 	// few requests there are.
 	RetryReserve float64 `yaml:"retry_reserve" unit:"attempts" validate:"min=0,max=1000000"`
 	// RetryWindow is the window in which attempts and requests are counted.
 	RetryWindow time.Duration `yaml:"retry_window" validate:"min=1s,max=10m"`
-	// CapFactor times the mean load, plus two requests, is the load at which an
+	// CapFactor times the mean load, plus two requests, is the load above which an
 	// endpoint is full.
 	CapFactor float64 `yaml:"cap_factor" unit:"times the mean" validate:"min=1,max=100"`
 }
@@ -77,7 +78,7 @@
 // GatewayRouting is the settings that a gateway may choose freely within the bounds.
 type GatewayRouting struct {
 	// EndpointsWait is how long the store holds a read for changes of the list of
-	// endpoints while there are none; zero derives it from contact and
+	// endpoints while there are none; zero derives it from drain, contact and
 	// store_timeout. The longer, the fewer calls. If it and store_timeout together
 	// exceed contact, a lost read is noticed too late; if it exceeds drain, so is a
 	// failure of the gateway that reads for all.
